--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -10,10 +10,10 @@
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
-import tansytrack.api.TaskOffer;
-import tansytrack.settings.Config;
+import tansytrack.api.TaskRequest;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One decision module before engines that end each task at once, on virtual time. Plain tasks may
@@ -59,10 +59,10 @@
     for (int i = 0; i < engines; i++) {
       list.add(entry(i));
     }
-    module.engines(now, true, list);
+    module.onEngineList(now, true, list);
     module.decide(now);
     for (EngineEntry engine : list) {
-      module.probed(now, engine.id(), Outcome.OK, IDLE);
+      module.onProbeEnd(now, engine.id(), Outcome.OK, IDLE);
     }
     module.decide(now);
     sweep();
@@ -86,8 +86,8 @@
     }
     String text = String.format(Locale.ROOT, CONFIGURATION, managers, named);
     try {
-      return Config.of(Json.read(text.getBytes(StandardCharsets.UTF_8))).settings();
-    } catch (Junk e) {
+      return ManagerConfig.fromJson(Json.parse(text.getBytes(StandardCharsets.UTF_8))).settings();
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -109,7 +109,7 @@
   private String offer(String grade, long left) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.task(now, new TaskOffer(id, grade, tenant, null, now + left, COST, 1, -1));
+    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, COST, 1, -1));
     return id;
   }
 
@@ -121,13 +121,13 @@
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
     }
-    module.outcome(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
+    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
     module.decide(now);
   }
 
   void sweep() {
     now += SWEEP_GAP;
-    module.woken(now, "sweep");
+    module.onWakeUp(now, "sweep");
     module.decide(now);
   }
 
@@ -137,7 +137,7 @@
   }
 
   @Override
-  public void bounce(String task, long pause) {
+  public void reject(String task, long pause) {
     refused++;
   }
 
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public void provide(String task, long memoryMb, int priority) {}
+  public void assignResources(String task, long memoryMb, int priority) {}
 
   @Override
   public void probe(String engine) {}
@@ -156,7 +156,7 @@
   public void cancel(String task, int index) {}
 
   @Override
-  public void wake(long in, String token) {}
+  public void scheduleWakeUp(long in, String token) {}
 
   @Override
   public void log(String text) {}
--- a/src/main/java/tansytrack/FleetCommands.java
+++ b/src/main/java/tansytrack/FleetCommands.java
@@ -9,21 +9,21 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 import tansytrack.command.Command;
-import tansytrack.command.Group;
-import tansytrack.command.Guarded;
+import tansytrack.command.CommandGroup;
+import tansytrack.command.ErrorReportingCommand;
 import tansytrack.lab.LabClient;
 import tansytrack.log.JsonLinesWriter;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** The command group `fleet`: what a running manager knows of the others. */
 public final class FleetCommands {
 
-  private static final int PATIENCE_MS = 3000;
+  private static final int TIMEOUT_MS = 3000;
 
   private FleetCommands() {}
 
   /** The group. */
-  public static final class All extends Group {
+  public static final class All extends CommandGroup {
     @Argument(
         required = true,
         metaVar = "COMMAND",
@@ -33,18 +33,18 @@
     private Command command;
 
     @Override
-    public String about() {
+    public String description() {
       return "fleet: what a running manager knows of the others. Commands: show.";
     }
 
     @Override
-    protected Command inner() {
+    protected Command subcommand() {
       return command;
     }
   }
 
   /** Asks one. */
-  public static final class Show extends Guarded {
+  public static final class Show extends ErrorReportingCommand {
     @Argument(
         required = true,
         metaVar = "ADDRESS",
@@ -55,24 +55,25 @@
     private boolean json;
 
     @Override
-    public String about() {
+    public String description() {
       return "fleet show: its members as that manager sees them, itself first. Exit code 1: it"
           + " keeps in touch with nobody; 2: it\n"
           + "cannot be asked.";
     }
 
     @Override
-    protected int work() throws IOException {
+    protected int execute() throws IOException {
       int colon = at.lastIndexOf(':');
       if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}")) {
-        throw new Unusable("'" + at + "'; allowed: an address with a port, as in 127.0.0.1:6565");
+        throw new InvalidInputException(
+            "'" + at + "'; allowed: an address with a port, as in 127.0.0.1:6565");
       }
       LabClient.Answer answer;
       try (LabClient client =
           new LabClient(
               new InetSocketAddress(
                   at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
-              PATIENCE_MS)) {
+              TIMEOUT_MS)) {
         answer = client.ask("SHOW FLEET");
       } catch (IOException e) {
         throw new IOException(at + " cannot be asked: " + e.getMessage(), e);
@@ -82,7 +83,7 @@
             "tansytrack: "
                 + at
                 + " keeps in touch with no others: its operators' file has no fleet section");
-        return DIFFERS;
+        return EXIT_DIFFERENCE;
       }
       System.out.print(json ? object(answer) : table(answer));
       return 0;
@@ -123,9 +124,9 @@
               cell.matches("[0-9]{1,18}")
                   && !answer.columns().get(j).matches("name|place|version|settings");
           text.append(j > 0 ? "," : "")
-              .append(JsonLinesWriter.quoted(answer.columns().get(j)))
+              .append(JsonLinesWriter.quote(answer.columns().get(j)))
               .append(':')
-              .append(figure ? cell : JsonLinesWriter.quoted(cell));
+              .append(figure ? cell : JsonLinesWriter.quote(cell));
         }
         text.append('}');
       }
--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -10,8 +10,8 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 import tansytrack.command.Command;
-import tansytrack.command.Group;
-import tansytrack.command.Guarded;
+import tansytrack.command.CommandGroup;
+import tansytrack.command.ErrorReportingCommand;
 import tansytrack.lab.FleetTable;
 import tansytrack.lab.Laboratory;
 import tansytrack.lab.LedgerBench;
@@ -23,8 +23,8 @@
 import tansytrack.lab.proto.Experiment;
 import tansytrack.lab.scale.FailureSchedule;
 import tansytrack.lab.scale.ScalePlan;
-import tansytrack.lab.world.Explorer;
-import tansytrack.settings.Unusable;
+import tansytrack.lab.simulation.MembershipModelChecker;
+import tansytrack.settings.InvalidInputException;
 
 /** The command group `lab`: stand-ins and experiments, all on loopback. */
 public final class LabCommands {
@@ -32,7 +32,7 @@
   private LabCommands() {}
 
   /** The group. */
-  public static final class All extends Group {
+  public static final class All extends CommandGroup {
     @Argument(
         required = true,
         metaVar = "COMMAND",
@@ -51,19 +51,19 @@
     private Command command;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab: stand-ins and experiments on loopback. Commands: engines, run, load, fleet, scale,\n"
           + "footprint, explore, ledger-bench.";
     }
 
     @Override
-    protected Command inner() {
+    protected Command subcommand() {
       return command;
     }
   }
 
   /** Plays a file with a seed and leaves results. */
-  abstract static class Playing extends Guarded {
+  abstract static class Playing extends ErrorReportingCommand {
     @Option(name = "--seed", metaVar = "N", usage = "of the first run")
     private long seed = 1;
 
@@ -77,21 +77,21 @@
     abstract boolean played(long from, Path to) throws IOException, InterruptedException;
 
     @Override
-    protected final int work() throws IOException {
+    protected final int execute() throws IOException {
       Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
       try {
         boolean held = played(seed, to);
         System.out.println("results in " + to);
-        return held ? 0 : DIFFERS;
+        return held ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
-        return DIFFERS;
+        return EXIT_DIFFERENCE;
       }
     }
   }
 
   /** Stand-ins for what a configuration names. */
-  public static final class Engines extends Guarded {
+  public static final class Engines extends ErrorReportingCommand {
     @Argument(
         required = true,
         metaVar = "FILE",
@@ -102,12 +102,12 @@
     private int work = 20;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab engines: stand-ins for the engines and the command channel that a configuration names, until ended.";
     }
 
     @Override
-    protected int work() throws IOException {
+    protected int execute() throws IOException {
       StandIns.of(file, work, System.out);
       try {
         Thread.sleep(Long.MAX_VALUE);
@@ -127,7 +127,7 @@
     private String file;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab run: plays an experiment and judges its claims. Exit code 1: one is not held, or a run ended early; 2: the file\n"
           + "cannot be used.";
     }
@@ -160,7 +160,7 @@
     private String to;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab load: sends a load made beforehand, each task at its intended time, and counts latency from that time.\n"
           + "Exit code 1: a claim is not held, or the generator fell behind and the run is void; 2: the file cannot be used.";
     }
@@ -186,7 +186,7 @@
     private int runs = 5;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab fleet: memberships in virtual time: how soon a killed member is known dead, how often the living are accused,\n"
           + "bytes a second, how soon a place that was cut off comes together. Leaves a table and charts.";
     }
@@ -198,7 +198,7 @@
   }
 
   /** What a manager's process costs. */
-  public static final class Footprint extends Guarded {
+  public static final class Footprint extends ErrorReportingCommand {
     @Option(name = "--managers", metaVar = "N", usage = "processes")
     private int managers = 1;
 
@@ -242,7 +242,7 @@
     private String out;
 
     @Override
-    public String about() {
+    public String description() {
       return """
           lab footprint: real managers before a stand-in channel with a long list: memory, processor
           time at rest and under a light load, control bytes, start, how soon a change has reached
@@ -251,17 +251,17 @@
     }
 
     @Override
-    protected int work() throws IOException {
+    protected int execute() throws IOException {
       FootprintOptions options =
           new FootprintOptions(managers, engines, siblings, settle, seconds, rate, jar, jvm);
       Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
       try {
         boolean reached = FootprintTable.run(options, to, System.out);
         System.out.println("results in " + to);
-        return reached ? 0 : DIFFERS;
+        return reached ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
-        return DIFFERS;
+        return EXIT_DIFFERENCE;
       }
     }
   }
@@ -302,7 +302,7 @@
     private ScaleTable.Grows grows = ScaleTable.Grows.BOTH;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab scale: real decision modules of many managers before hollow engines, in one process on virtual time, without\n"
           + "sockets and clients. Leaves a table, CSV and charts; the same seed, the same table. Schedules: "
           + FailureSchedule.names()
@@ -321,7 +321,7 @@
   }
 
   /** The search through states. */
-  public static final class Explore extends Guarded {
+  public static final class Explore extends ErrorReportingCommand {
     @Option(name = "--depth", metaVar = "N", usage = "choices in a row")
     private int depth = 9;
 
@@ -329,28 +329,29 @@
     private int states = 100_000;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab explore: three memberships, every order, loss and doubling of letters, a cut, a kill, a restart, breadth first.\n"
           + "Exit code 1: from some state they do not come to agree.";
     }
 
     @Override
-    protected int work() {
-      Explorer.Found found = new Explorer((to, letter) -> letter).explore(depth, states);
+    protected int execute() {
+      MembershipModelChecker.Result found =
+          new MembershipModelChecker((to, letter) -> letter).explore(depth, states);
       System.out.println(
           found.states()
               + " states, up to "
               + found.depth()
               + " choices deep; "
-              + (found.broken() == null
+              + (found.counterexample() == null
                   ? "from each they come to agree"
-                  : "no agreement behind choices " + found.broken()));
-      return found.broken() == null ? 0 : DIFFERS;
+                  : "no agreement behind choices " + found.counterexample()));
+      return found.counterexample() == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 
   /** The ledger's measurement. */
-  public static final class Bench extends Guarded {
+  public static final class Bench extends ErrorReportingCommand {
     @Option(
         name = "--folder",
         metaVar = "FOLDER",
@@ -365,16 +366,16 @@
     private int seconds = 5;
 
     @Override
-    public String about() {
+    public String description() {
       return "lab ledger-bench: the loop's cost of a ledger's entry, durable entries a second, waits for the commit, a start after\n"
           + "a kill. The larger ledger stays in FOLDER/full, to measure `ledger export` on.";
     }
 
     @Override
-    protected int work() throws IOException {
+    protected int execute() throws IOException {
       Path to = Path.of(folder);
       if (Files.exists(to)) {
-        throw new Unusable("--folder '" + folder + "' exists; allowed: a new one");
+        throw new InvalidInputException("--folder '" + folder + "' exists; allowed: a new one");
       }
       LedgerBench bench = new LedgerBench(System.out);
       bench.throughput(to.resolve("full"), entries);
--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -14,13 +14,13 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import tansytrack.ledger.Amendment;
+import tansytrack.ledger.AmendmentValidator;
 import tansytrack.ledger.Bill;
-import tansytrack.ledger.Corrections;
-import tansytrack.ledger.Resolutions;
+import tansytrack.ledger.EntryResolver;
 import tansytrack.ledger.disk.Billing;
 import tansytrack.ledger.disk.LedgerFiles;
-import tansytrack.ledger.disk.Store;
-import tansytrack.settings.Unusable;
+import tansytrack.ledger.disk.LedgerStore;
+import tansytrack.settings.InvalidInputException;
 
 /** The ledger commands on bills: what is shown of a period, its closing and its corrections. */
 public final class LedgerBillCommands {
@@ -36,29 +36,30 @@
     private String tenant;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger show: what each tenant used in a period, by service grade, what came after it"
           + " was closed, and amendments.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      String of = period == null ? section.periods().of(now()) : period;
-      section.periods().first(of);
-      Bill bill = Billing.bill(store, section.periods(), section.rates(), of);
-      bill.sums().forEach((whose, sum) -> sum(bill, of, whose, sum, ""));
-      bill.late().forEach((whose, sum) -> sum(bill, of, whose, sum, "late"));
-      table();
-      totals(bill);
-      table();
+    int work(LedgerStore store) throws IOException {
+      String of = period == null ? section.periods().periodAt(nowNanos()) : period;
+      section.periods().firstDay(of);
+      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), of);
+      bill.subtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, ""));
+      bill.lateSubtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, "late"));
+      printTable();
+      addTotalRows(bill);
+      printTable();
       return 0;
     }
 
-    private void sum(Bill bill, String of, Bill.Whose whose, Bill.Sum sum, String late) {
+    private void addSubtotalRow(
+        Bill bill, String of, Bill.SubtotalKey whose, Bill.Subtotal sum, String late) {
       if (tenant != null && !tenant.equals(whose.tenant())) {
         return;
       }
-      row(
+      addRow(
           columns(
               "period",
               of,
@@ -75,30 +76,30 @@
               "unresolved",
               sum.unresolved(),
               "work ms",
-              sum.work() / 1_000_000,
+              sum.workNanos() / 1_000_000,
               "wasted ms",
-              sum.waste() / 1_000_000,
+              sum.wasteNanos() / 1_000_000,
               "bytes",
               sum.bytes(),
               "amount",
-              bill.amount(sum).toPlainString(),
+              bill.roundedAmount(sum).toPlainString(),
               "",
               late));
     }
 
-    private void totals(Bill bill) {
+    private void addTotalRows(Bill bill) {
       for (String one : bill.tenants()) {
         if (tenant == null || tenant.equals(one)) {
-          row(
+          addRow(
               columns(
                   "tenant",
                   one,
                   "amended",
-                  bill.amended(one).toPlainString(),
+                  bill.amendedAmount(one).toPlainString(),
                   "total",
                   bill.total(one).toPlainString(),
                   "quota",
-                  Billing.quota(bill, one, section.quotas())));
+                  Billing.quotaStatus(bill, one, section.quotas())));
         }
       }
     }
@@ -107,42 +108,42 @@
   /** Lists the periods, and closes those whose grace is over. */
   public static final class PeriodList extends LedgerBillingCommand {
     @Override
-    public String about() {
+    public String description() {
       return "ledger periods: each period with entries, and whether it is closed. Those whose grace"
           + " is over are closed first.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      for (String closed : Billing.closeDue(store, section, now())) {
+    int work(LedgerStore store) throws IOException {
+      for (String closed : Billing.closeDuePeriods(store, section, nowNanos())) {
         System.err.println("closed " + closed + ": its grace is over");
       }
-      Map<String, Store.Closed> closed =
-          store.closed().stream()
-              .collect(Collectors.toMap(Store.Closed::period, Function.identity()));
-      Map<String, Long> counts = Billing.counts(store, section.periods());
+      Map<String, LedgerStore.ClosedPeriod> closed =
+          store.closedPeriods().stream()
+              .collect(Collectors.toMap(LedgerStore.ClosedPeriod::period, Function.identity()));
+      Map<String, Long> counts = Billing.taskCounts(store, section.periods());
       TreeSet<String> all = new TreeSet<>(counts.keySet());
       all.addAll(closed.keySet());
       for (String one : all) {
-        Store.Closed was = closed.get(one);
-        row(
+        LedgerStore.ClosedPeriod was = closed.get(one);
+        addRow(
             columns(
                 "period",
                 one,
                 "from",
-                time(section.periods().start(one)),
+                formatTime(section.periods().startNanos(one)),
                 "until",
-                time(section.periods().end(one)),
+                formatTime(section.periods().endNanos(one)),
                 "tasks",
                 counts.getOrDefault(one, 0L),
                 "open",
-                store.openTasks(section.periods().start(one), section.periods().end(one)),
+                store.openTasks(section.periods().startNanos(one), section.periods().endNanos(one)),
                 "closed",
-                was == null ? "-" : time(was.at()),
+                was == null ? "-" : formatTime(was.closedAt()),
                 "by",
                 was == null ? "-" : was.author()));
       }
-      table();
+      printTable();
       return 0;
     }
   }
@@ -156,26 +157,35 @@
     private String author;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger close: closes a period; its sums stay as they are from then on.";
     }
 
     @Override
-    int work(Store store) throws IOException {
+    int work(LedgerStore store) throws IOException {
       String refused =
           section
-              .closing()
-              .refused(
+              .closingPolicy()
+              .rejectionReason(
                   period,
-                  now(),
-                  store.closed().stream().map(Store.Closed::period).toList(),
-                  store.openTasks(section.periods().start(period), section.periods().end(period)));
+                  nowNanos(),
+                  store.closedPeriods().stream().map(LedgerStore.ClosedPeriod::period).toList(),
+                  store.openTasks(
+                      section.periods().startNanos(period), section.periods().endNanos(period)));
       if (refused != null) {
-        throw new Unusable(refused);
+        throw new InvalidInputException(refused);
       }
-      Store.Closed closed = Billing.close(store, section, period, author, now());
-      row(columns("period", period, "positions up to", closed.upTo(), "sha256", closed.sha()));
-      table();
+      LedgerStore.ClosedPeriod closed =
+          Billing.closePeriod(store, section, period, author, nowNanos());
+      addRow(
+          columns(
+              "period",
+              period,
+              "positions up to",
+              closed.lastPosition(),
+              "sha256",
+              closed.sha256()));
+      printTable();
       return 0;
     }
   }
@@ -214,22 +224,22 @@
     private String reason;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger correct: adds an amendment to a period, open or closed, or withdraws one."
           + " Nothing is rewritten.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      section.periods().first(period);
+    int work(LedgerStore store) throws IOException {
+      section.periods().firstDay(period);
       checkAmount();
-      Amendment wanted = wanted();
-      String refused = refused(store, wanted);
+      Amendment wanted = requestedAmendment();
+      String refused = rejectionReason(store, wanted);
       if (refused != null) {
-        throw new Unusable(refused);
+        throw new InvalidInputException(refused);
       }
-      Amendment made = store.amend(wanted);
-      row(
+      Amendment made = store.addAmendment(wanted);
+      addRow(
           columns(
               "amendment",
               made.number(),
@@ -239,18 +249,18 @@
               tenant,
               "amount",
               made.amount().toPlainString()));
-      table();
+      printTable();
       return 0;
     }
 
     private void checkAmount() {
       if (withdraw == (amount != null)) {
-        throw new Unusable("one of --amount and --withdraw is needed");
+        throw new InvalidInputException("one of --amount and --withdraw is needed");
       }
       if (amount != null
           && !amount.matches(
               "-?[0-9]{1,15}(\\.[0-9]{1," + Math.max(1, section.rates().decimals()) + "})?")) {
-        throw new Unusable(
+        throw new InvalidInputException(
             "--amount '"
                 + amount
                 + "'; allowed: a plain decimal with at most "
@@ -259,7 +269,7 @@
       }
     }
 
-    private Amendment wanted() {
+    private Amendment requestedAmendment() {
       return new Amendment(
           0,
           period,
@@ -268,19 +278,19 @@
           author,
           reason,
           corrects,
-          now(),
+          nowNanos(),
           withdraw);
     }
 
-    private static String refused(Store store, Amendment wanted) throws IOException {
-      return Corrections.refused(
+    private static String rejectionReason(LedgerStore store, Amendment wanted) throws IOException {
+      return AmendmentValidator.rejectionReason(
           wanted,
           store.amendments(),
           (epoch, number) -> {
             try {
-              return store.holds(epoch, number);
+              return store.containsEntry(epoch, number);
             } catch (IOException e) {
-              throw new Unusable(e.getMessage());
+              throw new InvalidInputException(e.getMessage());
             }
           });
     }
@@ -298,23 +308,23 @@
     private String author;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger resolve: an amendment for each task whose end nobody told and of which the"
           + " engines' statements tell what ran.\n"
           + "A statement may be read in again.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      Resolutions by = new Resolutions(section.rates(), section.periods(), store.amendments());
-      store.told().forEach(by::take);
+    int work(LedgerStore store) throws IOException {
+      EntryResolver by = new EntryResolver(section.rates(), section.periods(), store.amendments());
+      store.reportedRuns().forEach(by::addRun);
       for (String one : statements) {
         try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.statement(one, in, engine -> {}, by::take);
+          LedgerFiles.readStatement(one, in, engine -> {}, by::addRun);
         }
       }
-      for (Amendment one : Billing.resolve(store, by, author, now())) {
-        row(
+      for (Amendment one : Billing.resolve(store, by, author, nowNanos())) {
+        addRow(
             columns(
                 "amendment",
                 one.number(),
@@ -329,7 +339,7 @@
                 "reason",
                 one.reason()));
       }
-      table();
+      printTable();
       return 0;
     }
   }
--- a/src/main/java/tansytrack/LedgerBillingCommand.java
+++ b/src/main/java/tansytrack/LedgerBillingCommand.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import org.kohsuke.args4j.Option;
-import tansytrack.ledger.disk.Faults;
-import tansytrack.ledger.disk.Store;
+import tansytrack.ledger.disk.FaultInjector;
+import tansytrack.ledger.disk.LedgerStore;
 import tansytrack.operator.OperatorFile;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** A ledger command that needs the operators' file, as it must know how is billed. */
 abstract class LedgerBillingCommand extends LedgerRowsCommand {
@@ -18,16 +18,16 @@
 
   OperatorFile.LedgerSection section;
 
-  abstract int work(Store store) throws IOException;
+  abstract int work(LedgerStore store) throws IOException;
 
   @Override
-  protected final int work() throws IOException {
+  protected final int execute() throws IOException {
     section = OperatorFile.read(operator).ledger();
     if (section == null) {
-      throw new Unusable(
+      throw new InvalidInputException(
           operator + ": ledger: missing; allowed: a section that names the ledger's folder");
     }
-    try (Store store = Store.forCommand(section.folder(), Faults.NONE)) {
+    try (LedgerStore store = LedgerStore.openForCommand(section.folder(), FaultInjector.NONE)) {
       return work(store);
     }
   }
--- a/src/main/java/tansytrack/LedgerCommands.java
+++ b/src/main/java/tansytrack/LedgerCommands.java
@@ -5,7 +5,7 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 import tansytrack.command.Command;
-import tansytrack.command.Group;
+import tansytrack.command.CommandGroup;
 
 /** The command group `ledger`: what operators see of ledgers and do to them. */
 public final class LedgerCommands {
@@ -13,7 +13,7 @@
   private LedgerCommands() {}
 
   /** The group: all ledger commands by name. */
-  public static final class All extends Group {
+  public static final class All extends CommandGroup {
     @Argument(
         required = true,
         metaVar = "COMMAND",
@@ -34,7 +34,7 @@
     private Command command;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger: what each tenant used. Commands: show, periods, close, correct, export, ack,"
           + " merge, reconcile,\n"
           + "resolve, verify. Exit code 1: done, but what was found is not as it should be;"
@@ -42,7 +42,7 @@
     }
 
     @Override
-    protected Command inner() {
+    protected Command subcommand() {
       return command;
     }
   }
--- a/src/main/java/tansytrack/LedgerExchangeCommands.java
+++ b/src/main/java/tansytrack/LedgerExchangeCommands.java
@@ -12,14 +12,14 @@
 import org.kohsuke.args4j.Option;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Merged;
+import tansytrack.ledger.MergedLedger;
 import tansytrack.ledger.Reconciliation;
 import tansytrack.ledger.disk.Billing;
 import tansytrack.ledger.disk.Exporter;
-import tansytrack.ledger.disk.Faults;
+import tansytrack.ledger.disk.FaultInjector;
 import tansytrack.ledger.disk.LedgerFiles;
-import tansytrack.ledger.disk.Store;
-import tansytrack.settings.Unusable;
+import tansytrack.ledger.disk.LedgerStore;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * The ledger commands on what goes out and comes together: exports, merging, reconciliation,
@@ -35,59 +35,59 @@
     private String to;
 
     @Option(name = "--form", metaVar = "FORM", usage = "protobuf (delimited, ledger.proto) or csv")
-    private String form = "protobuf";
+    private String format = "protobuf";
 
     @Option(name = "--lines", metaVar = "N", usage = "lines in a batch at most")
-    private long lines = 1_000_000;
+    private long maxLines = 1_000_000;
 
     @Option(
         name = "--again",
         metaVar = "NUMBER",
         usage = "writes a batch that was placed before once more, as the same bytes")
-    private long again;
+    private long batchToRewrite;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger export: finishes what was begun, then places all new lines in numbered"
           + " batches. A number always has the same bytes.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      if (!form.equals("protobuf") && !form.equals("csv")) {
-        throw new Unusable("--form '" + form + "'; allowed: protobuf, csv");
+    int work(LedgerStore store) throws IOException {
+      if (!format.equals("protobuf") && !format.equals("csv")) {
+        throw new InvalidInputException("--form '" + format + "'; allowed: protobuf, csv");
       }
-      if (lines < 1) {
-        throw new Unusable("--lines " + lines + "; allowed: 1 and more");
+      if (maxLines < 1) {
+        throw new InvalidInputException("--lines " + maxLines + "; allowed: 1 and more");
       }
-      Exporter exporter = new Exporter(store, Path.of(to), Faults.NONE);
-      if (again > 0) {
-        exporter.again(again);
+      Exporter exporter = new Exporter(store, Path.of(to), FaultInjector.NONE);
+      if (batchToRewrite > 0) {
+        exporter.exportAgain(batchToRewrite);
       } else {
         long before = store.batches().stream().filter(one -> one.placedAt() > 0).count();
-        exporter.run(form, lines, now());
+        exporter.export(format, maxLines, nowNanos());
         long after = store.batches().size();
         System.err.println((after - before) + " batches placed in " + to);
       }
-      for (Store.Batch one : store.batches()) {
-        row(
+      for (LedgerStore.Batch one : store.batches()) {
+        addRow(
             columns(
                 "batch",
                 one.number(),
                 "file",
-                Exporter.name(one),
+                Exporter.fileName(one),
                 "lines",
-                one.last() - one.first() + 1,
+                one.lastPosition() - one.firstPosition() + 1,
                 "bytes",
                 one.size(),
                 "sha256",
-                one.sha(),
+                one.sha256(),
                 "placed",
-                time(one.placedAt()),
+                formatTime(one.placedAt()),
                 "acknowledged",
-                time(one.ackedAt())));
+                formatTime(one.ackedAt())));
       }
-      table();
+      printTable();
       return 0;
     }
   }
@@ -104,23 +104,23 @@
     private String sha;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger ack: notes that the consumer has a batch. Once more does no harm.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      for (Store.Batch one : store.batches()) {
+    int work(LedgerStore store) throws IOException {
+      for (LedgerStore.Batch one : store.batches()) {
         if (one.number() == number && one.placedAt() > 0) {
-          if (sha != null && !sha.equalsIgnoreCase(one.sha())) {
-            throw new Unusable(
-                "batch " + number + " was sealed as " + one.sha() + ", not as " + sha);
+          if (sha != null && !sha.equalsIgnoreCase(one.sha256())) {
+            throw new InvalidInputException(
+                "batch " + number + " was sealed as " + one.sha256() + ", not as " + sha);
           }
-          store.acked(number, now());
+          store.markAcknowledged(number, nowNanos());
           return 0;
         }
       }
-      throw new Unusable("batch " + number + " does not exist, or was not yet placed");
+      throw new InvalidInputException("batch " + number + " does not exist, or was not yet placed");
     }
   }
 
@@ -134,21 +134,21 @@
     private List<String> places = new ArrayList<>();
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger merge: several managers' ledgers as one: tasks by manager, numbers that are"
           + " missing, contradictions.\n"
           + "Exit code 1: numbers are missing, or two ledgers say different things.";
     }
 
     @Override
-    protected int work() throws IOException {
-      Merged merged = LedgerFiles.merged(places.stream().map(Path::of).toList());
+    protected int execute() throws IOException {
+      MergedLedger merged = LedgerFiles.readMerged(places.stream().map(Path::of).toList());
       TreeMap<String, Long> counts = new TreeMap<>();
       merged.entries().keySet().forEach(key -> counts.merge(key.manager(), 1L, Long::sum));
-      counts.forEach((manager, count) -> row(columns("manager", manager, "tasks", count)));
-      table();
+      counts.forEach((manager, count) -> addRow(columns("manager", manager, "tasks", count)));
+      printTable();
       for (Gap gap : merged.gaps()) {
-        row(
+        addRow(
             columns(
                 "gap of epoch",
                 gap.epoch(),
@@ -161,9 +161,9 @@
                 "cause",
                 gap.cause()));
       }
-      table();
-      for (Merged.Hole hole : merged.holes()) {
-        row(
+      printTable();
+      for (MergedLedger.MissingRange hole : merged.missingRanges()) {
+        addRow(
             columns(
                 "missing from",
                 hole.manager(),
@@ -174,14 +174,16 @@
                 "last",
                 hole.last()));
       }
-      table();
-      for (Merged.Key key : merged.contradictions()) {
+      printTable();
+      for (MergedLedger.Key key : merged.contradictions()) {
         for (Object said : merged.entries().getOrDefault(key, Set.of())) {
-          row(columns("contradiction", key, "said", said));
+          addRow(columns("contradiction", key, "said", said));
         }
       }
-      table();
-      return merged.holes().isEmpty() && merged.contradictions().isEmpty() ? 0 : DIFFERS;
+      printTable();
+      return merged.missingRanges().isEmpty() && merged.contradictions().isEmpty()
+          ? 0
+          : EXIT_DIFFERENCE;
     }
   }
 
@@ -202,25 +204,25 @@
     private List<String> statements = new ArrayList<>();
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger reconcile: ledgers against the engines' statements; what stands on one side"
           + " only, with its likely cause.\n"
           + "Exit code 1: something stands on one side only without an innocent cause.";
     }
 
     @Override
-    protected int work() throws IOException {
-      Merged merged = LedgerFiles.merged(places.stream().map(Path::of).toList());
+    protected int execute() throws IOException {
+      MergedLedger merged = LedgerFiles.readMerged(places.stream().map(Path::of).toList());
       Reconciliation all = new Reconciliation();
-      merged.entries().values().forEach(said -> said.forEach((Entry entry) -> all.take(entry)));
+      merged.entries().values().forEach(said -> said.forEach((Entry entry) -> all.add(entry)));
       for (String one : statements) {
         try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.statement(one, in, all);
+          LedgerFiles.readStatement(one, in, all);
         }
       }
       List<Reconciliation.Finding> findings = all.findings();
       for (Reconciliation.Finding one : findings) {
-        row(
+        addRow(
             columns(
                 "finding",
                 one.kind(),
@@ -233,42 +235,47 @@
                 "fault",
                 one.fault() ? "yes" : "no"));
       }
-      table();
+      printTable();
       long faults = findings.stream().filter(Reconciliation.Finding::fault).count();
-      row(
+      addRow(
           columns(
-              "agreed", all.agreed(), "without fault", findings.size() - faults, "faults", faults));
-      table();
-      return faults == 0 ? 0 : DIFFERS;
+              "agreed",
+              all.matchedForwards(),
+              "without fault",
+              findings.size() - faults,
+              "faults",
+              faults));
+      printTable();
+      return faults == 0 ? 0 : EXIT_DIFFERENCE;
     }
   }
 
   /** Checks every invariant of a ledger. */
   public static final class Verify extends LedgerBillingCommand {
     @Override
-    public String about() {
+    public String description() {
       return "ledger verify: checks every invariant of a ledger and says the first breach. Exit"
           + " code 1: one is broken.";
     }
 
     @Override
-    int work(Store store) throws IOException {
+    int work(LedgerStore store) throws IOException {
       String breach =
           Billing.verify(store, section, seen -> System.err.println(seen + " positions read"));
-      row(
+      addRow(
           columns(
               "positions",
-              store.last(),
+              store.lastPosition(),
               "batches",
               (long) store.batches().size(),
               "closed periods",
-              (long) store.closed().size(),
+              (long) store.closedPeriods().size(),
               "open tasks",
               store.openTasks(),
               "breach",
               breach == null ? "none" : breach));
-      table();
-      return breach == null ? 0 : DIFFERS;
+      printTable();
+      return breach == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerFolderCommand.java
+++ b/src/main/java/tansytrack/LedgerFolderCommand.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
-import tansytrack.ledger.disk.Faults;
-import tansytrack.ledger.disk.Store;
+import tansytrack.ledger.disk.FaultInjector;
+import tansytrack.ledger.disk.LedgerStore;
 
 /** A ledger command that needs no more than the ledger's folder. */
 abstract class LedgerFolderCommand extends LedgerRowsCommand {
@@ -15,11 +15,11 @@
       usage = "the folder that holds the ledger")
   String folder;
 
-  abstract int work(Store store) throws IOException;
+  abstract int work(LedgerStore store) throws IOException;
 
   @Override
-  protected final int work() throws IOException {
-    try (Store store = Store.forCommand(Path.of(folder), Faults.NONE)) {
+  protected final int execute() throws IOException {
+    try (LedgerStore store = LedgerStore.openForCommand(Path.of(folder), FaultInjector.NONE)) {
       return work(store);
     }
   }
--- a/src/main/java/tansytrack/LedgerRowsCommand.java
+++ b/src/main/java/tansytrack/LedgerRowsCommand.java
@@ -8,45 +8,45 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
-import tansytrack.command.Guarded;
+import tansytrack.command.ErrorReportingCommand;
 import tansytrack.log.JsonLinesWriter;
 
 /** A ledger command that prints rows, as a table for people or as JSON lines for programs. */
-abstract class LedgerRowsCommand extends Guarded {
+abstract class LedgerRowsCommand extends ErrorReportingCommand {
   @Option(name = "--json", usage = "print for programs: one JSON object a line")
   boolean json;
 
   PrintStream out = System.out;
 
   /** One row, by column. */
-  void row(Map<String, Object> columns) {
+  void addRow(Map<String, Object> columns) {
     if (json) {
       out.println(
           columns.entrySet().stream()
               .map(
                   one ->
-                      JsonLinesWriter.quoted(one.getKey())
+                      JsonLinesWriter.quote(one.getKey())
                           + ':'
                           + (one.getValue() instanceof Long || one.getValue() instanceof Boolean
                               ? one.getValue().toString()
-                              : JsonLinesWriter.quoted(one.getValue().toString())))
+                              : JsonLinesWriter.quote(one.getValue().toString())))
               .collect(Collectors.joining(",", "{", "}")));
     } else {
       rows.add(columns.values().stream().map(Object::toString).toList());
-      names = List.copyOf(columns.keySet());
+      headings = List.copyOf(columns.keySet());
     }
   }
 
-  private List<String> names;
+  private List<String> headings;
   private final List<List<String>> rows = new ArrayList<>();
 
   /** Prints the rows so far as one table. */
-  void table() {
-    if (names == null) {
+  void printTable() {
+    if (headings == null) {
       return;
     }
-    rows.add(0, names);
-    int[] widths = new int[names.size()];
+    rows.add(0, headings);
+    int[] widths = new int[headings.size()];
     rows.forEach(
         one -> {
           for (int i = 0; i < widths.length; i++) {
@@ -61,7 +61,7 @@
       out.println(line.toString().stripTrailing());
     }
     rows.clear();
-    names = null;
+    headings = null;
   }
 
   static Map<String, Object> columns(Object... pairs) {
@@ -72,12 +72,12 @@
     return made;
   }
 
-  static long now() {
+  static long nowNanos() {
     Instant now = Instant.now();
     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
   }
 
-  static String time(long at) {
+  static String formatTime(long at) {
     return at == 0 ? "-" : Instant.ofEpochSecond(at / 1_000_000_000L).toString();
   }
 }
--- a/src/main/java/tansytrack/Main.java
+++ b/src/main/java/tansytrack/Main.java
@@ -8,14 +8,14 @@
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
-import tansytrack.adapter.Adapter;
+import tansytrack.adapter.SimulatorAdapter;
 import tansytrack.command.Command;
 import tansytrack.service.Service;
 
 /** The command line. */
 public final class Main {
 
-  private static final String PROGRAM = "java -jar tansytrack.jar ";
+  private static final String PROGRAM_PREFIX = "java -jar tansytrack.jar ";
 
   @Argument(
       required = true,
@@ -23,21 +23,21 @@
       usage = "serve, adapter, check, rehearse, ledger, fleet, lab or version",
       handler = SubCommandHandler.class)
   @SubCommands({
-    @SubCommand(name = "serve", impl = Serve.class),
-    @SubCommand(name = "adapter", impl = Bench.class),
-    @SubCommand(name = "check", impl = Check.class),
-    @SubCommand(name = "rehearse", impl = Rehearse.class),
+    @SubCommand(name = "serve", impl = ServeCommand.class),
+    @SubCommand(name = "adapter", impl = AdapterCommand.class),
+    @SubCommand(name = "check", impl = CheckCommand.class),
+    @SubCommand(name = "rehearse", impl = RehearseCommand.class),
     @SubCommand(name = "ledger", impl = LedgerCommands.All.class),
     @SubCommand(name = "lab", impl = LabCommands.All.class),
     @SubCommand(name = "fleet", impl = FleetCommands.All.class),
-    @SubCommand(name = "version", impl = Version.class)
+    @SubCommand(name = "version", impl = VersionCommand.class)
   })
   private Command command;
 
   private Main() {}
 
   /** The workload manager. */
-  public static final class Serve extends Command {
+  public static final class ServeCommand extends Command {
     @Option(
         name = "--operator",
         metaVar = "FILE",
@@ -45,7 +45,7 @@
     private String operator;
 
     @Override
-    public String about() {
+    public String description() {
       return "serve: runs one workload manager as the file that ROUTER_CONFIG names says, until"
           + " SIGTERM.\n"
           + "Exit code 2: the configuration cannot be used; 3: a failure inside.";
@@ -58,20 +58,20 @@
   }
 
   /** The decisions on the simulator's wire. */
-  public static final class Bench extends Command {
+  public static final class AdapterCommand extends Command {
     @Override
-    public String about() {
+    public String description() {
       return "adapter: the same decisions on the simulator's wire, on standard input and output.";
     }
 
     @Override
     public int run() throws IOException {
-      return new Adapter(System.in, System.out, System.err).run();
+      return new SimulatorAdapter(System.in, System.out, System.err).run();
     }
   }
 
   /** Reads a configuration. */
-  public static final class Check extends Command {
+  public static final class CheckCommand extends Command {
     @Argument(
         metaVar = "FILE",
         usage = "the configuration; absent: the one that ROUTER_CONFIG names")
@@ -84,7 +84,7 @@
     private String operator;
 
     @Override
-    public String about() {
+    public String description() {
       return "check: reads a configuration and says what is wrong with it. Exit code 2: it cannot"
           + " be used.";
     }
@@ -96,14 +96,14 @@
   }
 
   /** Runs the whole manager on loopback for a moment. */
-  public static final class Rehearse extends Command {
+  public static final class RehearseCommand extends Command {
     @Argument(
         metaVar = "FILE",
         usage = "the configuration; absent: the one that ROUTER_CONFIG names")
     private String file = System.getenv("ROUTER_CONFIG");
 
     @Override
-    public String about() {
+    public String description() {
       return "rehearse: serves some made-up tasks on loopback with the settings of a configuration,"
           + " and ends. The\n"
           + "build makes its class-data archive of this. Exit code 2: the configuration"
@@ -117,9 +117,9 @@
   }
 
   /** Names the version. */
-  public static final class Version extends Command {
+  public static final class VersionCommand extends Command {
     @Override
-    public String about() {
+    public String description() {
       return "version: names the program and its version.";
     }
 
@@ -145,17 +145,17 @@
       System.err.println("tansytrack: " + e.getMessage());
       System.err.println(
           "usage: "
-              + PROGRAM
+              + PROGRAM_PREFIX
               + "serve | adapter | check [FILE] | rehearse [FILE] | ledger ... | fleet ... | lab"
               + " ... | version   (each with --help)");
-      return Command.UNUSABLE;
+      return Command.EXIT_UNUSABLE_INPUT;
     }
-    Command asked = main.command.asked();
-    if (asked.helpAsked()) {
-      System.out.println(asked.about());
-      new CmdLineParser(asked).printUsage(System.out);
+    Command selected = main.command.selected();
+    if (selected.helpRequested()) {
+      System.out.println(selected.description());
+      new CmdLineParser(selected).printUsage(System.out);
       return 0;
     }
-    return asked.run();
+    return selected.run();
   }
 }
--- a/src/main/java/tansytrack/adapter/Fields.java
+++ b/src/main/java/tansytrack/adapter/Fields.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** Reads lines as bytes and takes their fields one after the other; '-' is an absent value. */
 final class Fields {
 
   /** A line that does not follow the wire. */
-  static final class Malformed extends Unusable {
+  static final class Malformed extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
     Malformed(String what) {
--- a/src/main/java/tansytrack/adapter/Adapter.java
+++ b/src/main/java/tansytrack/adapter/SimulatorAdapter.java
@@ -14,27 +14,27 @@
 import java.util.function.BiFunction;
 import tansytrack.Decide;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.EngineEntry;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
-import tansytrack.api.TaskOffer;
-import tansytrack.settings.Pairs;
-import tansytrack.settings.Unusable;
+import tansytrack.api.TaskRequest;
+import tansytrack.settings.InvalidInputException;
+import tansytrack.settings.SettingsParser;
 
 /**
  * The bench's wire on one side, the module's interface on the other; each instance is a module of
  * its own.
  */
-public final class Adapter {
+public final class SimulatorAdapter {
 
   private static final int LISTS = 16;
 
   private final Fields in;
   private final OutputStream out;
   private final PrintStream err;
-  private final BiFunction<Settings, Actions, Decisions> start;
+  private final BiFunction<Settings, Actions, DecisionModule> start;
   private final StringBuilder reply = new StringBuilder();
   private final Map<String, Instance> instances = new HashMap<>();
   private final List<List<EngineEntry>> lists = new ArrayList<>();
@@ -44,15 +44,15 @@
   private boolean failed;
 
   /** An adapter over the decisions of this program. */
-  public Adapter(InputStream in, OutputStream out, PrintStream err) {
+  public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
     this(in, out, err, Decide::new);
   }
 
-  Adapter(
+  SimulatorAdapter(
       InputStream in,
       OutputStream out,
       PrintStream err,
-      BiFunction<Settings, Actions, Decisions> start) {
+      BiFunction<Settings, Actions, DecisionModule> start) {
     this.start = start;
     this.in = new Fields(in);
     this.out = out;
@@ -71,7 +71,7 @@
         }
       }
       return 0;
-    } catch (Unusable | ArithmeticException e) {
+    } catch (InvalidInputException | ArithmeticException e) {
       err.println(
           "tansytrack: line " + lineNumber + ": " + e.getMessage() + " in '" + in.whole() + "'");
       return 2;
@@ -125,12 +125,12 @@
       case "WAKEUP" -> {
         Instance to = told();
         String token = in.text("nonce");
-        guarded(to, () -> to.module.woken(now, token));
+        guarded(to, () -> to.module.onWakeUp(now, token));
       }
       case "ABANDONED" -> {
         Instance to = told();
         String task = in.text("op_id");
-        guarded(to, () -> to.module.abandoned(now, task));
+        guarded(to, () -> to.module.onClientLeft(now, task));
       }
       case "INBOX", "ACK_FIRST" -> told();
       default -> throw new Fields.Malformed("unknown event " + event);
@@ -205,14 +205,14 @@
   private void attach() {
     Instance instance = new Instance(in.text("manager_id"));
     long seed = in.integer("init_seed", 0);
-    Pairs boot = new Pairs();
+    SettingsParser boot = new SettingsParser();
     while (in.more()) {
       boot.put(in.text("pair"));
     }
-    instance.columns = boot.columns();
+    instance.columns = boot.reportColumns();
     touched.remove(instances.put(instance.name, instance));
     touched.add(instance);
-    Settings settings = boot.settings(seed);
+    Settings settings = boot.toSettings(seed);
     guarded(instance, () -> instance.module = start.apply(settings, instance));
   }
 
@@ -226,7 +226,7 @@
       return;
     }
     List<EngineEntry> entries = lists.get(slot());
-    guarded(to, () -> to.module.engines(now, kind != 0, entries));
+    guarded(to, () -> to.module.onEngineList(now, kind != 0, entries));
   }
 
   private void incoming(long now, Instance to) {
@@ -239,9 +239,9 @@
     double memory = in.number("want_mb");
     long set = in.integer("source_set", -1);
     in.integer("attrs", 0);
-    TaskOffer offer =
-        new TaskOffer(id, grade, tenant, key < 0 ? null : key, until, cost, memory, set);
-    guarded(to, () -> to.module.task(now, offer));
+    TaskRequest offer =
+        new TaskRequest(id, grade, tenant, key < 0 ? null : key, until, cost, memory, set);
+    guarded(to, () -> to.module.onTask(now, offer));
   }
 
   private void resolved(long now, Instance to) {
@@ -258,7 +258,8 @@
     guarded(
         to,
         () ->
-            to.module.outcome(now, task, index, engine, outcome, lag, over, cost, memory, report));
+            to.module.onForwardEnd(
+                now, task, index, engine, outcome, lag, over, cost, memory, report));
   }
 
   private void sampled(long now, Instance to) {
@@ -266,7 +267,7 @@
     Outcome outcome = outcome(in.text("state_code"));
     in.time("lag_ms");
     LoadReport report = report(to);
-    guarded(to, () -> to.module.probed(now, engine, outcome, report));
+    guarded(to, () -> to.module.onProbeEnd(now, engine, outcome, report));
   }
 
   private void signal(long now, Instance to) {
@@ -276,8 +277,8 @@
     int what = (int) in.integer("what", 0);
     double amount = in.number("amount");
     if (what >= 1 && what <= 3) {
-      Decisions.Progress progress = Decisions.Progress.values()[what - 1];
-      guarded(to, () -> to.module.progress(now, task, index, engine, progress, amount));
+      DecisionModule.Progress progress = DecisionModule.Progress.values()[what - 1];
+      guarded(to, () -> to.module.onProgress(now, task, index, engine, progress, amount));
     }
   }
 
@@ -316,7 +317,7 @@
   /** One workload manager: its module, and its actions as lines of the reply. */
   private final class Instance implements Actions {
     final String name;
-    Decisions module;
+    DecisionModule module;
     List<String> columns = List.of();
 
     Instance(String name) {
@@ -347,7 +348,7 @@
     }
 
     @Override
-    public void bounce(String task, long pause) {
+    public void reject(String task, long pause) {
       say("BOUNCE").append(task).append(' ');
       time(pause);
       reply.append('\n');
@@ -359,7 +360,7 @@
     }
 
     @Override
-    public void provide(String task, long memoryMb, int priority) {
+    public void assignResources(String task, long memoryMb, int priority) {
       say("PROVIDE")
           .append(task)
           .append(' ')
@@ -380,7 +381,7 @@
     }
 
     @Override
-    public void wake(long in, String token) {
+    public void scheduleWakeUp(long in, String token) {
       say("DEFER");
       time(in);
       reply.append(' ').append(token).append('\n');
--- a/src/main/java/tansytrack/api/Actions.java
+++ b/src/main/java/tansytrack/api/Actions.java
@@ -7,17 +7,17 @@
 
   void forward(String task, String engine, long timeOut);
 
-  void bounce(String task, long pause);
+  void reject(String task, long pause);
 
   void abort(String task);
 
-  void provide(String task, long memoryMb, int priority);
+  void assignResources(String task, long memoryMb, int priority);
 
   void probe(String engine);
 
   void cancel(String task, int index);
 
-  void wake(long in, String token);
+  void scheduleWakeUp(long in, String token);
 
   void log(String text);
 }
--- a/src/main/java/tansytrack/api/Settings.java
+++ b/src/main/java/tansytrack/api/Settings.java
@@ -9,59 +9,60 @@
  */
 public record Settings(
     long seed,
-    int siblings,
-    int position,
-    String place,
-    List<Grade> grades,
+    int managerCount,
+    int managerIndex,
+    String zone,
+    List<QueryClass> queryClasses,
     List<Tenant> tenants,
-    Map<String, Kind> kinds,
-    Levers levers,
-    long drainGrace,
-    ColdRule cold,
-    long keyRest,
-    RationRule ration) {
+    Map<String, EngineType> engineTypes,
+    Capabilities capabilities,
+    long drainGraceNanos,
+    ColdStartLimit coldStartLimit,
+    long keyCooldownNanos,
+    RetryBudget retryBudget) {
 
-  public static final int UNKNOWN = -1;
+  public static final int UNKNOWN_INDEX = -1;
 
   public Settings withSeed(long other) {
     return new Settings(
         other,
-        siblings,
-        position,
-        place,
-        grades,
+        managerCount,
+        managerIndex,
+        zone,
+        queryClasses,
         tenants,
-        kinds,
-        levers,
-        drainGrace,
-        cold,
-        keyRest,
-        ration);
+        engineTypes,
+        capabilities,
+        drainGraceNanos,
+        coldStartLimit,
+        keyCooldownNanos,
+        retryBudget);
   }
 
-  public record Tenant(String name, double share, double perSecond) {}
+  public record Tenant(String name, double share, double tasksPerSecond) {}
 
-  public record Kind(int cores, double memoryMb) {}
+  public record EngineType(int cores, double memoryMb) {}
 
   /** What this deployment permits, and what its engines heed. */
-  public record Levers(
-      boolean probe,
-      boolean cancel,
-      boolean secondCopies,
-      boolean comeBack,
-      long longestComeBack,
-      int mostForwards,
-      boolean grants,
-      double grantCap,
+  public record Capabilities(
+      boolean probing,
+      boolean cancellation,
+      boolean hedging,
+      boolean retryAfter,
+      long maxRetryAfterNanos,
+      int maxForwards,
+      boolean memoryGrants,
+      double maxGrantFraction,
       boolean priorities,
-      boolean tellsCost,
-      long progressEvery,
-      boolean placesPriced,
-      long connectTime) {}
+      boolean reportsCost,
+      long progressIntervalNanos,
+      boolean crossZonePriced,
+      long connectTimeoutNanos) {}
 
   /** No cold engine may be sent more than multiple times its present capacity for the window. */
-  public record ColdRule(double startCapacity, long warmAfter, double multiple, long window) {}
+  public record ColdStartLimit(
+      double startCapacityFraction, long warmUpNanos, double overloadFactor, long windowNanos) {}
 
   /** Further forwards in any window: at most spare plus share times the tasks taken in it. */
-  public record RationRule(int spare, double share, long window) {}
+  public record RetryBudget(int spareAttempts, double extraPerRequest, long windowNanos) {}
 }
--- a/src/main/java/tansytrack/fleet/Action.java
+++ b/src/main/java/tansytrack/fleet/Action.java
@@ -4,11 +4,11 @@
 public sealed interface Action {
 
   /** A letter is to go to that address. */
-  record Send(String address, Letter letter) implements Action {}
+  record Send(String address, Message message) implements Action {}
 
   /** Another thing is held of a member than before; null before: it is new. */
-  record Changed(Word before, Word after) implements Action {}
+  record MemberChanged(MemberState before, MemberState after) implements Action {}
 
   /** Another living process uses this one's name. */
-  record Twin(String name, String address) implements Action {}
+  record NameConflict(String name, String address) implements Action {}
 }
--- a/src/main/java/tansytrack/fleet/Fact.java
+++ b/src/main/java/tansytrack/fleet/Fact.java
@@ -10,65 +10,67 @@
 public record Fact(
     String owner,
     long incarnation,
-    long life,
+    long instanceId,
     String kind,
     String subject,
-    long number,
+    long version,
     long[] values,
-    long age,
-    long lasts) {
+    long ageNanos,
+    long ttlNanos) {
 
-  private static final int BESIDE_TEXT = 40;
-  static final int MOST_VALUES = 8;
-  private static final int LONGEST = 64;
+  private static final int FIXED_BYTES = 40;
+  static final int MAX_VALUES = 8;
+  private static final int MAX_TEXT_LENGTH = 64;
 
   String key() {
     return owner + '\n' + kind + '\n' + subject;
   }
 
   /** Is it said later than that one, of the same owner and subject? */
-  boolean overrules(Fact other) {
+  boolean supersedes(Fact other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
-        : life != other.life ? life > other.life : number > other.number;
+        : instanceId != other.instanceId ? instanceId > other.instanceId : version > other.version;
   }
 
-  boolean sameVersion(Fact other) {
-    return incarnation == other.incarnation && life == other.life && number == other.number;
+  boolean isSameVersion(Fact other) {
+    return incarnation == other.incarnation
+        && instanceId == other.instanceId
+        && version == other.version;
   }
 
-  Fact aged(long now) {
-    return new Fact(owner, incarnation, life, kind, subject, number, values, now, lasts);
+  Fact withAge(long now) {
+    return new Fact(owner, incarnation, instanceId, kind, subject, version, values, now, ttlNanos);
   }
 
-  boolean usable() {
+  boolean isValid() {
     return !owner.isEmpty()
-        && owner.length() <= LONGEST
-        && kind.length() <= LONGEST
-        && subject.length() <= LONGEST
-        && values.length <= MOST_VALUES
-        && age >= 0
-        && lasts > 0
+        && owner.length() <= MAX_TEXT_LENGTH
+        && kind.length() <= MAX_TEXT_LENGTH
+        && subject.length() <= MAX_TEXT_LENGTH
+        && values.length <= MAX_VALUES
+        && ageNanos >= 0
+        && ttlNanos > 0
         && incarnation > 0
-        && life != 0;
+        && instanceId != 0;
   }
 
-  int bytes() {
-    return BESIDE_TEXT + owner.length() + kind.length() + subject.length() + 9 * values.length;
+  int maxEncodedBytes() {
+    return FIXED_BYTES + owner.length() + kind.length() + subject.length() + 9 * values.length;
   }
 
   @Override
   public boolean equals(Object other) {
     return other instanceof Fact fact
-        && sameVersion(fact)
+        && isSameVersion(fact)
         && key().equals(fact.key())
-        && age == fact.age
-        && lasts == fact.lasts
+        && ageNanos == fact.ageNanos
+        && ttlNanos == fact.ttlNanos
         && Arrays.equals(values, fact.values);
   }
 
   @Override
   public int hashCode() {
-    return Long.hashCode(number) * 31 + owner.hashCode();
+    return Long.hashCode(version) * 31 + owner.hashCode();
   }
 }
--- a/src/main/java/tansytrack/fleet/Rumours.java
+++ b/src/main/java/tansytrack/fleet/GossipQueue.java
@@ -12,42 +12,42 @@
  * What is new and to be passed on beside other letters, each so often at most, the least told
  * first. Bounded by its keys: a later rumour of the same takes the place of the one before.
  */
-final class Rumours<T> {
+final class GossipQueue<T> {
 
   private final ToIntFunction<T> bytes;
-  private final Map<String, Rumour<T>> byKey = new HashMap<>();
-  private final TreeSet<Rumour<T>> order =
+  private final Map<String, Entry<T>> byKey = new HashMap<>();
+  private final TreeSet<Entry<T>> order =
       new TreeSet<>(
-          Comparator.<Rumour<T>>comparingInt(one -> one.told)
+          Comparator.<Entry<T>>comparingInt(one -> one.transmissions)
               .thenComparingLong(one -> -one.number));
   private long count;
 
-  private static final class Rumour<T> {
+  private static final class Entry<T> {
     final String key;
-    final T what;
+    final T update;
     final long number;
-    int told;
+    int transmissions;
 
-    Rumour(String key, T what, long number) {
+    Entry(String key, T what, long number) {
       this.key = key;
-      this.what = what;
+      this.update = what;
       this.number = number;
     }
   }
 
-  Rumours(ToIntFunction<T> bytes) {
+  GossipQueue(ToIntFunction<T> bytes) {
     this.bytes = bytes;
   }
 
   void put(String key, T what) {
-    drop(key);
-    Rumour<T> rumour = new Rumour<>(key, what, count++);
+    remove(key);
+    Entry<T> rumour = new Entry<>(key, what, count++);
     byKey.put(key, rumour);
     order.add(rumour);
   }
 
-  void drop(String key) {
-    Rumour<T> old = byKey.remove(key);
+  void remove(String key) {
+    Entry<T> old = byKey.remove(key);
     if (old != null) {
       order.remove(old);
     }
@@ -59,23 +59,23 @@
 
   /** Takes what fits into so many bytes, and counts it as told once more. */
   List<T> take(int room, int often) {
-    List<Rumour<T>> taken = new ArrayList<>();
+    List<Entry<T>> taken = new ArrayList<>();
     int left = room;
-    for (Rumour<T> one : order) {
-      int size = bytes.applyAsInt(one.what);
+    for (Entry<T> one : order) {
+      int size = bytes.applyAsInt(one.update);
       if (size <= left) {
         left -= size;
         taken.add(one);
       }
-      if (left < Letter.BESIDE_TEXT) {
+      if (left < Message.FIXED_BYTES) {
         break;
       }
     }
     List<T> said = new ArrayList<>();
-    for (Rumour<T> one : taken) {
-      said.add(one.what);
+    for (Entry<T> one : taken) {
+      said.add(one.update);
       order.remove(one);
-      if (++one.told < often) {
+      if (++one.transmissions < often) {
         order.add(one);
       } else {
         byKey.remove(one.key);
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -6,14 +6,14 @@
 /** What is held of another member. */
 final class Member {
 
-  Word word;
-  long since; // it is held to be that
+  MemberState state;
+  long statusSince; // it is held to be that
   long suspectedAt;
-  final Set<String> accusers = new LinkedHashSet<>(); // of the present suspicion
-  final Numbers numbers = new Numbers();
+  final Set<String> suspectors = new LinkedHashSet<>(); // of the present suspicion
+  final ReplayWindow replayWindow = new ReplayWindow();
 
-  Member(Word word, long now) {
-    this.word = word;
-    since = now;
+  Member(MemberState word, long now) {
+    this.state = word;
+    statusSince = now;
   }
 }
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -16,29 +16,35 @@
  */
 final class MemberTable {
 
-  private final Rules rules;
+  private final MembershipConfig config;
   private final LocalState local;
   private final Outbox outbox;
-  private final Facts facts;
-  private final SplittableRandom chance;
+  private final FactStore facts;
+  private final SplittableRandom random;
   private final TreeMap<String, Member> members = new TreeMap<>();
   private final TreeSet<Member> suspects =
       new TreeSet<>(
-          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.word.name()));
-  private final List<Member> round = new ArrayList<>(); // who is still to be probed in this one
-  private long changes;
-  private int inPlace = 1;
-
-  MemberTable(Rules rules, LocalState local, Outbox outbox, Facts facts, SplittableRandom chance) {
-    this.rules = rules;
+          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.state.name()));
+  private final List<Member> probeOrder =
+      new ArrayList<>(); // who is still to be probed in this one
+  private long version;
+  private int liveMembersInZone = 1;
+
+  MemberTable(
+      MembershipConfig rules,
+      LocalState local,
+      Outbox outbox,
+      FactStore facts,
+      SplittableRandom chance) {
+    this.config = rules;
     this.local = local;
     this.outbox = outbox;
     this.facts = facts;
-    this.chance = chance;
+    this.random = chance;
   }
 
-  View view() {
-    return new View(changes, local.there, inPlace);
+  MembershipView view() {
+    return new MembershipView(version, local.liveMembers, liveMembersInZone);
   }
 
   /** What is held of a member, or null. */
@@ -52,15 +58,15 @@
   }
 
   /** What is held of the members from that name on. */
-  Iterable<Word> from(String name) {
-    return () -> members.tailMap(name).values().stream().map(one -> one.word).iterator();
+  Iterable<MemberState> statesFrom(String name) {
+    return () -> members.tailMap(name).values().stream().map(one -> one.state).iterator();
   }
 
   /** Declares dead whose time to refute it is over. */
-  void endSuspicions() {
-    while (!suspects.isEmpty() && nextEnd() <= local.now) {
-      Member late = suspects.stream().min(comparingLong(this::endOf)).orElseThrow();
-      hold(late, late.word.as(Standing.DEAD, local.self.name()));
+  void expireSuspicions() {
+    while (!suspects.isEmpty() && nextSuspicionDeadline() <= local.now) {
+      Member late = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
+      setState(late, late.state.withStatus(MemberStatus.DEAD, local.self.name()));
     }
   }
 
@@ -79,57 +85,59 @@
     members
         .values()
         .removeIf(
-            one -> !one.word.standing().there() && local.now - one.since > rules.forgetAfter());
+            one ->
+                !one.state.status().isLive()
+                    && local.now - one.statusSince > config.goneRetentionNanos());
   }
 
   /** Takes what is said of another member. */
-  void merge(Word word) {
+  void merge(MemberState word) {
     Member member = members.get(word.name());
     if (member == null) {
-      if (!word.standing().there()) {
+      if (!word.status().isLive()) {
         return; // it was never known here, and is gone
       }
-      if (members.size() >= rules.mostMembers()) {
+      if (members.size() >= config.maxMembers()) {
         local.count("too_many");
         return;
       }
-      member = new Member(word.as(Standing.ALIVE, ""), local.now);
+      member = new Member(word.withStatus(MemberStatus.ALIVE, ""), local.now);
       members.put(word.name(), member);
-      round.add(chance.nextInt(round.size() + 1), member);
-      changed(null, member.word);
+      probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
+      publishChange(null, member.state);
     }
-    if (word.overrules(member.word)) {
-      boolean later = !word.sameTerm(member.word);
-      switch (word.standing()) {
-        case ALIVE, LEFT -> hold(member, word);
+    if (word.supersedes(member.state)) {
+      boolean later = !word.isSameIncarnation(member.state);
+      switch (word.status()) {
+        case ALIVE, LEFT -> setState(member, word);
         case SUSPECT -> {
           if (later) {
-            hold(member, word.as(Standing.ALIVE, ""));
+            setState(member, word.withStatus(MemberStatus.ALIVE, ""));
           }
-          accuse(member, word.by());
+          suspect(member, word.reportedBy());
         }
-        case DEAD -> declaredDead(member, word, later);
+        case DEAD -> mergeDead(member, word, later);
         default -> throw new IllegalStateException();
       }
-    } else if (word.sameTerm(member.word)
-        && word.standing() == Standing.SUSPECT
-        && member.word.standing() == Standing.SUSPECT) {
-      accuse(member, word.by());
+    } else if (word.isSameIncarnation(member.state)
+        && word.status() == MemberStatus.SUSPECT
+        && member.state.status() == MemberStatus.SUSPECT) {
+      suspect(member, word.reportedBy());
     }
   }
 
-  private void declaredDead(Member member, Word word, boolean later) {
+  private void mergeDead(Member member, MemberState word, boolean later) {
     // Guards against the dead of another half of the fleet: who is there here gets time to
     // refute it.
-    if (later && member.word.standing().there()) {
-      hold(member, word.as(Standing.ALIVE, ""));
+    if (later && member.state.status().isLive()) {
+      setState(member, word.withStatus(MemberStatus.ALIVE, ""));
     }
-    if (!member.word.standing().there()
-        || (member.word.standing() == Standing.SUSPECT
-            && local.now - member.suspectedAt >= least())) {
-      hold(member, word);
+    if (!member.state.status().isLive()
+        || (member.state.status() == MemberStatus.SUSPECT
+            && local.now - member.suspectedAt >= minSuspicionNanos())) {
+      setState(member, word);
     } else {
-      accuse(member, word.by());
+      suspect(member, word.reportedBy());
     }
   }
 
@@ -137,85 +145,90 @@
    * Somebody says that it does not answer; more independent ones shorten the time it has to refute
    * that.
    */
-  void accuse(Member member, String accuser) {
-    if (member.word.standing() == Standing.ALIVE) {
+  void suspect(Member member, String accuser) {
+    if (member.state.status() == MemberStatus.ALIVE) {
       member.suspectedAt = local.now;
-      hold(member, member.word.as(Standing.SUSPECT, accuser));
-      member.accusers.add(accuser);
-    } else if (member.word.standing() == Standing.SUSPECT
-        && member.accusers.size() <= rules.helpers()
-        && member.accusers.add(accuser)) {
-      outbox.tell(member.word.as(Standing.SUSPECT, accuser));
+      setState(member, member.state.withStatus(MemberStatus.SUSPECT, accuser));
+      member.suspectors.add(accuser);
+    } else if (member.state.status() == MemberStatus.SUSPECT
+        && member.suspectors.size() <= config.indirectProbes()
+        && member.suspectors.add(accuser)) {
+      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, accuser));
     }
   }
 
   /** The one place where something else is held of a member. */
-  private void hold(Member member, Word next) {
-    Word before = member.word;
+  private void setState(Member member, MemberState next) {
+    MemberState before = member.state;
     suspects.remove(member);
-    member.word = next;
-    member.since =
-        before.standing() == next.standing() && before.life() == next.life()
-            ? member.since
+    member.state = next;
+    member.statusSince =
+        before.status() == next.status() && before.instanceId() == next.instanceId()
+            ? member.statusSince
             : local.now;
-    if (next.standing() == Standing.SUSPECT) {
+    if (next.status() == MemberStatus.SUSPECT) {
       suspects.add(member);
     } else {
-      member.accusers.clear();
+      member.suspectors.clear();
     }
-    if (!next.standing().there()) {
-      facts.drop(next.name());
+    if (!next.status().isLive()) {
+      facts.removeOwnedBy(next.name());
     }
-    changed(before, next);
+    publishChange(before, next);
   }
 
-  private void changed(Word before, Word after) {
-    outbox.tell(after);
+  private void publishChange(MemberState before, MemberState after) {
+    outbox.gossip(after);
     int more =
-        (after.standing().there() ? 1 : 0) - (before != null && before.standing().there() ? 1 : 0);
-    local.there += more;
+        (after.status().isLive() ? 1 : 0) - (before != null && before.status().isLive() ? 1 : 0);
+    local.liveMembers += more;
     boolean was =
-        before != null && before.standing().there() && before.place().equals(local.self.place());
-    boolean is = after.standing().there() && after.place().equals(local.self.place());
-    inPlace += (is ? 1 : 0) - (was ? 1 : 0);
-    changes += more != 0 || was != is ? 1 : 0;
-    outbox.add(new Action.Changed(before, after));
+        before != null && before.status().isLive() && before.zone().equals(local.self.zone());
+    boolean is = after.status().isLive() && after.zone().equals(local.self.zone());
+    liveMembersInZone += (is ? 1 : 0) - (was ? 1 : 0);
+    version += more != 0 || was != is ? 1 : 0;
+    outbox.add(new Action.MemberChanged(before, after));
   }
 
-  private long least() {
-    return (long) (rules.least() * Math.max(1, Math.log10(local.there)) * rules.period());
+  private long minSuspicionNanos() {
+    return (long)
+        (config.suspicionMultiplier()
+            * Math.max(1, Math.log10(local.liveMembers))
+            * config.probeIntervalNanos());
   }
 
   /**
    * When a suspicion ends: the sooner the more have said it, by the logarithm; later while this one
    * doubts itself.
    */
-  private long endOf(Member member) {
-    int expected = Math.min(rules.helpers(), Math.max(0, local.there - 2));
-    double part = expected == 0 ? 1 : Math.log(member.accusers.size()) / Math.log(expected + 1);
-    double times = rules.most() - (rules.most() - 1) * Math.min(1, Math.max(0, part));
-    return member.suspectedAt + ((long) (least() * times)) * (1 + local.health);
+  private long suspicionDeadline(Member member) {
+    int expected = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
+    double part = expected == 0 ? 1 : Math.log(member.suspectors.size()) / Math.log(expected + 1);
+    double times =
+        config.maxSuspicionMultiplier()
+            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, part));
+    return member.suspectedAt + ((long) (minSuspicionNanos() * times)) * (1 + local.healthScore);
   }
 
   /** When the next suspicion ends, if nothing is heard until then. */
-  long nextEnd() {
-    return suspects.stream().mapToLong(this::endOf).min().orElse(Long.MAX_VALUE);
+  long nextSuspicionDeadline() {
+    return suspects.stream().mapToLong(this::suspicionDeadline).min().orElse(Long.MAX_VALUE);
   }
 
   /**
    * Round robin in an order drawn anew each round, so that each is probed within two rounds at
    * most.
    */
-  Member next() {
+  Member nextProbeTarget() {
     for (int rounds = 0; rounds < 2; rounds++) {
-      while (!round.isEmpty()) {
-        Member one = round.remove(round.size() - 1);
-        if (members.get(one.word.name()) == one && one.word.standing().there()) {
+      while (!probeOrder.isEmpty()) {
+        Member one = probeOrder.remove(probeOrder.size() - 1);
+        if (members.get(one.state.name()) == one && one.state.status().isLive()) {
           return one;
         }
       }
-      members.values().stream().filter(one -> one.word.standing().there()).forEach(round::add);
-      shuffle(round);
+      members.values().stream().filter(one -> one.state.status().isLive()).forEach(probeOrder::add);
+      shuffle(probeOrder);
     }
     return null;
   }
@@ -223,16 +236,16 @@
   /** Puts a list into an order drawn from the seed. */
   void shuffle(List<?> list) {
     for (int i = list.size() - 1; i > 0; i--) {
-      Collections.swap(list, i, chance.nextInt(i + 1));
+      Collections.swap(list, i, random.nextInt(i + 1));
     }
   }
 
   /** Some of those that are there, drawn. */
-  List<Member> some(int count, Member except) {
+  List<Member> randomLiveMembers(int count, Member except) {
     List<Member> all =
         new ArrayList<>(
             members.values().stream()
-                .filter(one -> one.word.standing().there() && one != except)
+                .filter(one -> one.state.status().isLive() && one != except)
                 .toList());
     shuffle(all);
     return all.subList(0, Math.min(count, all.size()));
--- a/src/main/java/tansytrack/fleet/Rules.java
+++ b/src/main/java/tansytrack/fleet/MembershipConfig.java
@@ -18,30 +18,30 @@
  * @param forgetAfter what is dead or has left is no longer known
  * @param seeds addresses to join by
  */
-public record Rules(
-    long period,
-    long timeout,
-    int helpers,
-    double least,
-    double most,
-    int datagram,
-    int bytesASecond,
-    int mostMembers,
-    int mostFacts,
-    long exchangeEvery,
-    long forgetAfter,
+public record MembershipConfig(
+    long probeIntervalNanos,
+    long probeTimeoutNanos,
+    int indirectProbes,
+    double suspicionMultiplier,
+    double maxSuspicionMultiplier,
+    int maxMessageBytes,
+    int maxBytesPerSecond,
+    int maxMembers,
+    int maxFacts,
+    long syncIntervalNanos,
+    long goneRetentionNanos,
     List<String> seeds) {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** The usual rules, with the usual timing and bound on sending. */
-  public static Rules usual(List<String> seeds) {
-    return usual(seeds, 500 * MS, 16_384);
+  public static MembershipConfig defaults(List<String> seeds) {
+    return defaults(seeds, 500 * NANOS_PER_MS, 16_384);
   }
 
   /** With a probe in so long and so many bytes a second; the rest follows. */
-  public static Rules usual(List<String> seeds, long period, int bytesASecond) {
-    return new Rules(
+  public static MembershipConfig defaults(List<String> seeds, long period, int bytesASecond) {
+    return new MembershipConfig(
         period,
         3 * period / 10,
         3,
@@ -52,7 +52,7 @@
         1024,
         8192,
         20 * period,
-        600_000 * MS,
+        600_000 * NANOS_PER_MS,
         seeds);
   }
 }
--- a/src/main/java/tansytrack/fleet/View.java
+++ b/src/main/java/tansytrack/fleet/MembershipView.java
@@ -4,4 +4,4 @@
  * What decisions use of the fleet: members there, this one among them, in all and in its place;
  * grows in number with each change.
  */
-public record View(long number, int there, int inPlace) {}
+public record MembershipView(long version, int liveMembers, int liveMembersInZone) {}
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -9,41 +9,43 @@
  */
 final class Outbox {
 
-  private static final int TELL_PART =
+  private static final int RETRANSMIT_MULTIPLIER =
       3; // each update goes out so often, times the binary logarithm
-  private static final long SECOND = 1_000_000_000L;
-  private static final String FACTS = "~"; // before the keys of facts in pages: behind all names
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final String FACT_KEY_PREFIX =
+      "~"; // before the keys of facts in pages: behind all names
 
-  private final Rules rules;
+  private final MembershipConfig config;
   private final LocalState local;
-  private final Facts facts;
-  private final Rumours<Word> words = new Rumours<>(Word::bytes);
-  private final Rumours<Fact> factsToTell = new Rumours<>(Fact::bytes);
+  private final FactStore facts;
+  private final GossipQueue<MemberState> memberQueue =
+      new GossipQueue<>(MemberState::maxEncodedBytes);
+  private final GossipQueue<Fact> factQueue = new GossipQueue<>(Fact::maxEncodedBytes);
   private List<Action> actions = new ArrayList<>();
-  private long number; // of letters sent
-  private long secondFrom;
-  private int secondBytes;
+  private long lastMessageNumber; // of letters sent
+  private long rateWindowStart;
+  private int rateWindowBytes;
 
-  Outbox(Rules rules, LocalState local, Facts facts) {
-    this.rules = rules;
+  Outbox(MembershipConfig rules, LocalState local, FactStore facts) {
+    this.config = rules;
     this.local = local;
     this.facts = facts;
   }
 
   /** Passes on what is held of a member. */
-  void tell(Word word) {
-    words.put(word.name(), word);
+  void gossip(MemberState word) {
+    memberQueue.put(word.name(), word);
   }
 
   /** Passes on a fact. */
-  void tell(Fact fact) {
-    factsToTell.put(fact.key(), fact);
+  void gossip(Fact fact) {
+    factQueue.put(fact.key(), fact);
   }
 
   /** Changes what this member says of itself, and passes it on. */
-  void say(Word next) {
+  void updateSelf(MemberState next) {
     local.self = next;
-    tell(next);
+    gossip(next);
   }
 
   void add(Action action) {
@@ -51,93 +53,96 @@
   }
 
   /** The actions since it was asked last. */
-  List<Action> given() {
+  List<Action> drainActions() {
     List<Action> all = actions;
     actions = new ArrayList<>();
     return all;
   }
 
   /** A page of what is held, which is given from that key on; what comes first goes in any case. */
-  void sendPage(
-      Letter.Kind kind,
+  void sendSyncPage(
+      Message.Kind kind,
       String address,
       long as,
       String from,
-      List<Word> first,
-      Iterable<Word> held) {
-    List<Word> said = new ArrayList<>(first);
+      List<MemberState> first,
+      Iterable<MemberState> held) {
+    List<MemberState> said = new ArrayList<>(first);
     List<Fact> seen = new ArrayList<>();
-    Letter bare = new Letter(kind, 0, as, local.self, from, "", said, seen);
-    int left = rules.datagram() - bare.bytes() - 200; // for the key of the next page
+    Message bare = new Message(kind, 0, as, local.self, from, "", said, seen);
+    int left =
+        config.maxMessageBytes() - bare.maxEncodedBytes() - 200; // for the key of the next page
     String next = "";
-    for (Word one : held) {
-      left -= one.bytes();
+    for (MemberState one : held) {
+      left -= one.maxEncodedBytes();
       if (left < 0) {
         next = one.name();
         break;
       }
       said.add(one);
     }
-    String key = from.startsWith(FACTS) ? from.substring(FACTS.length()) : "";
-    for (Fact one = facts.from(local.now, key);
+    String key = from.startsWith(FACT_KEY_PREFIX) ? from.substring(FACT_KEY_PREFIX.length()) : "";
+    for (Fact one = facts.firstFrom(local.now, key);
         one != null && next.isEmpty();
-        one = facts.from(local.now, one.key() + '\0')) {
-      left -= one.bytes();
+        one = facts.firstFrom(local.now, one.key() + '\0')) {
+      left -= one.maxEncodedBytes();
       if (left < 0) {
-        next = FACTS + one.key();
+        next = FACT_KEY_PREFIX + one.key();
       } else {
         seen.add(one);
       }
     }
-    post(
+    transmit(
         address,
-        new Letter(kind, ++number, as, local.self, from, next, said, seen),
-        kind == Letter.Kind.PAGE);
+        new Message(kind, ++lastMessageNumber, as, local.self, from, next, said, seen),
+        kind == Message.Kind.SYNC_RESPONSE);
   }
 
-  void send(Letter.Kind kind, String address, long as, String about, String next, Word first) {
-    post(
+  void send(
+      Message.Kind kind, String address, long as, String about, String next, MemberState first) {
+    transmit(
         address,
-        write(kind, as, about, next, first == null ? List.of() : List.of(first)),
-        kind == Letter.Kind.ACK);
+        compose(kind, as, about, next, first == null ? List.of() : List.of(first)),
+        kind == Message.Kind.ACK);
   }
 
   /** A letter with as many rumours as fit; none beyond the bound on bytes a second. */
-  Letter write(Letter.Kind kind, long as, String about, String next, List<Word> first) {
+  Message compose(Message.Kind kind, long as, String about, String next, List<MemberState> first) {
     int left =
-        rules.datagram()
-            - new Letter(kind, 0, as, local.self, about, next, first, List.of()).bytes();
-    List<Word> said = new ArrayList<>(first);
+        config.maxMessageBytes()
+            - new Message(kind, 0, as, local.self, about, next, first, List.of()).maxEncodedBytes();
+    List<MemberState> said = new ArrayList<>(first);
     List<Fact> seen = new ArrayList<>();
-    if (spent() < rules.bytesASecond()) {
-      int often = TELL_PART * (Integer.SIZE - Integer.numberOfLeadingZeros(local.there));
-      said.addAll(words.take(left, often));
-      left -= said.stream().skip(first.size()).mapToInt(Word::bytes).sum();
-      for (Fact fact : factsToTell.take(left, often)) {
-        Fact aged = facts.now(local.now, fact);
+    if (bytesInRateWindow() < config.maxBytesPerSecond()) {
+      int often =
+          RETRANSMIT_MULTIPLIER * (Integer.SIZE - Integer.numberOfLeadingZeros(local.liveMembers));
+      said.addAll(memberQueue.take(left, often));
+      left -= said.stream().skip(first.size()).mapToInt(MemberState::maxEncodedBytes).sum();
+      for (Fact fact : factQueue.take(left, often)) {
+        Fact aged = facts.current(local.now, fact);
         if (aged != null) {
           seen.add(aged);
         }
       }
     }
-    return new Letter(kind, ++number, as, local.self, about, next, said, seen);
+    return new Message(kind, ++lastMessageNumber, as, local.self, about, next, said, seen);
   }
 
-  private int spent() {
-    if (local.now - secondFrom >= SECOND) {
-      secondFrom = local.now;
-      secondBytes = 0;
+  private int bytesInRateWindow() {
+    if (local.now - rateWindowStart >= NANOS_PER_SECOND) {
+      rateWindowStart = local.now;
+      rateWindowBytes = 0;
     }
-    return secondBytes;
+    return rateWindowBytes;
   }
 
   /** The one place that letters leave by: what is not owed stays within twice the bound. */
-  void post(String address, Letter letter, boolean owed) {
-    if (!owed && spent() >= 2 * rules.bytesASecond()) {
+  void transmit(String address, Message letter, boolean owed) {
+    if (!owed && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
       local.count("withheld");
       return;
     }
-    secondBytes = spent() + letter.bytes();
+    rateWindowBytes = bytesInRateWindow() + letter.maxEncodedBytes();
     actions.add(new Action.Send(address, letter));
   }
 }
--- a/src/main/java/tansytrack/fleet/Numbers.java
+++ b/src/main/java/tansytrack/fleet/ReplayWindow.java
@@ -4,32 +4,32 @@
  * Which letters of one life have come. Guards against doubled and replayed ones: each counts once,
  * and one that is older than the last 64 not at all.
  */
-final class Numbers {
+final class ReplayWindow {
 
-  private static final int KEPT = 64;
-  private long life;
+  private static final int WINDOW_SIZE = 64;
+  private long instanceId;
   private long highest;
-  private long seen; // a bit each for the highest and those below it
+  private long seenBits; // a bit each for the highest and those below it
 
   /** Is it the first time that this letter comes? */
-  boolean fresh(long ofLife, long number) {
-    if (ofLife != life) {
-      life = ofLife;
+  boolean accept(long ofLife, long number) {
+    if (ofLife != instanceId) {
+      instanceId = ofLife;
       highest = number;
-      seen = 1;
+      seenBits = 1;
       return true;
     }
     if (number > highest) {
       long by = number - highest;
-      seen = by >= KEPT ? 1 : seen << by | 1;
+      seenBits = by >= WINDOW_SIZE ? 1 : seenBits << by | 1;
       highest = number;
       return true;
     }
     long back = highest - number;
-    if (back >= KEPT || (seen >>> back & 1) != 0) {
+    if (back >= WINDOW_SIZE || (seenBits >>> back & 1) != 0) {
       return false;
     }
-    seen |= 1L << back;
+    seenBits |= 1L << back;
     return true;
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/Forms.java
+++ b/src/main/java/tansytrack/fleet/udp/MessageCodec.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import tansytrack.fleet.Fact;
-import tansytrack.fleet.Letter;
+import tansytrack.fleet.MemberState;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.Standing;
-import tansytrack.fleet.Word;
 import tansytrack.fleet.proto.FactForm;
 import tansytrack.fleet.proto.LetterForm;
 import tansytrack.fleet.proto.WordForm;
@@ -16,42 +16,42 @@
  * Letters as datagrams and back. A name stands for its address: where it is, each reader's own
  * table tells.
  */
-final class Forms {
+final class MessageCodec {
 
-  private static final long MICRO = 1000;
+  private static final long NANOS_PER_US = 1000;
 
-  private Forms() {}
+  private MessageCodec() {}
 
   /** It is no letter, or of a kind of the future. */
-  static final class Unreadable extends Exception {
+  static final class DecodeException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Unreadable(String why) {
+    DecodeException(String why) {
       super(why);
     }
   }
 
-  static byte[] bytes(Letter letter) {
+  static byte[] encode(Message letter) {
     LetterForm.Builder form =
         LetterForm.newBuilder()
             .setKindValue(letter.kind().ordinal() + 1)
-            .setNumber(letter.number())
-            .setSequence(letter.sequence())
-            .setFrom(form(letter.from()))
-            .setAbout(letter.about())
-            .setNext(letter.next());
-    letter.words().forEach(word -> form.addWords(form(word)));
+            .setNumber(letter.messageNumber())
+            .setSequence(letter.requestId())
+            .setFrom(toProto(letter.sender()))
+            .setAbout(letter.targetOrStartKey())
+            .setNext(letter.nextKey());
+    letter.updates().forEach(word -> form.addWords(toProto(word)));
     for (Fact fact : letter.facts()) {
       FactForm.Builder one =
           FactForm.newBuilder()
               .setOwner(fact.owner())
               .setIncarnation(fact.incarnation())
-              .setLife(fact.life())
+              .setLife(fact.instanceId())
               .setKind(fact.kind())
               .setSubject(fact.subject())
-              .setNumber(fact.number())
-              .setAgeUs(fact.age() / MICRO)
-              .setLastsUs(fact.lasts() / MICRO);
+              .setNumber(fact.version())
+              .setAgeUs(fact.ageNanos() / NANOS_PER_US)
+              .setLastsUs(fact.ttlNanos() / NANOS_PER_US);
       for (long value : fact.values()) {
         one.addValues(value);
       }
@@ -60,34 +60,34 @@
     return form.build().toByteArray();
   }
 
-  private static WordForm form(Word word) {
+  private static WordForm toProto(MemberState word) {
     return WordForm.newBuilder()
         .setName(word.name())
-        .setPlace(word.place())
-        .setLife(word.life())
+        .setPlace(word.zone())
+        .setLife(word.instanceId())
         .setIncarnation(word.incarnation())
-        .setStandingValue(word.standing().ordinal())
+        .setStandingValue(word.status().ordinal())
         .setStageValue(word.stage().ordinal())
         .setVersion(word.version())
-        .setSettings(word.settings())
-        .setBy(word.by())
+        .setSettings(word.settingsDigest())
+        .setBy(word.reportedBy())
         .build();
   }
 
-  static Letter letter(byte[] datagram) throws Unreadable {
+  static Message decode(byte[] datagram) throws DecodeException {
     LetterForm form;
     try {
       form = LetterForm.parseFrom(datagram);
     } catch (InvalidProtocolBufferException e) {
-      throw new Unreadable("no letter: " + e.getMessage());
+      throw new DecodeException("no letter: " + e.getMessage());
     }
     int kind = form.getKindValue() - 1;
-    if (kind < 0 || kind >= Letter.Kind.values().length) {
-      throw new Unreadable("a letter of unknown kind " + form.getKindValue());
+    if (kind < 0 || kind >= Message.Kind.values().length) {
+      throw new DecodeException("a letter of unknown kind " + form.getKindValue());
     }
-    List<Word> words = new ArrayList<>();
+    List<MemberState> words = new ArrayList<>();
     for (WordForm word : form.getWordsList()) {
-      words.add(word(word));
+      words.add(fromProto(word));
     }
     List<Fact> facts = new ArrayList<>();
     for (FactForm fact : form.getFactsList()) {
@@ -100,42 +100,42 @@
               fact.getSubject(),
               fact.getNumber(),
               fact.getValuesList().stream().mapToLong(Long::longValue).toArray(),
-              time(fact.getAgeUs()),
-              time(fact.getLastsUs())));
+              toNanos(fact.getAgeUs()),
+              toNanos(fact.getLastsUs())));
     }
-    return new Letter(
-        Letter.Kind.values()[kind],
+    return new Message(
+        Message.Kind.values()[kind],
         form.getNumber(),
         form.getSequence(),
-        word(form.getFrom()),
+        fromProto(form.getFrom()),
         form.getAbout(),
         form.getNext(),
         words,
         facts);
   }
 
-  private static long time(long micros) throws Unreadable {
-    if (micros < 0 || micros > Long.MAX_VALUE / MICRO / 4) {
-      throw new Unreadable("a time of " + Long.toUnsignedString(micros) + " us");
+  private static long toNanos(long micros) throws DecodeException {
+    if (micros < 0 || micros > Long.MAX_VALUE / NANOS_PER_US / 4) {
+      throw new DecodeException("a time of " + Long.toUnsignedString(micros) + " us");
     }
-    return micros * MICRO;
+    return micros * NANOS_PER_US;
   }
 
-  private static Word word(WordForm form) throws Unreadable {
+  private static MemberState fromProto(WordForm form) throws DecodeException {
     int standing = form.getStandingValue();
     int stage = form.getStageValue();
-    if (standing < 0 || standing >= Standing.values().length || stage < 0) {
-      throw new Unreadable("a member of unknown standing " + standing + " or stage " + stage);
+    if (standing < 0 || standing >= MemberStatus.values().length || stage < 0) {
+      throw new DecodeException("a member of unknown standing " + standing + " or stage " + stage);
     }
     // A stage of the future: whatever it does, it is there.
     Stage does = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
-    return new Word(
+    return new MemberState(
         form.getName(),
         form.getName(),
         form.getPlace(),
         form.getLife(),
         form.getIncarnation(),
-        Standing.values()[standing],
+        MemberStatus.values()[standing],
         does,
         form.getVersion(),
         form.getSettings(),
--- a/src/main/java/tansytrack/fleet/udp/FleetLink.java
+++ b/src/main/java/tansytrack/fleet/udp/UdpMembership.java
@@ -17,52 +17,53 @@
 import org.jctools.queues.MpscArrayQueue;
 import org.tinylog.Logger;
 import tansytrack.fleet.Action;
-import tansytrack.fleet.Fleet;
-import tansytrack.fleet.Letter;
-import tansytrack.fleet.Reckoning;
-import tansytrack.fleet.Rules;
+import tansytrack.fleet.BudgetDivisor;
+import tansytrack.fleet.MemberState;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.fleet.Membership;
+import tansytrack.fleet.MembershipConfig;
+import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.Standing;
-import tansytrack.fleet.Word;
 import tansytrack.log.Event;
 import tansytrack.operator.OperatorFile;
-import tansytrack.state.Siblings;
+import tansytrack.state.PeerManagers;
 
 /**
  * The membership on datagrams: MINA's thread hands over what comes, bounded, and one thread owns
  * the pure module. What the loop wants to know lies ready for it; what it is to hear goes into its
  * inbox.
  */
-public final class FleetLink implements Siblings {
+public final class UdpMembership implements PeerManagers {
 
-  private static final long MS = 1_000_000L;
-  private static final long SECOND = 1000 * MS;
-  private static final int MOST_WAITING = 4096;
-  private static final int LONGEST = 2048; // a datagram; letters are shorter
-  private static final long LAST_WORDS = 200; // ms that the end waits for the thread to say them
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
+  private static final int MAX_QUEUED_EVENTS = 4096;
+  private static final int RECEIVE_BUFFER_BYTES = 2048; // a datagram; letters are shorter
+  private static final long LEAVE_TIMEOUT_MS =
+      200; // ms that the end waits for the thread to say them
 
-  private static final long FLUSH = 20; // ms
+  private static final long FLUSH_MS = 20; // ms
 
-  private final Fleet fleet;
-  private final Reckoning reckoning;
+  private final Membership membership;
+  private final BudgetDivisor budgetDivisor;
   private final String name;
   private final Map<String, InetSocketAddress> addresses = new HashMap<>();
   private final Map<InetSocketAddress, String> names = new HashMap<>();
   private final NioDatagramAcceptor socket = new NioDatagramAcceptor();
-  private final InetSocketAddress own;
-  private final MpscArrayQueue<Runnable> waiting = new MpscArrayQueue<>(MOST_WAITING);
-  private final IntConsumer siblings;
+  private final InetSocketAddress localAddress;
+  private final MpscArrayQueue<Runnable> eventQueue = new MpscArrayQueue<>(MAX_QUEUED_EVENTS);
+  private final IntConsumer divisorListener;
   private final Thread thread = new Thread(this::run, "fleet");
   private final Map<String, Long> counts = new TreeMap<>();
-  private volatile Map<String, Long> shownCounts = Map.of();
-  private volatile List<String[]> shown = List.of();
-  private volatile long overflow;
-  private volatile boolean over;
-  private long shownAt;
-  private long saidAt;
-  private int used = -1;
+  private volatile Map<String, Long> publishedCounts = Map.of();
+  private volatile List<String[]> publishedRows = List.of();
+  private volatile long droppedEvents;
+  private volatile boolean stopped;
+  private long publishedAt;
+  private long lastRefusalLoggedAt;
+  private int lastDivisor = -1;
 
-  private FleetLink(
+  private UdpMembership(
       OperatorFile.FleetSection section,
       String name,
       String version,
@@ -70,34 +71,37 @@
       int configured,
       IntConsumer siblings) {
     this.name = name;
-    this.siblings = siblings;
-    own = address(section.address());
+    this.divisorListener = siblings;
+    localAddress = parseAddress(section.address());
     List<String> seeds = new ArrayList<>();
-    boolean any = section.peers().stream().anyMatch(OperatorFile.PeerLine::seed);
-    for (OperatorFile.PeerLine peer : section.peers()) {
-      addresses.put(peer.name(), address(peer.address()));
-      names.put(address(peer.address()), peer.name());
+    boolean any = section.peers().stream().anyMatch(OperatorFile.FleetPeer::seed);
+    for (OperatorFile.FleetPeer peer : section.peers()) {
+      addresses.put(peer.name(), parseAddress(peer.address()));
+      names.put(parseAddress(peer.address()), peer.name());
       if (peer.seed() || !any) {
         seeds.add(peer.name());
       }
     }
-    Rules rules = Rules.usual(seeds, section.probeEvery(), section.mostBytes());
+    MembershipConfig rules =
+        MembershipConfig.defaults(seeds, section.probeIntervalNanos(), section.maxBytesPerSecond());
     SecureRandom chance = new SecureRandom();
     long life = chance.nextLong();
-    fleet =
-        new Fleet(
+    membership =
+        new Membership(
             rules,
-            Word.first(name, name, section.place(), life == 0 ? 1 : life, version, settings),
+            MemberState.initial(
+                name, name, section.zone(), life == 0 ? 1 : life, version, settings),
             chance.nextLong(),
             System.nanoTime());
-    reckoning = new Reckoning(Math.max(section.peers().size(), configured - 1), section.settle());
+    budgetDivisor =
+        new BudgetDivisor(Math.max(section.peers().size(), configured - 1), section.settleNanos());
   }
 
   /**
    * Binds and starts it. The number of managers to reckon by is said on its thread, whenever it is
    * another; a file that names fewer than were configured lowers it by nobody.
    */
-  public static FleetLink start(
+  public static UdpMembership start(
       OperatorFile.FleetSection section,
       String name,
       String version,
@@ -105,11 +109,11 @@
       int configured,
       IntConsumer siblings)
       throws IOException {
-    FleetLink link = new FleetLink(section, name, version, settings, configured, siblings);
-    link.socket.getSessionConfig().setReadBufferSize(LONGEST);
+    UdpMembership link = new UdpMembership(section, name, version, settings, configured, siblings);
+    link.socket.getSessionConfig().setReadBufferSize(RECEIVE_BUFFER_BYTES);
     link.socket.setHandler(link.new Handler());
     try {
-      link.socket.bind(link.own);
+      link.socket.bind(link.localAddress);
     } catch (IOException e) {
       link.socket.dispose();
       throw new IOException("address " + section.address() + ": " + e.getMessage(), e);
@@ -128,7 +132,7 @@
     return link;
   }
 
-  private static InetSocketAddress address(String text) {
+  private static InetSocketAddress parseAddress(String text) {
     int colon = text.indexOf(':');
     return new InetSocketAddress(
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -147,48 +151,50 @@
         // Guards against a flood from ever new addresses: MINA keeps something for each until it is
         // closed.
         session.closeNow();
-        hand(() -> refused("stranger", from, "its address is not that of a peer"));
+        enqueue(() -> reject("stranger", from, "its address is not that of a peer"));
       } else {
-        hand(() -> came(from, peer, datagram));
+        enqueue(() -> receive(from, peer, datagram));
       }
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      hand(() -> count("socket.failed"));
+      enqueue(() -> count("socket.failed"));
     }
   }
 
   /** Never waits: what is too much is counted and lost, as datagrams may be. */
-  private void hand(Runnable what) {
-    if (waiting.offer(what)) {
+  private void enqueue(Runnable what) {
+    if (eventQueue.offer(what)) {
       LockSupport.unpark(thread);
     } else {
-      lostOne();
+      countDropped();
     }
   }
 
-  private synchronized void lostOne() {
-    overflow++;
+  private synchronized void countDropped() {
+    droppedEvents++;
   }
 
   // ---- The one thread ----
 
   private void run() {
     try {
-      while (!over) {
-        for (Runnable next = waiting.poll(); next != null; next = waiting.poll()) {
+      while (!stopped) {
+        for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
           next.run();
         }
         long now = System.nanoTime();
-        if (fleet.due() <= now) {
-          act(fleet.tick(now));
+        if (membership.nextDeadline() <= now) {
+          execute(membership.tick(now));
         }
-        if (now - shownAt >= SECOND) {
-          show(now);
+        if (now - publishedAt >= NANOS_PER_SECOND) {
+          publish(now);
         }
-        if (waiting.isEmpty()) {
-          LockSupport.parkNanos(Math.max(MS / 4, Math.min(fleet.due() - now, SECOND)));
+        if (eventQueue.isEmpty()) {
+          LockSupport.parkNanos(
+              Math.max(
+                  NANOS_PER_MS / 4, Math.min(membership.nextDeadline() - now, NANOS_PER_SECOND)));
         }
       }
     } catch (RuntimeException | Error e) {
@@ -197,57 +203,59 @@
     }
   }
 
-  private void came(InetSocketAddress from, String peer, byte[] datagram) {
-    Letter letter;
+  private void receive(InetSocketAddress from, String peer, byte[] datagram) {
+    Message letter;
     try {
-      letter = Forms.letter(datagram);
-    } catch (Forms.Unreadable e) {
-      refused("unreadable", from, e.getMessage());
+      letter = MessageCodec.decode(datagram);
+    } catch (MessageCodec.DecodeException e) {
+      reject("unreadable", from, e.getMessage());
       return;
     }
-    String who = letter.from().name();
+    String who = letter.sender().name();
     if (!who.equals(peer) && !who.equals(name)) {
-      refused(
+      reject(
           "misnamed", from, "it says it is '" + who + "', its address is that of '" + peer + "'");
       return;
     }
     // Guards against managers that look dead to those whose files name fewer: only what is said of
     // unknown ones is passed over.
-    List<Word> known =
-        letter.words().stream()
+    List<MemberState> known =
+        letter.updates().stream()
             .filter(word -> addresses.containsKey(word.name()) || word.name().equals(name))
             .toList();
-    if (known.size() < letter.words().size()) {
-      refused(
+    if (known.size() < letter.updates().size()) {
+      reject(
           "unknown_name", from, "it speaks of a manager that is no peer here; the rest is taken");
     }
     count("letters");
-    act(fleet.heard(System.nanoTime(), peer, letter.with(known)));
+    execute(membership.receive(System.nanoTime(), peer, letter.withUpdates(known)));
   }
 
   /** Counted each time, said once a second at most, never answered. */
-  private void refused(String why, InetSocketAddress from, String said) {
+  private void reject(String why, InetSocketAddress from, String said) {
     count("refused." + why);
     long now = System.nanoTime();
-    if (now - saidAt >= SECOND) {
-      saidAt = now;
+    if (now - lastRefusalLoggedAt >= NANOS_PER_SECOND) {
+      lastRefusalLoggedAt = now;
       Logger.warn("fleet: a datagram from {} cannot be used: {}", from, said);
     }
   }
 
-  private void act(List<Action> actions) {
+  private void execute(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         InetSocketAddress to = addresses.get(send.address());
         if (to != null) {
           count("sent");
-          socket.newSession(to, own).write(IoBuffer.wrap(Forms.bytes(send.letter())));
+          socket
+              .newSession(to, localAddress)
+              .write(IoBuffer.wrap(MessageCodec.encode(send.message())));
         }
-      } else if (action instanceof Action.Changed changed) {
-        reckoning.changed(changed.after());
-        said(changed);
-        shownAt = 0;
-      } else if (action instanceof Action.Twin twin) {
+      } else if (action instanceof Action.MemberChanged changed) {
+        budgetDivisor.memberChanged(changed.after());
+        logStatusChange(changed);
+        publishedAt = 0;
+      } else if (action instanceof Action.NameConflict twin) {
         Event.warn(
             "fleet.twin",
             "another process uses the name '"
@@ -257,30 +265,31 @@
             twin.name());
       }
     }
-    int next = reckoning.used(System.nanoTime(), fleet.view().there());
-    if (next != used) {
-      used = next;
-      siblings.accept(next);
+    int next = budgetDivisor.update(System.nanoTime(), membership.view().liveMembers());
+    if (next != lastDivisor) {
+      lastDivisor = next;
+      divisorListener.accept(next);
     }
   }
 
-  private void said(Action.Changed changed) {
-    Word after = changed.after();
-    boolean was = changed.before() != null && changed.before().standing().there();
-    if (after.standing() == Standing.SUSPECT) {
+  private void logStatusChange(Action.MemberChanged changed) {
+    MemberState after = changed.after();
+    boolean was = changed.before() != null && changed.before().status().isLive();
+    if (after.status() == MemberStatus.SUSPECT) {
       count("suspicions"); // not said: over bad links there are many, and most are refuted
-    } else if (was != after.standing().there() || changed.before().life() != after.life()) {
+    } else if (was != after.status().isLive()
+        || changed.before().instanceId() != after.instanceId()) {
       Event.info(
           "fleet.member",
           "fleet: "
               + after.name()
               + " is "
-              + after.standing().name().toLowerCase(java.util.Locale.ROOT)
-              + (after.by().isEmpty() ? "" : ", says " + after.by()),
+              + after.status().name().toLowerCase(java.util.Locale.ROOT)
+              + (after.reportedBy().isEmpty() ? "" : ", says " + after.reportedBy()),
           "member",
           after.name(),
           "standing",
-          after.standing(),
+          after.status(),
           "incarnation",
           after.incarnation());
     }
@@ -291,77 +300,77 @@
   }
 
   /** Lays ready what the loop may be asked for. */
-  private void show(long now) {
-    shownAt = now;
+  private void publish(long now) {
+    publishedAt = now;
     List<String[]> rows = new ArrayList<>();
-    rows.add(row(fleet.self(), 0));
-    for (Word word : fleet.others()) {
-      rows.add(row(word, (now - fleet.since(word.name())) / SECOND));
+    rows.add(row(membership.self(), 0));
+    for (MemberState word : membership.others()) {
+      rows.add(row(word, (now - membership.statusSince(word.name())) / NANOS_PER_SECOND));
     }
-    shown = List.copyOf(rows);
+    publishedRows = List.copyOf(rows);
     Map<String, Long> all = new TreeMap<>(counts);
-    fleet.counts().forEach((what, times) -> all.put("fleet." + what, times));
-    all.put("fleet.there", (long) fleet.view().there());
-    all.put("fleet.in_place", (long) fleet.view().inPlace());
-    all.put("fleet.reckoned", (long) Math.max(0, used));
-    all.put("fleet.health", (long) fleet.health());
-    all.put("fleet.facts", (long) fleet.facts().size());
-    all.put("fleet.facts_refused", fleet.facts().refused());
-    all.put("fleet.overflow", overflow);
-    shownCounts = Map.copyOf(all);
+    membership.counts().forEach((what, times) -> all.put("fleet." + what, times));
+    all.put("fleet.there", (long) membership.view().liveMembers());
+    all.put("fleet.in_place", (long) membership.view().liveMembersInZone());
+    all.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
+    all.put("fleet.health", (long) membership.healthScore());
+    all.put("fleet.facts", (long) membership.facts().size());
+    all.put("fleet.facts_refused", membership.facts().refused());
+    all.put("fleet.overflow", droppedEvents);
+    publishedCounts = Map.copyOf(all);
   }
 
-  private String[] row(Word word, long since) {
+  private String[] row(MemberState word, long since) {
     return new String[] {
       word.name(),
-      word.place(),
-      word.standing().name(),
+      word.zone(),
+      word.status().name(),
       word.stage().name(),
       Long.toString(since),
       Long.toString(word.incarnation()),
       word.version(),
-      word.settings(),
-      Long.toString(fleet.facts().ownedBy(word.name()))
+      word.settingsDigest(),
+      Long.toString(membership.facts().countOwnedBy(word.name()))
     };
   }
 
   // ---- The loop's side ----
 
   @Override
-  public void serving() {
-    hand(() -> act(fleet.stage(System.nanoTime(), Stage.SERVING)));
+  public void markServing() {
+    enqueue(() -> execute(membership.setStage(System.nanoTime(), Stage.SERVING)));
   }
 
   @Override
-  public void ending() {
-    hand(() -> act(fleet.stage(System.nanoTime(), Stage.LEAVING)));
+  public void markLeaving() {
+    enqueue(() -> execute(membership.setStage(System.nanoTime(), Stage.LEAVING)));
   }
 
   @Override
   public Map<String, Long> counts() {
-    return shownCounts;
+    return publishedCounts;
   }
 
   @Override
   public List<String[]> members() {
-    return shown;
+    return publishedRows;
   }
 
   /** Says that it leaves, and ends. */
   @Override
   public void close() {
-    hand(
+    enqueue(
         () -> {
-          act(fleet.leave(System.nanoTime()));
-          over = true;
+          execute(membership.leave(System.nanoTime()));
+          stopped = true;
         });
     try {
-      thread.join(LAST_WORDS);
-      Thread.sleep(FLUSH); // MINA's thread writes behind this one
+      thread.join(LEAVE_TIMEOUT_MS);
+      Thread.sleep(FLUSH_MS); // MINA's thread writes behind this one
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    over = true;
+    stopped = true;
     socket.dispose();
   }
 }
--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import tansytrack.lab.world.Faults;
-import tansytrack.lab.world.LinkModel;
+import tansytrack.lab.simulation.FaultSchedule;
+import tansytrack.lab.simulation.LinkModel;
 
 /**
  * Datagrams between managers, each way through a socket of its own: a manager knows each peer by
@@ -23,7 +23,7 @@
 
   private static final int LONGEST = 2048;
 
-  private final Faults faults;
+  private final FaultSchedule faults;
   private final List<String> names;
   private final List<String> places;
   private final List<InetSocketAddress> managers;
@@ -61,7 +61,7 @@
   }
 
   DatagramRelays(
-      Faults faults,
+      FaultSchedule faults,
       List<String> names,
       List<String> places,
       List<InetSocketAddress> managers,
@@ -143,8 +143,8 @@
       buffer.clear();
       long now = System.nanoTime();
       long[] copies =
-          leg.link.next(
-              faults.weather(
+          leg.link.deliveryDelays(
+              faults.linkConditions(
                   now - start,
                   names.get(leg.at),
                   places.get(leg.at),
--- a/src/main/java/tansytrack/lab/FleetRun.java
+++ b/src/main/java/tansytrack/lab/FleetRun.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tansytrack.fleet.Rules;
-import tansytrack.fleet.Standing;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.fleet.MembershipConfig;
 import tansytrack.lab.proto.EngineTrouble;
 import tansytrack.lab.proto.Experiment;
 import tansytrack.lab.proto.FleetPlan;
@@ -22,13 +22,13 @@
 import tansytrack.lab.proto.ProcessTrouble;
 import tansytrack.lab.proto.StreamTrouble;
 import tansytrack.lab.proto.Version;
-import tansytrack.lab.world.Faults;
-import tansytrack.lab.world.FleetWorld;
-import tansytrack.lab.world.MembershipFigures;
-import tansytrack.lab.world.Weather;
-import tansytrack.settings.Unusable;
+import tansytrack.lab.simulation.FaultSchedule;
+import tansytrack.lab.simulation.LinkConditions;
+import tansytrack.lab.simulation.MembershipMetrics;
+import tansytrack.lab.simulation.MembershipSimulation;
+import tansytrack.settings.InvalidInputException;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One run of an experiment on a fleet: managers as processes, or the pure part in virtual time,
@@ -42,7 +42,7 @@
   private final Experiment experiment;
   private final long seed;
   private final Path folder;
-  private final Faults faults;
+  private final FaultSchedule faults;
   private final List<String> names = new ArrayList<>();
   private final List<String> places = new ArrayList<>();
   private final List<ManagerProcess> managers = new ArrayList<>();
@@ -82,7 +82,7 @@
     for (Version one : plan.getVersionsList()) {
       ended(file, "fleet.versions.manager", one.getManager(), read);
       if (!Files.isReadable(Path.of(one.getJar()))) {
-        throw new Unusable(
+        throw new InvalidInputException(
             file + ": fleet.versions.jar: '" + one.getJar() + "'; allowed: a jar that can be read");
       }
     }
@@ -93,7 +93,7 @@
       LoadFile.checked(file, plan.getLoad());
     }
     if (read.getClaimsCount() == 0) {
-      throw new Unusable(file + ": claims: missing; allowed: one and more");
+      throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
   }
 
@@ -101,7 +101,7 @@
     for (ProcessTrouble one : read.getFleet().getProcessesList()) {
       if (!one.getManager().matches("m[0-9]{1,3}")
           || number(one.getManager()) >= read.getManagers()) {
-        throw new Unusable(
+        throw new InvalidInputException(
             file
                 + ": fleet.processes.manager: '"
                 + one.getManager()
@@ -126,7 +126,7 @@
     }
     for (EngineTrouble one : plan.getEngineTroublesList()) {
       if (!one.getEngine().matches("e[0-9]{1,2}") || number(one.getEngine()) >= plan.getEngines()) {
-        throw new Unusable(
+        throw new InvalidInputException(
             file
                 + ": fleet.engine_troubles.engine: '"
                 + one.getEngine()
@@ -146,7 +146,7 @@
         end.matches("place-[0-9]{1,3}")
             && Integer.parseInt(end.substring(6)) < read.getFleet().getPlaces();
     if (!manager && !place && !end.equals("*")) {
-      throw new Unusable(
+      throw new InvalidInputException(
           file
               + ": "
               + field
@@ -164,44 +164,44 @@
     TextFile.bounded(file, field + ".spread_us", weather.getSpreadUs(), 0, 10_000_000);
   }
 
-  private static Faults faults(FleetPlan plan) {
-    List<Faults.LinkTrouble> links = new ArrayList<>();
+  private static FaultSchedule faults(FleetPlan plan) {
+    List<FaultSchedule.LinkFault> links = new ArrayList<>();
     for (LinkTrouble one : plan.getLinksList()) {
       links.add(
-          new Faults.LinkTrouble(
+          new FaultSchedule.LinkFault(
               one.getAtMs() * MS,
               one.getForMs() * MS,
-              new Faults.End(one.getFrom()),
-              new Faults.End(one.getTo()),
+              new FaultSchedule.Endpoint(one.getFrom()),
+              new FaultSchedule.Endpoint(one.getTo()),
               one.getBothWays(),
               weather(one.getWeather())));
     }
-    List<Faults.ProcessTrouble> processes = new ArrayList<>();
+    List<FaultSchedule.ProcessFault> processes = new ArrayList<>();
     for (ProcessTrouble one : plan.getProcessesList()) {
       processes.add(
-          new Faults.ProcessTrouble(
+          new FaultSchedule.ProcessFault(
               one.getAtMs() * MS,
               one.getForMs() * MS,
               one.getManager(),
-              Faults.Kind.valueOf(one.getKind().name())));
+              FaultSchedule.ProcessFaultKind.valueOf(one.getKind().name())));
     }
-    List<Faults.StreamTrouble> streams = new ArrayList<>();
+    List<FaultSchedule.StreamFault> streams = new ArrayList<>();
     for (StreamTrouble one : plan.getStreamsList()) {
       streams.add(
-          new Faults.StreamTrouble(
+          new FaultSchedule.StreamFault(
               one.getAtMs() * MS,
               one.getForMs() * MS,
-              new Faults.End(one.getFrom()),
-              new Faults.End(one.getTo()),
-              Faults.StreamKind.valueOf(one.getKind().name()),
+              new FaultSchedule.Endpoint(one.getFrom()),
+              new FaultSchedule.Endpoint(one.getTo()),
+              FaultSchedule.StreamFaultKind.valueOf(one.getKind().name()),
               one.getDelayMs() * MS,
               one.getPart()));
     }
-    return new Faults(weather(plan.getWeather()), links, processes, streams);
+    return new FaultSchedule(weather(plan.getWeather()), links, processes, streams);
   }
 
-  private static Weather weather(LinkWeather from) {
-    return new Weather(
+  private static LinkConditions weather(LinkWeather from) {
+    return new LinkConditions(
         from.getLoss(),
         from.getBurst(),
         from.getDoubled(),
@@ -216,16 +216,17 @@
 
   private Map<String, Double> virtual() {
     List<String> seeds = names.subList(0, Math.min(3, names.size()));
-    FleetWorld world =
-        new FleetWorld(
-            Rules.usual(seeds, experiment.getFleet().getProbeEveryMs() * MS, 16_384), seed);
+    MembershipSimulation world =
+        new MembershipSimulation(
+            MembershipConfig.defaults(seeds, experiment.getFleet().getProbeEveryMs() * MS, 16_384),
+            seed);
     for (int i = 0; i < names.size(); i++) {
       world.node(names.get(i), names.get(i), places.get(i));
     }
     names.forEach(world::start);
-    world.play(faults);
-    world.run(experiment.getSeconds() * 1000L * MS);
-    return new MembershipFigures(names, faults, world.seen(), world.now()).figures();
+    world.injectFaults(faults);
+    world.runUntil(experiment.getSeconds() * 1000L * MS);
+    return new MembershipMetrics(names, faults, world.observations(), world.now()).compute();
   }
 
   private Map<String, Double> real() throws IOException, InterruptedException {
@@ -237,11 +238,11 @@
     traffic.begin(managers.stream().map(one -> one.listen).toList(), from);
     long end = playFaults(from);
     Map<String, Double> served = traffic.figures(folder);
-    List<FleetWorld.Seen> seen = new ArrayList<>();
+    List<MembershipSimulation.Observation> seen = new ArrayList<>();
     for (ManagerProcess one : managers) {
       seen.addAll(seen(one, start));
     }
-    Map<String, Double> figures = new MembershipFigures(names, faults, seen, end).figures();
+    Map<String, Double> figures = new MembershipMetrics(names, faults, seen, end).compute();
     figures.putAll(served);
     figures.put("datagrams.forwarded", (double) relays.forwarded());
     figures.put("datagrams.lost", (double) relays.lost());
@@ -281,7 +282,7 @@
 
   /** Waits until the faults are played; gives how long that took. */
   private long playFaults(long from) throws IOException, InterruptedException {
-    for (Faults.ProcessTrouble one : faults.processes()) {
+    for (FaultSchedule.ProcessFault one : faults.processes()) {
       Thread thread = StandInEngine.thread(() -> trouble(one, from));
       threads.add(thread);
       thread.start();
@@ -335,24 +336,24 @@
     return text.append("}\n").toString();
   }
 
-  private void trouble(Faults.ProcessTrouble what, long from) {
+  private void trouble(FaultSchedule.ProcessFault what, long from) {
     ManagerProcess of = managers.get(number(what.member()));
     try {
-      FleetTraffic.sleepUntil(from + what.at());
+      FleetTraffic.sleepUntil(from + what.startNanos());
       switch (what.kind()) {
         case STOP -> {
           of.signal("STOP");
-          FleetTraffic.sleepUntil(from + what.at() + what.lasts());
+          FleetTraffic.sleepUntil(from + what.startNanos() + what.durationNanos());
           of.signal("CONT");
         }
         case KILL, END -> {
-          if (what.kind() == Faults.Kind.KILL) {
+          if (what.kind() == FaultSchedule.ProcessFaultKind.KILL) {
             of.kill();
           } else {
             of.stop();
           }
-          if (what.lasts() > 0) {
-            FleetTraffic.sleepUntil(from + what.at() + what.lasts());
+          if (what.durationNanos() > 0) {
+            FleetTraffic.sleepUntil(from + what.startNanos() + what.durationNanos());
             of.launch();
             traffic.restarted(of.name);
           }
@@ -370,25 +371,27 @@
    * What a manager logged of the others, from the start of the schedule; what came before has the
    * time 0.
    */
-  private static List<FleetWorld.Seen> seen(ManagerProcess by, Instant start) throws IOException {
-    List<FleetWorld.Seen> all = new ArrayList<>();
+  private static List<MembershipSimulation.Observation> seen(ManagerProcess by, Instant start)
+      throws IOException {
+    List<MembershipSimulation.Observation> all = new ArrayList<>();
     for (String line : by.lines()) {
       if (line.contains("\"event\":\"fleet.member\"")) {
         try {
           Map<String, Object> one =
-              Json.map(Json.read(line.getBytes(StandardCharsets.UTF_8)), "a line");
+              Json.asObject(Json.parse(line.getBytes(StandardCharsets.UTF_8)), "a line");
           long at =
-              java.time.Duration.between(start, Instant.parse(Json.text(one.get("time"), "time")))
+              java.time.Duration.between(
+                      start, Instant.parse(Json.asString(one.get("time"), "time")))
                   .toNanos();
           all.add(
-              new FleetWorld.Seen(
+              new MembershipSimulation.Observation(
                   Math.max(0, at),
                   by.name,
-                  Json.text(one.get("member"), "member"),
+                  Json.asString(one.get("member"), "member"),
                   0,
-                  Standing.valueOf(
-                      Json.text(one.get("standing"), "standing").toUpperCase(Locale.ROOT))));
-        } catch (Junk e) {
+                  MemberStatus.valueOf(
+                      Json.asString(one.get("standing"), "standing").toUpperCase(Locale.ROOT))));
+        } catch (ProtocolException e) {
           throw new IOException(by.name + " logged what cannot be read: " + line, e);
         }
       }
--- a/src/main/java/tansytrack/lab/FleetTable.java
+++ b/src/main/java/tansytrack/lab/FleetTable.java
@@ -15,10 +15,10 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
-import tansytrack.fleet.Rules;
-import tansytrack.fleet.Standing;
-import tansytrack.lab.world.FleetWorld;
-import tansytrack.lab.world.Weather;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.fleet.MembershipConfig;
+import tansytrack.lab.simulation.LinkConditions;
+import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
  * What a membership is worth at a size and a loss, in virtual time; as a table and charts, beside
@@ -63,7 +63,7 @@
       String sizes, String losses, int runs, long seed, Path out, PrintStream to)
       throws IOException {
     List<Row> rows = new ArrayList<>();
-    Rules rules = Rules.usual(List.of("m0", "m1", "m2"));
+    MembershipConfig rules = MembershipConfig.defaults(List.of("m0", "m1", "m2"));
     String head =
         "members,loss,first_suspicion_p50_ms,swim_expected_ms,known_dead_p50_ms,"
             + "known_dead_p99_ms,not_known,"
@@ -90,43 +90,44 @@
     return rows.stream().allMatch(row -> row.unknown == 0 && row.unhealed == 0);
   }
 
-  private static void play(Row row, Rules rules, long seed) {
-    Weather weather = new Weather(row.loss, 4, 0.01, 500_000L, 2 * MS);
-    FleetWorld world = FleetWorld.of(row.members, rules, seed, weather);
+  private static void play(Row row, MembershipConfig rules, long seed) {
+    LinkConditions weather = new LinkConditions(row.loss, 4, 0.01, 500_000L, 2 * MS);
+    MembershipSimulation world =
+        MembershipSimulation.startConverged(row.members, rules, seed, weather);
     long from = world.now();
     world
         .nodes()
         .forEach(
             node -> {
               node.bytesSent = 0;
-              node.lettersSent = 0;
+              node.messagesSent = 0;
             });
-    world.run(from + CALM);
-    for (FleetWorld.Seen one : world.seen()) {
-      row.suspected += one.at() > from && one.standing() == Standing.SUSPECT ? 1 : 0;
-      row.declared += one.at() > from && one.standing() == Standing.DEAD ? 1 : 0;
+    world.runUntil(from + CALM);
+    for (MembershipSimulation.Observation one : world.observations()) {
+      row.suspected += one.at() > from && one.status() == MemberStatus.SUSPECT ? 1 : 0;
+      row.declared += one.at() > from && one.status() == MemberStatus.DEAD ? 1 : 0;
     }
     // Each member's word on each other counts once: accusations an hour of the fleet, by anyone.
     row.hours += CALM / 3600.0 / SECOND;
-    for (FleetWorld.Node node : world.nodes()) {
+    for (MembershipSimulation.Node node : world.nodes()) {
       row.bytes += node.bytesSent / (CALM / (double) SECOND) / row.members;
-      row.letters += node.lettersSent / (CALM / (double) SECOND) / row.members;
+      row.letters += node.messagesSent / (CALM / (double) SECOND) / row.members;
     }
     killed(row, world);
     cutOff(row, world);
   }
 
-  private static void killed(Row row, FleetWorld world) {
+  private static void killed(Row row, MembershipSimulation world) {
     String name = "n" + (row.members - 1);
     world.kill("m" + (row.members - 1));
     long at = world.now();
-    world.run(at + LOOK);
+    world.runUntil(at + LOOK);
     long first = Long.MAX_VALUE;
     Set<String> know = new HashSet<>();
-    for (FleetWorld.Seen one : world.seen()) {
-      if (one.at() >= at && one.of().equals(name)) {
-        first = one.standing() == Standing.SUSPECT ? Math.min(first, one.at() - at) : first;
-        if (one.standing() == Standing.DEAD && know.add(one.by())) {
+    for (MembershipSimulation.Observation one : world.observations()) {
+      if (one.at() >= at && one.member().equals(name)) {
+        first = one.status() == MemberStatus.SUSPECT ? Math.min(first, one.at() - at) : first;
+        if (one.status() == MemberStatus.DEAD && know.add(one.observer())) {
           row.known.recordValue((one.at() - at) / MS);
         }
       }
@@ -135,12 +136,13 @@
     row.first.recordValue(Math.min(first, LOOK) / MS);
   }
 
-  private static void cutOff(Row row, FleetWorld world) {
-    world.cut((a, b) -> a.place().equals("place-0") != b.place().equals("place-0"));
-    world.run(world.now() + APART);
-    world.cut((a, b) -> false);
-    world.weather(Weather.FINE); // agreement is asked for, which loss disturbs by itself
-    long took = world.untilAgreed(MOST_HEALING);
+  private static void cutOff(Row row, MembershipSimulation world) {
+    world.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
+    world.runUntil(world.now() + APART);
+    world.partition((a, b) -> false);
+    world.linkConditions(
+        LinkConditions.GOOD); // agreement is asked for, which loss disturbs by itself
+    long took = world.runUntilConverged(MOST_HEALING);
     if (took < 0) {
       row.unhealed++;
     } else {
@@ -152,11 +154,11 @@
    * Expected until the first of the others probes a dead member, by the paper: e / (e - 1) periods;
    * then its probe must fail.
    */
-  private static double swim(Rules rules) {
-    return (Math.E / (Math.E - 1) * rules.period() + rules.period()) / MS;
+  private static double swim(MembershipConfig rules) {
+    return (Math.E / (Math.E - 1) * rules.probeIntervalNanos() + rules.probeIntervalNanos()) / MS;
   }
 
-  private static String line(Row row, Rules rules) {
+  private static String line(Row row, MembershipConfig rules) {
     double runs = row.hours * 3600 * SECOND / CALM;
     return String.format(
         Locale.ROOT,
@@ -177,7 +179,8 @@
         row.unhealed);
   }
 
-  private static void detectionChart(List<Row> rows, Rules rules, Path out) throws IOException {
+  private static void detectionChart(List<Row> rows, MembershipConfig rules, Path out)
+      throws IOException {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -18,9 +18,9 @@
 import tansytrack.lab.proto.EngineForm;
 import tansytrack.lab.proto.EngineTrouble;
 import tansytrack.lab.proto.FleetPlan;
-import tansytrack.lab.world.EngineModel;
-import tansytrack.lab.world.Faults;
-import tansytrack.lab.world.RuleCheck;
+import tansytrack.lab.simulation.EngineModel;
+import tansytrack.lab.simulation.FaultSchedule;
+import tansytrack.lab.simulation.InvariantChecker;
 
 /**
  * What a fleet of processes serves: engines in places, a list for each manager, streams through
@@ -33,7 +33,7 @@
   private static final long ENDING = 4000 * MS;
 
   private final FleetPlan plan;
-  private final Faults faults;
+  private final FaultSchedule faults;
   private final List<String> managers;
   private final List<String> places;
   private final long seed;
@@ -42,7 +42,7 @@
   private final List<StandInChannel> channels = new ArrayList<>();
   private final List<StreamRelay> lists = new ArrayList<>();
   private final List<List<StreamRelay>> relays = new ArrayList<>(); // by manager and engine
-  private final List<RuleCheck.Seen> log = Collections.synchronizedList(new ArrayList<>());
+  private final List<InvariantChecker.Event> log = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Arrival> asked = new ConcurrentHashMap<>();
   private final Map<String, String> taker = new ConcurrentHashMap<>(); // the manager of a task
   private final Map<Integer, Long> startedAt =
@@ -54,7 +54,8 @@
   private volatile long start = System.nanoTime();
   private volatile Exception failure;
 
-  FleetTraffic(FleetPlan plan, Faults faults, List<String> managers, List<String> places, long seed)
+  FleetTraffic(
+      FleetPlan plan, FaultSchedule faults, List<String> managers, List<String> places, long seed)
       throws IOException {
     this.plan = plan;
     this.faults = faults;
@@ -105,8 +106,8 @@
     return "place-" + engine % plan.getPlaces();
   }
 
-  private Faults.StreamTrouble holds(int manager, String to, String place) {
-    return faults.stream(
+  private FaultSchedule.StreamFault holds(int manager, String to, String place) {
+    return faults.activeStreamFault(
         System.nanoTime() - start, managers.get(manager), places.get(manager), to, place);
   }
 
@@ -129,13 +130,13 @@
           @Override
           public void arrived(String engine, String id, double work) {
             log.add(
-                new RuleCheck.Arrived(
+                new InvariantChecker.ForwardArrived(
                     System.nanoTime(), taker.getOrDefault(id, "?"), engine, id, work));
           }
 
           @Override
           public void over(String engine, String id, boolean mayHaveRun) {
-            log.add(new RuleCheck.Over(System.nanoTime(), engine, id, mayHaveRun));
+            log.add(new InvariantChecker.ForwardEnded(System.nanoTime(), engine, id, mayHaveRun));
           }
         });
   }
@@ -145,7 +146,7 @@
     long since = startedAt.getOrDefault(engine, 0L);
     long unix = since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / MS;
     log.add(
-        new RuleCheck.Listed(
+        new InvariantChecker.EngineListed(
             System.nanoTime(), "e" + engine, enginePlace(engine), phase.equals("ready"), since));
     revision++;
     for (int m = 0; m < managers.size(); m++) {
@@ -200,11 +201,13 @@
         taker.put(id, name);
         long now = System.nanoTime();
         log.add(
-            new RuleCheck.Asked(
+            new InvariantChecker.TaskSubmitted(
                 now,
                 name,
                 id,
-                one.grade().equals("load") ? RuleCheck.Repeat.ONE_SHOT : RuleCheck.Repeat.HARMLESS,
+                one.grade().equals("load")
+                    ? InvariantChecker.RetrySafety.NON_IDEMPOTENT
+                    : InvariantChecker.RetrySafety.IDEMPOTENT,
                 one.key(),
                 now + waitMs * MS,
                 Set.of()));
@@ -213,14 +216,14 @@
       @Override
       public void answered(String id, LabClient.Answer answer) {
         log.add(
-            new RuleCheck.Answered(
+            new InvariantChecker.TaskAnswered(
                 System.nanoTime(),
                 id,
                 answer.handled()
-                    ? RuleCheck.Answer.HANDLED
+                    ? InvariantChecker.TaskResult.HANDLED
                     : answer.code().startsWith("53") || answer.code().equals("57P03")
-                        ? RuleCheck.Answer.BOUNCED
-                        : RuleCheck.Answer.ABORTED));
+                        ? InvariantChecker.TaskResult.REJECTED
+                        : InvariantChecker.TaskResult.ABORTED));
       }
 
       @Override
@@ -228,7 +231,7 @@
         // One that a manager was taken down under is lost with it; one that was never
         // taken is owed nothing.
         if (connectedAt >= 0 && downSince(name, connectedAt)) {
-          log.add(new RuleCheck.Left(System.nanoTime(), id));
+          log.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
         }
       }
     };
@@ -243,14 +246,17 @@
         .anyMatch(
             one ->
                 one.member().equals(name)
-                    && one.kind() != Faults.Kind.STOP
-                    && start + one.at() + (one.kind() == Faults.Kind.END ? ENDING : 0) >= time
-                    && start + one.at() <= System.nanoTime());
+                    && one.kind() != FaultSchedule.ProcessFaultKind.STOP
+                    && start
+                            + one.startNanos()
+                            + (one.kind() == FaultSchedule.ProcessFaultKind.END ? ENDING : 0)
+                        >= time
+                    && start + one.startNanos() <= System.nanoTime());
   }
 
   /** That manager has been started again. */
   void restarted(String name) {
-    log.add(new RuleCheck.Restarted(System.nanoTime(), name));
+    log.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
   }
 
   private interface Step {
@@ -335,8 +341,8 @@
       good += one.get("tasks") * one.get("share");
     }
     EngineForm form = plan.getEngine();
-    RuleCheck.Rules rules =
-        new RuleCheck.Rules(
+    InvariantChecker.Limits rules =
+        new InvariantChecker.Limits(
             500 * MS,
             60 * MS,
             1050 * MS,
@@ -348,17 +354,17 @@
             0,
             0,
             0);
-    List<RuleCheck.Seen> all;
+    List<InvariantChecker.Event> all;
     synchronized (log) {
       all = new ArrayList<>(log);
     }
-    all.sort(Comparator.comparingLong(RuleCheck.Seen::at));
+    all.sort(Comparator.comparingLong(InvariantChecker.Event::at));
     Files.write(
         folder.resolve("seen.log"),
         all.stream().map(one -> (one.at() - start) / 1000 + " us " + one).toList());
-    RuleCheck.broken(rules, all)
+    InvariantChecker.violations(rules, all)
         .forEach((rule, times) -> figures.put("broken." + rule, (double) times));
-    RuleCheck.said(rules, all).forEach(System.err::println);
+    InvariantChecker.firstViolations(rules, all).forEach(System.err::println);
     for (StandInEngine one : engines) {
       falls += one.fallen() ? 1 : 0;
     }
--- a/src/main/java/tansytrack/lab/Laboratory.java
+++ b/src/main/java/tansytrack/lab/Laboratory.java
@@ -13,7 +13,7 @@
 import tansytrack.lab.proto.Fault;
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.log.JsonLinesWriter;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * Runs an experiment: as many runs as its file says, a figure each, then its claims over all of
@@ -49,7 +49,7 @@
       TextFile.bounded(file, "faults.manager", fault.getManager(), 0, read.getManagers() - 1);
     }
     if (read.getClaimsCount() == 0) {
-      throw new Unusable(file + ": claims: missing; allowed: one and more");
+      throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
     return read;
   }
@@ -136,7 +136,7 @@
     StringBuilder json =
         new StringBuilder(
             "{\"name\":"
-                + JsonLinesWriter.quoted(experiment.getName())
+                + JsonLinesWriter.quote(experiment.getName())
                 + ",\"seed\":"
                 + seed
                 + ",\"runs\":"
@@ -146,7 +146,7 @@
       Claims.Judged one = judged.get(i);
       json.append(i > 0 ? "," : "")
           .append("{\"figure\":")
-          .append(JsonLinesWriter.quoted(one.figure()))
+          .append(JsonLinesWriter.quote(one.figure()))
           .append(",\"bound\":\"")
           .append(one.bound())
           .append("\",\"measured\":\"")
--- a/src/main/java/tansytrack/lab/LedgerBench.java
+++ b/src/main/java/tansytrack/lab/LedgerBench.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import tansytrack.api.Grade;
 import tansytrack.api.Outcome;
-import tansytrack.api.TaskOffer;
-import tansytrack.ledger.disk.Recorder;
+import tansytrack.api.QueryClass;
+import tansytrack.api.TaskRequest;
+import tansytrack.ledger.disk.LedgerRecorder;
 import tansytrack.operator.OperatorFile;
-import tansytrack.state.TaskWatch;
+import tansytrack.state.TaskListener;
 import tansytrack.state.Timers;
 
 /**
@@ -38,9 +38,9 @@
     this.out = out;
   }
 
-  private Recorder start(Path folder, String wait, int most) throws IOException {
+  private LedgerRecorder start(Path folder, String wait, int most) throws IOException {
     OperatorFile.LedgerSection section =
-        OperatorFile.of(
+        OperatorFile.parse(
                 "bench",
                 "ledger { folder: '"
                     + folder
@@ -52,11 +52,11 @@
                     + most
                     + " }")
             .ledger();
-    Grade grade =
-        new Grade(
+    QueryClass grade =
+        new QueryClass(
             "g",
-            Grade.Repeat.HARMLESS,
-            Grade.Scope.ALL,
+            QueryClass.RetrySafety.IDEMPOTENT,
+            QueryClass.DeduplicationScope.ALL,
             0,
             SECOND,
             1,
@@ -70,7 +70,7 @@
             false,
             false);
     timers.now(System.nanoTime());
-    return Recorder.start(section, "bench", List.of(grade), timers, inbox::add);
+    return LedgerRecorder.start(section, "bench", List.of(grade), timers, inbox::add);
   }
 
   private void notes() {
@@ -78,25 +78,25 @@
     for (Runnable one = inbox.poll(); one != null; one = inbox.poll()) {
       one.run();
     }
-    timers.run();
+    timers.runDue();
   }
 
   /** One task with one forward; gives the time that the ledger took of the loop. */
-  private long entry(Recorder to, Runnable say) {
+  private long entry(LedgerRecorder to, Runnable say) {
     String id = String.format("%016x", ++tasks);
-    TaskOffer offer = new TaskOffer(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
+    TaskRequest offer = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
     long now = timers.now();
     long from = System.nanoTime();
-    to.taken(now, offer);
-    to.sent(now, id, 0, "engine-a", 64, () -> {});
-    to.ended(now, id, 0, Outcome.OK, 5_000_000, 12, true);
-    to.answered(now, id, TaskWatch.End.HANDLED, 400, say);
+    to.taskAccepted(now, offer);
+    to.beforeForward(now, id, 0, "engine-a", 64, () -> {});
+    to.forwardEnded(now, id, 0, Outcome.OK, 5_000_000, 12, true);
+    to.beforeAnswer(now, id, TaskListener.TaskEnd.HANDLED, 400, say);
     return System.nanoTime() - from;
   }
 
   /** Entries as fast as the disk takes them, with the loop's cost of each. */
   public void throughput(Path folder, int entries) throws IOException {
-    Recorder to = start(folder, "AT_ONCE", 1 << 20);
+    LedgerRecorder to = start(folder, "AT_ONCE", 1 << 20);
     Histogram cost = new Histogram(LONGEST, 3);
     long from = System.nanoTime();
     for (int i = 0; i < entries; i++) {
@@ -127,7 +127,7 @@
    * Entries at an even rate, with the loop's cost of each and the wait of an answer for its commit.
    */
   public void paced(Path folder, int aSecond, int seconds, String wait) throws IOException {
-    Recorder to = start(folder, wait, 1 << 14);
+    LedgerRecorder to = start(folder, wait, 1 << 14);
     Histogram cost = new Histogram(LONGEST, 3);
     Histogram waited = new Histogram(LONGEST, 3);
     long from = System.nanoTime();
@@ -165,11 +165,11 @@
 
   /** A start on the files that a kill left: a copy of them as they are while the ledger is open. */
   public void restart(Path folder, Path copy) throws IOException {
-    Recorder held = start(folder, "AT_ONCE", 1 << 14);
+    LedgerRecorder held = start(folder, "AT_ONCE", 1 << 14);
     for (int i = 0; i < 1000; i++) {
       String id = String.format("%016x", ++tasks);
-      held.taken(timers.now(), new TaskOffer(id, "g", "a", null, 0, 0, 0, 0));
-      held.sent(timers.now(), id, 0, "engine-a", 64, () -> {});
+      held.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
+      held.beforeForward(timers.now(), id, 0, "engine-a", 64, () -> {});
     }
     while (held.unwritten() > 0) {
       notes();
@@ -185,7 +185,7 @@
     }
     held.close();
     long from = System.nanoTime();
-    Recorder again = start(copy, "AT_ONCE", 1 << 14);
+    LedgerRecorder again = start(copy, "AT_ONCE", 1 << 14);
     out.printf("start after a kill, 1000 tasks open: %.0f ms%n", (System.nanoTime() - from) / 1e6);
     again.close();
   }
--- a/src/main/java/tansytrack/lab/LedgerCheck.java
+++ b/src/main/java/tansytrack/lab/LedgerCheck.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import tansytrack.ledger.End;
 import tansytrack.ledger.Entry;
-import tansytrack.ledger.Merged;
+import tansytrack.ledger.MergedLedger;
 import tansytrack.ledger.Reconciliation;
-import tansytrack.ledger.disk.Faults;
+import tansytrack.ledger.TaskEnd;
+import tansytrack.ledger.disk.FaultInjector;
 import tansytrack.ledger.disk.LedgerFiles;
-import tansytrack.ledger.disk.Store;
+import tansytrack.ledger.disk.LedgerStore;
 import tansytrack.ledger.proto.BatchHead;
 
 /**
@@ -53,15 +53,17 @@
       throws IOException {
     look(managers);
     Map<String, Double> figures = new TreeMap<>();
-    Merged ledgers = LedgerFiles.merged(managers.stream().map(ManagerProcess::ledger).toList());
-    Merged exported = LedgerFiles.merged(managers.stream().map(ManagerProcess::exports).toList());
+    MergedLedger ledgers =
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::ledger).toList());
+    MergedLedger exported =
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exports).toList());
     batches(managers, figures);
     Reconciliation sides = new Reconciliation();
     long unresolved = 0;
     for (var said : ledgers.entries().values()) {
       for (Entry entry : said) {
-        sides.take(entry);
-        unresolved += entry.end() == End.UNRESOLVED ? 1 : 0;
+        sides.add(entry);
+        unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
       }
     }
     for (StandInEngine engine : engines) {
@@ -69,7 +71,7 @@
           new java.io.ByteArrayInputStream(
               String.join("\n", engine.statement())
                   .getBytes(java.nio.charset.StandardCharsets.UTF_8))) {
-        LedgerFiles.statement(engine.name(), in, sides);
+        LedgerFiles.readStatement(engine.name(), in, sides);
       }
     }
     Map<String, Long> kinds = new TreeMap<>();
@@ -85,17 +87,20 @@
         "entries.resolved_by_engines", (double) kinds.getOrDefault("resolved by the engine", 0L));
     long told = 0;
     for (ManagerProcess one : managers) {
-      try (Store store = Store.forCommand(one.ledger(), Faults.NONE)) {
-        told += store.told().size();
+      try (LedgerStore store = LedgerStore.openForCommand(one.ledger(), FaultInjector.NONE)) {
+        told += store.reportedRuns().size();
       }
     }
     figures.put("entries.told_at_start", (double) told);
     figures.put(
         "entries.holes",
-        (double) ledgers.holes().stream().mapToLong(hole -> hole.last() - hole.first() + 1).sum());
+        (double)
+            ledgers.missingRanges().stream()
+                .mapToLong(hole -> hole.last() - hole.first() + 1)
+                .sum());
     figures.put("gaps", (double) ledgers.gaps().size());
     figures.put("export.differs", exported.equals(ledgers) ? 0.0 : 1.0);
-    figures.put("forwards.agreed", (double) sides.agreed());
+    figures.put("forwards.agreed", (double) sides.matchedForwards());
     figures.put("engines.runs", (double) engines.stream().mapToLong(StandInEngine::runs).sum());
     return figures;
   }
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -9,7 +9,7 @@
 import tansytrack.lab.proto.Load;
 import tansytrack.lab.proto.LoadGrade;
 import tansytrack.lab.proto.Part;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** A load as its file gives it, checked. */
 final class LoadFile {
@@ -120,7 +120,7 @@
             part.getFestival().getHalvesMs() * MS);
       }
       default ->
-          throw new Unusable(
+          throw new InvalidInputException(
               file
                   + ": a part of the rate has no shape; allowed: constant, ramp, steps, bursts,"
                   + " wave, festival");
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -10,7 +10,7 @@
 import tansytrack.lab.scale.ScaleResult;
 import tansytrack.lab.scale.ScaleWorld;
 import tansytrack.lab.scale.Workers;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** One run of an experiment on hollow managers: its parts one after the other. */
 final class ScaleExperiment {
@@ -30,7 +30,7 @@
     TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
     for (ScalePart part : read.getScaleList()) {
       if (part.getName().isEmpty()) {
-        throw new Unusable(file + ": scale.name: ''; allowed: a name");
+        throw new InvalidInputException(file + ": scale.name: ''; allowed: a name");
       }
       TextFile.bounded(file, "scale.managers", part.getManagers(), 1, Integer.MAX_VALUE);
       TextFile.bounded(file, "scale.engines", part.getEngines(), 1, Integer.MAX_VALUE);
@@ -41,7 +41,7 @@
       ScaleTable.checked(plan(part, 0));
     }
     if (read.getClaimsCount() == 0) {
-      throw new Unusable(file + ": claims: missing; allowed: one and more");
+      throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
   }
 
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -7,7 +7,7 @@
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.lab.scale.PairSample;
 import tansytrack.lab.scale.ScalePlan;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** Refuses scale runs that this machine or this process cannot hold, before they start. */
 final class ScaleMemory {
@@ -33,7 +33,7 @@
     double need = MemoryNeed.of(plan, pairs);
     refused(sizes, pairs, need, limit);
     if (need > processLimit) {
-      throw new Unusable(
+      throw new InvalidInputException(
           sizes
               + ": need "
               + mib(need)
@@ -47,7 +47,7 @@
 
   private static void refused(String sizes, double pairs, double need, double limit) {
     if (need > limit) {
-      throw new Unusable(
+      throw new InvalidInputException(
           String.format(
               Locale.ROOT,
               "--managers, --engines: '%s' need %s MiB (%.0f engines held by a manager,"
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -17,7 +17,7 @@
 import tansytrack.lab.scale.ScaleWorld;
 import tansytrack.lab.scale.Slope;
 import tansytrack.lab.scale.Workers;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** Plays hollow fleets at one size or several, and leaves tables, CSV and charts. */
 public final class ScaleTable {
@@ -79,7 +79,7 @@
     bounded("--seconds", plan.seconds(), 1, 3600);
     bounded("--rate", plan.rate(), 0.01, 10_000);
     if (plan.meanCost() < ScalePlan.LEAST_COST) {
-      throw new Unusable(
+      throw new InvalidInputException(
           String.format(
               Locale.ROOT,
               "--rate '%s': statements of %d ns would fill the engines;"
@@ -92,7 +92,7 @@
 
   private static void bounded(String option, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
-      throw new Unusable(
+      throw new InvalidInputException(
           option
               + " '"
               + Claims.shown(value)
@@ -107,7 +107,9 @@
   public static FailureSchedule schedule(String option, String name) {
     return FailureSchedule.named(name)
         .orElseThrow(
-            () -> new Unusable(option + " '" + name + "'; allowed: " + FailureSchedule.names()));
+            () ->
+                new InvalidInputException(
+                    option + " '" + name + "'; allowed: " + FailureSchedule.names()));
   }
 
   /** The plans of a ladder, the smallest first. */
--- a/src/main/java/tansytrack/lab/StandInEngine.java
+++ b/src/main/java/tansytrack/lab/StandInEngine.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
-import tansytrack.lab.world.EngineModel;
+import tansytrack.lab.simulation.EngineModel;
 
 /**
  * An engine for the lab, on loopback: takes statements over HTTP/1.1, works on each for a time that
@@ -264,7 +264,7 @@
     long busy = open.values().stream().filter(one -> !one.over).count();
     if (model != null) {
       return String.format(
-          Locale.ROOT, "X-Load: busy_reqs:%d;cpu_share:%.2f\r\n", busy, model.busy());
+          Locale.ROOT, "X-Load: busy_reqs:%d;cpu_share:%.2f\r\n", busy, model.utilization());
     }
     return "X-Load: busy_reqs:" + busy + ";inflight:" + busy + "\r\n";
   }
@@ -286,10 +286,10 @@
   private Query shared(String id) throws InterruptedException {
     double work = works.applyAsDouble(id);
     watcher.arrived(name, id, work);
-    EngineModel.Taken taken = model.start(System.nanoTime(), id, work, 1);
-    if (taken != EngineModel.Taken.STARTED) {
-      watcher.over(name, id, taken == EngineModel.Taken.DOWN);
-      if (taken == EngineModel.Taken.DOWN) {
+    EngineModel.Admission taken = model.start(System.nanoTime(), id, work, 1);
+    if (taken != EngineModel.Admission.STARTED) {
+      watcher.over(name, id, taken == EngineModel.Admission.DOWN);
+      if (taken == EngineModel.Admission.DOWN) {
         fall();
       }
       return null;
@@ -324,11 +324,11 @@
   }
 
   synchronized boolean fallen() {
-    return model != null && model.fallen();
+    return model != null && model.crashed();
   }
 
   synchronized void slow(double factor) {
-    model.slow(System.nanoTime(), factor);
+    model.slowdown(System.nanoTime(), factor);
   }
 
   private synchronized void over(Query query, boolean done) {
@@ -336,7 +336,7 @@
       query.over = true;
       query.done = done;
       if (model != null) {
-        model.giveUp(System.nanoTime(), query.id);
+        model.cancel(System.nanoTime(), query.id);
         watcher.over(name, query.id, true);
       } else {
         query.end.cancel(false);
--- a/src/main/java/tansytrack/lab/StandIns.java
+++ b/src/main/java/tansytrack/lab/StandIns.java
@@ -4,9 +4,9 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * Stand-ins for all that a configuration names, at the addresses that it gives, on loopback alone.
@@ -22,19 +22,22 @@
   public static void of(String file, int workMs, PrintStream out) throws IOException {
     try {
       Map<String, Object> all =
-          Json.map(
-              Json.read(TextFile.text(file).getBytes(StandardCharsets.UTF_8)), "the configuration");
+          Json.asObject(
+              Json.parse(TextFile.text(file).getBytes(StandardCharsets.UTF_8)),
+              "the configuration");
       StandInChannel channel =
           new StandInChannel(
-              TextFile.loopback("channel", Json.text(all.get("channel"), "channel")));
-      for (Object event : Json.list(Json.map(all.get("known"), "known").get("cmds"), "cmds")) {
-        Map<String, Object> nodes = Json.map(Json.map(event, "an event").get("nodes"), "nodes");
-        for (Object member : Json.list(nodes.get("members"), "members")) {
-          Map<String, Object> one = Json.map(member, "a member");
+              TextFile.loopback("channel", Json.asString(all.get("channel"), "channel")));
+      for (Object event :
+          Json.asList(Json.asObject(all.get("known"), "known").get("cmds"), "cmds")) {
+        Map<String, Object> nodes =
+            Json.asObject(Json.asObject(event, "an event").get("nodes"), "nodes");
+        for (Object member : Json.asList(nodes.get("members"), "members")) {
+          Map<String, Object> one = Json.asObject(member, "a member");
           StandInEngine engine =
               new StandInEngine(
-                  Json.text(one.get("id"), "id"),
-                  TextFile.loopback("host_port", Json.text(one.get("host_port"), "host_port")),
+                  Json.asString(one.get("id"), "id"),
+                  TextFile.loopback("host_port", Json.asString(one.get("host_port"), "host_port")),
                   workMs,
                   workMs);
           out.println(engine.name() + " at " + engine.address());
@@ -44,8 +47,8 @@
         channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
       }
       out.println("command channel at " + channel.address());
-    } catch (Junk e) {
-      throw new Unusable(file + ": " + e.getMessage());
+    } catch (ProtocolException e) {
+      throw new InvalidInputException(file + ": " + e.getMessage());
     }
   }
 }
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.Supplier;
-import tansytrack.lab.world.Faults;
+import tansytrack.lab.simulation.FaultSchedule;
 
 /**
  * The streams from one manager to one engine, or to the list: each connection goes on to the other
@@ -22,7 +22,7 @@
   private static final int LOOK_MS = 5;
   private static final int MOST = 8192;
 
-  private final Supplier<Faults.StreamTrouble> now;
+  private final Supplier<FaultSchedule.StreamFault> now;
   private final InetSocketAddress target;
   private final InetSocketAddress at;
   private final List<Socket> open = new ArrayList<>();
@@ -30,7 +30,8 @@
   private final Random chance; // its own lock keeps threads apart
   private volatile boolean over;
 
-  StreamRelay(String host, InetSocketAddress target, Supplier<Faults.StreamTrouble> now, long seed)
+  StreamRelay(
+      String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> now, long seed)
       throws IOException {
     chance = new Random(seed);
     this.target = target;
@@ -67,8 +68,8 @@
         .start();
   }
 
-  private boolean is(Faults.StreamKind kind) {
-    Faults.StreamTrouble holds = now.get();
+  private boolean is(FaultSchedule.StreamFaultKind kind) {
+    FaultSchedule.StreamFault holds = now.get();
     return holds != null && holds.kind() == kind;
   }
 
@@ -78,10 +79,10 @@
     try {
       while (!over) {
         Thread.sleep(LOOK_MS);
-        if (is(Faults.StreamKind.RESET) || is(Faults.StreamKind.REFUSED)) {
+        if (is(FaultSchedule.StreamFaultKind.RESET) || is(FaultSchedule.StreamFaultKind.REFUSED)) {
           reset();
         }
-        if (is(Faults.StreamKind.REFUSED) != refused) {
+        if (is(FaultSchedule.StreamFaultKind.REFUSED) != refused) {
           refused = !refused;
           synchronized (this) {
             if (refused) {
@@ -141,21 +142,21 @@
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-        Faults.StreamTrouble holds = now.get();
-        if (holds != null && holds.kind() == Faults.StreamKind.SLOW) {
-          Thread.sleep(holds.delay() / 1_000_000);
+        FaultSchedule.StreamFault holds = now.get();
+        if (holds != null && holds.kind() == FaultSchedule.StreamFaultKind.SLOW) {
+          Thread.sleep(holds.delayNanos() / 1_000_000);
         }
-        while (is(Faults.StreamKind.SILENT) && !over) {
+        while (is(FaultSchedule.StreamFaultKind.SILENT) && !over) {
           Thread.sleep(LOOK_MS);
         }
         if (asks
             && holds != null
-            && holds.kind() == Faults.StreamKind.FLAKY
-            && chance.nextDouble() < holds.part()) {
+            && holds.kind() == FaultSchedule.StreamFaultKind.FLAKY
+            && chance.nextDouble() < holds.share()) {
           from.setSoLinger(true, 0);
           from.close();
           if (chance.nextBoolean()) {
-            Thread.sleep(chance.nextInt((int) (1 + holds.delay() / 1_000_000)));
+            Thread.sleep(chance.nextInt((int) (1 + holds.delayNanos() / 1_000_000)));
             out.write(bytes, 0, count);
             Thread.sleep(LOOK_MS);
           }
--- a/src/main/java/tansytrack/lab/TextFile.java
+++ b/src/main/java/tansytrack/lab/TextFile.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * What the lab's files and options have in common: how they are read, and how their faults are
@@ -21,7 +21,7 @@
     try {
       return Files.readString(Path.of(file), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new Unusable(file + ": cannot be read: " + e);
+      throw new InvalidInputException(file + ": cannot be read: " + e);
     }
   }
 
@@ -31,13 +31,13 @@
       TextFormat.merge(text, into);
       return into;
     } catch (TextFormat.ParseException e) {
-      throw new Unusable(file + ':' + e.getMessage());
+      throw new InvalidInputException(file + ':' + e.getMessage());
     }
   }
 
   static void bounded(String file, String field, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
-      throw new Unusable(
+      throw new InvalidInputException(
           file
               + ": "
               + field
@@ -63,7 +63,7 @@
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
       // said below
     }
-    throw new Unusable(
+    throw new InvalidInputException(
         field + " '" + text + "'; allowed: a loopback address with a port, as in 127.0.0.1:6565");
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * What is measured.
@@ -48,16 +48,18 @@
     bounded("--seconds", seconds, 1, MOST_SECONDS);
     bounded("--rate", rate, 0, MOST_RATE);
     if (jar != null && !Files.isRegularFile(Path.of(jar))) {
-      throw new Unusable("--jar '" + jar + "'; allowed: a file that exists");
+      throw new InvalidInputException("--jar '" + jar + "'; allowed: a file that exists");
     }
     if (jvmFlags.isBlank()) {
-      throw new Unusable("--jvm ''; allowed: flags of the java command, apart by blanks");
+      throw new InvalidInputException(
+          "--jvm ''; allowed: flags of the java command, apart by blanks");
     }
   }
 
   private static void bounded(String option, int value, int least, int most) {
     if (value < least || value > most) {
-      throw new Unusable(option + " '" + value + "'; allowed: " + least + " to " + most);
+      throw new InvalidInputException(
+          option + " '" + value + "'; allowed: " + least + " to " + most);
     }
   }
 
--- a/src/main/java/tansytrack/lab/scale/HollowEngine.java
+++ b/src/main/java/tansytrack/lab/scale/HollowEngine.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import tansytrack.api.EngineEntry;
 import tansytrack.api.LoadReport;
-import tansytrack.lab.world.EngineModel;
+import tansytrack.lab.simulation.EngineModel;
 
 /** An engine without sockets: the engine model, what runs on it, and what came to it. */
 final class HollowEngine {
@@ -98,13 +98,13 @@
   }
 
   /** An attempt comes; what runs has been advanced to that time. */
-  EngineModel.Taken take(long now, Attempt attempt) {
+  EngineModel.Admission take(long now, Attempt attempt) {
     if (!busy()) {
       model.advance(now);
     }
-    EngineModel.Taken taken = model.start(now, attempt.id, (double) attempt.statement.cost, 1);
+    EngineModel.Admission taken = model.start(now, attempt.id, (double) attempt.statement.cost, 1);
     attempts++;
-    if (taken == EngineModel.Taken.STARTED) {
+    if (taken == EngineModel.Admission.STARTED) {
       work += attempt.statement.cost;
       running.put(attempt.id, attempt);
     }
@@ -117,7 +117,7 @@
    * engine started.
    */
   boolean breaksColdRule(long now, long cost) {
-    if (startedAt == 0 || model.warmth(now) >= 1) {
+    if (startedAt == 0 || model.capacityFraction(now) >= 1) {
       return false;
     }
     coldWindow.add(new Sent(now, cost));
@@ -127,7 +127,7 @@
     }
     double allowed =
         HollowSettings.COLD_MULTIPLE
-            * model.warmth(now)
+            * model.capacityFraction(now)
             * ScalePlan.CORES
             * HollowSettings.COLD_WINDOW
             / meanCost;
@@ -139,7 +139,7 @@
 
   /** Gives an attempt up; false where it does not run here. */
   boolean giveUp(long now, Attempt attempt) {
-    model.giveUp(now, attempt.id);
+    model.cancel(now, attempt.id);
     return running.remove(attempt.id) != null;
   }
 
@@ -162,6 +162,6 @@
 
   /** Its word on its load. */
   LoadReport report() {
-    return new LoadReport(model.busy(), model.held(), 0, Double.NaN, Double.NaN);
+    return new LoadReport(model.utilization(), model.queryCount(), 0, Double.NaN, Double.NaN);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/HollowManager.java
+++ b/src/main/java/tansytrack/lab/scale/HollowManager.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.EngineEntry;
-import tansytrack.api.EngineView;
+import tansytrack.api.EngineStatus;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
-import tansytrack.api.TaskOffer;
+import tansytrack.api.TaskRequest;
 
 /** A manager without sockets and clients: a real decision module, and what it asked to be done. */
 final class HollowManager implements Actions {
@@ -30,7 +30,7 @@
   private final SplittableRandom chance;
   private final Map<String, Statement> open = new HashMap<>();
   private final BitSet used = new BitSet();
-  private Decisions module;
+  private DecisionModule module;
   private int life;
   private long asked; // statements so far
   private long due; // when the next one comes; 0: none yet
@@ -78,8 +78,8 @@
   }
 
   /** The engines that its module holds. */
-  List<EngineView> known() {
-    return module == null ? List.of() : module.view(now());
+  List<EngineStatus> known() {
+    return module == null ? List.of() : module.engineStatuses(now());
   }
 
   /**
@@ -101,7 +101,7 @@
   void hear(boolean complete, List<EngineEntry> entries) {
     if (module != null) {
       long before = shard.placementChecks();
-      module.engines(now(), complete, entries);
+      module.onEngineList(now(), complete, entries);
       module.decide(now());
       shard.counts.listsHeard++;
       shard.counts.listChecks += shard.placementChecks() - before;
@@ -119,9 +119,9 @@
     Statement statement = new Statement(index + ":" + asked++, now(), now() + deadline, cost);
     open.put(statement.id, statement);
     shard.counts.asked(now());
-    module.task(
+    module.onTask(
         now(),
-        new TaskOffer(
+        new TaskRequest(
             statement.id,
             write ? HollowSettings.WRITE : HollowSettings.READ,
             "",
@@ -145,7 +145,7 @@
       shard.counts.answered(statement, now());
     }
     long cost = outcome == Outcome.OK ? statement.cost : 0;
-    module.outcome(
+    module.onForwardEnd(
         now(),
         statement.id,
         attempt.index,
@@ -162,7 +162,7 @@
   /** A probe has ended. */
   void hearProbe(int ofLife, String engine, Outcome outcome, LoadReport report) {
     if (module != null && life == ofLife) {
-      module.probed(now(), engine, outcome, report);
+      module.onProbeEnd(now(), engine, outcome, report);
       module.decide(now());
     }
   }
@@ -170,7 +170,7 @@
   private void woken(int ofLife, String token) {
     if (module != null && life == ofLife) {
       long before = shard.placementChecks();
-      module.woken(now(), token);
+      module.onWakeUp(now(), token);
       module.decide(now());
       shard.counts.sweeps++;
       shard.counts.sweepChecks += shard.placementChecks() - before;
@@ -191,7 +191,7 @@
   }
 
   @Override
-  public void bounce(String task, long pause) {
+  public void reject(String task, long pause) {
     shard.counts.bounced++;
     finish(task);
   }
@@ -207,7 +207,7 @@
   }
 
   @Override
-  public void provide(String task, long memoryMb, int priority) {
+  public void assignResources(String task, long memoryMb, int priority) {
     // Hollow engines heed neither.
   }
 
@@ -228,7 +228,7 @@
   }
 
   @Override
-  public void wake(long in, String token) {
+  public void scheduleWakeUp(long in, String token) {
     int ofLife = life;
     shard.timeline.in(in, () -> woken(ofLife, token));
   }
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tansytrack.api.Grade;
+import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
 
 /** The settings of hollow managers: one set shared by all but for seed, position and zone. */
@@ -25,8 +25,8 @@
   private static final int MOST_FORWARDS = 3;
   private static final long LONGEST_COME_BACK = 500 * ScalePlan.MS;
   private static final long KEY_REST = 300 * ScalePlan.MS;
-  private static final Settings.RationRule RATION =
-      new Settings.RationRule(10, 0.2, 10 * ScalePlan.SECOND);
+  private static final Settings.RetryBudget RATION =
+      new Settings.RetryBudget(10, 0.2, 10 * ScalePlan.SECOND);
 
   private final Settings shared;
 
@@ -35,14 +35,14 @@
         new Settings(
             0,
             plan.managers(),
-            Settings.UNKNOWN,
+            Settings.UNKNOWN_INDEX,
             "",
             List.of(
-                grade(READ, Grade.Repeat.HARMLESS, plan, checks),
-                grade(WRITE, Grade.Repeat.ONE_SHOT, plan, checks)),
+                grade(READ, QueryClass.RetrySafety.IDEMPOTENT, plan, checks),
+                grade(WRITE, QueryClass.RetrySafety.NON_IDEMPOTENT, plan, checks)),
             List.of(),
-            Map.of(KIND, new Settings.Kind(ScalePlan.CORES, 0)),
-            new Settings.Levers(
+            Map.of(KIND, new Settings.EngineType(ScalePlan.CORES, 0)),
+            new Settings.Capabilities(
                 true,
                 true,
                 false,
@@ -57,17 +57,17 @@
                 false,
                 CONNECT_TIME),
             DRAIN_GRACE,
-            new Settings.ColdRule(START_CAPACITY, WARM_AFTER, COLD_MULTIPLE, COLD_WINDOW),
+            new Settings.ColdStartLimit(START_CAPACITY, WARM_AFTER, COLD_MULTIPLE, COLD_WINDOW),
             KEY_REST,
             RATION);
   }
 
-  private static Grade grade(
-      String name, Grade.Repeat repeat, ScalePlan plan, PlacementChecks checks) {
-    return new Grade(
+  private static QueryClass grade(
+      String name, QueryClass.RetrySafety repeat, ScalePlan plan, PlacementChecks checks) {
+    return new QueryClass(
         name,
         repeat,
-        Grade.Scope.ALL,
+        QueryClass.DeduplicationScope.ALL,
         0,
         plan.deadline() / 2,
         2,
@@ -86,16 +86,16 @@
   Settings of(long seed, int position, String zone) {
     return new Settings(
         seed,
-        shared.siblings(),
+        shared.managerCount(),
         position,
         zone,
-        shared.grades(),
+        shared.queryClasses(),
         shared.tenants(),
-        shared.kinds(),
-        shared.levers(),
-        shared.drainGrace(),
-        shared.cold(),
-        shared.keyRest(),
-        shared.ration());
+        shared.engineTypes(),
+        shared.capabilities(),
+        shared.drainGraceNanos(),
+        shared.coldStartLimit(),
+        shared.keyCooldownNanos(),
+        shared.retryBudget());
   }
 }
--- a/src/main/java/tansytrack/lab/scale/ModuleFactory.java
+++ b/src/main/java/tansytrack/lab/scale/ModuleFactory.java
@@ -1,7 +1,7 @@
 package tansytrack.lab.scale;
 
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.Settings;
 
 /** Makes a decision module; the lab knows modules only by their interface. */
@@ -9,5 +9,5 @@
 public interface ModuleFactory {
 
   /** A module with these settings, which acts through these actions. */
-  Decisions create(Settings settings, Actions actions);
+  DecisionModule create(Settings settings, Actions actions);
 }
--- a/src/main/java/tansytrack/lab/scale/PairChanges.java
+++ b/src/main/java/tansytrack/lab/scale/PairChanges.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.function.Function;
-import tansytrack.api.EngineView;
+import tansytrack.api.EngineStatus;
 
 /** Counts the pairs of a manager and an engine that changes of the list made and ended. */
 final class PairChanges {
@@ -46,7 +46,7 @@
   /** The engines that its module holds, by their index. */
   BitSet known(HollowManager manager) {
     BitSet known = new BitSet();
-    for (EngineView view : manager.known()) {
+    for (EngineStatus view : manager.known()) {
       known.set(engines.apply(view.id()).index);
     }
     return known;
--- a/src/main/java/tansytrack/lab/scale/PairSample.java
+++ b/src/main/java/tansytrack/lab/scale/PairSample.java
@@ -1,7 +1,7 @@
 package tansytrack.lab.scale;
 
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 
 /** How many engines one manager of a plan holds, found out by one module that is told the list. */
 public final class PairSample {
@@ -11,11 +11,11 @@
   /** Of the first manager, before anything else is made. */
   public static int enginesPerManager(ScalePlan plan, ModuleFactory factory) {
     HollowSettings settings = new HollowSettings(plan, new PlacementChecks());
-    Decisions module =
+    DecisionModule module =
         factory.create(settings.of(plan.seed(), 0, EngineList.zone(0)), new Ignored());
-    module.engines(VirtualTime.ORIGIN, true, ScaleWorld.firstList(plan));
+    module.onEngineList(VirtualTime.ORIGIN, true, ScaleWorld.firstList(plan));
     module.decide(VirtualTime.ORIGIN);
-    return module.view(VirtualTime.ORIGIN).size();
+    return module.engineStatuses(VirtualTime.ORIGIN).size();
   }
 
   /** Actions that nobody takes. */
@@ -24,13 +24,13 @@
     public void forward(String task, String engine, long timeOut) {}
 
     @Override
-    public void bounce(String task, long pause) {}
+    public void reject(String task, long pause) {}
 
     @Override
     public void abort(String task) {}
 
     @Override
-    public void provide(String task, long memoryMb, int priority) {}
+    public void assignResources(String task, long memoryMb, int priority) {}
 
     @Override
     public void probe(String engine) {}
@@ -39,7 +39,7 @@
     public void cancel(String task, int index) {}
 
     @Override
-    public void wake(long in, String token) {}
+    public void scheduleWakeUp(long in, String token) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/tansytrack/lab/scale/ScaleWorld.java
+++ b/src/main/java/tansytrack/lab/scale/ScaleWorld.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import tansytrack.api.EngineEntry;
-import tansytrack.lab.world.EngineModel;
+import tansytrack.lab.simulation.EngineModel;
 
 /**
  * Many managers' real decision modules before many hollow engines, on virtual time. Same plan and
@@ -210,10 +210,10 @@
     long now = clock.now();
     drainRule(attempt, now);
     counts.coldOver += engine.breaksColdRule(now, attempt.statement.cost) ? 1 : 0;
-    EngineModel.Taken taken = engine.take(now, attempt);
-    if (taken == EngineModel.Taken.FULL) {
+    EngineModel.Admission taken = engine.take(now, attempt);
+    if (taken == EngineModel.Admission.FULL) {
       network.refuse(attempt);
-    } else if (taken == EngineModel.Taken.DOWN) {
+    } else if (taken == EngineModel.Admission.DOWN) {
       counts.coldFallen++;
       endProcess(engine);
       network.lose(List.of(attempt), false);
--- a/src/main/java/tansytrack/lab/world/EngineModel.java
+++ b/src/main/java/tansytrack/lab/simulation/EngineModel.java
@@ -1,4 +1,4 @@
-package tansytrack.lab.world;
+package tansytrack.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,8 +13,9 @@
  */
 public final class EngineModel {
 
-  private static final long STEP = 10_000_000L; // within which its capacity counts as steady
-  private static final double LEAST_WORK = 1e6; // of a query, in nanoseconds
+  private static final long CAPACITY_STEP_NANOS =
+      10_000_000L; // within which its capacity counts as steady
+  private static final double MIN_WORK_NANOS = 1e6; // of a query, in nanoseconds
 
   /**
    * What it is.
@@ -29,14 +30,14 @@
    */
   public record Spec(
       double cores,
-      int mostQueries,
-      double startCapacity,
-      long warmAfter,
-      double multiple,
-      long window) {}
+      int maxQueries,
+      double startCapacityFraction,
+      long warmUpNanos,
+      double overloadFactor,
+      long windowNanos) {}
 
   /** What became of a query that came. */
-  public enum Taken {
+  public enum Admission {
     STARTED,
     FULL,
     DOWN
@@ -44,26 +45,26 @@
 
   private static final class Query {
     final int threads;
-    double left; // nanoseconds of work on one core
+    double remainingWork; // nanoseconds of work on one core
 
     Query(double work, int threads) {
-      left = work;
+      remainingWork = work;
       this.threads = threads;
     }
   }
 
-  private record Sent(long at, double work) {}
+  private record Arrival(long at, double work) {}
 
   private final Spec spec;
   private final long startedAt;
   private final Map<String, Query> queries = new LinkedHashMap<>();
-  private final ArrayDeque<Sent> pressure = new ArrayDeque<>();
-  private double pressed; // the sum of it
-  private double works; // all that came, and how many
-  private long count;
+  private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
+  private double recentWork; // the sum of it
+  private double totalWork; // all that came, and how many
+  private long totalQueries;
   private long now;
-  private double slow = 1;
-  private boolean fallen;
+  private double slowdown = 1;
+  private boolean crashed;
 
   /** An engine of that make, started cold at that time. */
   public EngineModel(Spec spec, long startedAt) {
@@ -73,32 +74,32 @@
   }
 
   /** The part of its cores that works by then. */
-  public double warmth(long at) {
-    if (spec.warmAfter() <= 0 || at >= startedAt + spec.warmAfter()) {
+  public double capacityFraction(long at) {
+    if (spec.warmUpNanos() <= 0 || at >= startedAt + spec.warmUpNanos()) {
       return 1;
     }
-    double age = Math.max(0, at - startedAt) / (double) spec.warmAfter();
-    return spec.startCapacity() + (1 - spec.startCapacity()) * age;
+    double age = Math.max(0, at - startedAt) / (double) spec.warmUpNanos();
+    return spec.startCapacityFraction() + (1 - spec.startCapacityFraction()) * age;
   }
 
   /** From now on all takes so many times longer. */
-  public void slow(long at, double factor) {
+  public void slowdown(long at, double factor) {
     advance(at);
-    slow = Math.max(1e-3, factor);
+    slowdown = Math.max(1e-3, factor);
   }
 
   /** Whether it ended for want of memory. */
-  public boolean fallen() {
-    return fallen;
+  public boolean crashed() {
+    return crashed;
   }
 
   /** How many queries it runs or keeps waiting. */
-  public int held() {
+  public int queryCount() {
     return queries.size();
   }
 
   /** The share of its cores in use, as a report tells it. */
-  public double busy() {
+  public double utilization() {
     double threads = 0;
     for (Query one : queries.values()) {
       threads += one.threads;
@@ -107,35 +108,36 @@
   }
 
   /** A query comes; what comes counts as pressure whether or not it is taken. */
-  public Taken start(long at, String id, double work, int threads) {
-    if (fallen) {
-      return Taken.DOWN;
+  public Admission start(long at, String id, double work, int threads) {
+    if (crashed) {
+      return Admission.DOWN;
     }
-    count++;
-    works += Math.max(LEAST_WORK, work);
-    if (warmth(at) < 1) {
-      pressure.add(new Sent(at, work));
-      pressed += work;
-      while (pressure.peek().at <= at - spec.window()) {
-        pressed -= pressure.poll().work;
+    totalQueries++;
+    totalWork += Math.max(MIN_WORK_NANOS, work);
+    if (capacityFraction(at) < 1) {
+      recentArrivals.add(new Arrival(at, work));
+      recentWork += work;
+      while (recentArrivals.peek().at <= at - spec.windowNanos()) {
+        recentWork -= recentArrivals.poll().work;
       }
-      double mean = works / count;
-      double allowed = spec.multiple() * warmth(at) * spec.cores() * spec.window() / mean;
-      if (pressed / mean > allowed + 3 * Math.sqrt(allowed) + 3) {
-        fallen = true;
+      double mean = totalWork / totalQueries;
+      double allowed =
+          spec.overloadFactor() * capacityFraction(at) * spec.cores() * spec.windowNanos() / mean;
+      if (recentWork / mean > allowed + 3 * Math.sqrt(allowed) + 3) {
+        crashed = true;
         queries.clear();
-        return Taken.DOWN;
+        return Admission.DOWN;
       }
     }
-    if (queries.size() >= spec.mostQueries()) {
-      return Taken.FULL;
+    if (queries.size() >= spec.maxQueries()) {
+      return Admission.FULL;
     }
-    queries.put(id, new Query(Math.max(LEAST_WORK, work), Math.max(1, threads)));
-    return Taken.STARTED;
+    queries.put(id, new Query(Math.max(MIN_WORK_NANOS, work), Math.max(1, threads)));
+    return Admission.STARTED;
   }
 
   /** Cancels a query, if it is still there. */
-  public void giveUp(long at, String id) {
+  public void cancel(long at, String id) {
     queries.remove(id);
   }
 
@@ -147,11 +149,11 @@
       for (Query one : queries.values()) {
         threads += one.threads;
       }
-      double capacity = spec.cores() * warmth(now) / slow;
-      double each = Math.min(1 / slow, capacity / threads); // of a core, for each thread
+      double capacity = spec.cores() * capacityFraction(now) / slowdown;
+      double each = Math.min(1 / slowdown, capacity / threads); // of a core, for each thread
       double soonest = Double.MAX_VALUE;
       for (Query one : queries.values()) {
-        soonest = Math.min(soonest, one.left / (each * one.threads));
+        soonest = Math.min(soonest, one.remainingWork / (each * one.threads));
       }
       double step =
           Math.max(
@@ -159,12 +161,15 @@
               Math.min(
                   (double) (at - now),
                   Math.min(
-                      (double) (warmth(now) < 1 ? STEP : Long.MAX_VALUE), Math.ceil(soonest))));
+                      (double) (capacityFraction(now) < 1 ? CAPACITY_STEP_NANOS : Long.MAX_VALUE),
+                      Math.ceil(soonest))));
       for (Query one : queries.values()) {
-        one.left -= step * each * one.threads;
+        one.remainingWork -= step * each * one.threads;
       }
       now += (long) step;
-      queries.entrySet().removeIf(one -> one.getValue().left <= 1e-3 && ended.add(one.getKey()));
+      queries
+          .entrySet()
+          .removeIf(one -> one.getValue().remainingWork <= 1e-3 && ended.add(one.getKey()));
     }
     now = Math.max(now, at);
     return ended;
--- a/src/main/java/tansytrack/lab/world/Weather.java
+++ b/src/main/java/tansytrack/lab/simulation/LinkConditions.java
@@ -1,4 +1,4 @@
-package tansytrack.lab.world;
+package tansytrack.lab.simulation;
 
 /**
  * What links do to letters at one time. Loss comes in bursts where {@code burst} is over 1: a link
@@ -10,12 +10,18 @@
  * @param least shortest way, in nanoseconds
  * @param spread the mean of what comes on top, exponential: letters overtake each other by it
  */
-public record Weather(double loss, double burst, double doubled, long least, long spread) {
+public record LinkConditions(
+    double loss,
+    double meanBurstLength,
+    double duplication,
+    long minDelayNanos,
+    long meanExtraDelayNanos) {
 
-  public static final Weather FINE = new Weather(0, 1, 0, 500_000L, 500_000L);
+  public static final LinkConditions GOOD = new LinkConditions(0, 1, 0, 500_000L, 500_000L);
 
   /** The same weather with another share of lost datagrams. */
-  public Weather losing(double share) {
-    return new Weather(share, burst, doubled, least, spread);
+  public LinkConditions withLoss(double share) {
+    return new LinkConditions(
+        share, meanBurstLength, duplication, minDelayNanos, meanExtraDelayNanos);
   }
 }
--- a/src/main/java/tansytrack/ledger/Amendment.java
+++ b/src/main/java/tansytrack/ledger/Amendment.java
@@ -15,5 +15,5 @@
     String author,
     String reason,
     String corrects,
-    long at,
+    long createdAt,
     boolean withdraws) {}
--- a/src/main/java/tansytrack/ledger/Corrections.java
+++ b/src/main/java/tansytrack/ledger/AmendmentValidator.java
@@ -5,15 +5,15 @@
 import java.util.function.BiPredicate;
 
 /** Judges a correction before it is written: what it corrects must be there, and still stand. */
-public final class Corrections {
+public final class AmendmentValidator {
 
-  private Corrections() {}
+  private AmendmentValidator() {}
 
   /**
    * Why it cannot be taken, or null. The entries are asked by epoch and number; amendments are all
    * that there are.
    */
-  public static String refused(
+  public static String rejectionReason(
       Amendment wanted, List<Amendment> all, BiPredicate<Long, Long> entries) {
     if (wanted.author().isBlank()) {
       return "--author is empty; allowed: who corrects";
@@ -36,7 +36,7 @@
             : "--corrects " + what + ": no such entry";
       }
       if (parts.length == 2 && parts[0].equals("a")) {
-        return amendment(wanted, all, Long.parseLong(parts[1]));
+        return checkCorrectedAmendment(wanted, all, Long.parseLong(parts[1]));
       }
     } catch (NumberFormatException e) {
       // said below
@@ -47,7 +47,8 @@
         + (wanted.withdraws() ? " (only an amendment can be withdrawn)" : "");
   }
 
-  private static String amendment(Amendment wanted, List<Amendment> all, long number) {
+  private static String checkCorrectedAmendment(
+      Amendment wanted, List<Amendment> all, long number) {
     for (Amendment one : all) {
       if (one.number() == number) {
         if (!one.period().equals(wanted.period()) || !one.tenant().equals(wanted.tenant())) {
@@ -58,7 +59,7 @@
               + ", tenant "
               + one.tenant();
         }
-        return Bill.standing(all).contains(number)
+        return Bill.effectiveAmendments(all).contains(number)
             ? null
             : "amendment " + number + " was withdrawn already";
       }
