--- a/src/main/java/tansytrack/ledger/Bill.java
+++ b/src/main/java/tansytrack/ledger/Bill.java
@@ -17,15 +17,15 @@
 public final class Bill {
 
   /** One sum. */
-  public static final class Sum {
+  public static final class Subtotal {
     private long tasks;
     private long handled;
     private long bounced;
     private long unresolved;
-    private long work;
-    private long waste;
+    private long workNanos;
+    private long wasteNanos;
     private long bytes;
-    private BigDecimal exact = BigDecimal.ZERO;
+    private BigDecimal exactAmount = BigDecimal.ZERO;
 
     /** Tasks taken in. */
     public long tasks() {
@@ -48,13 +48,13 @@
     }
 
     /** Work that engines reported, in nanoseconds. */
-    public long work() {
-      return work;
+    public long workNanos() {
+      return workNanos;
     }
 
     /** Work of forwards whose result was not used, in nanoseconds. */
-    public long waste() {
-      return waste;
+    public long wasteNanos() {
+      return wasteNanos;
     }
 
     /** Bytes of results sent to clients. */
@@ -64,75 +64,78 @@
   }
 
   /** Whose sum it is. */
-  public record Whose(String tenant, String grade) implements Comparable<Whose> {
+  public record SubtotalKey(String tenant, String grade) implements Comparable<SubtotalKey> {
     @Override
-    public int compareTo(Whose other) {
+    public int compareTo(SubtotalKey other) {
       int by = tenant.compareTo(other.tenant);
       return by != 0 ? by : grade.compareTo(other.grade);
     }
   }
 
   private final String period;
-  private final Periods periods;
+  private final BillingPeriods periods;
   private final Rates rates;
-  private final long closedAt; // position; 0: open
-  private final TreeMap<Whose, Sum> sums = new TreeMap<>();
-  private final TreeMap<Whose, Sum> late = new TreeMap<>();
+  private final long closingPosition; // position; 0: open
+  private final TreeMap<SubtotalKey, Subtotal> subtotals = new TreeMap<>();
+  private final TreeMap<SubtotalKey, Subtotal> lateSubtotals = new TreeMap<>();
   private final List<Amendment> amendments = new ArrayList<>();
 
   /** An empty bill of a period; closed at that time, 0 while it is open. */
-  public Bill(String period, Periods periods, Rates rates, long closedAt) {
+  public Bill(String period, BillingPeriods periods, Rates rates, long closedAt) {
     this.period = period;
     this.periods = periods;
     this.rates = rates;
-    this.closedAt = closedAt;
+    this.closingPosition = closedAt;
   }
 
   /** Takes an entry, if it belongs here; a task belongs to the period in which it was taken. */
-  public void take(long position, Entry entry) {
-    if (!periods.of(entry.takenAt()).equals(period)) {
+  public void add(long position, Entry entry) {
+    if (!periods.periodAt(entry.takenAt()).equals(period)) {
       return;
     }
-    TreeMap<Whose, Sum> into = closedAt > 0 && position > closedAt ? late : sums;
-    Sum sum = into.computeIfAbsent(new Whose(entry.tenant(), entry.grade()), whose -> new Sum());
+    TreeMap<SubtotalKey, Subtotal> into =
+        closingPosition > 0 && position > closingPosition ? lateSubtotals : subtotals;
+    Subtotal sum =
+        into.computeIfAbsent(
+            new SubtotalKey(entry.tenant(), entry.grade()), whose -> new Subtotal());
     sum.tasks++;
-    sum.handled += entry.end() == End.HANDLED ? 1 : 0;
-    sum.bounced += entry.end() == End.BOUNCED ? 1 : 0;
-    sum.unresolved += entry.end() == End.UNRESOLVED ? 1 : 0;
-    sum.work += entry.work(true);
-    sum.waste += entry.work(true) - entry.work(false);
+    sum.handled += entry.end() == TaskEnd.HANDLED ? 1 : 0;
+    sum.bounced += entry.end() == TaskEnd.BOUNCED ? 1 : 0;
+    sum.unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
+    sum.workNanos += entry.workNanos(true);
+    sum.wasteNanos += entry.workNanos(true) - entry.workNanos(false);
     sum.bytes += entry.bytes();
-    sum.exact = sum.exact.add(rates.price(entry, periods.day(entry.takenAt())));
+    sum.exactAmount = sum.exactAmount.add(rates.price(entry, periods.dayAt(entry.takenAt())));
   }
 
   /** Adds an amendment if it is for this period. */
-  public void take(Amendment amendment) {
+  public void add(Amendment amendment) {
     if (amendment.period().equals(period)) {
       amendments.add(amendment);
     }
   }
 
   /** Sums by tenant and query class. */
-  public Map<Whose, Sum> sums() {
-    return sums;
+  public Map<SubtotalKey, Subtotal> subtotals() {
+    return subtotals;
   }
 
   /** What came after the period was closed. */
-  public Map<Whose, Sum> late() {
-    return late;
+  public Map<SubtotalKey, Subtotal> lateSubtotals() {
+    return lateSubtotals;
   }
 
   /** The rounded amount of one sum. */
-  public BigDecimal amount(Sum sum) {
-    return rates.rounded(sum.exact);
+  public BigDecimal roundedAmount(Subtotal sum) {
+    return rates.round(sum.exactAmount);
   }
 
   /**
    * What the amendments come to for a tenant: one that was withdrawn counts for nothing, and
    * neither does a withdrawal that was withdrawn itself.
    */
-  public BigDecimal amended(String tenant) {
-    Set<Long> stand = standing(amendments);
+  public BigDecimal amendedAmount(String tenant) {
+    Set<Long> stand = effectiveAmendments(amendments);
     BigDecimal sum = BigDecimal.ZERO;
     for (Amendment one : amendments) {
       if (one.tenant().equals(tenant) && !one.withdraws() && stand.contains(one.number())) {
@@ -146,7 +149,7 @@
    * The numbers of the amendments that stand: judged from the latest back, as each can only
    * withdraw an earlier one.
    */
-  public static Set<Long> standing(List<Amendment> all) {
+  public static Set<Long> effectiveAmendments(List<Amendment> all) {
     Map<Long, Boolean> withdrawn = new HashMap<>();
     Set<Long> stand = new HashSet<>();
     List<Amendment> latestFirst = new ArrayList<>(all);
@@ -165,19 +168,19 @@
   /** All tenants that the bill names, in order. */
   public Set<String> tenants() {
     Set<String> tenants = new java.util.TreeSet<>();
-    sums.keySet().forEach(whose -> tenants.add(whose.tenant()));
-    late.keySet().forEach(whose -> tenants.add(whose.tenant()));
+    subtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
+    lateSubtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
     amendments.forEach(one -> tenants.add(one.tenant()));
     return tenants;
   }
 
   /** What a tenant owes: its rounded sums, those that came late, and its amendments. */
   public BigDecimal total(String tenant) {
-    BigDecimal total = amended(tenant);
-    for (Map<Whose, Sum> part : List.of(sums, late)) {
-      for (Map.Entry<Whose, Sum> one : part.entrySet()) {
+    BigDecimal total = amendedAmount(tenant);
+    for (Map<SubtotalKey, Subtotal> part : List.of(subtotals, lateSubtotals)) {
+      for (Map.Entry<SubtotalKey, Subtotal> one : part.entrySet()) {
         if (one.getKey().tenant().equals(tenant)) {
-          total = total.add(amount(one.getValue()));
+          total = total.add(roundedAmount(one.getValue()));
         }
       }
     }
@@ -185,9 +188,9 @@
   }
 
   /** The sums in one fixed form, of which a closed period keeps the hash. */
-  public String sealed() {
+  public String canonicalText() {
     StringBuilder text = new StringBuilder();
-    sums.forEach(
+    subtotals.forEach(
         (whose, sum) ->
             text.append(whose.tenant)
                 .append('\t')
@@ -197,9 +200,9 @@
                 .append('\t')
                 .append(sum.handled)
                 .append('\t')
-                .append(sum.work)
+                .append(sum.workNanos)
                 .append('\t')
-                .append(amount(sum).toPlainString())
+                .append(roundedAmount(sum).toPlainString())
                 .append('\n'));
     return text.toString();
   }
--- a/src/main/java/tansytrack/ledger/Periods.java
+++ b/src/main/java/tansytrack/ledger/BillingPeriods.java
@@ -14,9 +14,9 @@
  * midnight of that zone (or the day's first moment, where summer time leaves midnight out), so a
  * period is as long as its days there.
  */
-public record Periods(Length length, ZoneId zone) {
+public record BillingPeriods(Length length, ZoneId zone) {
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   /** How long a period is: each is a calendar unit of its time zone. */
   public enum Length {
@@ -26,9 +26,10 @@
   }
 
   /** The period that a moment falls in; nanoseconds of the Unix clock. */
-  public String of(long at) {
+  public String periodAt(long at) {
     LocalDate day =
-        Instant.ofEpochSecond(Math.floorDiv(at, SECOND), Math.floorMod(at, SECOND))
+        Instant.ofEpochSecond(
+                Math.floorDiv(at, NANOS_PER_SECOND), Math.floorMod(at, NANOS_PER_SECOND))
             .atZone(zone)
             .toLocalDate();
     return switch (length) {
@@ -42,21 +43,21 @@
   }
 
   /** Its first day, or a BadPeriod that says what a period looks like. */
-  public LocalDate first(String period) {
+  public LocalDate firstDay(String period) {
     try {
       LocalDate day =
           switch (length) {
             case MONTH -> YearMonth.parse(period).atDay(1);
-            case WEEK -> week(period);
+            case WEEK -> firstDayOfWeek(period);
             case DAY -> LocalDate.parse(period);
           };
-      if (of(start(day)).equals(period)) {
+      if (periodAt(startNanos(day)).equals(period)) {
         return day;
       }
     } catch (DateTimeParseException | NumberFormatException | IndexOutOfBoundsException e) {
       // said below
     }
-    throw new BadPeriod(
+    throw new InvalidPeriodException(
         "period '"
             + period
             + "' is none; allowed: "
@@ -67,7 +68,7 @@
             });
   }
 
-  private static LocalDate week(String period) {
+  private static LocalDate firstDayOfWeek(String period) {
     if (period.length() != 8 || period.indexOf("-W") != 4) {
       throw new NumberFormatException(period);
     }
@@ -76,19 +77,19 @@
         .plusWeeks(Integer.parseInt(period.substring(6)) - 1);
   }
 
-  private long start(LocalDate day) {
-    return day.atStartOfDay(zone).toEpochSecond() * SECOND;
+  private long startNanos(LocalDate day) {
+    return day.atStartOfDay(zone).toEpochSecond() * NANOS_PER_SECOND;
   }
 
   /** The first moment of a period, in nanoseconds of the Unix clock. */
-  public long start(String period) {
-    return start(first(period));
+  public long startNanos(String period) {
+    return startNanos(firstDay(period));
   }
 
   /** The moment at which it is over. */
-  public long end(String period) {
-    LocalDate day = first(period);
-    return start(
+  public long endNanos(String period) {
+    LocalDate day = firstDay(period);
+    return startNanos(
         switch (length) {
           case MONTH -> day.plusMonths(1);
           case WEEK -> day.plusWeeks(1);
@@ -97,15 +98,15 @@
   }
 
   /** The day that a moment falls in, in the time zone of the periods. */
-  public LocalDate day(long at) {
-    return Instant.ofEpochSecond(Math.floorDiv(at, SECOND)).atZone(zone).toLocalDate();
+  public LocalDate dayAt(long at) {
+    return Instant.ofEpochSecond(Math.floorDiv(at, NANOS_PER_SECOND)).atZone(zone).toLocalDate();
   }
 
   /** A text that names no period. */
-  public static final class BadPeriod extends IllegalArgumentException {
+  public static final class InvalidPeriodException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    BadPeriod(String what) {
+    InvalidPeriodException(String what) {
       super(what);
     }
   }
--- a/src/main/java/tansytrack/ledger/Entry.java
+++ b/src/main/java/tansytrack/ledger/Entry.java
@@ -15,22 +15,22 @@
     String grade,
     long takenAt,
     long endedAt,
-    End end,
+    TaskEnd end,
     long bytes,
     long earningsMilli,
     List<Use> uses) {
 
   /** Memory granted times time in MB-nanoseconds, with or without what was wasted. */
-  public BigDecimal held(boolean withWaste) {
+  public BigDecimal memoryMbNanos(boolean withWaste) {
     BigDecimal held = BigDecimal.ZERO;
     for (Use use : uses) {
-      held = withWaste || !use.wasted() ? held.add(use.held()) : held;
+      held = withWaste || !use.wasted() ? held.add(use.memoryMbNanos()) : held;
     }
     return held;
   }
 
   /** Work in nanoseconds, with or without what was wasted. */
-  public long work(boolean withWaste) {
+  public long workNanos(boolean withWaste) {
     long work = 0;
     for (Use use : uses) {
       work += withWaste || !use.wasted() ? use.work() : 0;
--- a/src/main/java/tansytrack/ledger/Resolutions.java
+++ b/src/main/java/tansytrack/ledger/EntryResolver.java
@@ -14,28 +14,28 @@
  * waste, and by the rule on waste the house's or the tenant's. What was resolved before is left
  * alone, so a statement may be read in again.
  */
-public final class Resolutions {
+public final class EntryResolver {
 
-  private static final String SAID = "resolved: ";
+  private static final String REASON_PREFIX = "resolved: ";
 
   private final Rates rates;
-  private final Periods periods;
+  private final BillingPeriods periods;
   private final Map<String, List<Reconciliation.Run>> runs = new HashMap<>();
   private final Set<String> resolved = new HashSet<>();
 
   /** Resolutions that leave out what the amendments made before already say. */
-  public Resolutions(Rates rates, Periods periods, List<Amendment> before) {
+  public EntryResolver(Rates rates, BillingPeriods periods, List<Amendment> before) {
     this.rates = rates;
     this.periods = periods;
     for (Amendment one : before) {
-      if (one.reason().startsWith(SAID)) {
+      if (one.reason().startsWith(REASON_PREFIX)) {
         resolved.add(one.corrects());
       }
     }
   }
 
   /** Takes a run that an engine states; the same statement twice counts once. */
-  public void take(Reconciliation.Run run) {
+  public void addRun(Reconciliation.Run run) {
     List<Reconciliation.Run> known = runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
     if (!known.contains(run)) {
       known.add(run); // told at a start and again in a statement
@@ -43,21 +43,21 @@
   }
 
   /** The amendment that resolves an entry, not yet numbered, or null. */
-  public Amendment of(Entry entry, String author, long now) {
+  public Amendment resolve(Entry entry, String author, long now) {
     String name = "e:" + entry.epoch() + ':' + entry.sequence();
     List<Reconciliation.Run> ran = runs.getOrDefault(entry.task(), List.of());
-    if (entry.end() != End.UNRESOLVED || ran.isEmpty() || !resolved.add(name)) {
+    if (entry.end() != TaskEnd.UNRESOLVED || ran.isEmpty() || !resolved.add(name)) {
       return null;
     }
     List<Use> uses = new ArrayList<>();
-    StringBuilder said = new StringBuilder(SAID);
+    StringBuilder said = new StringBuilder(REASON_PREFIX);
     for (Use use : entry.uses()) {
       for (Reconciliation.Run run : ran) {
         if (run.engine().equals(use.engine())) {
-          said.append(said.length() > SAID.length() ? ", " : "")
+          said.append(said.length() > REASON_PREFIX.length() ? ", " : "")
               .append(run.engine())
               .append(run.done() ? " ran it, " + run.work() + " ns" : " dropped it");
-          uses.add(asRun(use, run));
+          uses.add(wastedUse(use, run));
         }
       }
     }
@@ -65,11 +65,11 @@
       resolved.remove(name);
       return null; // the runs are another manager's, at engines that this one did not ask
     }
-    Entry known = abandoned(entry, uses);
-    BigDecimal amount = rates.rounded(rates.price(known, periods.day(entry.takenAt())));
+    Entry known = asAbandoned(entry, uses);
+    BigDecimal amount = rates.round(rates.price(known, periods.dayAt(entry.takenAt())));
     return new Amendment(
         0,
-        periods.of(entry.takenAt()),
+        periods.periodAt(entry.takenAt()),
         entry.tenant(),
         amount,
         author,
@@ -79,7 +79,7 @@
         false);
   }
 
-  private static Use asRun(Use use, Reconciliation.Run run) {
+  private static Use wastedUse(Use use, Reconciliation.Run run) {
     return new Use(
         use.index(),
         use.engine(),
@@ -93,7 +93,7 @@
   }
 
   /** The entry as if its client had left it with those uses. */
-  private static Entry abandoned(Entry entry, List<Use> uses) {
+  private static Entry asAbandoned(Entry entry, List<Use> uses) {
     return new Entry(
         entry.epoch(),
         entry.sequence(),
@@ -102,7 +102,7 @@
         entry.grade(),
         entry.takenAt(),
         entry.endedAt(),
-        End.ABANDONED,
+        TaskEnd.ABANDONED,
         0,
         0,
         uses);
--- a/src/main/java/tansytrack/ledger/EntryTracker.java
+++ b/src/main/java/tansytrack/ledger/EntryTracker.java
@@ -12,16 +12,16 @@
 public final class EntryTracker {
 
   /** One open task. */
-  private static final class Open {
+  private static final class OpenEntry {
     final long sequence;
     final String tenant;
     final String grade;
     final long takenAt;
     final List<Use> uses = new ArrayList<>(2);
-    int out;
+    int inFlight;
     boolean answered;
 
-    Open(long sequence, String tenant, String grade, long takenAt) {
+    OpenEntry(long sequence, String tenant, String grade, long takenAt) {
       this.sequence = sequence;
       this.tenant = tenant;
       this.grade = grade;
@@ -30,40 +30,41 @@
   }
 
   /** What a task of that grade earned in thousandths, by its end and the time that it took. */
-  public interface Earnings {
+  public interface EarningsFunction {
     /** Earnings in thousandths, by query class, end and time to the answer. */
-    long milli(String grade, End end, long time);
+    long earningsMilli(String grade, TaskEnd end, long time);
   }
 
-  private final Earnings earnings;
-  private final Map<String, Open> open = new HashMap<>();
-  private long sequence;
+  private final EarningsFunction earnings;
+  private final Map<String, OpenEntry> openEntries = new HashMap<>();
+  private long lastSequence;
 
   /** Entries whose earnings are computed by the given function. */
-  public EntryTracker(Earnings earnings) {
+  public EntryTracker(EarningsFunction earnings) {
     this.earnings = earnings;
   }
 
   /** A task was taken in; gives its number in this epoch. */
-  public long taken(long now, String task, String tenant, String grade) {
-    open.put(task, new Open(++sequence, tenant, grade, now));
-    return sequence;
+  public long taskTaken(long now, String task, String tenant, String grade) {
+    openEntries.put(task, new OpenEntry(++lastSequence, tenant, grade, now));
+    return lastSequence;
   }
 
   /** A forward is about to go out. */
-  public Line sent(long now, String task, int index, String engine, long grantedMb) {
-    Open one = open.get(task);
+  public LedgerUpdate forwardSent(long now, String task, int index, String engine, long grantedMb) {
+    OpenEntry one = openEntries.get(task);
     Use use = new Use(index, engine, now, 0, "", 0, 0, grantedMb, false);
     one.uses.add(use);
-    one.out++;
-    return new Line.Sent(one.sequence, task, one.tenant, one.grade, one.takenAt, use);
+    one.inFlight++;
+    return new LedgerUpdate.ForwardSent(
+        one.sequence, task, one.tenant, one.grade, one.takenAt, use);
   }
 
   /**
    * A forward's end; served: its result went to the client. Null where the forward is not known to
    * be out.
    */
-  public Line ended(
+  public LedgerUpdate forwardEnded(
       long now,
       String task,
       int index,
@@ -71,8 +72,8 @@
       long work,
       double neededMb,
       boolean served) {
-    Open one = open.get(task);
-    if (one == null || index >= one.uses.size() || !one.uses.get(index).out()) {
+    OpenEntry one = openEntries.get(task);
+    if (one == null || index >= one.uses.size() || !one.uses.get(index).inFlight()) {
       return null;
     }
     Use sent = one.uses.get(index);
@@ -88,16 +89,16 @@
             sent.grantedMb(),
             !served);
     one.uses.set(index, use);
-    one.out--;
-    return new Line.Ended(one.sequence, use, forget(task, one));
+    one.inFlight--;
+    return new LedgerUpdate.ForwardEnded(one.sequence, use, removeIfComplete(task, one));
   }
 
   /** The client was answered; forwards may still be out. */
-  public Line answered(long now, String task, End end, long bytes) {
-    Open one = open.get(task);
+  public LedgerUpdate taskAnswered(long now, String task, TaskEnd end, long bytes) {
+    OpenEntry one = openEntries.get(task);
     one.answered = true;
-    boolean complete = forget(task, one);
-    return new Line.Answered(
+    boolean complete = removeIfComplete(task, one);
+    return new LedgerUpdate.TaskAnswered(
         one.sequence,
         task,
         one.tenant,
@@ -106,20 +107,20 @@
         now,
         end,
         bytes,
-        earnings.milli(one.grade, end, now - one.takenAt),
+        earnings.earningsMilli(one.grade, end, now - one.takenAt),
         complete);
   }
 
-  private boolean forget(String task, Open one) {
-    boolean complete = one.answered && one.out == 0;
+  private boolean removeIfComplete(String task, OpenEntry one) {
+    boolean complete = one.answered && one.inFlight == 0;
     if (complete) {
-      open.remove(task, one);
+      openEntries.remove(task, one);
     }
     return complete;
   }
 
   /** How many tasks are not complete yet. */
   public int openTasks() {
-    return open.size();
+    return openEntries.size();
   }
 }
--- a/src/main/java/tansytrack/ledger/ExportSteps.java
+++ b/src/main/java/tansytrack/ledger/ExportSteps.java
@@ -24,27 +24,27 @@
    * marked (null: none); the hash of its temporary file and of its file in place (null: no file);
    * and what was synced since the start.
    */
-  public record Found(
-      boolean linesLeft,
-      String sealed,
-      String temporary,
-      boolean synced,
-      String placed,
+  public record ExportState(
+      boolean hasNewLines,
+      String sealedHash,
+      String temporaryFileHash,
+      boolean temporaryFileSynced,
+      String finalFileHash,
       boolean folderSynced) {}
 
   private ExportSteps() {}
 
   /** The step that follows from what is found on disk and in the store. */
-  public static Step next(Found found) {
-    if (found.sealed == null) {
-      return found.linesLeft ? Step.SEAL : Step.DONE;
+  public static Step next(ExportState found) {
+    if (found.sealedHash == null) {
+      return found.hasNewLines ? Step.SEAL : Step.DONE;
     }
-    if (found.sealed.equals(found.placed)) {
+    if (found.sealedHash.equals(found.finalFileHash)) {
       return found.folderSynced ? Step.MARK : Step.SYNC_FOLDER;
     }
-    if (!found.sealed.equals(found.temporary)) {
+    if (!found.sealedHash.equals(found.temporaryFileHash)) {
       return Step.WRITE;
     }
-    return found.synced ? Step.RENAME : Step.SYNC;
+    return found.temporaryFileSynced ? Step.RENAME : Step.SYNC;
   }
 }
--- a/src/main/java/tansytrack/ledger/Line.java
+++ b/src/main/java/tansytrack/ledger/LedgerUpdate.java
@@ -4,7 +4,7 @@
  * What goes from the loop to the disk, in order. Each says whether the task's entry is complete
  * with it.
  */
-public sealed interface Line {
+public sealed interface LedgerUpdate {
 
   /** The number of the task in its epoch; 0 where the line is about no task. */
   long sequence();
@@ -13,8 +13,8 @@
   boolean complete();
 
   /** A forward is about to go out. */
-  record Sent(long sequence, String task, String tenant, String grade, long takenAt, Use use)
-      implements Line {
+  record ForwardSent(long sequence, String task, String tenant, String grade, long takenAt, Use use)
+      implements LedgerUpdate {
     @Override
     public boolean complete() {
       return false;
@@ -22,24 +22,24 @@
   }
 
   /** A forward ended. */
-  record Ended(long sequence, Use use, boolean complete) implements Line {}
+  record ForwardEnded(long sequence, Use use, boolean complete) implements LedgerUpdate {}
 
   /** The task is owed no answer any more. */
-  record Answered(
+  record TaskAnswered(
       long sequence,
       String task,
       String tenant,
       String grade,
       long takenAt,
       long endedAt,
-      End end,
+      TaskEnd end,
       long bytes,
       long earningsMilli,
       boolean complete)
-      implements Line {}
+      implements LedgerUpdate {}
 
   /** What an engine said, after a start, of a forward that the life before left out. */
-  record Told(Reconciliation.Run run) implements Line {
+  record RunReported(Reconciliation.Run run) implements LedgerUpdate {
     @Override
     public long sequence() {
       return 0;
@@ -52,7 +52,7 @@
   }
 
   /** What was not kept before this line. */
-  record Missing(Gap gap) implements Line {
+  record UpdatesLost(Gap gap) implements LedgerUpdate {
     @Override
     public long sequence() {
       return gap.lastSequence();
--- a/src/main/java/tansytrack/ledger/Merged.java
+++ b/src/main/java/tansytrack/ledger/MergedLedger.java
@@ -13,7 +13,7 @@
  * overlap make no difference. Where two say different things of one task both are kept, and it is a
  * contradiction.
  */
-public final class Merged {
+public final class MergedLedger {
 
   /** One task among all managers. */
   public record Key(String manager, long epoch, long sequence) implements Comparable<Key> {
@@ -34,9 +34,9 @@
   }
 
   /** Numbers of one epoch that nothing accounts for, from first to last. */
-  public record Hole(String manager, long epoch, long first, long last) {}
+  public record MissingRange(String manager, long epoch, long first, long last) {}
 
-  private record Epoch(String manager, long epoch) {}
+  private record ManagerEpoch(String manager, long epoch) {}
 
   private final TreeMap<Key, Set<Entry>> entries = new TreeMap<>();
   private final TreeMap<Key, Set<Gap>> gaps = new TreeMap<>();
@@ -55,7 +55,7 @@
   }
 
   /** Takes in all that the other holds. */
-  public void add(Merged other) {
+  public void add(MergedLedger other) {
     other.entries.forEach(
         (key, said) -> entries.computeIfAbsent(key, one -> new HashSet<>(2)).addAll(said));
     other.gaps.forEach(
@@ -91,28 +91,29 @@
   }
 
   /** Numbers missing below the last one of their epoch, where no gap accounts for them. */
-  public List<Hole> holes() {
-    Map<Epoch, List<Gap>> known = new java.util.HashMap<>();
+  public List<MissingRange> missingRanges() {
+    Map<ManagerEpoch, List<Gap>> known = new java.util.HashMap<>();
     gaps.forEach(
         (key, said) ->
             known
-                .computeIfAbsent(new Epoch(key.manager, key.epoch), one -> new ArrayList<>())
+                .computeIfAbsent(new ManagerEpoch(key.manager, key.epoch), one -> new ArrayList<>())
                 .addAll(said));
-    List<Hole> holes = new ArrayList<>();
+    List<MissingRange> holes = new ArrayList<>();
     Key last = null;
     for (Key key : entries.keySet()) {
       boolean same = last != null && last.manager.equals(key.manager) && last.epoch == key.epoch;
-      unaccounted(
+      addMissingRanges(
           key,
           same ? last.sequence + 1 : 1,
-          known.getOrDefault(new Epoch(key.manager, key.epoch), List.of()),
+          known.getOrDefault(new ManagerEpoch(key.manager, key.epoch), List.of()),
           holes);
       last = key;
     }
     return holes;
   }
 
-  private static void unaccounted(Key until, long from, List<Gap> gaps, List<Hole> holes) {
+  private static void addMissingRanges(
+      Key until, long from, List<Gap> gaps, List<MissingRange> holes) {
     long first = 0;
     for (long number = from; number <= until.sequence; number++) {
       long at = number;
@@ -120,7 +121,7 @@
       if (missing && first == 0) {
         first = number;
       } else if (!missing && first > 0) {
-        holes.add(new Hole(until.manager, until.epoch, first, number - 1));
+        holes.add(new MissingRange(until.manager, until.epoch, first, number - 1));
         first = 0;
       }
     }
@@ -128,7 +129,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Merged merged
+    return other instanceof MergedLedger merged
         && merged.entries.equals(entries)
         && merged.gaps.equals(gaps);
   }
--- a/src/main/java/tansytrack/ledger/Reconciliation.java
+++ b/src/main/java/tansytrack/ledger/Reconciliation.java
@@ -17,9 +17,9 @@
   /** One run in an engine's statement; work in nanoseconds on one core. */
   public record Run(String engine, String task, long work, boolean done) {}
 
-  private record Place(String engine, String task) implements Comparable<Place> {
+  private record EngineTask(String engine, String task) implements Comparable<EngineTask> {
     @Override
-    public int compareTo(Place other) {
+    public int compareTo(EngineTask other) {
       int by = task.compareTo(other.task);
       return by != 0 ? by : engine.compareTo(other.engine);
     }
@@ -31,60 +31,62 @@
    */
   public record Finding(boolean fault, String kind, String engine, String task, String cause) {}
 
-  private static final Set<String> NEVER_RUN = Set.of("UNREACHED", "NEVER_SENT", "FULL");
-  private static final Set<String> MAY_HAVE_RUN =
-      Set.of("RESET", "CANCELLED", "TIME_OUT", Use.UNKNOWN);
+  private static final Set<String> NEVER_RUN_OUTCOMES = Set.of("UNREACHED", "NEVER_SENT", "FULL");
+  private static final Set<String> MAY_HAVE_RUN_OUTCOMES =
+      Set.of("RESET", "CANCELLED", "TIME_OUT", Use.UNKNOWN_OUTCOME);
 
-  private final TreeMap<Place, List<Use>> told = new TreeMap<>();
-  private final TreeMap<Place, List<Run>> ran = new TreeMap<>();
-  private final Set<String> engines = new TreeSet<>();
-  private long agreed;
+  private final TreeMap<EngineTask, List<Use>> forwards = new TreeMap<>();
+  private final TreeMap<EngineTask, List<Run>> runs = new TreeMap<>();
+  private final Set<String> statedEngines = new TreeSet<>();
+  private long matchedForwards;
 
   /** Takes a ledger entry with all its uses of engines. */
-  public void take(Entry entry) {
+  public void add(Entry entry) {
     for (Use use : entry.uses()) {
-      told.computeIfAbsent(new Place(use.engine(), entry.task()), place -> new ArrayList<>(1))
+      forwards
+          .computeIfAbsent(new EngineTask(use.engine(), entry.task()), place -> new ArrayList<>(1))
           .add(use);
     }
   }
 
   /** An engine whose statement is whole, even if it ran nothing. */
-  public void stated(String engine) {
-    engines.add(engine);
+  public void addEngine(String engine) {
+    statedEngines.add(engine);
   }
 
   /** Takes a run that an engine states. */
-  public void take(Run run) {
-    engines.add(run.engine);
-    ran.computeIfAbsent(new Place(run.engine, run.task), place -> new ArrayList<>(1)).add(run);
+  public void add(Run run) {
+    statedEngines.add(run.engine);
+    runs.computeIfAbsent(new EngineTask(run.engine, run.task), place -> new ArrayList<>(1))
+        .add(run);
   }
 
   /** Compares both sides, by engine and task in the order of their names. */
   public List<Finding> findings() {
-    agreed = 0;
+    matchedForwards = 0;
     List<Finding> findings = new ArrayList<>();
-    Set<Place> places = new TreeSet<>(told.keySet());
-    places.addAll(ran.keySet());
-    for (Place place : places) {
-      if (engines.contains(place.engine)) {
+    Set<EngineTask> places = new TreeSet<>(forwards.keySet());
+    places.addAll(runs.keySet());
+    for (EngineTask place : places) {
+      if (statedEngines.contains(place.engine)) {
         compare(
             place,
-            told.getOrDefault(place, List.of()),
-            ran.getOrDefault(place, List.of()),
+            forwards.getOrDefault(place, List.of()),
+            runs.getOrDefault(place, List.of()),
             findings);
       }
     }
     return findings;
   }
 
-  private void compare(Place place, List<Use> uses, List<Run> runs, List<Finding> findings) {
+  private void compare(EngineTask place, List<Use> uses, List<Run> runs, List<Finding> findings) {
     List<Run> left = new ArrayList<>(runs);
     for (Use use : uses) {
-      Run run = match(use, left);
+      Run run = bestMatch(use, left);
       left.remove(run);
       Finding finding = compare(place, use, run);
       if (finding == null) {
-        agreed++;
+        matchedForwards++;
       } else {
         findings.add(finding);
       }
@@ -104,7 +106,7 @@
   }
 
   /** What is wrong or to be told of a use and the run that fits it, null where both agree. */
-  private static Finding compare(Place place, Use use, Run run) {
+  private static Finding compare(EngineTask place, Use use, Run run) {
     String outcome = use.outcome();
     if (run != null && outcome.equals("OK") && run.work != use.work()) {
       return new Finding(
@@ -114,7 +116,7 @@
           place.task,
           "ledger " + use.work() + " ns, engine " + run.work + " ns");
     }
-    if (run != null && outcome.equals(Use.UNKNOWN)) {
+    if (run != null && outcome.equals(Use.UNKNOWN_OUTCOME)) {
       return new Finding(
           false,
           "resolved by the engine",
@@ -131,7 +133,9 @@
           place.task,
           "the statement is cut off, or of another time");
     }
-    if (run == null && !NEVER_RUN.contains(outcome) && !MAY_HAVE_RUN.contains(outcome)) {
+    if (run == null
+        && !NEVER_RUN_OUTCOMES.contains(outcome)
+        && !MAY_HAVE_RUN_OUTCOMES.contains(outcome)) {
       return new Finding(
           true,
           "in the ledger only",
@@ -143,7 +147,7 @@
   }
 
   /** The run that fits best: for a good end one with its work, for others one that is not done. */
-  private static Run match(Use use, List<Run> runs) {
+  private static Run bestMatch(Use use, List<Run> runs) {
     Run best = null;
     for (Run run : runs) {
       boolean good = use.outcome().equals("OK") ? run.work == use.work() && run.done : !run.done;
@@ -155,7 +159,7 @@
   }
 
   /** Forwards that both sides account for; known once the findings were asked for. */
-  public long agreed() {
-    return agreed;
+  public long matchedForwards() {
+    return matchedForwards;
   }
 }
--- a/src/main/java/tansytrack/ledger/End.java
+++ b/src/main/java/tansytrack/ledger/TaskEnd.java
@@ -4,7 +4,7 @@
  * How a task ended, as far as its client is concerned; unresolved: its manager died, and nothing
  * told the end.
  */
-public enum End {
+public enum TaskEnd {
   HANDLED,
   BOUNCED,
   ABORTED,
--- a/src/main/java/tansytrack/ledger/Use.java
+++ b/src/main/java/tansytrack/ledger/Use.java
@@ -18,10 +18,10 @@
     long grantedMb,
     boolean wasted) {
 
-  public static final String UNKNOWN = "UNKNOWN";
+  public static final String UNKNOWN_OUTCOME = "UNKNOWN";
 
   /** Whether the engine has not ended it yet. */
-  public boolean out() {
+  public boolean inFlight() {
     return outcome.isEmpty();
   }
 
@@ -29,7 +29,7 @@
    * Memory granted times the time that it was, in MB-nanoseconds; an end that nobody knows counts
    * for nothing.
    */
-  public BigDecimal held() {
+  public BigDecimal memoryMbNanos() {
     return endedAt == 0
         ? BigDecimal.ZERO
         : BigDecimal.valueOf(grantedMb).multiply(BigDecimal.valueOf(endedAt - sentAt));
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -14,34 +14,34 @@
 public final class WriteFlowControl {
 
   /** One answer that waits, by the number of its line. */
-  private record Held(long number, long since, Runnable say) {}
+  private record HeldAction(long updateNumber, long since, Runnable action) {}
 
-  private static final int LINES_A_TASK = 5; // two forwards out and in, and the answer
+  private static final int MAX_UPDATES_PER_TASK = 5; // two forwards out and in, and the answer
 
   private final long epoch;
-  private final int mostUnwritten;
-  private final long patience;
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
-  private long handed; // lines, ever
-  private long durable;
-  private long gaps;
+  private final int maxUnwritten;
+  private final long maxHoldNanos;
+  private final ArrayDeque<HeldAction> held = new ArrayDeque<>();
+  private long handedOver; // lines, ever
+  private long markDurable;
+  private long gapCount;
   private long gapFirst;
   private long gapLast;
   private long gapFrom;
-  private long gapLines;
-  private long answeredUndurable;
+  private long gapUpdates;
+  private long releasedBeforeCommit;
 
   /**
    * A hand-over that refuses lines above a bound, and gives up waiting for the disk after a time.
    */
   public WriteFlowControl(long epoch, int mostUnwritten, long patience) {
     this.epoch = epoch;
-    this.mostUnwritten = mostUnwritten;
-    this.patience = patience;
+    this.maxUnwritten = mostUnwritten;
+    this.maxHoldNanos = patience;
   }
 
   /** The lines to hand over now: this one, with a gap before it where one is open, or none. */
-  public List<Line> offer(long now, Line line) {
+  public List<LedgerUpdate> offer(long now, LedgerUpdate line) {
     return offer(now, line, 0);
   }
 
@@ -49,9 +49,10 @@
    * The same for a line that must leave the room which so many open tasks may yet need: that of one
    * which was bounced.
    */
-  public List<Line> offer(long now, Line line, int openTasks) {
-    boolean gap = gapLines > 0;
-    if (handed - durable + (gap ? 2 : 1) + (long) LINES_A_TASK * openTasks > mostUnwritten) {
+  public List<LedgerUpdate> offer(long now, LedgerUpdate line, int openTasks) {
+    boolean gap = gapUpdates > 0;
+    if (handedOver - markDurable + (gap ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
+        > maxUnwritten) {
       if (!gap) {
         gapFrom = now;
         gapFirst = 0;
@@ -61,17 +62,17 @@
         gapFirst = gapFirst == 0 ? line.sequence() : Math.min(gapFirst, line.sequence());
         gapLast = Math.max(gapLast, line.sequence());
       }
-      gapLines++;
+      gapUpdates++;
       return List.of();
     }
     if (!gap) {
-      handed++;
+      handedOver++;
       return List.of(line);
     }
-    List<Line> both = new ArrayList<>(2);
+    List<LedgerUpdate> both = new ArrayList<>(2);
     both.add(closeGap(now));
     both.add(line);
-    handed += 2;
+    handedOver += 2;
     return both;
   }
 
@@ -81,32 +82,32 @@
    * harm is that tasks are refused.
    */
   public boolean admits(int openTasks) {
-    return gapLines == 0
-        && handed - durable + (long) LINES_A_TASK * (openTasks + 1) <= mostUnwritten;
+    return gapUpdates == 0
+        && handedOver - markDurable + (long) MAX_UPDATES_PER_TASK * (openTasks + 1) <= maxUnwritten;
   }
 
   /** The open gap, where there is room for it now: it must not wait for another task. */
-  public List<Line> idle(long now) {
-    if (gapLines == 0 || handed - durable >= mostUnwritten) {
+  public List<LedgerUpdate> flushGap(long now) {
+    if (gapUpdates == 0 || handedOver - markDurable >= maxUnwritten) {
       return List.of();
     }
-    handed++;
+    handedOver++;
     return List.of(closeGap(now));
   }
 
-  private Line closeGap(long now) {
-    Line.Missing missing =
-        new Line.Missing(
+  private LedgerUpdate closeGap(long now) {
+    LedgerUpdate.UpdatesLost missing =
+        new LedgerUpdate.UpdatesLost(
             new Gap(
                 epoch,
-                ++gaps,
+                ++gapCount,
                 gapFirst,
                 gapLast,
                 gapFrom,
                 now,
-                gapLines,
+                gapUpdates,
                 "the disk did not keep up"));
-    gapLines = 0;
+    gapUpdates = 0;
     return missing;
   }
 
@@ -115,55 +116,55 @@
    * not wait.
    */
   public void hold(long now, Runnable say) {
-    if (gapLines > 0 || handed == durable || patience == 0) {
-      answeredUndurable += handed > durable || gapLines > 0 ? 1 : 0;
+    if (gapUpdates > 0 || handedOver == markDurable || maxHoldNanos == 0) {
+      releasedBeforeCommit += handedOver > markDurable || gapUpdates > 0 ? 1 : 0;
       say.run();
     } else {
-      held.add(new Held(handed, now, say));
+      held.add(new HeldAction(handedOver, now, say));
     }
   }
 
   /** So many lines are on the disk; answers that waited for them go, in order. */
-  public void durable(long lines) {
-    durable = Math.max(durable, lines);
-    while (!held.isEmpty() && held.peek().number <= durable) {
-      held.poll().say.run();
+  public void markDurable(long lines) {
+    markDurable = Math.max(markDurable, lines);
+    while (!held.isEmpty() && held.peek().updateNumber <= markDurable) {
+      held.poll().action.run();
     }
   }
 
   /** Lets go what has waited for too long, and says when to ask again: 0 where nothing waits. */
-  public long overdue(long now) {
-    while (!held.isEmpty() && now - held.peek().since >= patience) {
-      answeredUndurable++;
-      held.poll().say.run();
+  public long releaseOverdue(long now) {
+    while (!held.isEmpty() && now - held.peek().since >= maxHoldNanos) {
+      releasedBeforeCommit++;
+      held.poll().action.run();
     }
-    return held.isEmpty() ? 0 : held.peek().since + patience;
+    return held.isEmpty() ? 0 : held.peek().since + maxHoldNanos;
   }
 
   /** The manager ends: nothing waits any more. */
-  public void release() {
+  public void releaseAll() {
     while (!held.isEmpty()) {
-      held.poll().say.run();
+      held.poll().action.run();
     }
   }
 
   /** Lines handed over that are not durable yet. */
   public long unwritten() {
-    return handed - durable;
+    return handedOver - markDurable;
   }
 
   /** Lines that the gap now open leaves out. */
-  public long uncounted() {
-    return gapLines;
+  public long openGapUpdates() {
+    return gapUpdates;
   }
 
   /** How many gaps were opened so far. */
-  public long gaps() {
-    return gaps;
+  public long gapCount() {
+    return gapCount;
   }
 
   /** How many clients were answered before their entry was durable. */
-  public long answeredUndurable() {
-    return answeredUndurable;
+  public long releasedBeforeCommit() {
+    return releasedBeforeCommit;
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/Billing.java
+++ b/src/main/java/tansytrack/ledger/disk/Billing.java
@@ -9,98 +9,101 @@
 import java.util.function.LongConsumer;
 import tansytrack.ledger.Amendment;
 import tansytrack.ledger.Bill;
+import tansytrack.ledger.BillingPeriods;
 import tansytrack.ledger.Entry;
+import tansytrack.ledger.EntryResolver;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Invariants;
-import tansytrack.ledger.Periods;
+import tansytrack.ledger.LedgerChecker;
 import tansytrack.ledger.Rates;
-import tansytrack.ledger.Resolutions;
 import tansytrack.operator.OperatorFile;
 
 /** Runs a store's lines through the modules that bill and check. */
 public final class Billing {
 
-  private static final long TOLD_EVERY = 1_000_000; // lines, on long work
+  private static final long PROGRESS_INTERVAL_LINES = 1_000_000; // lines, on long work
 
   private Billing() {}
 
   /** A period's bill: as it was closed, or of all that is there by now. */
-  public static Bill bill(Store store, Periods periods, Rates rates, String period)
-      throws IOException {
+  public static Bill computeBill(
+      LedgerStore store, BillingPeriods periods, Rates rates, String period) throws IOException {
     long upTo =
-        store.closed().stream()
+        store.closedPeriods().stream()
             .filter(one -> one.period().equals(period))
-            .mapToLong(Store.Closed::upTo)
+            .mapToLong(LedgerStore.ClosedPeriod::lastPosition)
             .findAny()
             .orElse(0);
-    return filled(store, new Bill(period, periods, rates, upTo));
+    return fill(store, new Bill(period, periods, rates, upTo));
   }
 
-  private static Bill filled(Store store, Bill bill) throws IOException {
+  private static Bill fill(LedgerStore store, Bill bill) throws IOException {
     store.read(
         1,
         Long.MAX_VALUE,
-        new Store.Lines() {
+        new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            bill.take(position, entry);
+            bill.add(position, entry);
           }
 
           @Override
           public void amendment(long position, Amendment amendment) {
-            bill.take(amendment);
+            bill.add(amendment);
           }
         });
     return bill;
   }
 
   /** Complete tasks by period. */
-  public static Map<String, Long> counts(Store store, Periods periods) throws IOException {
+  public static Map<String, Long> taskCounts(LedgerStore store, BillingPeriods periods)
+      throws IOException {
     Map<String, Long> counts = new TreeMap<>();
     store.read(
         1,
         Long.MAX_VALUE,
-        new Store.Lines() {
+        new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            counts.merge(periods.of(entry.takenAt()), 1L, Long::sum);
+            counts.merge(periods.periodAt(entry.takenAt()), 1L, Long::sum);
           }
         });
     return counts;
   }
 
   /** Closes a period with all that is in the store now; later entries become corrections. */
-  public static Store.Closed close(
-      Store store, OperatorFile.LedgerSection section, String period, String author, long now)
+  public static LedgerStore.ClosedPeriod closePeriod(
+      LedgerStore store, OperatorFile.LedgerSection section, String period, String author, long now)
       throws IOException {
-    long upTo = store.last();
-    Bill bill = filled(store, new Bill(period, section.periods(), section.rates(), upTo));
-    Store.Closed closed =
-        new Store.Closed(period, upTo, now, author, hash(bill), section.billingText());
+    long upTo = store.lastPosition();
+    Bill bill = fill(store, new Bill(period, section.periods(), section.rates(), upTo));
+    LedgerStore.ClosedPeriod closed =
+        new LedgerStore.ClosedPeriod(
+            period, upTo, now, author, subtotalsHash(bill), section.billingText());
     store.close(closed);
     return closed;
   }
 
   /** Closes the periods whose grace is over. */
-  public static List<String> closeDue(Store store, OperatorFile.LedgerSection section, long now)
-      throws IOException {
+  public static List<String> closeDuePeriods(
+      LedgerStore store, OperatorFile.LedgerSection section, long now) throws IOException {
     List<String> closed = new ArrayList<>();
     for (String period :
         section
-            .closing()
-            .due(
+            .closingPolicy()
+            .duePeriods(
                 now,
-                counts(store, section.periods()).keySet(),
-                store.closed().stream().map(Store.Closed::period).toList())) {
-      close(store, section, period, "its grace", now);
+                taskCounts(store, section.periods()).keySet(),
+                store.closedPeriods().stream().map(LedgerStore.ClosedPeriod::period).toList())) {
+      closePeriod(store, section, period, "its grace", now);
       closed.add(period);
     }
     return closed;
   }
 
-  private static String hash(Bill bill) {
-    Exporter.Sha sha = new Exporter.Sha(java.io.OutputStream.nullOutputStream());
-    byte[] text = bill.sealed().getBytes(StandardCharsets.UTF_8);
+  private static String subtotalsHash(Bill bill) {
+    Exporter.Sha256OutputStream sha =
+        new Exporter.Sha256OutputStream(java.io.OutputStream.nullOutputStream());
+    byte[] text = bill.canonicalText().getBytes(StandardCharsets.UTF_8);
     try {
       sha.write(text, 0, text.length);
     } catch (IOException e) {
@@ -110,16 +113,16 @@
   }
 
   /** Writes an amendment for each entry that the statements resolve; gives those written. */
-  public static List<Amendment> resolve(Store store, Resolutions by, String author, long now)
-      throws IOException {
+  public static List<Amendment> resolve(
+      LedgerStore store, EntryResolver by, String author, long now) throws IOException {
     List<Amendment> wanted = new ArrayList<>();
     store.read(
         1,
         Long.MAX_VALUE,
-        new Store.Lines() {
+        new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            Amendment one = by.of(entry, author, now);
+            Amendment one = by.resolve(entry, author, now);
             if (one != null) {
               wanted.add(one);
             }
@@ -127,26 +130,27 @@
         });
     List<Amendment> written = new ArrayList<>();
     for (Amendment one : wanted) {
-      written.add(store.amend(one));
+      written.add(store.addAmendment(one));
     }
     return written;
   }
 
   /** How a tenant stands against its quota in words. */
-  public static String quota(Bill bill, String tenant, List<OperatorFile.QuotaLine> quotas) {
+  public static String quotaStatus(
+      Bill bill, String tenant, List<OperatorFile.TenantQuota> quotas) {
     long tasks = 0;
     long work = 0;
-    for (Map.Entry<Bill.Whose, Bill.Sum> one : bill.sums().entrySet()) {
+    for (Map.Entry<Bill.SubtotalKey, Bill.Subtotal> one : bill.subtotals().entrySet()) {
       if (one.getKey().tenant().equals(tenant)) {
         tasks += one.getValue().tasks() - one.getValue().bounced();
-        work += one.getValue().work();
+        work += one.getValue().workNanos();
       }
     }
-    for (OperatorFile.QuotaLine quota : quotas) {
+    for (OperatorFile.TenantQuota quota : quotas) {
       if (quota.tenant().equals(tenant)) {
         boolean over =
             (quota.tasks() > 0 && tasks > quota.tasks())
-                || (quota.work() > 0 && work > quota.work());
+                || (quota.workNanos() > 0 && work > quota.workNanos());
         return over ? "over" : "within";
       }
     }
@@ -155,48 +159,54 @@
 
   /** The first breach of an invariant, or null. */
   public static String verify(
-      Store store, OperatorFile.LedgerSection section, LongConsumer progress) throws IOException {
-    String damage = store.damage();
+      LedgerStore store, OperatorFile.LedgerSection section, LongConsumer progress)
+      throws IOException {
+    String damage = store.findDamage();
     if (damage != null) {
       return "the file is damaged: " + damage;
     }
-    Invariants checks = new Invariants();
+    LedgerChecker checks = new LedgerChecker();
     store.read(
         1,
         Long.MAX_VALUE,
-        new Store.Lines() {
+        new LedgerStore.LineVisitor() {
           private void told(long position) {
-            if (position % TOLD_EVERY == 0) {
+            if (position % PROGRESS_INTERVAL_LINES == 0) {
               progress.accept(position);
             }
           }
 
           @Override
           public void entry(long position, Entry entry) {
-            checks.line(position, entry);
+            checks.checkLine(position, entry);
             told(position);
           }
 
           @Override
           public void amendment(long position, Amendment amendment) {
-            checks.line(position);
+            checks.checkLine(position);
           }
 
           @Override
           public void gap(long position, Gap gap) {
-            checks.line(position);
+            checks.checkLine(position);
           }
         });
-    for (Store.Batch one : store.batches()) {
-      checks.batch(one.number(), one.first(), one.last(), one.sha(), Exporter.hash(store, one));
+    for (LedgerStore.Batch one : store.batches()) {
+      checks.checkBatch(
+          one.number(),
+          one.firstPosition(),
+          one.lastPosition(),
+          one.sha256(),
+          Exporter.hash(store, one));
     }
-    for (Store.Closed one : store.closed()) {
+    for (LedgerStore.ClosedPeriod one : store.closedPeriods()) {
       // Only where billing is still what it was: other rates give other sums by right.
       if (section.billingText().equals(one.billing())) {
-        Bill bill = bill(store, section.periods(), section.rates(), one.period());
-        checks.closed(one.period(), one.sha(), hash(bill));
+        Bill bill = computeBill(store, section.periods(), section.rates(), one.period());
+        checks.checkClosedPeriod(one.period(), one.sha256(), subtotalsHash(bill));
       }
     }
-    return checks.breach();
+    return checks.firstViolation();
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/EpochStart.java
+++ b/src/main/java/tansytrack/ledger/disk/EpochStart.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import tansytrack.ledger.End;
+import tansytrack.ledger.TaskEnd;
 import tansytrack.ledger.Use;
 
 /**
@@ -27,24 +27,24 @@
   }
 
   /** Writes the next epoch and gives its number. */
-  long next(long now) throws SQLException {
+  long begin(long now) throws SQLException {
     try (Statement run = db.createStatement();
         PreparedStatement put = db.prepareStatement("INSERT INTO epoch VALUES(?, ?)")) {
-      long epoch = 1L + Sql.number(run, "SELECT max(number) FROM epoch");
-      Sql.set(put, epoch, now).executeUpdate();
+      long epoch = 1L + Sql.queryInt(run, "SELECT max(number) FROM epoch");
+      Sql.bind(put, epoch, now).executeUpdate();
       return epoch;
     }
   }
 
   /** Ends what is open as unresolved; gives how many tasks, and tells each forward that was out. */
-  long endOpen(BiConsumer<String, String> left) throws SQLException {
-    List<Task> open = open();
-    tellForwards(open, left);
-    end(open);
+  long endOpenTasks(BiConsumer<String, String> left) throws SQLException {
+    List<Task> open = findOpenTasks();
+    reportOpenForwards(open, left);
+    markUnresolved(open);
     return open.size();
   }
 
-  private List<Task> open() throws SQLException {
+  private List<Task> findOpenTasks() throws SQLException {
     List<Task> open = new ArrayList<>();
     try (Statement run = db.createStatement();
         ResultSet found =
@@ -58,13 +58,14 @@
     return open;
   }
 
-  private void tellForwards(List<Task> open, BiConsumer<String, String> left) throws SQLException {
+  private void reportOpenForwards(List<Task> open, BiConsumer<String, String> left)
+      throws SQLException {
     try (PreparedStatement out =
         db.prepareStatement(
             "SELECT e.task, f.engine FROM forward f JOIN entry e ON e.epoch = f.epoch AND"
                 + " e.seq = f.seq WHERE f.epoch = ? AND f.seq = ? AND f.outcome = ''")) {
       for (Task task : open) {
-        try (ResultSet found = Sql.set(out, task.epoch(), task.sequence()).executeQuery()) {
+        try (ResultSet found = Sql.bind(out, task.epoch(), task.sequence()).executeQuery()) {
           while (found.next()) {
             left.accept(found.getString(1), found.getString(2));
           }
@@ -73,23 +74,23 @@
     }
   }
 
-  private void end(List<Task> open) throws SQLException {
-    long at = Sql.position(db);
+  private void markUnresolved(List<Task> open) throws SQLException {
+    long at = Sql.lastPosition(db);
     try (PreparedStatement forward =
             db.prepareStatement(
                 "UPDATE forward SET outcome = '"
-                    + Use.UNKNOWN
+                    + Use.UNKNOWN_OUTCOME
                     + "', wasted = 1 WHERE epoch = ? AND seq = ? AND outcome = ''");
         PreparedStatement entry =
             db.prepareStatement(
                 "UPDATE entry SET ended = coalesce(ended, '"
-                    + End.UNRESOLVED
+                    + TaskEnd.UNRESOLVED
                     + "'), pos = ? WHERE epoch = ? AND seq = ?")) {
       for (Task task : open) {
-        Sql.set(forward, task.epoch(), task.sequence()).executeUpdate();
-        Sql.set(entry, ++at, task.epoch(), task.sequence()).executeUpdate();
+        Sql.bind(forward, task.epoch(), task.sequence()).executeUpdate();
+        Sql.bind(entry, ++at, task.epoch(), task.sequence()).executeUpdate();
       }
     }
-    Sql.position(db, at);
+    Sql.lastPosition(db, at);
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/Forms.java
+++ b/src/main/java/tansytrack/ledger/disk/ExportFormats.java
@@ -14,9 +14,9 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 import tansytrack.ledger.Amendment;
-import tansytrack.ledger.End;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
+import tansytrack.ledger.TaskEnd;
 import tansytrack.ledger.Use;
 import tansytrack.ledger.proto.BatchHead;
 import tansytrack.ledger.proto.Forward;
@@ -26,7 +26,7 @@
  * The forms of an export: delimited protobuf (ledger.proto) and CSV. The same lines always give the
  * same bytes.
  */
-final class Forms {
+final class ExportFormats {
 
   static final String PROTOBUF = "protobuf";
   static final String CSV = "csv";
@@ -56,21 +56,22 @@
     "reason"
   };
 
-  private Forms() {}
+  private ExportFormats() {}
 
-  static String suffix(String form) {
+  static String fileExtension(String form) {
     return form.equals(CSV) ? "csv" : "pb";
   }
 
   /** Writes the lines of a batch. */
-  static void write(Store store, long number, long first, long last, String form, OutputStream to)
+  static void writeBatch(
+      LedgerStore store, long number, long first, long last, String form, OutputStream to)
       throws IOException {
     OutputStream out = new BufferedOutputStream(to, 1 << 16);
     if (form.equals(CSV)) {
       Writer text = new OutputStreamWriter(out, StandardCharsets.UTF_8);
       CSVPrinter csv = new CSVPrinter(text, CSVFormat.RFC4180);
       csv.printRecord((Object[]) COLUMNS);
-      store.read(first, last, new Csv(csv, number, store.manager()));
+      store.read(first, last, new CsvLineWriter(csv, number, store.manager()));
       csv.flush();
       text.flush();
     } else {
@@ -82,13 +83,14 @@
           .setLines(last - first + 1)
           .build()
           .writeDelimitedTo(out);
-      store.read(first, last, new Proto(out));
+      store.read(first, last, new ProtobufLineWriter(out));
     }
     out.flush();
   }
 
   /** Lines as rows, all columns in each. */
-  private record Csv(CSVPrinter csv, long number, String manager) implements Store.Lines {
+  private record CsvLineWriter(CSVPrinter csv, long number, String manager)
+      implements LedgerStore.LineVisitor {
 
     @Override
     public void entry(long at, Entry one) throws IOException {
@@ -108,9 +110,9 @@
           one.bytes(),
           one.earningsMilli(),
           one.uses().size(),
-          one.work(true),
-          one.work(true) - one.work(false),
-          one.held(true),
+          one.workNanos(true),
+          one.workNanos(true) - one.workNanos(false),
+          one.memoryMbNanos(true),
           "",
           "",
           "",
@@ -130,7 +132,7 @@
           "",
           one.tenant(),
           "",
-          one.at(),
+          one.createdAt(),
           "",
           "",
           "",
@@ -176,7 +178,7 @@
   }
 
   /** Lines as messages, each behind its length. */
-  private record Proto(OutputStream out) implements Store.Lines {
+  private record ProtobufLineWriter(OutputStream out) implements LedgerStore.LineVisitor {
 
     @Override
     public void entry(long at, Entry one) throws IOException {
@@ -220,7 +222,7 @@
                   .setAuthor(one.author())
                   .setReason(one.reason())
                   .setCorrects(one.corrects())
-                  .setAtNs(one.at())
+                  .setAtNs(one.createdAt())
                   .setWithdraws(one.withdraws()))
           .build()
           .writeDelimitedTo(out);
@@ -248,19 +250,20 @@
   /**
    * Reads an exported batch in protobuf, for whoever wants that manager's lines; gives its head.
    */
-  static BatchHead read(InputStream from, Function<String, Store.Lines> wants) throws IOException {
+  static BatchHead readBatch(InputStream from, Function<String, LedgerStore.LineVisitor> wants)
+      throws IOException {
     BatchHead head = BatchHead.parseDelimitedFrom(from);
     if (head == null || head.getManager().isEmpty() || head.getLines() < 1) {
       throw new IOException("is no exported batch");
     }
-    Store.Lines to = wants.apply(head.getManager());
+    LedgerStore.LineVisitor to = wants.apply(head.getManager());
     for (long i = 0; i < head.getLines(); i++) {
       Line line = Line.parseDelimitedFrom(from);
       if (line == null) {
         throw new IOException("ends after " + i + " of " + head.getLines() + " lines");
       }
       if (line.hasEntry()) {
-        to.entry(line.getPosition(), entry(line.getEntry()));
+        to.entry(line.getPosition(), parseEntry(line.getEntry()));
       } else if (line.hasAmendment()) {
         tansytrack.ledger.proto.Amendment one = line.getAmendment();
         to.amendment(
@@ -293,7 +296,7 @@
     return head;
   }
 
-  private static Entry entry(tansytrack.ledger.proto.Entry one) throws IOException {
+  private static Entry parseEntry(tansytrack.ledger.proto.Entry one) throws IOException {
     List<Use> uses = new ArrayList<>(one.getForwardsCount());
     for (Forward use : one.getForwardsList()) {
       uses.add(
@@ -317,7 +320,7 @@
           one.getGrade(),
           one.getTakenAtNs(),
           one.getEndedAtNs(),
-          End.valueOf(one.getEnd()),
+          TaskEnd.valueOf(one.getEnd()),
           one.getReturnedBytes(),
           one.getEarningsMilli(),
           uses);
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -20,36 +20,39 @@
 /** Does the steps of an export as {@link ExportSteps} says; one export of a ledger at a time. */
 public final class Exporter {
 
-  private static final String LOCK = "export.lock";
+  private static final String LOCK_FILE = "export.lock";
 
-  private final Store store;
+  private final LedgerStore store;
   private final Path folder;
-  private final Faults faults;
+  private final FaultInjector faults;
 
   /** Exports a store's lines as files into a folder. */
-  public Exporter(Store store, Path folder, Faults faults) {
+  public Exporter(LedgerStore store, Path folder, FaultInjector faults) {
     this.store = store;
     this.folder = folder;
     this.faults = faults;
   }
 
   /** The name of a batch's file, which has its number and form. */
-  public static String name(Store.Batch batch) {
-    return String.format("batch-%08d.%s", batch.number(), Forms.suffix(batch.form()));
+  public static String fileName(LedgerStore.Batch batch) {
+    return String.format(
+        "batch-%08d.%s", batch.number(), ExportFormats.fileExtension(batch.format()));
   }
 
   /**
    * Finishes what was begun, then seals and places what is new, at most so many lines a batch.
    * Gives the last batch placed, or null.
    */
-  public Store.Batch run(String form, long most, long now) throws IOException {
+  public LedgerStore.Batch export(String form, long most, long now) throws IOException {
     Files.createDirectories(folder);
     try (FileChannel channel =
             FileChannel.open(
-                store.folder().resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                store.folder().resolve(LOCK_FILE),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE);
         FileLock held = lock(channel)) {
       assert held.isValid();
-      return steps(form, most, now);
+      return runSteps(form, most, now);
     }
   }
 
@@ -66,79 +69,81 @@
     return held;
   }
 
-  private Store.Batch steps(String form, long most, long now) throws IOException {
+  private LedgerStore.Batch runSteps(String form, long most, long now) throws IOException {
     Progress progress = new Progress();
     while (true) {
-      List<Store.Batch> batches = store.batches();
-      Store.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
-      Store.Batch open = last != null && last.placedAt() == 0 ? last : null;
-      long behind = last == null ? 0 : last.last();
-      ExportSteps.Step step = ExportSteps.next(progress.found(open, store.last() > behind));
-      faults.before(step.name());
+      List<LedgerStore.Batch> batches = store.batches();
+      LedgerStore.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
+      LedgerStore.Batch open = last != null && last.placedAt() == 0 ? last : null;
+      long behind = last == null ? 0 : last.lastPosition();
+      ExportSteps.Step step = ExportSteps.next(progress.state(open, store.lastPosition() > behind));
+      faults.beforeStep(step.name());
       switch (step) {
         case SEAL ->
-            progress.written =
+            progress.temporaryFileHash =
                 seal(
                     last == null ? 1 : last.number() + 1,
                     behind + 1,
-                    Math.min(store.last(), behind + most),
+                    Math.min(store.lastPosition(), behind + most),
                     form,
                     now);
         case DONE -> {
-          return progress.placed;
+          return progress.lastPlaced;
         }
-        default -> progress.take(step, open, now);
+        default -> progress.perform(step, open, now);
       }
     }
   }
 
   /** How far this process has come with the open batch; what it did not do itself is looked up. */
   private final class Progress {
-    private String written; // the hash of the temporary file, where this process wrote it
-    private String moved; // and of the file in place
-    private boolean synced;
+    private String temporaryFileHash; // the hash of the temporary file, where this process wrote it
+    private String finalFileHash; // and of the file in place
+    private boolean temporaryFileSynced;
     private boolean folderSynced;
-    private Store.Batch placed;
+    private LedgerStore.Batch lastPlaced;
 
-    ExportSteps.Found found(Store.Batch open, boolean linesLeft) throws IOException {
-      return new ExportSteps.Found(
+    ExportSteps.ExportState state(LedgerStore.Batch open, boolean linesLeft) throws IOException {
+      return new ExportSteps.ExportState(
           linesLeft,
-          open == null ? null : open.sha(),
-          written != null ? written : hash(open == null ? null : temporary(open)),
-          synced,
-          moved != null ? moved : hash(open == null ? null : place(open)),
+          open == null ? null : open.sha256(),
+          temporaryFileHash != null
+              ? temporaryFileHash
+              : hash(open == null ? null : temporaryFile(open)),
+          temporaryFileSynced,
+          finalFileHash != null ? finalFileHash : hash(open == null ? null : finalFile(open)),
           folderSynced);
     }
 
-    void take(ExportSteps.Step step, Store.Batch open, long now) throws IOException {
+    void perform(ExportSteps.Step step, LedgerStore.Batch open, long now) throws IOException {
       switch (step) {
         case WRITE -> {
-          write(open, temporary(open));
-          written = open.sha();
+          write(open, temporaryFile(open));
+          temporaryFileHash = open.sha256();
         }
         case SYNC -> {
-          sync(temporary(open), StandardOpenOption.WRITE);
-          synced = true;
+          forceToDisk(temporaryFile(open), StandardOpenOption.WRITE);
+          temporaryFileSynced = true;
         }
         case RENAME -> {
           Files.move(
-              temporary(open),
-              place(open),
+              temporaryFile(open),
+              finalFile(open),
               StandardCopyOption.ATOMIC_MOVE,
               StandardCopyOption.REPLACE_EXISTING);
-          moved = written;
+          finalFileHash = temporaryFileHash;
         }
         case SYNC_FOLDER -> {
-          sync(folder, StandardOpenOption.READ);
+          forceToDisk(folder, StandardOpenOption.READ);
           folderSynced = true;
         }
         case MARK -> {
-          store.placed(open.number(), now);
-          Files.deleteIfExists(temporary(open));
-          placed = open;
-          written = null;
-          moved = null;
-          synced = false;
+          store.markPlaced(open.number(), now);
+          Files.deleteIfExists(temporaryFile(open));
+          lastPlaced = open;
+          temporaryFileHash = null;
+          finalFileHash = null;
+          temporaryFileSynced = false;
           folderSynced = false;
         }
         default -> throw new IllegalStateException(step.name());
@@ -146,12 +151,12 @@
     }
   }
 
-  private Path place(Store.Batch batch) {
-    return folder.resolve(name(batch));
+  private Path finalFile(LedgerStore.Batch batch) {
+    return folder.resolve(fileName(batch));
   }
 
-  private Path temporary(Store.Batch batch) {
-    return folder.resolve(name(batch) + ".tmp");
+  private Path temporaryFile(LedgerStore.Batch batch) {
+    return folder.resolve(fileName(batch) + ".tmp");
   }
 
   /**
@@ -160,25 +165,27 @@
    */
   private String seal(long number, long first, long last, String form, long now)
       throws IOException {
-    Store.Batch batch = new Store.Batch(number, first, last, form, "", 0, now, 0, 0);
-    try (OutputStream out = Files.newOutputStream(folder.resolve(name(batch) + ".tmp"))) {
-      Sha sha = new Sha(out);
-      Forms.write(store, number, first, last, form, sha);
-      store.seal(new Store.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
+    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, form, "", 0, now, 0, 0);
+    try (OutputStream out = Files.newOutputStream(folder.resolve(fileName(batch) + ".tmp"))) {
+      Sha256OutputStream sha = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(store, number, first, last, form, sha);
+      store.addBatch(
+          new LedgerStore.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
       return sha.hex();
     }
   }
 
-  private void write(Store.Batch batch, Path to) throws IOException {
+  private void write(LedgerStore.Batch batch, Path to) throws IOException {
     try (OutputStream out = Files.newOutputStream(to)) {
-      Sha sha = new Sha(out);
-      Forms.write(store, batch.number(), batch.first(), batch.last(), batch.form(), sha);
-      if (!sha.hex().equals(batch.sha())) {
+      Sha256OutputStream sha = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(
+          store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
+      if (!sha.hex().equals(batch.sha256())) {
         throw new IOException(
             "batch "
                 + batch.number()
                 + " was sealed as "
-                + batch.sha()
+                + batch.sha256()
                 + " and its lines now give "
                 + sha.hex()
                 + ": the ledger is damaged");
@@ -187,19 +194,19 @@
   }
 
   /** Writes a batch that was placed before once more, as the same bytes. */
-  public void again(long number) throws IOException {
-    for (Store.Batch batch : store.batches()) {
+  public void exportAgain(long number) throws IOException {
+    for (LedgerStore.Batch batch : store.batches()) {
       if (batch.number() == number && batch.placedAt() > 0) {
-        Path temporary = folder.resolve(name(batch) + ".tmp");
+        Path temporary = folder.resolve(fileName(batch) + ".tmp");
         Files.createDirectories(folder);
         write(batch, temporary);
-        sync(temporary, StandardOpenOption.WRITE);
+        forceToDisk(temporary, StandardOpenOption.WRITE);
         Files.move(
             temporary,
-            folder.resolve(name(batch)),
+            folder.resolve(fileName(batch)),
             StandardCopyOption.ATOMIC_MOVE,
             StandardCopyOption.REPLACE_EXISTING);
-        sync(folder, StandardOpenOption.READ);
+        forceToDisk(folder, StandardOpenOption.READ);
         return;
       }
     }
@@ -208,13 +215,14 @@
   }
 
   /** The hash that a batch's lines give now. */
-  public static String hash(Store store, Store.Batch batch) throws IOException {
-    Sha sha = new Sha(OutputStream.nullOutputStream());
-    Forms.write(store, batch.number(), batch.first(), batch.last(), batch.form(), sha);
+  public static String hash(LedgerStore store, LedgerStore.Batch batch) throws IOException {
+    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    ExportFormats.writeBatch(
+        store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
     return sha.hex();
   }
 
-  private static void sync(Path what, StandardOpenOption how) throws IOException {
+  private static void forceToDisk(Path what, StandardOpenOption how) throws IOException {
     try (FileChannel channel = FileChannel.open(what, how)) {
       channel.force(true);
     }
@@ -224,7 +232,7 @@
     if (file == null || !Files.exists(file)) {
       return null;
     }
-    Sha sha = new Sha(OutputStream.nullOutputStream());
+    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
     try (InputStream in = Files.newInputStream(file)) {
       in.transferTo(sha);
     }
@@ -232,11 +240,11 @@
   }
 
   /** Hashes and counts what goes through. */
-  static final class Sha extends DigestOutputStream {
+  static final class Sha256OutputStream extends DigestOutputStream {
     private long size;
     private String hex; // once it is asked for, nothing more may come
 
-    Sha(OutputStream to) {
+    Sha256OutputStream(OutputStream to) {
       super(to, sha256());
     }
 
--- a/src/main/java/tansytrack/ledger/disk/Faults.java
+++ b/src/main/java/tansytrack/ledger/disk/FaultInjector.java
@@ -4,10 +4,10 @@
 
 /** Told of each step that touches the disk, before it; a test makes any of them fail. */
 @FunctionalInterface
-public interface Faults {
+public interface FaultInjector {
 
-  Faults NONE = step -> {};
+  FaultInjector NONE = step -> {};
 
   /** Called before each step on the disk; throws where that step is to fail. */
-  void before(String step) throws IOException;
+  void beforeStep(String step) throws IOException;
 }
--- a/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
@@ -14,7 +14,7 @@
 import org.apache.commons.csv.CSVRecord;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Merged;
+import tansytrack.ledger.MergedLedger;
 import tansytrack.ledger.Reconciliation;
 
 /** Ledgers, exported batches and engines' statements, read from where they are. */
@@ -23,12 +23,12 @@
   private LedgerFiles() {}
 
   /** What all these places hold. */
-  public static Merged merged(List<Path> places) throws IOException {
-    Merged all = new Merged();
+  public static MergedLedger readMerged(List<Path> places) throws IOException {
+    MergedLedger all = new MergedLedger();
     for (Path place : places) {
       if (Files.isDirectory(place) && Files.exists(place.resolve("ledger.sqlite"))) {
-        try (Store store = Store.forCommand(place, Faults.NONE)) {
-          store.read(1, Long.MAX_VALUE, into(all, store.manager()));
+        try (LedgerStore store = LedgerStore.openForCommand(place, FaultInjector.NONE)) {
+          store.read(1, Long.MAX_VALUE, addingTo(all, store.manager()));
         }
       } else if (Files.isDirectory(place)) {
         List<Path> files;
@@ -39,27 +39,27 @@
           throw new IOException(place + " holds no ledger and no batch (*.pb)");
         }
         for (Path file : files) {
-          batch(file, all);
+          readBatch(file, all);
         }
       } else {
-        batch(place, all);
+        readBatch(place, all);
       }
     }
     return all;
   }
 
-  private static void batch(Path file, Merged all) throws IOException {
+  private static void readBatch(Path file, MergedLedger all) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 16)) {
-      Merged one = new Merged();
-      Forms.read(in, manager -> into(one, manager));
+      MergedLedger one = new MergedLedger();
+      ExportFormats.readBatch(in, manager -> addingTo(one, manager));
       all.add(one); // only once it was read whole
     } catch (IOException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
     }
   }
 
-  private static Store.Lines into(Merged all, String manager) {
-    return new Store.Lines() {
+  private static LedgerStore.LineVisitor addingTo(MergedLedger all, String manager) {
+    return new LedgerStore.LineVisitor() {
       @Override
       public void entry(long position, Entry entry) {
         all.add(manager, entry);
@@ -76,13 +76,13 @@
    * An engine's statement as CSV: engine,task,work_ns,done; a row without a task says that the
    * engine has stated all.
    */
-  public static void statement(String name, InputStream from, Reconciliation to)
+  public static void readStatement(String name, InputStream from, Reconciliation to)
       throws IOException {
-    statement(name, from, to::stated, to::take);
+    readStatement(name, from, to::addEngine, to::add);
   }
 
   /** Reads an engine's statement in CSV: the engines that it covers, and the runs it states. */
-  public static void statement(
+  public static void readStatement(
       String name, InputStream from, Consumer<String> stated, Consumer<Reconciliation.Run> ran)
       throws IOException {
     for (CSVRecord row :
--- a/src/main/java/tansytrack/ledger/disk/LedgerLock.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerLock.java
@@ -12,25 +12,25 @@
 /** The lock file that keeps a second manager from writing the same ledger. */
 final class LedgerLock {
 
-  private static final String LOCK = "ledger.lock";
-  private static final long LOCK_PATIENCE =
+  private static final String LOCK_FILE = "ledger.lock";
+  private static final long LOCK_TIMEOUT_NANOS =
       2_000_000_000L; // for the process before, which may be ending
-  private static final long LOCK_PAUSE = 50_000_000L;
+  private static final long LOCK_RETRY_DELAY_NANOS = 50_000_000L;
 
   private LedgerLock() {}
 
   /** Takes the lock, or fails with the name of the process that holds it. */
-  static FileChannel take(Path folder, String manager) throws IOException {
+  static FileChannel acquire(Path folder, String manager) throws IOException {
     FileChannel channel =
         FileChannel.open(
-            folder.resolve(LOCK),
+            folder.resolve(LOCK_FILE),
             StandardOpenOption.CREATE,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
-    long until = System.nanoTime() + LOCK_PATIENCE;
+    long until = System.nanoTime() + LOCK_TIMEOUT_NANOS;
     try {
       while (true) {
-        FileLock held = tried(channel);
+        FileLock held = tryLock(channel);
         if (held != null) {
           channel.truncate(0);
           channel.write(
@@ -48,7 +48,7 @@
                   + " is held by "
                   + new String(text.array(), 0, text.position(), StandardCharsets.UTF_8));
         }
-        Thread.sleep(LOCK_PAUSE / 1_000_000);
+        Thread.sleep(LOCK_RETRY_DELAY_NANOS / 1_000_000);
       }
     } catch (IOException | InterruptedException e) {
       channel.close();
@@ -56,7 +56,7 @@
     }
   }
 
-  private static FileLock tried(FileChannel channel) throws IOException {
+  private static FileLock tryLock(FileChannel channel) throws IOException {
     try {
       return channel.tryLock();
     } catch (OverlappingFileLockException e) {
--- a/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
@@ -14,10 +14,10 @@
   /** The version that this program writes; it reads and lifts all earlier ones. */
   static final int VERSION = 3;
 
-  private static final String TOLD =
+  private static final String CREATE_TOLD =
       "CREATE TABLE told(engine TEXT, task TEXT, work INTEGER, done INTEGER, PRIMARY KEY(engine,"
           + " task)) WITHOUT ROWID";
-  private static final String[] TABLES = {
+  private static final String[] CREATE_STATEMENTS = {
     "CREATE TABLE meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID",
     "CREATE TABLE epoch(number INTEGER PRIMARY KEY, started_at INTEGER NOT NULL)",
     "CREATE TABLE entry(epoch INTEGER, seq INTEGER, task TEXT NOT NULL, tenant TEXT NOT NULL, grade"
@@ -37,7 +37,7 @@
     "CREATE TABLE amendment(number INTEGER PRIMARY KEY, period TEXT, tenant TEXT, amount TEXT,"
         + " author TEXT, reason TEXT, corrects TEXT, at INTEGER, withdraws INTEGER, pos INTEGER"
         + " UNIQUE NOT NULL)",
-    TOLD,
+    CREATE_TOLD,
     "CREATE TABLE closed(period TEXT PRIMARY KEY, upto INTEGER, at INTEGER, author TEXT, sha TEXT,"
         + " billing TEXT)",
     "CREATE TABLE batch(number INTEGER PRIMARY KEY, first INTEGER, last INTEGER, form TEXT, sha"
@@ -59,7 +59,7 @@
   private static void upgrade(Connection db, String manager, Path folder)
       throws SQLException, IOException {
     try (Statement run = db.createStatement()) {
-      int version = Sql.number(run, "PRAGMA user_version");
+      int version = Sql.queryInt(run, "PRAGMA user_version");
       if (version > VERSION) {
         throw new IOException(
             folder + " has schema " + version + "; this program knows up to " + VERSION);
@@ -70,7 +70,7 @@
         }
         run.execute("BEGIN IMMEDIATE");
         if (version == 0) {
-          for (String table : TABLES) {
+          for (String table : CREATE_STATEMENTS) {
             run.execute(table);
           }
           run.execute("INSERT INTO meta VALUES('position', 0)");
@@ -79,7 +79,7 @@
             // It did not keep with which billing section a period was closed.
             run.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
           }
-          run.execute(TOLD);
+          run.execute(CREATE_TOLD);
         }
         run.execute("PRAGMA user_version = " + VERSION);
         run.execute("COMMIT");
--- a/src/main/java/tansytrack/ledger/disk/Store.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -17,7 +17,7 @@
 import tansytrack.ledger.Amendment;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Line;
+import tansytrack.ledger.LedgerUpdate;
 import tansytrack.ledger.Reconciliation;
 
 /**
@@ -26,30 +26,37 @@
  * everything later (bills, batches) goes by positions. Opening it reads the tail alone: what is
  * open is found by an index of just that.
  */
-public final class Store implements AutoCloseable {
+public final class LedgerStore implements AutoCloseable {
 
-  private static final String FILE = "ledger.sqlite";
-  private static final int BUSY_MS = 5000; // for a command that writes beside a running manager
-  private static final int LOG_PAGES = 16384; // of 4 KB, before the log is taken over into the file
+  private static final String DATABASE_FILE = "ledger.sqlite";
+  private static final int BUSY_TIMEOUT_MILLIS =
+      5000; // for a command that writes beside a running manager
+  private static final int WAL_CHECKPOINT_PAGES =
+      16384; // of 4 KB, before the log is taken over into the file
 
   /** A period as it was closed; the sums hold entries up to that position. */
-  public record Closed(
-      String period, long upTo, long at, String author, String sha, String billing) {}
+  public record ClosedPeriod(
+      String period,
+      long lastPosition,
+      long closedAt,
+      String author,
+      String sha256,
+      String billing) {}
 
   /** A sealed batch; placed and acknowledged 0: not yet. */
   public record Batch(
       long number,
-      long first,
-      long last,
-      String form,
-      String sha,
+      long firstPosition,
+      long lastPosition,
+      String format,
+      String sha256,
       long size,
       long sealedAt,
       long placedAt,
       long ackedAt) {}
 
   /** Reads lines in the order of their positions; what is not overridden is passed over. */
-  public interface Lines {
+  public interface LineVisitor {
     /** A task's complete entry. */
     default void entry(long position, Entry entry) throws IOException {}
 
@@ -61,17 +68,17 @@
   }
 
   private final Path folder;
-  private final Faults faults;
+  private final FaultInjector faults;
   private final Connection db; // its transactions take the right to write as they begin
   private final Connection reader; // sees the ledger as it was then, and holds up nobody
-  private final LineReader lines;
+  private final LineReader lineReader;
   private final FileChannel lock;
   private final String manager;
   private long epoch;
 
-  private Store(
+  private LedgerStore(
       Path folder,
-      Faults faults,
+      FaultInjector faults,
       Connection db,
       Connection reader,
       FileChannel lock,
@@ -80,7 +87,7 @@
     this.faults = faults;
     this.db = db;
     this.reader = reader;
-    lines = new LineReader(reader);
+    lineReader = new LineReader(reader);
     this.lock = lock;
     this.manager = manager;
   }
@@ -88,9 +95,10 @@
   // ---- Opening ----
 
   /** For the manager that writes it, and makes it where there is none; one at a time. */
-  static Store forManager(Path folder, String manager, Faults faults) throws IOException {
+  static LedgerStore openForManager(Path folder, String manager, FaultInjector faults)
+      throws IOException {
     Files.createDirectories(folder);
-    FileChannel lock = LedgerLock.take(folder, manager);
+    FileChannel lock = LedgerLock.acquire(folder, manager);
     try {
       return open(folder, manager, faults, lock);
     } catch (IOException e) {
@@ -100,39 +108,43 @@
   }
 
   /** For a command, beside a manager or without one. */
-  public static Store forCommand(Path folder, Faults faults) throws IOException {
-    if (!Files.exists(folder.resolve(FILE))) {
-      throw new IOException(folder + " holds no ledger (" + FILE + " is missing)");
+  public static LedgerStore openForCommand(Path folder, FaultInjector faults) throws IOException {
+    if (!Files.exists(folder.resolve(DATABASE_FILE))) {
+      throw new IOException(folder + " holds no ledger (" + DATABASE_FILE + " is missing)");
     }
     return open(folder, null, faults, null);
   }
 
-  private static Store open(Path folder, String manager, Faults faults, FileChannel lock)
-      throws IOException {
+  private static LedgerStore open(
+      Path folder, String manager, FaultInjector faults, FileChannel lock) throws IOException {
     SQLiteConfig config = new SQLiteConfig();
     config.setJournalMode(SQLiteConfig.JournalMode.WAL);
     config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
-    config.setBusyTimeout(BUSY_MS);
+    config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
     Connection db = null;
     Connection reader = null;
     try {
-      faults.before("open");
-      db = JDBC.createConnection("jdbc:sqlite:" + folder.resolve(FILE), config.toProperties());
+      faults.beforeStep("open");
+      db =
+          JDBC.createConnection(
+              "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
       try (Statement run = db.createStatement()) {
-        run.execute("PRAGMA wal_autocheckpoint = " + LOG_PAGES);
+        run.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
       }
       String owner = LedgerSchema.prepare(db, manager, folder);
-      reader = JDBC.createConnection("jdbc:sqlite:" + folder.resolve(FILE), config.toProperties());
-      return new Store(folder, faults, db, reader, lock, owner);
+      reader =
+          JDBC.createConnection(
+              "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
+      return new LedgerStore(folder, faults, db, reader, lock, owner);
     } catch (SQLException | IOException e) {
       close(db);
       close(reader);
-      throw e instanceof IOException io ? io : said(folder, (SQLException) e);
+      throw e instanceof IOException io ? io : toIoException(folder, (SQLException) e);
     }
   }
 
-  private static IOException said(Path folder, SQLException cause) {
-    return new IOException(folder.resolve(FILE) + ": " + cause.getMessage(), cause);
+  private static IOException toIoException(Path folder, SQLException cause) {
+    return new IOException(folder.resolve(DATABASE_FILE) + ": " + cause.getMessage(), cause);
   }
 
   private static void close(Connection db) {
@@ -163,30 +175,30 @@
   // ---- Transactions ----
 
   /** What is done in one transaction. */
-  private interface Work<T> {
+  private interface TransactionBody<T> {
     T run() throws SQLException, IOException;
   }
 
-  private <T> T atomically(String step, Work<T> work) throws IOException {
-    return atomically(step, db, "BEGIN IMMEDIATE", work);
+  private <T> T inTransaction(String step, TransactionBody<T> work) throws IOException {
+    return inTransaction(step, db, "BEGIN IMMEDIATE", work);
   }
 
-  private <T> T reading(Work<T> work) throws IOException {
-    return atomically("read", reader, "BEGIN", work);
+  private <T> T inReadTransaction(TransactionBody<T> work) throws IOException {
+    return inTransaction("read", reader, "BEGIN", work);
   }
 
   /**
    * Begun and ended by hand: the driver's own commit begins the next transaction, and with it the
    * right to write, at once.
    */
-  private <T> T atomically(String step, Connection on, String begin, Work<T> work)
+  private <T> T inTransaction(String step, Connection on, String begin, TransactionBody<T> work)
       throws IOException {
     try (Statement run = on.createStatement()) {
-      faults.before(step);
+      faults.beforeStep(step);
       run.execute(begin);
       try {
         T made = work.run();
-        faults.before(step + " commit");
+        faults.beforeStep(step + " commit");
         run.execute("COMMIT");
         return made;
       } catch (SQLException | IOException | RuntimeException e) {
@@ -198,7 +210,7 @@
         throw e;
       }
     } catch (SQLException e) {
-      throw said(folder, e);
+      throw toIoException(folder, e);
     }
   }
 
@@ -209,22 +221,22 @@
    * of such tasks, and tells each forward that was left out, by task and engine.
    */
   long beginEpoch(long now, BiConsumer<String, String> left) throws IOException {
-    return atomically(
+    return inTransaction(
         "epoch",
         () -> {
           EpochStart start = new EpochStart(db);
-          epoch = start.next(now);
-          return start.endOpen(left);
+          epoch = start.begin(now);
+          return start.endOpenTasks(left);
         });
   }
 
   /** Writes lines of this epoch, in one transaction. */
-  void write(List<Line> lines) throws IOException {
-    atomically(
+  void write(List<LedgerUpdate> lines) throws IOException {
+    inTransaction(
         "lines",
         () -> {
-          try (LineWriter writer = new LineWriter(db, epoch)) {
-            Sql.position(db, writer.write(lines));
+          try (UpdateWriter writer = new UpdateWriter(db, epoch)) {
+            Sql.lastPosition(db, writer.write(lines));
           }
           return null;
         });
@@ -233,17 +245,17 @@
   // ---- Reading ----
 
   /** The last position. */
-  public long last() throws IOException {
-    return reading(() -> Sql.position(reader));
+  public long lastPosition() throws IOException {
+    return inReadTransaction(() -> Sql.lastPosition(reader));
   }
 
   /** How many tasks have no complete entry yet. */
   public long openTasks() throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           try (Statement run = reader.createStatement()) {
             return (long)
-                Sql.number(
+                Sql.queryInt(
                     run, "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
           }
         });
@@ -251,13 +263,13 @@
 
   /** Open tasks that were taken in a stretch of time. */
   public long openTasks(long from, long until) throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           try (PreparedStatement ask =
                   reader.prepareStatement(
                       "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL AND"
                           + " taken_at >= ? AND taken_at < ?");
-              ResultSet found = Sql.set(ask, from, until).executeQuery()) {
+              ResultSet found = Sql.bind(ask, from, until).executeQuery()) {
             found.next();
             return found.getLong(1);
           }
@@ -265,34 +277,34 @@
   }
 
   /** Whether there is an entry, complete or open, with that number. */
-  public boolean holds(long ofEpoch, long sequence) throws IOException {
-    return reading(
+  public boolean containsEntry(long ofEpoch, long sequence) throws IOException {
+    return inReadTransaction(
         () -> {
           try (PreparedStatement ask =
                   reader.prepareStatement("SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
-              ResultSet found = Sql.set(ask, ofEpoch, sequence).executeQuery()) {
+              ResultSet found = Sql.bind(ask, ofEpoch, sequence).executeQuery()) {
             return found.next();
           }
         });
   }
 
   /** All lines from one position to another, in order. */
-  public void read(long first, long last, Lines to) throws IOException {
-    reading(
+  public void read(long first, long last, LineVisitor to) throws IOException {
+    inReadTransaction(
         () -> {
-          lines.read(first, last, to);
+          lineReader.read(first, last, to);
           return null;
         });
   }
 
   /** All amendments, by number. */
   public List<Amendment> amendments() throws IOException {
-    return reading(() -> List.copyOf(lines.amendments(0, Long.MAX_VALUE).values()));
+    return inReadTransaction(() -> List.copyOf(lineReader.amendments(0, Long.MAX_VALUE).values()));
   }
 
   /** What engines said after starts. */
-  public List<Reconciliation.Run> told() throws IOException {
-    return reading(
+  public List<Reconciliation.Run> reportedRuns() throws IOException {
+    return inReadTransaction(
         () -> {
           List<Reconciliation.Run> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
@@ -311,10 +323,10 @@
   }
 
   /** The closed periods, by name. */
-  public List<Closed> closed() throws IOException {
-    return reading(
+  public List<ClosedPeriod> closedPeriods() throws IOException {
+    return inReadTransaction(
         () -> {
-          List<Closed> all = new ArrayList<>();
+          List<ClosedPeriod> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
               ResultSet found =
                   run.executeQuery(
@@ -322,7 +334,7 @@
                           + " period")) {
             while (found.next()) {
               all.add(
-                  new Closed(
+                  new ClosedPeriod(
                       found.getString(1),
                       found.getLong(2),
                       found.getLong(3),
@@ -337,7 +349,7 @@
 
   /** The sealed batches, by number. */
   public List<Batch> batches() throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           List<Batch> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
@@ -366,18 +378,18 @@
   // ---- The commands' side ----
 
   /** Writes an amendment under the next number; the one given back has it. */
-  public Amendment amend(Amendment wanted) throws IOException {
-    return atomically(
+  public Amendment addAmendment(Amendment wanted) throws IOException {
+    return inTransaction(
         "amendment",
         () -> {
-          long at = Sql.position(db) + 1;
+          long at = Sql.lastPosition(db) + 1;
           long number;
           try (Statement run = db.createStatement()) {
-            number = 1L + Sql.number(run, "SELECT max(number) FROM amendment");
+            number = 1L + Sql.queryInt(run, "SELECT max(number) FROM amendment");
           }
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     number,
                     wanted.period(),
@@ -386,12 +398,12 @@
                     wanted.author(),
                     wanted.reason(),
                     wanted.corrects(),
-                    wanted.at(),
+                    wanted.createdAt(),
                     wanted.withdraws() ? 1 : 0,
                     at)
                 .executeUpdate();
           }
-          Sql.position(db, at);
+          Sql.lastPosition(db, at);
           return new Amendment(
               number,
               wanted.period(),
@@ -400,25 +412,25 @@
               wanted.author(),
               wanted.reason(),
               wanted.corrects(),
-              wanted.at(),
+              wanted.createdAt(),
               wanted.withdraws());
         });
   }
 
   /** Closes a period: its bill takes no more entries; later ones go into corrections. */
-  public void close(Closed period) throws IOException {
-    atomically(
+  public void close(ClosedPeriod period) throws IOException {
+    inTransaction(
         "close",
         () -> {
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     period.period(),
-                    period.upTo(),
-                    period.at(),
+                    period.lastPosition(),
+                    period.closedAt(),
                     period.author(),
-                    period.sha(),
+                    period.sha256(),
                     period.billing())
                 .executeUpdate();
           }
@@ -427,19 +439,19 @@
   }
 
   /** Seals a batch: its range, form and hash are fixed from here on. */
-  public void seal(Batch batch) throws IOException {
-    atomically(
+  public void addBatch(Batch batch) throws IOException {
+    inTransaction(
         "seal",
         () -> {
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     batch.number(),
-                    batch.first(),
-                    batch.last(),
-                    batch.form(),
-                    batch.sha(),
+                    batch.firstPosition(),
+                    batch.lastPosition(),
+                    batch.format(),
+                    batch.sha256(),
                     batch.size(),
                     batch.sealedAt())
                 .executeUpdate();
@@ -449,31 +461,31 @@
   }
 
   /** Notes that a batch's file is in its place, once. */
-  public void placed(long number, long at) throws IOException {
-    mark("placed_at", number, at);
+  public void markPlaced(long number, long at) throws IOException {
+    setTimeOnce("placed_at", number, at);
   }
 
   /** Notes that the billing side acknowledged a batch, once. */
-  public void acked(long number, long at) throws IOException {
-    mark("acked_at", number, at);
+  public void markAcknowledged(long number, long at) throws IOException {
+    setTimeOnce("acked_at", number, at);
   }
 
-  private void mark(String column, long number, long at) throws IOException {
-    atomically(
+  private void setTimeOnce(String column, long number, long at) throws IOException {
+    inTransaction(
         column,
         () -> {
           try (PreparedStatement put =
               db.prepareStatement(
                   "UPDATE batch SET " + column + " = ? WHERE number = ? AND " + column + " = 0")) {
-            Sql.set(put, at, number).executeUpdate();
+            Sql.bind(put, at, number).executeUpdate();
           }
           return null;
         });
   }
 
   /** What SQLite itself finds wrong with its file, or null. */
-  public String damage() throws IOException {
-    return reading(
+  public String findDamage() throws IOException {
+    return inReadTransaction(
         () -> {
           try (Statement run = reader.createStatement();
               ResultSet found = run.executeQuery("PRAGMA quick_check(1)")) {
@@ -489,7 +501,7 @@
       reader.close();
       db.close();
     } catch (SQLException e) {
-      throw said(folder, e);
+      throw toIoException(folder, e);
     } finally {
       if (lock != null) {
         lock.close();
--- a/src/main/java/tansytrack/ledger/disk/LineReader.java
+++ b/src/main/java/tansytrack/ledger/disk/LineReader.java
@@ -11,15 +11,15 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 import tansytrack.ledger.Amendment;
-import tansytrack.ledger.End;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
+import tansytrack.ledger.TaskEnd;
 import tansytrack.ledger.Use;
 
 /** Reads the lines of a ledger in the order of their positions. */
 final class LineReader {
 
-  private static final int ROWS = 512; // fetched at a time
+  private static final int FETCH_SIZE_ROWS = 512; // fetched at a time
 
   private final Connection reader;
 
@@ -28,7 +28,7 @@
   }
 
   /** Gives out all lines from one position to another. */
-  void read(long first, long last, Store.Lines to) throws SQLException, IOException {
+  void read(long first, long last, LedgerStore.LineVisitor to) throws SQLException, IOException {
     NavigableMap<Long, Object> others = new TreeMap<>(amendments(first, last));
     others.putAll(gaps(first, last));
     entries(first, last, others, to);
@@ -40,7 +40,7 @@
             reader.prepareStatement(
                 "SELECT epoch, number, first, last, from_at, until_at, lines, cause,"
                     + " pos FROM gap WHERE pos BETWEEN ? AND ?");
-        ResultSet found = Sql.set(ask, first, last).executeQuery()) {
+        ResultSet found = Sql.bind(ask, first, last).executeQuery()) {
       while (found.next()) {
         all.put(
             found.getLong(9),
@@ -58,7 +58,8 @@
     return all;
   }
 
-  private void entries(long first, long last, NavigableMap<Long, Object> others, Store.Lines to)
+  private void entries(
+      long first, long last, NavigableMap<Long, Object> others, LedgerStore.LineVisitor to)
       throws SQLException, IOException {
     try (PreparedStatement ask =
         reader.prepareStatement(
@@ -67,8 +68,8 @@
                 + " f.outcome, f.work, f.needed, f.granted, f.wasted FROM entry e INDEXED BY"
                 + " entry_position LEFT JOIN forward f ON f.epoch = e.epoch AND f.seq = e.seq WHERE"
                 + " e.pos BETWEEN ? AND ? ORDER BY e.pos, f.idx")) {
-      ask.setFetchSize(ROWS);
-      try (ResultSet row = Sql.set(ask, first, last).executeQuery()) {
+      ask.setFetchSize(FETCH_SIZE_ROWS);
+      try (ResultSet row = Sql.bind(ask, first, last).executeQuery()) {
         long at = 0;
         Entry entry = null;
         while (row.next()) {
@@ -96,7 +97,7 @@
         row.getString(6),
         row.getLong(7),
         row.getLong(8),
-        row.getString(9) == null ? null : End.valueOf(row.getString(9)),
+        row.getString(9) == null ? null : TaskEnd.valueOf(row.getString(9)),
         row.getLong(10),
         row.getLong(11),
         new ArrayList<>(1));
@@ -116,7 +117,8 @@
   }
 
   /** Gives out what stands before the entry, and the entry. */
-  private static void emit(long at, Entry entry, NavigableMap<Long, Object> others, Store.Lines to)
+  private static void emit(
+      long at, Entry entry, NavigableMap<Long, Object> others, LedgerStore.LineVisitor to)
       throws IOException {
     while (!others.isEmpty() && others.firstKey() < at) {
       Map.Entry<Long, Object> one = others.pollFirstEntry();
@@ -138,7 +140,7 @@
             reader.prepareStatement(
                 "SELECT number, period, tenant, amount, author, reason, corrects, at,"
                     + " withdraws, pos FROM amendment WHERE pos BETWEEN ? AND ?");
-        ResultSet found = Sql.set(ask, first, last).executeQuery()) {
+        ResultSet found = Sql.bind(ask, first, last).executeQuery()) {
       while (found.next()) {
         all.put(
             found.getLong(10),
--- a/src/main/java/tansytrack/ledger/disk/Sql.java
+++ b/src/main/java/tansytrack/ledger/disk/Sql.java
@@ -12,14 +12,14 @@
   private Sql() {}
 
   /** The one number that a query gives, 0 where it gives none. */
-  static int number(Statement run, String query) throws SQLException {
+  static int queryInt(Statement run, String query) throws SQLException {
     try (ResultSet found = run.executeQuery(query)) {
       return found.next() ? found.getInt(1) : 0;
     }
   }
 
   /** The last position that was given out. */
-  static long position(Connection on) throws SQLException {
+  static long lastPosition(Connection on) throws SQLException {
     try (Statement run = on.createStatement();
         ResultSet found = run.executeQuery("SELECT value FROM meta WHERE name = 'position'")) {
       found.next();
@@ -28,7 +28,7 @@
   }
 
   /** Sets the last position that was given out. */
-  static void position(Connection db, long at) throws SQLException {
+  static void lastPosition(Connection db, long at) throws SQLException {
     try (PreparedStatement put =
         db.prepareStatement("UPDATE meta SET value = ? WHERE name = 'position'")) {
       put.setLong(1, at);
@@ -37,7 +37,7 @@
   }
 
   /** Sets the parameters of a statement, in order, and gives the statement. */
-  static PreparedStatement set(PreparedStatement put, Object... values) throws SQLException {
+  static PreparedStatement bind(PreparedStatement put, Object... values) throws SQLException {
     for (int i = 0; i < values.length; i++) {
       put.setObject(i + 1, values[i]);
     }
--- a/src/main/java/tansytrack/ledger/disk/LineWriter.java
+++ b/src/main/java/tansytrack/ledger/disk/UpdateWriter.java
@@ -7,99 +7,99 @@
 import java.util.List;
 import java.util.Set;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Line;
+import tansytrack.ledger.LedgerUpdate;
 import tansytrack.ledger.Use;
 
 /**
  * Writes a batch of lines of one epoch within a transaction that the caller began. What is sent and
  * over within the batch is written once, as it ended.
  */
-final class LineWriter implements AutoCloseable {
+final class UpdateWriter implements AutoCloseable {
 
   /** One forward of this epoch. */
-  private record Place(long sequence, int index) {}
+  private record ForwardKey(long sequence, int index) {}
 
   private final long epoch;
-  private final Set<Long> answeredHere = new HashSet<>();
-  private final Set<Place> endedHere = new HashSet<>();
-  private final PreparedStatement intent;
-  private final PreparedStatement sent;
-  private final PreparedStatement ended;
-  private final PreparedStatement answered;
-  private final PreparedStatement complete;
-  private final PreparedStatement told;
-  private final PreparedStatement missing;
-  private long position; // the last that was given out
+  private final Set<Long> answeredInBatch = new HashSet<>();
+  private final Set<ForwardKey> endedInBatch = new HashSet<>();
+  private final PreparedStatement insertEntry;
+  private final PreparedStatement writeForwardSent;
+  private final PreparedStatement writeForwardEnded;
+  private final PreparedStatement writeTaskAnswered;
+  private final PreparedStatement completeEntry;
+  private final PreparedStatement writeRunReported;
+  private final PreparedStatement writeGap;
+  private long lastPosition; // the last that was given out
 
-  LineWriter(Connection db, long epoch) throws SQLException {
+  UpdateWriter(Connection db, long epoch) throws SQLException {
     this.epoch = epoch;
-    position = Sql.position(db);
-    intent =
+    lastPosition = Sql.lastPosition(db);
+    insertEntry =
         db.prepareStatement(
             "INSERT INTO entry(epoch, seq, task, tenant, grade, taken_at)"
                 + " VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO NOTHING");
-    sent =
+    writeForwardSent =
         db.prepareStatement(
             "INSERT INTO forward(epoch, seq, idx, engine, sent_at,"
                 + " granted) VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO NOTHING");
-    ended =
+    writeForwardEnded =
         db.prepareStatement(
             "INSERT INTO forward VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO"
                 + " UPDATE SET ended_at = excluded.ended_at, outcome = excluded.outcome,"
                 + " work = excluded.work, needed = excluded.needed, wasted ="
                 + " excluded.wasted");
-    answered =
+    writeTaskAnswered =
         db.prepareStatement(
             "INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO"
                 + " UPDATE SET ended_at = excluded.ended_at, ended = excluded.ended,"
                 + " bytes = excluded.bytes, earnings = excluded.earnings, pos ="
                 + " excluded.pos");
-    complete =
+    completeEntry =
         db.prepareStatement(
             "UPDATE entry SET pos = ? WHERE epoch = ? AND seq = ?"
                 + " AND pos IS NULL AND ended IS NOT NULL");
-    told = db.prepareStatement("INSERT OR IGNORE INTO told VALUES(?, ?, ?, ?)");
-    missing = db.prepareStatement("INSERT INTO gap VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?)");
+    writeRunReported = db.prepareStatement("INSERT OR IGNORE INTO told VALUES(?, ?, ?, ?)");
+    writeGap = db.prepareStatement("INSERT INTO gap VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?)");
   }
 
   /** Writes all lines, in order, and gives the last position then. */
-  long write(List<Line> lines) throws SQLException {
-    note(lines);
-    for (Line line : lines) {
+  long write(List<LedgerUpdate> lines) throws SQLException {
+    collectEnded(lines);
+    for (LedgerUpdate line : lines) {
       write(line);
     }
-    return position;
+    return lastPosition;
   }
 
-  private void note(List<Line> lines) {
-    for (Line line : lines) {
-      if (line instanceof Line.Answered) {
-        answeredHere.add(line.sequence());
-      } else if (line instanceof Line.Ended end) {
-        endedHere.add(new Place(end.sequence(), end.use().index()));
+  private void collectEnded(List<LedgerUpdate> lines) {
+    for (LedgerUpdate line : lines) {
+      if (line instanceof LedgerUpdate.TaskAnswered) {
+        answeredInBatch.add(line.sequence());
+      } else if (line instanceof LedgerUpdate.ForwardEnded end) {
+        endedInBatch.add(new ForwardKey(end.sequence(), end.use().index()));
       }
     }
   }
 
-  private void write(Line line) throws SQLException {
-    if (line instanceof Line.Sent start) {
-      sent(start);
-    } else if (line instanceof Line.Ended end) {
-      ended(end);
-    } else if (line instanceof Line.Answered answer) {
-      answered(answer);
-    } else if (line instanceof Line.Told report) {
-      told(report);
-    } else if (line instanceof Line.Missing gap) {
-      missing(gap.gap());
+  private void write(LedgerUpdate line) throws SQLException {
+    if (line instanceof LedgerUpdate.ForwardSent start) {
+      writeForwardSent(start);
+    } else if (line instanceof LedgerUpdate.ForwardEnded end) {
+      writeForwardEnded(end);
+    } else if (line instanceof LedgerUpdate.TaskAnswered answer) {
+      writeTaskAnswered(answer);
+    } else if (line instanceof LedgerUpdate.RunReported report) {
+      writeRunReported(report);
+    } else if (line instanceof LedgerUpdate.UpdatesLost gap) {
+      writeGap(gap.gap());
     }
   }
 
-  private void sent(Line.Sent line) throws SQLException {
+  private void writeForwardSent(LedgerUpdate.ForwardSent line) throws SQLException {
     Use use = line.use();
-    if (!answeredHere.contains(line.sequence())) {
-      Sql.set(
-              intent,
+    if (!answeredInBatch.contains(line.sequence())) {
+      Sql.bind(
+              insertEntry,
               epoch,
               line.sequence(),
               line.task(),
@@ -108,9 +108,9 @@
               line.takenAt())
           .executeUpdate();
     }
-    if (!endedHere.contains(new Place(line.sequence(), use.index()))) {
-      Sql.set(
-              sent,
+    if (!endedInBatch.contains(new ForwardKey(line.sequence(), use.index()))) {
+      Sql.bind(
+              writeForwardSent,
               epoch,
               line.sequence(),
               use.index(),
@@ -121,10 +121,10 @@
     }
   }
 
-  private void ended(Line.Ended line) throws SQLException {
+  private void writeForwardEnded(LedgerUpdate.ForwardEnded line) throws SQLException {
     Use use = line.use();
-    Sql.set(
-            ended,
+    Sql.bind(
+            writeForwardEnded,
             epoch,
             line.sequence(),
             use.index(),
@@ -138,13 +138,14 @@
             use.wasted() ? 1 : 0)
         .executeUpdate();
     if (line.complete()) {
-      position += Sql.set(complete, position + 1, epoch, line.sequence()).executeUpdate();
+      lastPosition +=
+          Sql.bind(completeEntry, lastPosition + 1, epoch, line.sequence()).executeUpdate();
     }
   }
 
-  private void answered(Line.Answered line) throws SQLException {
-    Sql.set(
-            answered,
+  private void writeTaskAnswered(LedgerUpdate.TaskAnswered line) throws SQLException {
+    Sql.bind(
+            writeTaskAnswered,
             epoch,
             line.sequence(),
             line.task(),
@@ -155,14 +156,14 @@
             line.end().name(),
             line.bytes(),
             line.earningsMilli(),
-            line.complete() ? (Long) (position + 1) : null)
+            line.complete() ? (Long) (lastPosition + 1) : null)
         .executeUpdate();
-    position += line.complete() ? 1 : 0;
+    lastPosition += line.complete() ? 1 : 0;
   }
 
-  private void told(Line.Told line) throws SQLException {
-    Sql.set(
-            told,
+  private void writeRunReported(LedgerUpdate.RunReported line) throws SQLException {
+    Sql.bind(
+            writeRunReported,
             line.run().engine(),
             line.run().task(),
             line.run().work(),
@@ -170,9 +171,9 @@
         .executeUpdate();
   }
 
-  private void missing(Gap gap) throws SQLException {
-    Sql.set(
-            missing,
+  private void writeGap(Gap gap) throws SQLException {
+    Sql.bind(
+            writeGap,
             epoch,
             gap.number(),
             gap.firstSequence(),
@@ -181,14 +182,21 @@
             gap.until(),
             gap.lines(),
             gap.cause(),
-            ++position)
+            ++lastPosition)
         .executeUpdate();
   }
 
   @Override
   public void close() throws SQLException {
     for (PreparedStatement statement :
-        List.of(intent, sent, ended, answered, complete, told, missing)) {
+        List.of(
+            insertEntry,
+            writeForwardSent,
+            writeForwardEnded,
+            writeTaskAnswered,
+            completeEntry,
+            writeRunReported,
+            writeGap)) {
       statement.close();
     }
   }
--- a/src/main/java/tansytrack/log/Event.java
+++ b/src/main/java/tansytrack/log/Event.java
@@ -10,7 +10,7 @@
  */
 public final class Event {
 
-  private static final int CALLER = 3;
+  private static final int CALLER_DEPTH = 3;
 
   private Event() {}
 
@@ -30,20 +30,20 @@
   }
 
   private static void log(Level level, String name, String text, Object... pairs) {
-    ThreadContext.put(JsonLinesWriter.EVENT, name);
+    ThreadContext.put(JsonLinesWriter.EVENT_KEY, name);
     for (int i = 0; i < pairs.length; i += 2) {
       ThreadContext.put((String) pairs[i], pairs[i + 1]);
     }
     try {
       ProviderRegistry.getLoggingProvider()
-          .log(CALLER, null, level, null, null, text, (Object[]) null);
+          .log(CALLER_DEPTH, null, level, null, null, text, (Object[]) null);
     } finally {
       ThreadContext.clear();
     }
   }
 
   /** Chooses JSON lines; before the first line is logged. */
-  public static void jsonLines() {
+  public static void useJsonLines() {
     org.tinylog.configuration.Configuration.set("writer", "json lines");
     org.tinylog.configuration.Configuration.set("writer.level", "info");
   }
--- a/src/main/java/tansytrack/log/JsonLinesWriter.java
+++ b/src/main/java/tansytrack/log/JsonLinesWriter.java
@@ -15,7 +15,7 @@
  */
 public final class JsonLinesWriter implements Writer {
 
-  static final String EVENT = "event";
+  static final String EVENT_KEY = "event";
 
   private final PrintStream out;
 
@@ -45,10 +45,10 @@
     StringBuilder line = new StringBuilder(256).append('{');
     put(line, "time", entry.getTimestamp().toInstant().toString());
     put(line, "level", entry.getLevel().name());
-    put(line, EVENT, context.getOrDefault(EVENT, "message"));
+    put(line, EVENT_KEY, context.getOrDefault(EVENT_KEY, "message"));
     context.forEach(
         (name, value) -> {
-          if (!name.equals(EVENT)) {
+          if (!name.equals(EVENT_KEY)) {
             put(line, name, value);
           }
         });
@@ -67,14 +67,11 @@
   }
 
   private static void put(StringBuilder line, String name, String value) {
-    line.append(line.length() > 1 ? "," : "")
-        .append(quoted(name))
-        .append(':')
-        .append(quoted(value));
+    line.append(line.length() > 1 ? "," : "").append(quote(name)).append(':').append(quote(value));
   }
 
   /** A text as a JSON string. */
-  public static String quoted(String text) {
+  public static String quote(String text) {
     StringBuilder made = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
       char letter = text.charAt(i);
--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -19,8 +19,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import tansytrack.ledger.Closing;
-import tansytrack.ledger.Periods;
+import tansytrack.ledger.BillingPeriods;
+import tansytrack.ledger.ClosingPolicy;
 import tansytrack.ledger.Rates;
 import tansytrack.operator.proto.Billing;
 import tansytrack.operator.proto.Fleet;
@@ -30,7 +30,7 @@
 import tansytrack.operator.proto.Peer;
 import tansytrack.operator.proto.Quota;
 import tansytrack.operator.proto.Rate;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * The operators' file, read and checked; what it does not name is off. Errors name file, line,
@@ -38,40 +38,40 @@
  */
 public final class OperatorFile {
 
-  private static final long MS = 1_000_000L;
-  private static final long HOUR = 3_600_000_000_000L;
-  private static final int LONGEST_DECIMAL = 24;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final long NANOS_PER_HOUR = 3_600_000_000_000L;
+  private static final int MAX_DECIMAL_LENGTH = 24;
 
   /** The ledger's section; times in nanoseconds. */
   public record LedgerSection(
       Path folder,
-      boolean afterCommit,
-      boolean intentsFirst,
-      boolean bounces,
-      long mostWait,
-      long commitEvery,
-      int mostUnwritten,
-      Periods periods,
+      boolean answersAfterCommit,
+      boolean forwardsAfterCommit,
+      boolean rejectsTasksWhenFull,
+      long maxWaitNanos,
+      long commitIntervalNanos,
+      int maxUnwrittenLines,
+      BillingPeriods periods,
       Rates rates,
-      Closing closing,
-      List<QuotaLine> quotas,
+      ClosingPolicy closingPolicy,
+      List<TenantQuota> quotas,
       String billingText) {}
 
   /** Use in a period that is worth a warning; 0: no bound. */
-  public record QuotaLine(String tenant, long tasks, long work) {}
+  public record TenantQuota(String tenant, long tasks, long workNanos) {}
 
   /** The other managers; times in nanoseconds, addresses as they stand. */
   public record FleetSection(
       String name,
-      String place,
+      String zone,
       String address,
-      List<PeerLine> peers,
-      long probeEvery,
-      int mostBytes,
-      long settle) {}
+      List<FleetPeer> peers,
+      long probeIntervalNanos,
+      int maxBytesPerSecond,
+      long settleNanos) {}
 
   /** One of them. */
-  public record PeerLine(String name, String address, boolean seed) {}
+  public record FleetPeer(String name, String address, boolean seed) {}
 
   private final LedgerSection ledger;
   private final boolean jsonLines;
@@ -104,45 +104,46 @@
     try {
       text = Files.readString(Path.of(file), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new Unusable(file + ": cannot be read: " + e);
+      throw new InvalidInputException(file + ": cannot be read: " + e);
     }
-    return of(file, text);
+    return parse(file, text);
   }
 
   /** Checks the given text; the file's name is used in error messages alone. */
-  public static OperatorFile of(String file, String text) {
+  public static OperatorFile parse(String file, String text) {
     Operator.Builder made = Operator.newBuilder();
     TextFormatParseInfoTree.Builder places = TextFormatParseInfoTree.builder();
     try {
       TextFormat.Parser.newBuilder().setParseInfoTreeBuilder(places).build().merge(text, made);
     } catch (TextFormat.ParseException e) {
-      throw new Unusable(file + ':' + e.getMessage());
+      throw new InvalidInputException(file + ':' + e.getMessage());
     }
     Operator all = made.build();
-    Place root = new Place(file, places.build());
+    SourceLocation root = new SourceLocation(file, places.build());
     return new OperatorFile(
         all.getLog().getForm() == Log.Form.JSON_LINES,
         all.hasLedger()
             ? ledger(
-                all.getLedger(), root.in(Operator.getDescriptor().findFieldByName("ledger"), 0))
+                all.getLedger(), root.child(Operator.getDescriptor().findFieldByName("ledger"), 0))
             : null,
         all.hasFleet()
-            ? fleet(all.getFleet(), root.in(Operator.getDescriptor().findFieldByName("fleet"), 0))
+            ? fleet(
+                all.getFleet(), root.child(Operator.getDescriptor().findFieldByName("fleet"), 0))
             : null);
   }
 
   /** Where a section stands, to name its fields by line and column. */
-  private record Place(String file, TextFormatParseInfoTree tree) {
+  private record SourceLocation(String file, TextFormatParseInfoTree tree) {
 
-    Place in(FieldDescriptor field, int index) {
-      return new Place(file, tree.getNestedTree(field, index));
+    SourceLocation child(FieldDescriptor field, int index) {
+      return new SourceLocation(file, tree.getNestedTree(field, index));
     }
 
-    Unusable wrong(FieldDescriptor field, int index, Object value, String allowed) {
+    InvalidInputException error(FieldDescriptor field, int index, Object value, String allowed) {
       List<TextFormatParseLocation> places = tree.getLocations(field);
       TextFormatParseLocation at = index < places.size() ? places.get(index) : null;
       String where = at == null ? "" : ":" + (at.getLine() + 1) + ':' + (at.getColumn() + 1);
-      return new Unusable(
+      return new InvalidInputException(
           file
               + where
               + ": "
@@ -154,19 +155,19 @@
     }
   }
 
-  private static LedgerSection ledger(Ledger from, Place place) {
+  private static LedgerSection ledger(Ledger from, SourceLocation place) {
     if (from.getFolder().isBlank()) {
-      throw place.wrong(
+      throw place.error(
           field(Ledger.getDescriptor(), "folder"),
           0,
           from.getFolder(),
           "a folder on a disk that lasts");
     }
     int every =
-        ranged(
+        inRangeOrDefault(
             from.getCommitEveryMs(), 5, 1, 1000, Ledger.getDescriptor(), "commit_every_ms", place);
     int most =
-        ranged(
+        inRangeOrDefault(
             from.getMostUnwritten(),
             16384,
             64,
@@ -175,13 +176,14 @@
             "most_unwritten",
             place);
     int wait =
-        ranged(from.getMostWaitMs(), 100, 1, 10000, Ledger.getDescriptor(), "most_wait_ms", place);
+        inRangeOrDefault(
+            from.getMostWaitMs(), 100, 1, 10000, Ledger.getDescriptor(), "most_wait_ms", place);
     FieldDescriptor section = field(Ledger.getDescriptor(), "billing");
-    Place billingPlace = from.hasBilling() ? place.in(section, 0) : place;
+    SourceLocation billingPlace = from.hasBilling() ? place.child(section, 0) : place;
     Billing billing = from.getBilling();
-    Periods periods = periods(billing, billingPlace);
+    BillingPeriods periods = periods(billing, billingPlace);
     if (billing.getGraceHours() < 0) {
-      throw billingPlace.wrong(
+      throw billingPlace.error(
           field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "0 and more");
     }
     return new LedgerSection(
@@ -189,71 +191,72 @@
         from.getAnswers() == Ledger.Wait.AFTER_COMMIT,
         from.getForwards() == Ledger.Wait.AFTER_COMMIT,
         from.getWhenFull() == Ledger.WhenFull.BOUNCE,
-        wait * MS,
-        every * MS,
+        wait * NANOS_PER_MS,
+        every * NANOS_PER_MS,
         most,
         periods,
         rates(billing, from.getWaste() == Ledger.Waste.TENANT, billingPlace),
-        new Closing(periods, billing.getGraceHours() * HOUR),
+        new ClosingPolicy(periods, billing.getGraceHours() * NANOS_PER_HOUR),
         quotas(billing, billingPlace),
         TextFormat.printer().emittingSingleLine(true).printToString(billing)
             + " waste: "
             + from.getWaste());
   }
 
-  private static List<QuotaLine> quotas(Billing billing, Place billingPlace) {
-    List<QuotaLine> quotas = new ArrayList<>();
+  private static List<TenantQuota> quotas(Billing billing, SourceLocation billingPlace) {
+    List<TenantQuota> quotas = new ArrayList<>();
     for (int i = 0; i < billing.getQuotasCount(); i++) {
       Quota quota = billing.getQuotas(i);
       if (quota.getTasks() < 0 || quota.getWorkSeconds() < 0) {
-        throw billingPlace.wrong(
+        throw billingPlace.error(
             field(Billing.getDescriptor(), "quotas"), i, quota.getTenant(), "amounts from 0 on");
       }
       quotas.add(
-          new QuotaLine(
+          new TenantQuota(
               quota.getTenant(), quota.getTasks(), quota.getWorkSeconds() * 1_000_000_000L));
     }
     return quotas;
   }
 
-  private static FleetSection fleet(Fleet from, Place place) {
+  private static FleetSection fleet(Fleet from, SourceLocation place) {
     Descriptors.Descriptor section = Fleet.getDescriptor();
     Set<String> names = new HashSet<>();
     Set<String> addresses = new HashSet<>();
     if (!from.getName().isEmpty()) {
-      names.add(named(from.getName(), section, place));
+      names.add(checkedName(from.getName(), section, place));
     }
-    addresses.add(address(from.getAddress(), section, place));
-    List<PeerLine> peers = new ArrayList<>();
+    addresses.add(checkedAddress(from.getAddress(), section, place));
+    List<FleetPeer> peers = new ArrayList<>();
     for (int i = 0; i < from.getPeersCount(); i++) {
       Peer peer = from.getPeers(i);
-      Place at = place.in(field(section, "peers"), i);
-      if (!names.add(named(peer.getName(), Peer.getDescriptor(), at))) {
-        throw at.wrong(
+      SourceLocation at = place.child(field(section, "peers"), i);
+      if (!names.add(checkedName(peer.getName(), Peer.getDescriptor(), at))) {
+        throw at.error(
             field(Peer.getDescriptor(), "name"),
             0,
             peer.getName(),
             "each manager once, this one left out");
       }
-      if (!addresses.add(address(peer.getAddress(), Peer.getDescriptor(), at))) {
-        throw at.wrong(
+      if (!addresses.add(checkedAddress(peer.getAddress(), Peer.getDescriptor(), at))) {
+        throw at.error(
             field(Peer.getDescriptor(), "address"),
             0,
             peer.getAddress(),
             "an address of its own for each manager");
       }
-      peers.add(new PeerLine(peer.getName(), peer.getAddress(), peer.getSeed()));
+      peers.add(new FleetPeer(peer.getName(), peer.getAddress(), peer.getSeed()));
     }
     if (peers.isEmpty()) {
-      throw place.wrong(field(section, "peers"), 0, "", "one and more");
+      throw place.error(field(section, "peers"), 0, "", "one and more");
     }
     return new FleetSection(
         from.getName(),
         from.getPlace(),
         from.getAddress(),
         List.copyOf(peers),
-        ranged(from.getProbeEveryMs(), 500, 100, 10_000, section, "probe_every_ms", place) * MS,
-        ranged(
+        inRangeOrDefault(from.getProbeEveryMs(), 500, 100, 10_000, section, "probe_every_ms", place)
+            * NANOS_PER_MS,
+        inRangeOrDefault(
             from.getMostBytesASecond(),
             16_384,
             2048,
@@ -261,12 +264,14 @@
             section,
             "most_bytes_a_second",
             place),
-        ranged(from.getSettleS(), 30, 1, 3600, section, "settle_s", place) * 1000L * MS);
+        inRangeOrDefault(from.getSettleS(), 30, 1, 3600, section, "settle_s", place)
+            * 1000L
+            * NANOS_PER_MS);
   }
 
-  private static String named(String name, Descriptors.Descriptor of, Place place) {
+  private static String checkedName(String name, Descriptors.Descriptor of, SourceLocation place) {
     if (!name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,47}")) {
-      throw place.wrong(
+      throw place.error(
           field(of, "name"),
           0,
           name,
@@ -275,7 +280,8 @@
     return name;
   }
 
-  private static String address(String text, Descriptors.Descriptor of, Place place) {
+  private static String checkedAddress(
+      String text, Descriptors.Descriptor of, SourceLocation place) {
     boolean form = text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
     boolean range =
         form
@@ -284,7 +290,7 @@
                 .allMatch(one -> one < 256)
             && Integer.parseInt(text.substring(text.indexOf(':') + 1)) < 65536;
     if (!range) {
-      throw place.wrong(
+      throw place.error(
           field(of, "address"), 0, text, "an IPv4 address with a port, as in 10.0.0.7:7946");
     }
     return text;
@@ -294,41 +300,41 @@
     return of.findFieldByName(name);
   }
 
-  private static int ranged(
+  private static int inRangeOrDefault(
       int value,
       int otherwise,
       int least,
       int most,
       Descriptors.Descriptor of,
       String name,
-      Place place) {
+      SourceLocation place) {
     if (value != 0 && (value < least || value > most)) {
-      throw place.wrong(field(of, name), 0, value, least + " to " + most);
+      throw place.error(field(of, name), 0, value, least + " to " + most);
     }
     return value == 0 ? otherwise : value;
   }
 
-  private static Periods periods(Billing billing, Place place) {
+  private static BillingPeriods periods(Billing billing, SourceLocation place) {
     try {
-      Periods.Length length = Periods.Length.valueOf(billing.getPeriod().name());
-      return new Periods(
+      BillingPeriods.Length length = BillingPeriods.Length.valueOf(billing.getPeriod().name());
+      return new BillingPeriods(
           length, ZoneId.of(billing.getZone().isEmpty() ? "UTC" : billing.getZone()));
     } catch (DateTimeException e) {
-      throw place.wrong(
+      throw place.error(
           field(Billing.getDescriptor(), "zone"),
           0,
           billing.getZone(),
           "an IANA time zone, as in Asia/Kolkata");
     } catch (IllegalArgumentException e) {
-      throw place.wrong(
+      throw place.error(
           field(Billing.getDescriptor(), "period"), 0, billing.getPeriod(), "MONTH, WEEK, DAY");
     }
   }
 
-  private static Rates rates(Billing billing, boolean wasteBilled, Place place) {
+  private static Rates rates(Billing billing, boolean wasteBilled, SourceLocation place) {
     int decimals = billing.hasDecimals() ? billing.getDecimals() : 2;
     if (decimals < 0 || decimals > 9) {
-      throw place.wrong(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
+      throw place.error(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
     }
     RoundingMode rounding =
         switch (billing.getRounding()) {
@@ -340,12 +346,12 @@
     List<Rates.Rate> rates = new ArrayList<>();
     for (int i = 0; i < billing.getRatesCount(); i++) {
       Rate rate = billing.getRates(i);
-      Place at = place.in(field(Billing.getDescriptor(), "rates"), i);
+      SourceLocation at = place.child(field(Billing.getDescriptor(), "rates"), i);
       LocalDate from;
       try {
         from = rate.getFromDate().isEmpty() ? LocalDate.EPOCH : LocalDate.parse(rate.getFromDate());
       } catch (DateTimeException e) {
-        throw at.wrong(
+        throw at.error(
             field(Rate.getDescriptor(), "from_date"),
             0,
             rate.getFromDate(),
@@ -363,8 +369,8 @@
       for (Rates.Rate other : rates) {
         if (other.tenant().equals(made.tenant())
             && other.grade().equals(made.grade())
-            && other.from().equals(made.from())) {
-          throw place.wrong(
+            && other.validFrom().equals(made.validFrom())) {
+          throw place.error(
               field(Billing.getDescriptor(), "rates"),
               i,
               rate.getTenant() + '/' + rate.getGrade() + " from " + from,
@@ -376,14 +382,14 @@
     return new Rates(List.copyOf(rates), decimals, rounding, wasteBilled);
   }
 
-  private static BigDecimal price(String text, String name, Place place) {
+  private static BigDecimal price(String text, String name, SourceLocation place) {
     if (text.isEmpty()) {
       return BigDecimal.ZERO;
     }
-    if (text.length() <= LONGEST_DECIMAL && text.matches("[0-9]+(\\.[0-9]+)?")) {
+    if (text.length() <= MAX_DECIMAL_LENGTH && text.matches("[0-9]+(\\.[0-9]+)?")) {
       return new BigDecimal(text);
     }
-    throw place.wrong(
+    throw place.error(
         field(Rate.getDescriptor(), name), 0, text, "a plain decimal from 0 on, as in \"0.0125\"");
   }
 }
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -3,7 +3,7 @@
 import java.util.*;
 import java.util.function.Predicate;
 import tansytrack.api.*;
-import tansytrack.parts.*;
+import tansytrack.util.*;
 
 /**
  * Which of the listed engines one manager uses: deterministic subsetting. At level k the managers'
@@ -13,50 +13,56 @@
  */
 public final class EngineSubset {
 
-  private static final double BOUND = 128; // of engines in a subset
-  private static final int LEAST_USERS = 8; // managers an engine: fewer would load it unevenly
-  private static final double STEP_BACK = 0.9; // of the engines that led to a level: then it falls
-  private static final int LEVELS = 20;
-  private static final double REFILL_UNDER =
+  private static final double MAX_SUBSET_SIZE = 128; // of engines in a subset
+  private static final int MIN_MANAGERS_PER_ENGINE =
+      8; // managers an engine: fewer would load it unevenly
+  private static final double LEVEL_HYSTERESIS =
+      0.9; // of the engines that led to a level: then it falls
+  private static final int MAX_LEVEL = 20;
+  private static final double REFILL_BELOW_FRACTION =
       0.55; // of what is used is healthy: others stand in. Over
-  private static final double RELEASE_OVER = 2 / 3.0; // half, as suspicion of most keeps none out
+  private static final double RELEASE_ABOVE_FRACTION =
+      2 / 3.0; // half, as suspicion of most keeps none out
 
-  private final long position;
-  private final EngineList listed;
-  private final List<Group> all = new ArrayList<>(); // the first: those that no task may use
+  private final long managerIndex;
+  private final EngineList engineList;
+  private final List<EngineGroup> groups =
+      new ArrayList<>(); // the first: those that no task may use
 
   public EngineSubset(Settings set, EngineList listed) {
-    this.listed = listed;
-    position =
-        set.position() != Settings.UNKNOWN ? set.position() : StableHash.mix(set.seed()) >>> 33;
-    group(entry -> !any(group -> group != all.get(0) && group.allowed.test(entry)));
+    this.engineList = listed;
+    managerIndex =
+        set.managerIndex() != Settings.UNKNOWN_INDEX
+            ? set.managerIndex()
+            : StableHash.mix(set.seed()) >>> 33;
+    group(entry -> !anyGroup(group -> group != groups.get(0) && group.allowed.test(entry)));
   }
 
   /** Engines that the same tasks may use: of each group a subset. */
-  public final class Group {
+  public final class EngineGroup {
     private final Predicate<EngineEntry> allowed;
-    private final EngineList.Count engines;
-    private final Set<String> standIns = new LinkedHashSet<>();
+    private final EngineList.EngineCounter engineCounter;
+    private final Set<String> substitutes = new LinkedHashSet<>();
     private int level;
 
-    private Group(Predicate<EngineEntry> allowed) {
+    private EngineGroup(Predicate<EngineEntry> allowed) {
       this.allowed = allowed;
-      engines = listed.count(allowed);
+      engineCounter = engineList.count(allowed);
     }
 
     public boolean uses(EngineEntry entry) {
-      return allowed.test(entry) && (inSubset(entry.id()) || standIns.contains(entry.id()));
+      return allowed.test(entry) && (inSubset(entry.id()) || substitutes.contains(entry.id()));
     }
 
     private boolean inSubset(String id) {
-      return level == 0 || depth(id) >= level;
+      return level == 0 || highestLevel(id) >= level;
     }
 
-    private boolean settle(int managers) {
+    private boolean updateLevel(int managers) {
       int before = level;
-      int highest = levelOf(engines.now() / STEP_BACK, managers);
-      level = Math.max(levelOf(engines.now(), managers), Math.min(level, highest));
-      standIns.removeIf(id -> inSubset(id) || listed.find(id) == null);
+      int highest = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
+      level = Math.max(requiredLevel(engineCounter.value(), managers), Math.min(level, highest));
+      substitutes.removeIf(id -> inSubset(id) || engineList.find(id) == null);
       return level != before;
     }
 
@@ -65,55 +71,56 @@
      * stand in, or no more, or null. By an order of each manager's own, or all would take the same
      * ones.
      */
-    public EngineEntry refill(List<EngineEntry> healthy, Predicate<EngineEntry> free) {
-      double usual = engines.now() / (double) (1 << level);
-      if (healthy.stream().filter(one -> inSubset(one.id())).count() >= RELEASE_OVER * usual) {
-        String first = standIns.stream().findFirst().orElse("");
-        return standIns.remove(first) ? listed.find(first) : null;
+    public EngineEntry adjustSubstitutes(List<EngineEntry> healthy, Predicate<EngineEntry> free) {
+      double usual = engineCounter.value() / (double) (1 << level);
+      if (healthy.stream().filter(one -> inSubset(one.id())).count()
+          >= RELEASE_ABOVE_FRACTION * usual) {
+        String first = substitutes.stream().findFirst().orElse("");
+        return substitutes.remove(first) ? engineList.find(first) : null;
       }
-      boolean enough = healthy.size() >= REFILL_UNDER * (usual + standIns.size());
-      if (enough || standIns.size() >= usual) {
+      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usual + substitutes.size());
+      if (enough || substitutes.size() >= usual) {
         return null;
       }
       EngineEntry next =
-          listed.all().stream()
+          engineList.all().stream()
               .filter(
                   one ->
                       allowed.test(one)
                           && !uses(one)
                           && one.state() == EngineEntry.State.READY
                           && free.test(one))
-              .min(order())
+              .min(substituteOrder())
               .orElse(null);
       if (next != null) {
-        standIns.add(next.id());
+        substitutes.add(next.id());
       }
       return next;
     }
   }
 
-  public Group group(Predicate<EngineEntry> allowed) {
-    all.add(new Group(allowed));
-    return all.get(all.size() - 1);
+  public EngineGroup group(Predicate<EngineEntry> allowed) {
+    groups.add(new EngineGroup(allowed));
+    return groups.get(groups.size() - 1);
   }
 
   /**
    * When the list or the number of managers has changed. True: any engine may be used, or no more.
    */
-  public boolean settle(int managers) {
-    return all.stream().filter(group -> group.settle(managers)).count() > 0;
+  public boolean updateLevels(int managers) {
+    return groups.stream().filter(group -> group.updateLevel(managers)).count() > 0;
   }
 
   public boolean uses(EngineEntry entry) {
-    return any(group -> group.uses(entry));
+    return anyGroup(group -> group.uses(entry));
   }
 
-  public boolean standsIn(EngineEntry entry) {
-    return !any(group -> group.allowed.test(entry) && group.inSubset(entry.id()));
+  public boolean isSubstitute(EngineEntry entry) {
+    return !anyGroup(group -> group.allowed.test(entry) && group.inSubset(entry.id()));
   }
 
-  private boolean any(Predicate<Group> such) {
-    for (Group group : all) {
+  private boolean anyGroup(Predicate<EngineGroup> such) {
+    for (EngineGroup group : groups) {
       if (such.test(group)) {
         return true;
       }
@@ -123,33 +130,36 @@
 
   /** Of the managers one in 2 to this power uses it: by its own depth, where it only stands in. */
   public int level(EngineEntry entry) {
-    return all.stream()
+    return groups.stream()
         .filter(group -> group.allowed.test(entry))
         .mapToInt(group -> group.level)
-        .reduce(depth(entry.id()), Math::min);
+        .reduce(highestLevel(entry.id()), Math::min);
   }
 
   /** The lowest level that keeps a subset within its bound, and enough managers at an engine. */
-  private static int levelOf(double engines, int managers) {
+  private static int requiredLevel(double engines, int managers) {
     int level = 0;
-    while (engines / (1 << level) > BOUND && managers / (2 << level) >= LEAST_USERS) {
+    while (engines / (1 << level) > MAX_SUBSET_SIZE
+        && managers / (2 << level) >= MIN_MANAGERS_PER_ENGINE) {
       level++;
     }
     return level;
   }
 
   /** The levels, from the lowest on, at which an engine takes this manager out of its block. */
-  private int depth(String id) {
+  private int highestLevel(String id) {
     long name = StableHash.of(id);
     int k = 0;
-    while (k < LEVELS && (position >> k & 1) == StableHash.of(name, position >> k + 1, k) >>> 63) {
+    while (k < MAX_LEVEL
+        && (managerIndex >> k & 1) == StableHash.of(name, managerIndex >> k + 1, k) >>> 63) {
       k++;
     }
     return k;
   }
 
-  private Comparator<EngineEntry> order() {
-    return Comparator.comparingInt((EngineEntry entry) -> -depth(entry.id()))
-        .thenComparingLong(entry -> StableHash.of(StableHash.of(entry.id()), position, LEVELS));
+  private Comparator<EngineEntry> substituteOrder() {
+    return Comparator.comparingInt((EngineEntry entry) -> -highestLevel(entry.id()))
+        .thenComparingLong(
+            entry -> StableHash.of(StableHash.of(entry.id()), managerIndex, MAX_LEVEL));
   }
 }
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import org.tinylog.Logger;
-import tansytrack.settings.Config;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * The file that holds the configuration, which others replace while managers start and run. Guards
@@ -21,94 +21,94 @@
  */
 final class ConfigFile {
 
-  private static final long MS = 1_000_000L;
-  private static final long PAUSE = 20 * MS; // between two looks
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final long RETRY_INTERVAL_NANOS = 20 * NANOS_PER_MS; // between two looks
 
   private final Path path;
 
   ConfigFile(String path) {
     if (path == null || path.isEmpty()) {
-      throw new Unusable("ROUTER_CONFIG names no configuration");
+      throw new InvalidInputException("ROUTER_CONFIG names no configuration");
     }
     this.path = Path.of(path);
   }
 
   /** A configuration that was read whole, where its channel is, and what was read. */
-  record Whole(Config config, InetSocketAddress channel, String from) {}
+  record LoadedConfig(ManagerConfig config, InetSocketAddress channel, String source) {}
 
   /** It cannot be used, but may be whole a moment later. */
-  static final class Unsettled extends IOException {
+  static final class TransientFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Unsettled(String what) {
+    TransientFileException(String what) {
       super(what);
     }
   }
 
   /** Reads it, again and again where it is not settled, until that time of the steady clock. */
-  Whole read(long until) throws IOException {
+  LoadedConfig read(long until) throws IOException {
     boolean said = false;
     while (true) {
       try {
         return readOnce();
-      } catch (Unsettled e) {
+      } catch (TransientFileException e) {
         long left = until - System.nanoTime();
         if (left <= 0) {
           throw e;
         }
         if (!said) {
           said = true;
-          Logger.warn("{}; read again for up to {} ms", e.getMessage(), left / MS);
+          Logger.warn("{}; read again for up to {} ms", e.getMessage(), left / NANOS_PER_MS);
         }
-        nap(Math.min(PAUSE, left));
+        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, left));
       }
     }
   }
 
   /** Waits on a thread that is not the loop's. */
-  static void nap(long time) throws IOException {
+  static void sleepNanos(long time) throws IOException {
     try {
-      Thread.sleep(time / MS, (int) (time % MS));
+      Thread.sleep(time / NANOS_PER_MS, (int) (time % NANOS_PER_MS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("told to end while waiting", e);
     }
   }
 
-  Whole readOnce() throws IOException {
+  LoadedConfig readOnce() throws IOException {
     BasicFileAttributes before;
     byte[] bytes;
     BasicFileAttributes after;
     try {
       before = Files.readAttributes(path, BasicFileAttributes.class);
       if (before.isDirectory()) {
-        throw new Unusable(path + " is a directory");
+        throw new InvalidInputException(path + " is a directory");
       }
       bytes = Files.readAllBytes(path);
       after = Files.readAttributes(path, BasicFileAttributes.class);
     } catch (NoSuchFileException e) {
-      throw new Unsettled(path + " is missing");
+      throw new TransientFileException(path + " is missing");
     } catch (AccessDeniedException e) {
-      throw new Unusable(path + " may not be read");
+      throw new InvalidInputException(path + " may not be read");
     } catch (IOException e) {
-      throw new Unsettled(path + " cannot be read: " + e.getMessage());
+      throw new TransientFileException(path + " cannot be read: " + e.getMessage());
     }
     String what = path + " (" + bytes.length + " bytes)";
     if (bytes.length == 0) {
-      throw new Unsettled(what + " is empty");
+      throw new TransientFileException(what + " is empty");
     }
     try {
-      Config config = Config.of(Json.read(bytes));
-      address("listen", config.listen());
-      return new Whole(config, address("channel", config.channel()), what);
-    } catch (Junk e) {
-      throw unusable(what, e, e.cutOff(), before, after, bytes.length);
-    } catch (Unusable e) {
-      throw unusable(what, e, false, before, after, bytes.length);
+      ManagerConfig config = ManagerConfig.fromJson(Json.parse(bytes));
+      address("listen", config.listenAddress());
+      return new LoadedConfig(config, address("channel", config.channelAddress()), what);
+    } catch (ProtocolException e) {
+      throw transientErrorOrThrow(what, e, e.truncated(), before, after, bytes.length);
+    } catch (InvalidInputException e) {
+      throw transientErrorOrThrow(what, e, false, before, after, bytes.length);
     }
   }
 
-  private static IOException unusable(
+  private static IOException transientErrorOrThrow(
       String what,
       Exception why,
       boolean cutOff,
@@ -116,21 +116,21 @@
       BasicFileAttributes after,
       int size) {
     if (cutOff) {
-      return new Unsettled(what + " is cut off: " + why.getMessage());
+      return new TransientFileException(what + " is cut off: " + why.getMessage());
     }
     if (before.size() != size
         || after.size() != size
         || !before.lastModifiedTime().equals(after.lastModifiedTime())) {
-      return new Unsettled(what + " changed while it was read: " + why.getMessage());
+      return new TransientFileException(what + " changed while it was read: " + why.getMessage());
     }
-    throw new Unusable(what + ": " + why.getMessage());
+    throw new InvalidInputException(what + ": " + why.getMessage());
   }
 
   private static InetSocketAddress address(String field, String text) {
     try {
-      return Service.address(text);
-    } catch (Junk e) {
-      throw new Unusable(field + ": " + e.getMessage());
+      return Service.parseAddress(text);
+    } catch (ProtocolException e) {
+      throw new InvalidInputException(field + ": " + e.getMessage());
     }
   }
 }
--- a/src/main/java/tansytrack/service/ConfigurationFilePoller.java
+++ b/src/main/java/tansytrack/service/ConfigurationFilePoller.java
@@ -15,22 +15,22 @@
  */
 final class ConfigurationFilePoller implements Runnable {
 
-  private static final long PAUSE =
+  private static final long POLL_INTERVAL_NANOS =
       250_000_000L; // between two looks; the platform counts 4 s from the signal on
 
   private final Path path;
-  private final Runnable changed;
-  private List<Object> seen;
+  private final Runnable onChange;
+  private List<Object> lastFingerprint;
 
   /** What changes from now on counts. */
   ConfigurationFilePoller(String path, Runnable changed) {
     this.path = Path.of(path);
-    this.changed = changed;
-    seen = look();
+    this.onChange = changed;
+    lastFingerprint = fingerprint();
   }
 
   /** What tells one state of the file from the next; empty where there is none. */
-  private List<Object> look() {
+  private List<Object> fingerprint() {
     try {
       BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
       return List.of(now.lastModifiedTime(), now.size(), String.valueOf(now.fileKey()));
@@ -44,7 +44,7 @@
         "SIGHUP was ignored when this program was started (nohup?) and stays so; {} is looked at"
             + " every {} ms instead",
         path,
-        PAUSE / 1_000_000L);
+        POLL_INTERVAL_NANOS / 1_000_000L);
     Thread thread = new Thread(this, "looks");
     thread.setDaemon(true);
     thread.start();
@@ -54,12 +54,12 @@
   public void run() {
     try {
       while (true) {
-        ConfigFile.nap(PAUSE);
-        List<Object> now = look();
-        if (!now.equals(seen)) {
-          seen = now;
+        ConfigFile.sleepNanos(POLL_INTERVAL_NANOS);
+        List<Object> now = fingerprint();
+        if (!now.equals(lastFingerprint)) {
+          lastFingerprint = now;
           if (!now.isEmpty()) {
-            changed.run();
+            onChange.run();
           }
         }
       }
--- a/src/main/java/tansytrack/service/ConfigurationReload.java
+++ b/src/main/java/tansytrack/service/ConfigurationReload.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.tinylog.Logger;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * What SIGHUP sets off, on the thread that the machine starts for each signal: the file is read
@@ -13,31 +13,31 @@
  */
 final class ConfigurationReload {
 
-  static final long PATIENCE =
+  static final long READ_TIMEOUT_NANOS =
       2_000_000_000L; // for a file that is not settled; the platform counts 4 s
 
   private final ConfigFile file;
-  private final AtomicBoolean asked = new AtomicBoolean();
-  private Consumer<ConfigFile.Whole> to; // null until there is a manager
-  private boolean missed;
+  private final AtomicBoolean readPending = new AtomicBoolean();
+  private Consumer<ConfigFile.LoadedConfig> consumer; // null until there is a manager
+  private boolean missedSignal;
 
   ConfigurationReload(ConfigFile file) {
     this.file = file;
   }
 
-  void signalled() {
-    if (asked.getAndSet(true)) {
+  void onSignal() {
+    if (readPending.getAndSet(true)) {
       return; // one that waits its turn will read what this one asks for
     }
     synchronized (this) {
-      asked.set(false);
-      if (to == null) {
-        missed = true;
+      readPending.set(false);
+      if (consumer == null) {
+        missedSignal = true;
         return;
       }
       try {
-        to.accept(file.read(System.nanoTime() + PATIENCE));
-      } catch (IOException | Unusable e) {
+        consumer.accept(file.read(System.nanoTime() + READ_TIMEOUT_NANOS));
+      } catch (IOException | InvalidInputException e) {
         Logger.warn("the new configuration cannot be used, the old one stays: {}", e.getMessage());
       }
     }
@@ -47,14 +47,14 @@
    * From here on there is a manager that can take a new one; what was signalled before is made up
    * for.
    */
-  void to(Consumer<ConfigFile.Whole> manager) {
+  void setConsumer(Consumer<ConfigFile.LoadedConfig> manager) {
     synchronized (this) {
-      to = manager;
-      if (!missed) {
+      consumer = manager;
+      if (!missedSignal) {
         return;
       }
     }
-    Thread thread = new Thread(this::signalled, "reread");
+    Thread thread = new Thread(this::onSignal, "reread");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/main/java/tansytrack/service/Installed.java
+++ b/src/main/java/tansytrack/service/OperatorFeatures.java
@@ -12,66 +12,70 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tansytrack.fleet.udp.FleetLink;
-import tansytrack.ledger.disk.Recorder;
+import tansytrack.fleet.udp.UdpMembership;
+import tansytrack.ledger.disk.LedgerRecorder;
 import tansytrack.log.Event;
 import tansytrack.operator.OperatorFile;
-import tansytrack.settings.Config;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
+import tansytrack.settings.ManagerConfig;
 
 /** What the operators' file switches on; loaded only where there is one. */
-final class Installed {
+final class OperatorFeatures {
 
   private static final int DIGEST_BYTES = 6;
 
-  private Installed() {}
+  private OperatorFeatures() {}
 
   /** Reads the file; before the first line is logged, as it chooses their form. */
-  static Service.Extras extras(String file) {
+  static Service.OptionalFeatures load(String file) {
     OperatorFile all = OperatorFile.read(file);
     if (all.jsonLines()) {
-      Event.jsonLines();
+      Event.useJsonLines();
     }
-    return new Service.Extras(watch(file, all.ledger()), siblings(file, all.fleet()));
+    return new Service.OptionalFeatures(
+        taskListenerFactory(file, all.ledger()), peerManagersFactory(file, all.fleet()));
   }
 
-  private static Service.WatchMaker watch(String file, OperatorFile.LedgerSection ledger) {
+  private static Service.TaskListenerFactory taskListenerFactory(
+      String file, OperatorFile.LedgerSection ledger) {
     if (ledger == null) {
-      return Service.WatchMaker.NONE;
+      return Service.TaskListenerFactory.NONE;
     }
     return (config, timers, inbox) -> {
       try {
-        return Recorder.start(ledger, config.name(), config.settings().grades(), timers, inbox);
+        return LedgerRecorder.start(
+            ledger, config.name(), config.settings().queryClasses(), timers, inbox);
       } catch (IOException e) {
-        throw new Unusable(file + ": ledger: " + e.getMessage());
+        throw new InvalidInputException(file + ": ledger: " + e.getMessage());
       }
     };
   }
 
-  private static Service.SiblingsMaker siblings(String file, OperatorFile.FleetSection fleet) {
+  private static Service.PeerManagersFactory peerManagersFactory(
+      String file, OperatorFile.FleetSection fleet) {
     if (fleet == null) {
-      return Service.SiblingsMaker.NONE;
+      return Service.PeerManagersFactory.NONE;
     }
     return (config, count) -> {
       String name = fleet.name().isEmpty() ? config.name() : fleet.name();
       if (fleet.peers().stream().anyMatch(peer -> peer.name().equals(name))) {
-        throw new Unusable(
+        throw new InvalidInputException(
             file
                 + ": fleet: peers: '"
                 + name
                 + "' is this manager's own name; allowed: the others");
       }
-      String version = Installed.class.getPackage().getImplementationVersion();
+      String version = OperatorFeatures.class.getPackage().getImplementationVersion();
       try {
-        return FleetLink.start(
+        return UdpMembership.start(
             fleet,
             name,
             version == null ? "unpackaged" : version,
             digest(config),
-            config.settings().siblings(),
+            config.settings().managerCount(),
             count);
       } catch (IOException e) {
-        throw new Unusable(file + ": fleet: " + e.getMessage());
+        throw new InvalidInputException(file + ": fleet: " + e.getMessage());
       }
     };
   }
@@ -80,7 +84,7 @@
    * Of the settings, alike for all managers that were told the same, in whatever order their sets
    * stand.
    */
-  private static String digest(Config config) {
+  private static String digest(ManagerConfig config) {
     try {
       byte[] all =
           MessageDigest.getInstance("SHA-256")
@@ -116,7 +120,7 @@
   }
 
   /** Reads it and says what is on; opens nothing. */
-  static String said(String file) {
+  static String summary(String file) {
     OperatorFile all = OperatorFile.read(file);
     OperatorFile.LedgerSection ledger = all.ledger();
     OperatorFile.FleetSection fleet = all.fleet();
@@ -128,7 +132,7 @@
                     + ", "
                     + ledger.rates().rates().size()
                     + " rates, answers "
-                    + (ledger.afterCommit() ? "after commit" : "at once"))
+                    + (ledger.answersAfterCommit() ? "after commit" : "at once"))
             + (fleet == null
                 ? ""
                 : "; fleet of " + (fleet.peers().size() + 1) + " at " + fleet.address());
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -8,9 +8,9 @@
 import java.net.Socket;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import tansytrack.settings.Config;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One short run of the whole manager on loopback, between an engine and a client made up here, so
@@ -20,7 +20,7 @@
 final class Rehearsal {
 
   private static final int TASKS = 200;
-  private static final int PATIENCE_MS =
+  private static final int ANSWER_TIMEOUT_MS =
       2000; // for one answer; then the rehearsal ends with what it has
   private static final String PAGE = "a\tb\tc\n".repeat(40);
 
@@ -30,9 +30,9 @@
    * Plays it with the settings of that configuration and gives the tasks handled; few only make the
    * archive smaller.
    */
-  static long play(Config config) throws Junk, InterruptedException {
+  static long run(ManagerConfig config) throws ProtocolException, InterruptedException {
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      start(() -> accept(engine));
+      startDaemonThread(() -> acceptConnections(engine));
       String address = "127.0.0.1:" + engine.getLocalPort();
       String known =
           "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":{\"complete\":true,"
@@ -40,18 +40,18 @@
               + "\"host_port\":\""
               + address
               + "\",\"phase\":\"ready\",\"locality\":\""
-              + config.settings().place()
+              + config.settings().zone()
               + "\",\"flavor\":\""
-              + config.settings().kinds().keySet().iterator().next()
+              + config.settings().engineTypes().keySet().iterator().next()
               + "\"}]}}]}";
       Service service =
           new Service(
-              config.moved(
-                  "127.0.0.1:0", address, Json.read(known.getBytes(StandardCharsets.UTF_8))));
+              config.withAddresses(
+                  "127.0.0.1:0", address, Json.parse(known.getBytes(StandardCharsets.UTF_8))));
       InetSocketAddress at = service.listen();
-      Thread client = start(() -> ask(at, config));
+      Thread client = startDaemonThread(() -> runClient(at, config));
       Thread loop =
-          start(
+          startDaemonThread(
               () -> {
                 try {
                   service.run();
@@ -62,25 +62,25 @@
       client.join();
       service.terminate();
       loop.join();
-      return service.handled();
+      return service.tasksHandled();
     } catch (IOException e) {
       System.err.println("tansytrack: the rehearsal ended early: " + e);
       return 0;
     }
   }
 
-  private static Thread start(Runnable what) {
+  private static Thread startDaemonThread(Runnable what) {
     Thread thread = new Thread(what, "rehearsal");
     thread.setDaemon(true);
     thread.start();
     return thread;
   }
 
-  private static void accept(ServerSocket engine) {
+  private static void acceptConnections(ServerSocket engine) {
     try {
       while (true) {
         Socket one = engine.accept();
-        start(() -> serve(one));
+        startDaemonThread(() -> serveConnection(one));
       }
     } catch (IOException e) {
       // the rehearsal is over
@@ -91,23 +91,24 @@
    * Each query is said to run on at first; its result has two pages. The command channel has
    * nothing new.
    */
-  private static void serve(Socket one) {
+  private static void serveConnection(Socket one) {
     try (one) {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        String head = head(in);
-        in.skipNBytes(length(head));
+        String head = readHead(in);
+        in.skipNBytes(contentLength(head));
         String answer =
             head.indexOf("POST") == 0
-                ? say("202 Accepted", "", "")
+                ? response("202 Accepted", "", "")
                 : head.indexOf("/cmd/") > 0
-                    ? say("200 OK", "", "{\"cursor\":1,\"cmds\":[]}")
+                    ? response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}")
                     : head.indexOf("/0 HTTP") > 0
-                        ? say("200 OK", "Page-Count: 2\r\nWork-Ms: 5.5\r\nPeak-Mb: 2.5\r\n", PAGE)
+                        ? response(
+                            "200 OK", "Page-Count: 2\r\nWork-Ms: 5.5\r\nPeak-Mb: 2.5\r\n", PAGE)
                         : head.indexOf("GET /o/") == 0
-                            ? say("200 OK", "Page-No: 1\r\n", PAGE)
+                            ? response("200 OK", "Page-No: 1\r\n", PAGE)
                             : head.indexOf("GET") == 0
-                                ? say("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
+                                ? response("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
                                 : "HTTP/1.1 204 No Content\r\n\r\n";
         one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
@@ -117,7 +118,7 @@
   }
 
   /** The head of the next call, up to its blank line. */
-  static String head(DataInputStream in) throws IOException {
+  static String readHead(DataInputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       head.append((char) in.readUnsignedByte());
@@ -126,12 +127,12 @@
   }
 
   /** The length of the body behind it. */
-  static int length(String head) {
+  static int contentLength(String head) {
     int at = head.indexOf("Content-Length: ");
     return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
   }
 
-  static String say(String status, String fields, String body) {
+  static String response(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
         + "\r\n"
@@ -142,26 +143,26 @@
         + body;
   }
 
-  private static void ask(InetSocketAddress at, Config config) {
+  private static void runClient(InetSocketAddress at, ManagerConfig config) {
     try (Socket socket = new Socket()) {
       socket.connect(at);
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.setSoTimeout(ANSWER_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(3 << 16).array());
-      answer(in);
+      awaitReadyForQuery(in);
       for (int i = 0; i < TASKS; i++) {
-        int grade = i % config.settings().grades().size();
+        int grade = i % config.settings().queryClasses().size();
         String text =
             i == 0
                 ? ";"
                 : i == 1
                     ? "show stats"
                     : "/* class="
-                        + config.settings().grades().get(grade).name()
+                        + config.settings().queryClasses().get(grade).name()
                         + ",id="
                         + String.format("%016x", i)
                         + ",wait="
-                        + PATIENCE_MS
+                        + ANSWER_TIMEOUT_MS
                         + ",tenant="
                         + config.settings().tenants().get(0).name()
                         + ",cost=5.0,mb=1,key=00000000000000a1 */"
@@ -177,7 +178,7 @@
                     .putInt(4 + body.length)
                     .put(body)
                     .array());
-        answer(in);
+        awaitReadyForQuery(in);
       }
     } catch (IOException e) {
       System.err.println("tansytrack: the rehearsal's client ended early: " + e);
@@ -185,7 +186,7 @@
   }
 
   /** Reads up to the next ReadyForQuery. */
-  private static void answer(DataInputStream in) throws IOException {
+  private static void awaitReadyForQuery(DataInputStream in) throws IOException {
     int type;
     do {
       type = in.readUnsignedByte();
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -16,27 +16,27 @@
 import org.tinylog.Logger;
 import tansytrack.Decide;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
-import tansytrack.api.Grade;
+import tansytrack.api.DecisionModule;
+import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
 import tansytrack.log.Event;
-import tansytrack.settings.Config;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.state.Manager;
-import tansytrack.state.Siblings;
-import tansytrack.state.TaskWatch;
+import tansytrack.state.PeerManagers;
+import tansytrack.state.TaskListener;
 import tansytrack.state.Timers;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 
 /** One workload manager from start to stop, and the one loop that all its parts run in. */
 public final class Service {
 
-  private static final long MS = 1_000_000L;
-  private static final int UNUSABLE = 2;
-  private static final int FAILED = 3;
-  private static final long LONGEST_NAP = 1000 * MS; // of the loop, with nothing due
-  private static final int MOST_NOTES =
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final int EXIT_UNUSABLE_INPUT = 2;
+  private static final int EXIT_INTERNAL_ERROR = 3;
+  private static final long MAX_WAIT_NANOS = 1000 * NANOS_PER_MS; // of the loop, with nothing due
+  private static final int MAX_EVENTS_PER_TURN =
       2048; // taken before timers and decisions have their turn: what came
   // in time must not be judged as late, whatever the lag
 
@@ -45,76 +45,86 @@
   // is for the lag of a manager on part of a core, which reads late what came in time. SIGKILL
   // after the longest
   // deadline, 3 s of it at most, and 0.7 s more.
-  private static final long COMING = 1000 * MS;
-  private static final long LAST_CALL =
-      100 * MS; // before that, in which those that came last are answered
-  private static final long LONGEST_TO_KILL = 3000 * MS;
-  private static final long KILL_MARGIN = 700 * MS;
-  private static final String IN_USE = "in use"; // the machine's words for EADDRINUSE
-  private static final long BIND_PAUSE = 50 * MS;
-  private static final long START_PATIENCE =
-      5000 * MS; // for the file and the address of the start together
-  private static final long FIRST_NEWS = 500 * MS; // what the channel's first answer is waited for
-  private static final long POLL = 10 * MS; // between looks whether all is answered
-
-  private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
-  private final Clock clock = new Clock();
+  private static final long ACCEPT_AFTER_SIGTERM_NANOS = 1000 * NANOS_PER_MS;
+  private static final long FINAL_ANSWERS_NANOS =
+      100 * NANOS_PER_MS; // before that, in which those that came last are answered
+  private static final long MAX_DEADLINE_BEFORE_KILL_NANOS = 3000 * NANOS_PER_MS;
+  private static final long KILL_MARGIN_NANOS = 700 * NANOS_PER_MS;
+  private static final String ADDRESS_IN_USE = "in use"; // the machine's words for EADDRINUSE
+  private static final long BIND_RETRY_INTERVAL_NANOS = 50 * NANOS_PER_MS;
+  private static final long START_TIMEOUT_NANOS =
+      5000 * NANOS_PER_MS; // for the file and the address of the start together
+  private static final long FIRST_POLL_TIMEOUT_NANOS =
+      500 * NANOS_PER_MS; // what the channel's first answer is waited for
+  private static final long IDLE_CHECK_INTERVAL_NANOS =
+      10 * NANOS_PER_MS; // between looks whether all is answered
+
+  private final LinkedBlockingQueue<Runnable> eventQueue = new LinkedBlockingQueue<>();
+  private final SlewedClock clock = new SlewedClock();
   private final Timers timers = new Timers();
-  private final Sockets sockets = new Sockets(inbox::add, clock);
+  private final Sockets sockets = new Sockets(eventQueue::add, clock);
   private final Manager manager;
-  private final Channel channel;
-  private final TaskWatch watch;
-  private final Siblings siblings;
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private Config config; // as last read
+  private final CommandChannel channel;
+  private final TaskListener taskListener;
+  private final PeerManagers peerManagers;
+  private final CountDownLatch finished = new CountDownLatch(1);
+  private ManagerConfig config; // as last read
   private boolean stopping;
-  private boolean parting; // its sessions are closed: it needs no list any more
+  private boolean closing; // its sessions are closed: it needs no list any more
   private boolean stopped;
 
   /** Makes what listens to the tasks of one manager. */
-  interface WatchMaker {
-    WatchMaker NONE = (config, timers, inbox) -> TaskWatch.NONE;
+  interface TaskListenerFactory {
+    TaskListenerFactory NONE = (config, timers, inbox) -> TaskListener.NONE;
 
-    TaskWatch make(Config config, Timers timers, Consumer<Runnable> inbox);
+    TaskListener create(ManagerConfig config, Timers timers, Consumer<Runnable> inbox);
   }
 
   /**
    * Makes what keeps in touch with the other managers; how many there are goes to the given one, on
    * any thread.
    */
-  interface SiblingsMaker {
-    SiblingsMaker NONE = (config, count) -> Siblings.NONE;
+  interface PeerManagersFactory {
+    PeerManagersFactory NONE = (config, count) -> PeerManagers.NONE;
 
-    Siblings make(Config config, IntConsumer count);
+    PeerManagers create(ManagerConfig config, IntConsumer count);
   }
 
   /** What the operators' file switches on. */
-  record Extras(WatchMaker watch, SiblingsMaker siblings) {
-    static final Extras NONE = new Extras(WatchMaker.NONE, SiblingsMaker.NONE);
+  record OptionalFeatures(
+      TaskListenerFactory taskListenerFactory, PeerManagersFactory peerManagersFactory) {
+    static final OptionalFeatures NONE =
+        new OptionalFeatures(TaskListenerFactory.NONE, PeerManagersFactory.NONE);
   }
 
-  Service(Config config) throws Junk {
-    this(config, Decide::new, Extras.NONE);
+  Service(ManagerConfig config) throws ProtocolException {
+    this(config, Decide::new, OptionalFeatures.NONE);
   }
 
-  Service(Config config, BiFunction<Settings, Actions, Decisions> start, Extras extras)
-      throws Junk {
-    this.config = config.withoutKnown();
+  Service(
+      ManagerConfig config,
+      BiFunction<Settings, Actions, DecisionModule> start,
+      OptionalFeatures extras)
+      throws ProtocolException {
+    this.config = config.withoutKnownEngines();
     timers.now(clock.getAsLong());
-    watch = extras.watch().make(config, timers, inbox::add);
-    siblings = extras.siblings().make(config, count -> inbox.add(() -> this.siblings(count)));
-    manager = new Manager(config, timers, sockets, start, watch, siblings);
-    channel = new Channel(sockets, timers, address(config.channel()), manager);
-    channel.take(config.known());
-    manager.turn();
+    taskListener = extras.taskListenerFactory().create(config, timers, eventQueue::add);
+    peerManagers =
+        extras
+            .peerManagersFactory()
+            .create(config, count -> eventQueue.add(() -> this.managerCountChanged(count)));
+    manager = new Manager(config, timers, sockets, start, taskListener, peerManagers);
+    channel = new CommandChannel(sockets, timers, parseAddress(config.channelAddress()), manager);
+    channel.apply(config.knownEngines());
+    manager.processPending();
   }
 
-  private void siblings(int count) {
-    manager.siblings(count);
+  private void managerCountChanged(int count) {
+    manager.managerCountChanged(count);
   }
 
   /** From here on it can decide, so it may answer. */
-  InetSocketAddress listen() throws IOException, Junk {
+  InetSocketAddress listen() throws IOException, ProtocolException {
     return listen(System.nanoTime());
   }
 
@@ -123,15 +133,15 @@
    * until that time of the steady clock. Harm: an address that is another's for good is said only
    * then.
    */
-  InetSocketAddress listen(long until) throws IOException, Junk {
-    InetSocketAddress wanted = address(config.listen());
+  InetSocketAddress listen(long until) throws IOException, ProtocolException {
+    InetSocketAddress wanted = parseAddress(config.listenAddress());
     boolean said = false;
     catchUp();
     while (true) {
       try {
-        InetSocketAddress at = sockets.listen(wanted, manager::accepted);
-        inbox.add(manager::inquire);
-        siblings.serving();
+        InetSocketAddress at = sockets.listen(wanted, manager::connectionAccepted);
+        eventQueue.add(manager::resolveForwards);
+        peerManagers.markServing();
         Event.info(
             "listening",
             config.name() + " listens at " + at.getHostString() + ':' + at.getPort(),
@@ -145,16 +155,16 @@
         while (root.getCause() != null) {
           root = root.getCause();
         }
-        String what = "cannot listen at " + config.listen() + ": " + root.getMessage();
+        String what = "cannot listen at " + config.listenAddress() + ": " + root.getMessage();
         long left = until - System.nanoTime();
-        if (left <= 0 || !(root instanceof BindException) || !what.contains(IN_USE)) {
+        if (left <= 0 || !(root instanceof BindException) || !what.contains(ADDRESS_IN_USE)) {
           throw new IOException(what, e);
         }
         if (!said) {
           said = true;
-          Logger.warn("{}; tried again for up to {} ms", what, left / MS);
+          Logger.warn("{}; tried again for up to {} ms", what, left / NANOS_PER_MS);
         }
-        ConfigFile.nap(Math.min(BIND_PAUSE, left));
+        ConfigFile.sleepNanos(Math.min(BIND_RETRY_INTERVAL_NANOS, left));
       }
     }
   }
@@ -167,12 +177,12 @@
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
-    long until = timers.now() + FIRST_NEWS;
-    timers.at(until, () -> {}); // the loop naps no longer than that
-    channel.ask();
+    long until = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
+    timers.schedule(until, () -> {}); // the loop naps no longer than that
+    channel.poll();
     try {
-      while (!channel.current() && timers.now() < until) {
-        turn();
+      while (!channel.upToDate() && timers.now() < until) {
+        runOnce();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -184,54 +194,55 @@
    * Serves until SIGTERM: 0, 2 for a configuration that cannot be used, 3 after a failure inside.
    */
   public static int serve(String path, String operator) {
-    long until = System.nanoTime() + START_PATIENCE;
+    long until = System.nanoTime() + START_TIMEOUT_NANOS;
     Service service;
     ConfigurationReload reload;
     try {
       ConfigFile file = new ConfigFile(path);
       // Before all else: SIGHUP would end a JVM that has nothing for it.
       reload = new ConfigurationReload(file);
-      if (!SighupHandler.take(reload::signalled)) {
-        new ConfigurationFilePoller(path, reload::signalled).start();
+      if (!SighupHandler.install(reload::onSignal)) {
+        new ConfigurationFilePoller(path, reload::onSignal).start();
       }
-      Extras extras = operator == null ? Extras.NONE : Installed.extras(operator);
-      service = started(file.read(until), extras);
-    } catch (IOException | Unusable e) {
-      return unusable(e);
+      OptionalFeatures extras =
+          operator == null ? OptionalFeatures.NONE : OperatorFeatures.load(operator);
+      service = create(file.read(until), extras);
+    } catch (IOException | InvalidInputException e) {
+      return reportUnusableInput(e);
     }
     // Before it listens: SIGTERM would end the program at once, with clients that have been
     // accepted.
-    Runtime.getRuntime().addShutdownHook(new Thread(service::terminated, "stop"));
+    Runtime.getRuntime().addShutdownHook(new Thread(service::terminateAndWait, "stop"));
     try {
       service.listen(until);
-      reload.to(service::reread);
-    } catch (IOException | Junk e) {
-      service.ended.countDown();
-      return unusable(e);
+      reload.setConsumer(service::configurationRead);
+    } catch (IOException | ProtocolException e) {
+      service.finished.countDown();
+      return reportUnusableInput(e);
     } catch (RuntimeException | Error e) {
-      return broken(e);
+      return haltAfterFailure(e);
     }
     try {
       service.run();
     } catch (Throwable e) {
-      return broken(e);
+      return haltAfterFailure(e);
     }
-    service.ended.countDown();
+    service.finished.countDown();
     return 0;
   }
 
   /** Not swallowed, not waited out: what a half-told module would decide is worth nothing. */
-  private static int broken(Throwable why) {
+  private static int haltAfterFailure(Throwable why) {
     Logger.error(why, "a failure inside ends the workload manager");
-    Runtime.getRuntime().halt(FAILED);
-    return FAILED;
+    Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
+    return EXIT_INTERNAL_ERROR;
   }
 
-  private static Service started(ConfigFile.Whole from, Extras extras) {
+  private static Service create(ConfigFile.LoadedConfig from, OptionalFeatures extras) {
     try {
       return new Service(from.config(), Decide::new, extras);
-    } catch (Junk e) {
-      throw new Unusable(from.from() + ": known: " + e.getMessage());
+    } catch (ProtocolException e) {
+      throw new InvalidInputException(from.source() + ": known: " + e.getMessage());
     }
   }
 
@@ -241,15 +252,15 @@
    */
   public static int check(String path, String operator, PrintStream out) {
     try {
-      String installed = operator == null ? "" : Installed.said(operator);
-      ConfigFile.Whole from = new ConfigFile(path).readOnce();
-      Service service = started(from, Extras.NONE);
+      String installed = operator == null ? "" : OperatorFeatures.summary(operator);
+      ConfigFile.LoadedConfig from = new ConfigFile(path).readOnce();
+      Service service = create(from, OptionalFeatures.NONE);
       service.sockets.close();
-      Config config = from.config();
+      ManagerConfig config = from.config();
       out.println(
           config.name()
               + ": "
-              + config.settings().grades().size()
+              + config.settings().queryClasses().size()
               + " service grades, "
               + config.settings().tenants().size()
               + " tenants, "
@@ -257,8 +268,8 @@
               + " engines"
               + installed);
       return 0;
-    } catch (IOException | Unusable e) {
-      return unusable(e);
+    } catch (IOException | InvalidInputException e) {
+      return reportUnusableInput(e);
     }
   }
 
@@ -267,46 +278,46 @@
     try {
       out.println(
           "rehearsed: "
-              + Rehearsal.play(new ConfigFile(path).readOnce().config())
+              + Rehearsal.run(new ConfigFile(path).readOnce().config())
               + " tasks handled");
       return 0;
-    } catch (IOException | Junk | Unusable e) {
-      return unusable(e);
+    } catch (IOException | ProtocolException | InvalidInputException e) {
+      return reportUnusableInput(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return FAILED;
+      return EXIT_INTERNAL_ERROR;
     }
   }
 
-  private static int unusable(Exception why) {
+  private static int reportUnusableInput(Exception why) {
     System.err.println("tansytrack: " + why.getMessage());
-    return UNUSABLE;
+    return EXIT_UNUSABLE_INPUT;
   }
 
   /** What SIGHUP brought; on the thread that read it. */
-  void reread(ConfigFile.Whole next) {
-    inbox.add(() -> reconfigure(next.config(), next.channel()));
+  void configurationRead(ConfigFile.LoadedConfig next) {
+    eventQueue.add(() -> reconfigure(next.config(), next.channel()));
   }
 
   /**
    * What can change while tasks are open does; for the rest a line says that it takes a restart.
    */
-  private void reconfigure(Config next, InetSocketAddress to) {
-    if (parting) {
+  private void reconfigure(ManagerConfig next, InetSocketAddress to) {
+    if (closing) {
       return;
     }
-    manager.counters().add("configurations.read");
-    String rest = config.fixedDifference(next);
+    manager.counters().increment("configurations.read");
+    String rest = config.nonReloadableDifferences(next);
     Logger.info(
         "new configuration: command channel at {}{}",
-        next.channel(),
+        next.channelAddress(),
         rest.isEmpty() ? "" : "; takes a restart: " + rest);
-    config = next.withoutKnown();
-    manager.descriptors(next.mostDescriptors());
-    channel.move(to, next.known());
+    config = next.withoutKnownEngines();
+    manager.updateMaxDescriptors(next.maxDescriptors());
+    channel.moveTo(to, next.knownEngines());
   }
 
-  static InetSocketAddress address(String text) throws Junk {
+  static InetSocketAddress parseAddress(String text) throws ProtocolException {
     int colon = text.lastIndexOf(':');
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
@@ -319,101 +330,106 @@
     } catch (NumberFormatException e) {
       // said below
     }
-    throw new Junk("'" + text + "' is not an address with a port");
+    throw new ProtocolException("'" + text + "' is not an address with a port");
   }
 
   /** The loop; it ends some time after it was told to, with all given back. */
   void run() throws InterruptedException {
     try {
       while (!stopped) {
-        turn();
+        runOnce();
       }
     } finally {
-      watch.close();
-      siblings.close();
+      taskListener.close();
+      peerManagers.close();
       sockets.close();
-      report();
+      logCounters();
     }
   }
 
-  long handled() {
-    return manager.counters().of("tasks.handled");
+  long tasksHandled() {
+    return manager.counters().get("tasks.handled");
   }
 
-  int descriptors() {
-    return sockets.open();
+  int openDescriptors() {
+    return sockets.openConnections();
   }
 
-  private void turn() throws InterruptedException {
+  private void runOnce() throws InterruptedException {
     timers.now(clock.getAsLong());
-    long nap = timers.idle(LONGEST_NAP);
-    Runnable note = inbox.poll(nap, TimeUnit.NANOSECONDS);
-    clock.lead();
-    timers.slept(clock.getAsLong(), nap);
-    for (int i = 0; note != null && i < MOST_NOTES; i++) {
+    long nap = timers.nanosUntilNext(MAX_WAIT_NANOS);
+    Runnable note = eventQueue.poll(nap, TimeUnit.NANOSECONDS);
+    clock.slew();
+    timers.advanceAfterSleep(clock.getAsLong(), nap);
+    for (int i = 0; note != null && i < MAX_EVENTS_PER_TURN; i++) {
       note.run();
-      note = inbox.poll();
+      note = eventQueue.poll();
     }
     if (note != null) {
       note.run();
     }
-    timers.run();
-    manager.turn();
+    timers.runDue();
+    manager.processPending();
   }
 
   void terminate() {
-    inbox.add(this::stop);
+    eventQueue.add(this::beginShutdown);
   }
 
   /** Runs on the thread that the machine starts for SIGTERM: the program ends when it returns. */
-  private void terminated() {
+  private void terminateAndWait() {
     terminate();
     try {
-      ended.await();
+      finished.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** SIGTERM: tasks come for a while yet, and are served or given back as the module decides. */
-  private void stop() {
+  private void beginShutdown() {
     if (stopping) {
       return;
     }
-    long longest = config.settings().grades().stream().mapToLong(Grade::cutOff).max().orElse(0);
-    long until = timers.now() + Math.min(longest, LONGEST_TO_KILL) + KILL_MARGIN;
+    long longest =
+        config.settings().queryClasses().stream()
+            .mapToLong(QueryClass::deadlineNanos)
+            .max()
+            .orElse(0);
+    long until =
+        timers.now() + Math.min(longest, MAX_DEADLINE_BEFORE_KILL_NANOS) + KILL_MARGIN_NANOS;
     Event.info(
         "ending",
-        "told to end; answers count for " + (until - timers.now()) / MS + " ms more",
+        "told to end; answers count for " + (until - timers.now()) / NANOS_PER_MS + " ms more",
         "for_ms",
-        (until - timers.now()) / MS);
+        (until - timers.now()) / NANOS_PER_MS);
     stopping = true;
-    siblings.ending();
-    manager.stopping(until);
-    timers.at(
-        Math.min(timers.now() + COMING, until - LAST_CALL),
+    peerManagers.markLeaving();
+    manager.beginShutdown(until);
+    timers.schedule(
+        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, until - FINAL_ANSWERS_NANOS),
         () -> {
           sockets.stopListening();
-          endWhenIdle(until);
+          closeWhenIdle(until);
         });
   }
 
-  private void endWhenIdle(long until) {
+  private void closeWhenIdle(long until) {
     boolean late = timers.now() > until;
     if (late || manager.idle()) {
-      parting = true;
+      closing = true;
       // What tells engines that nobody waits any more still goes out.
       channel.close();
       manager.close();
-      stopped = sockets.open() == 0 || timers.now() > until + KILL_MARGIN;
+      stopped = sockets.openConnections() == 0 || timers.now() > until + KILL_MARGIN_NANOS;
     }
-    timers.at(timers.now() + POLL, () -> endWhenIdle(until));
+    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(until));
   }
 
-  private void report() {
+  private void logCounters() {
     StringBuilder line = new StringBuilder();
     List<Object> pairs = new ArrayList<>();
-    for (Map.Entry<String, Long> one : manager.counters().all().entrySet()) {
+    for (Map.Entry<String, Long> one : manager.counters().asMap().entrySet()) {
       line.append(' ').append(one.getKey()).append('=').append(one.getValue());
       pairs.add(one.getKey());
       pairs.add(one.getValue());
--- a/src/main/java/tansytrack/service/SighupHandler.java
+++ b/src/main/java/tansytrack/service/SighupHandler.java
@@ -15,7 +15,7 @@
    * From now on runs it for each SIGHUP, on a thread that the machine starts for it; false where
    * the signal was ignored when the JVM started, as it leaves that so.
    */
-  static boolean take(Runnable what) {
+  static boolean install(Runnable what) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/main/java/tansytrack/settings/Config.java
+++ b/src/main/java/tansytrack/settings/ManagerConfig.java
@@ -7,15 +7,15 @@
 import tansytrack.api.Settings;
 
 /** All that a workload manager is told when it starts; times in nanoseconds. */
-public record Config(
+public record ManagerConfig(
     String name,
-    String listen,
-    String channel,
-    Object known,
+    String listenAddress,
+    String channelAddress,
+    Object knownEngines,
     Settings settings,
-    List<String> columns,
-    long idleTime,
-    int mostDescriptors) {
+    List<String> reportColumns,
+    long idleTimeoutNanos,
+    int maxDescriptors) {
 
   private static final List<String> REPORTED =
       List.of("cpu_share", "busy_reqs", "pending", "x0", "x1");
@@ -26,63 +26,70 @@
    * From the parsed JSON of the configuration; the settings in it become the pairs that the bench
    * would send.
    */
-  public static Config of(Object json) {
+  public static ManagerConfig fromJson(Object json) {
     Map<?, ?> all = map(json, "the configuration");
-    Pairs pairs = new Pairs();
+    SettingsParser pairs = new SettingsParser();
     flatten("", map(all.get("settings"), "settings"), pairs);
     long seed;
     try {
       seed = Long.parseUnsignedLong(text(all, "seed"), 16);
     } catch (NumberFormatException e) {
-      throw new Unusable("seed is not a hex number");
+      throw new InvalidInputException("seed is not a hex number");
     }
     Object sockets = map(all.get("limits"), "limits").get("sockets");
     if (!(sockets instanceof Number)) {
-      throw new Unusable("limits.sockets is not a number");
+      throw new InvalidInputException("limits.sockets is not a number");
     }
-    Settings settings = pairs.settings(seed);
-    if (settings.grades().isEmpty()) {
-      throw new Unusable("settings.grades is empty");
+    Settings settings = pairs.toSettings(seed);
+    if (settings.queryClasses().isEmpty()) {
+      throw new InvalidInputException("settings.grades is empty");
     }
-    return new Config(
+    return new ManagerConfig(
         text(all, "name"),
         text(all, "listen"),
         text(all, "channel"),
         all.get("known"),
         settings,
-        pairs.columns(),
+        pairs.reportColumns(),
         pairs.time("policy_limits.conn_idle_ms"),
         ((Number) sockets).intValue());
   }
 
   /** How long a connection to an engine may take to come up. */
-  public long connectTime() {
-    return settings.levers().connectTime();
+  public long connectTimeoutNanos() {
+    return settings.capabilities().connectTimeoutNanos();
   }
 
   /** The same without the engines: thousands of them take megabytes, and are needed once. */
-  public Config withoutKnown() {
-    return moved(listen, channel, null);
+  public ManagerConfig withoutKnownEngines() {
+    return withAddresses(listenAddress, channelAddress, null);
   }
 
   /** The same manager elsewhere, with other engines. */
-  public Config moved(String otherListen, String otherChannel, Object otherKnown) {
-    return new Config(
-        name, otherListen, otherChannel, otherKnown, settings, columns, idleTime, mostDescriptors);
+  public ManagerConfig withAddresses(String otherListen, String otherChannel, Object otherKnown) {
+    return new ManagerConfig(
+        name,
+        otherListen,
+        otherChannel,
+        otherKnown,
+        settings,
+        reportColumns,
+        idleTimeoutNanos,
+        maxDescriptors);
   }
 
   /**
    * What differs in another one that a running manager cannot take over, by name; empty: nothing.
    */
-  public String fixedDifference(Config other) {
+  public String nonReloadableDifferences(ManagerConfig other) {
     List<String> differ = new ArrayList<>();
-    if (!listen.equals(other.listen)) {
+    if (!listenAddress.equals(other.listenAddress)) {
       differ.add("listen");
     }
     // The seed is new with each start, so it says nothing of the settings.
     if (!settings.equals(other.settings.withSeed(settings.seed()))
-        || idleTime != other.idleTime
-        || !columns.equals(other.columns)) {
+        || idleTimeoutNanos != other.idleTimeoutNanos
+        || !reportColumns.equals(other.reportColumns)) {
       differ.add("settings");
     }
     return String.join(", ", differ);
@@ -92,21 +99,21 @@
     if (value instanceof Map) {
       return (Map<?, ?>) value;
     }
-    throw new Unusable(what + " is not an object");
+    throw new InvalidInputException(what + " is not an object");
   }
 
   private static String text(Map<?, ?> from, String name) {
     if (from.get(name) instanceof String) {
       return (String) from.get(name);
     }
-    throw new Unusable(name + " is not a string");
+    throw new InvalidInputException(name + " is not a string");
   }
 
-  private static void flatten(String path, Map<?, ?> object, Pairs into) {
+  private static void flatten(String path, Map<?, ?> object, SettingsParser into) {
     object.forEach((name, value) -> put(path + name, value, into));
   }
 
-  private static void put(String path, Object value, Pairs into) {
+  private static void put(String path, Object value, SettingsParser into) {
     if (value instanceof Map) {
       flatten(path + '.', (Map<?, ?>) value, into);
     } else if (value instanceof List) {
@@ -117,7 +124,7 @@
           put(path + '.' + i, list.get(i), into);
         }
       } else {
-        into.put(path, String.join(",", list.stream().map(Config::plain).toList()));
+        into.put(path, String.join(",", list.stream().map(ManagerConfig::plain).toList()));
       }
     } else if (value != null) {
       into.put(path, plain(value));
@@ -129,16 +136,16 @@
   }
 
   /** The place of a reported figure among the columns, or -1. */
-  public int column(String name) {
-    int at = columns.indexOf(name);
-    return at >= 0 ? at : columns.indexOf(OTHER_NAMES.getOrDefault(name, name));
+  public int columnIndex(String name) {
+    int at = reportColumns.indexOf(name);
+    return at >= 0 ? at : reportColumns.indexOf(OTHER_NAMES.getOrDefault(name, name));
   }
 
   /** A report from the figures of all columns. */
-  public LoadReport report(double[] figures) {
+  public LoadReport toLoadReport(double[] figures) {
     double[] all = new double[REPORTED.size()];
     for (int i = 0; i < all.length; i++) {
-      int at = column(REPORTED.get(i));
+      int at = columnIndex(REPORTED.get(i));
       all[i] = at < 0 ? Double.NaN : figures[at];
     }
     return new LoadReport(all[0], all[1], all[2], all[3], all[4]);
