--- a/src/main/java/tansytrack/settings/Pairs.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tansytrack.api.Grade;
+import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
 
 /**
  * The start-up settings of one workload manager, from path=value pairs; unknown paths are skipped.
  */
-public final class Pairs {
+public final class SettingsParser {
 
   private static final long CONNECT_TIME =
       1_000_000_000L; // where none is set: far more than a round trip
@@ -23,7 +23,7 @@
   public void put(String pair) {
     int cut = pair.indexOf('=');
     if (cut < 1) {
-      throw new Unusable("pair without '='");
+      throw new InvalidInputException("pair without '='");
     }
     pairs.put(pair.substring(0, cut), pair.substring(cut + 1));
   }
@@ -32,19 +32,19 @@
     pairs.put(path, value);
   }
 
-  public List<String> columns() {
+  public List<String> reportColumns() {
     return list("reporting.columns");
   }
 
-  public Settings settings(long seed) {
-    List<Grade> grades = new ArrayList<>();
+  public Settings toSettings(long seed) {
+    List<QueryClass> grades = new ArrayList<>();
     List<String> threads = list("extra.threads_by_class");
     List<String> loads = list("extra.is_load");
     List<String> waits = list("extra.class_waits");
     for (int i = 0; i < (int) number("grades.count", 0); i++) {
       String g = "grades." + i + ".";
       grades.add(
-          new Grade(
+          new QueryClass(
               pairs.getOrDefault(g + "name", "?"),
               repeat(pairs.get(g + "repeat")),
               scope(pairs.get(g + "key_scope")),
@@ -70,20 +70,20 @@
               number(t + "portion", 0),
               number(t + "quota_rps", 0)));
     }
-    Map<String, Settings.Kind> kinds = new HashMap<>();
+    Map<String, Settings.EngineType> kinds = new HashMap<>();
     List<String> names = list("skus");
     List<String> cores = list("extra.cpu_of_kind");
     List<String> memory = list("extra.memory_by_kind_mb");
     for (int i = 0; i < names.size(); i++) {
       kinds.put(
           names.get(i),
-          new Settings.Kind(
+          new Settings.EngineType(
               i < cores.size() ? (int) parse("extra.cpu_of_kind", cores.get(i)) : 0,
               i < memory.size() ? parse("extra.memory_by_kind_mb", memory.get(i)) : 0));
     }
     long connectTime = time("policy_limits.connect_timeout_ms");
-    Settings.Levers levers =
-        new Settings.Levers(
+    Settings.Capabilities levers =
+        new Settings.Capabilities(
             flag("policy_limits.may_probe"),
             flag("policy_limits.cancel"),
             flag("policy_limits.parallel_tries"),
@@ -97,17 +97,17 @@
             time("extra.progress_ms"),
             number("prices.cross_zone", 0) > 0,
             connectTime > 0 ? connectTime : CONNECT_TIME);
-    Settings.ColdRule cold =
+    Settings.ColdStartLimit cold =
         pairs.containsKey("rules.overload_factor")
-            ? new Settings.ColdRule(
+            ? new Settings.ColdStartLimit(
                 number("rules.start_capacity", 1),
                 time("rules.ramp_time_ms"),
                 number("rules.overload_factor", 0),
                 time("rules.fall_ms"))
             : null;
-    Settings.RationRule ration =
+    Settings.RetryBudget ration =
         pairs.containsKey("rules.look_back_ms")
-            ? new Settings.RationRule(
+            ? new Settings.RetryBudget(
                 (int) number("rules.spare_attempts", 0),
                 number("rules.extra_per_request", 0),
                 time("rules.look_back_ms"))
@@ -115,7 +115,7 @@
     return new Settings(
         seed,
         Math.max(1, (int) number("siblings", 1)),
-        (int) number("position", Settings.UNKNOWN),
+        (int) number("position", Settings.UNKNOWN_INDEX),
         pairs.getOrDefault("zone", ""),
         grades,
         tenants,
@@ -127,18 +127,22 @@
         ration);
   }
 
-  private static Grade.Repeat repeat(String word) {
+  private static QueryClass.RetrySafety repeat(String word) {
     if ("idempotent".equals(word)) {
-      return Grade.Repeat.HARMLESS;
+      return QueryClass.RetrySafety.IDEMPOTENT;
     }
-    return "deduplicated".equals(word) ? Grade.Repeat.STAMPED : Grade.Repeat.ONE_SHOT;
+    return "deduplicated".equals(word)
+        ? QueryClass.RetrySafety.DEDUPLICATED
+        : QueryClass.RetrySafety.NON_IDEMPOTENT;
   }
 
-  private static Grade.Scope scope(String word) {
+  private static QueryClass.DeduplicationScope scope(String word) {
     if ("all".equals(word)) {
-      return Grade.Scope.ALL;
+      return QueryClass.DeduplicationScope.ALL;
     }
-    return "zone".equals(word) ? Grade.Scope.PLACE : Grade.Scope.CELL;
+    return "zone".equals(word)
+        ? QueryClass.DeduplicationScope.ZONE
+        : QueryClass.DeduplicationScope.CELL;
   }
 
   private boolean flag(String path) {
@@ -165,7 +169,7 @@
     if (number >= 0 && number < MOST) {
       return number;
     }
-    throw new Unusable(
+    throw new InvalidInputException(
         "settings." + path + ": '" + value + "'; allowed: a number from 0 to under 1e12");
   }
 
--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -16,19 +16,19 @@
 import java.util.function.BiFunction;
 import org.tinylog.Logger;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.EngineEntry;
-import tansytrack.api.EngineView;
-import tansytrack.api.Grade;
+import tansytrack.api.EngineStatus;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
+import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
-import tansytrack.api.TaskOffer;
-import tansytrack.settings.Config;
+import tansytrack.api.TaskRequest;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Connection;
-import tansytrack.wire.Http;
-import tansytrack.wire.Junk;
+import tansytrack.wire.HttpCodec;
 import tansytrack.wire.PgSession;
+import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 import tansytrack.wire.Statement;
 
@@ -36,100 +36,104 @@
  * What a running workload manager holds, between the module on one side and the sockets on the
  * other.
  */
-public final class Manager implements Actions, PgSession.Front {
+public final class Manager implements Actions, PgSession.Handler {
 
-  private static final long MS = 1_000_000L;
-  private static final int SPARE_DESCRIPTORS =
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final int RESERVED_DESCRIPTORS =
       64; // files of the program itself, its listener and channel,
   // and clients that come while all others are in use
-  private static final int LAST_DESCRIPTORS =
+  private static final int MIN_FREE_DESCRIPTORS =
       24; // of those: with no more left no client is taken in
-  private static final long LONGEST_LAG =
-      3000 * MS; // a call leaves so long before its connection is closed as idle
-  private static final long ROUND = 500 * MS; // between rounds over sessions and idle connections
-  private static final String[] COLUMNS = {"c1", "c2", "c3"};
-  private static final String FAILED = "58000"; // no refusal: it promises nothing
-  private static final String[] ENDED = {
+  private static final long IDLE_TIMEOUT_MARGIN_NANOS =
+      3000 * NANOS_PER_MS; // a call leaves so long before its connection is closed as idle
+  private static final long ROUND_INTERVAL_NANOS =
+      500 * NANOS_PER_MS; // between rounds over sessions and idle connections
+  private static final String[] RESULT_COLUMNS = {"c1", "c2", "c3"};
+  private static final String SQLSTATE_FAILED = "58000"; // no refusal: it promises nothing
+  private static final String[] TASK_END_COUNTERS = {
     "tasks.handled", "tasks.bounced", "tasks.aborted", "tasks.abandoned", "tasks.time_up"
   }; // by TaskWatch.End
   private static final String SHOW_STATS = "show stats";
   private static final String SHOW_FLEET = "show fleet";
-  private static final String[] STATS = {"counter", "count"};
+  private static final String[] STATS_COLUMNS = {"counter", "count"};
 
   /** Characters of the counters by engine: their messages have to fit what a session may hold. */
-  private static final int LONGEST_ENGINE_STATS = 1 << 17;
+  private static final int MAX_ENGINE_STATS_CHARS = 1 << 17;
 
-  private final Config config;
+  private final ManagerConfig config;
   private final Timers timers;
   private final Sockets sockets;
   private final Counters counters = new Counters();
-  private final Decisions module;
-  private final TaskWatch watch;
-  private final Siblings siblings;
-  private final EngineLines.Limits limits;
-  private int mostSessions;
-  private final SecureRandom secrets = new SecureRandom();
-  private final Intake intake;
+  private final DecisionModule module;
+  private final TaskListener listener;
+  private final PeerManagers peerManagers;
+  private final EngineConnections.Limits limits;
+  private int maxSessions;
+  private final SecureRandom random = new SecureRandom();
+  private final TaskParser taskParser;
   private final Set<String> orderedClasses; // whose queries run one at a time, by key
   private final Map<String, OpenTask> tasks = new HashMap<>();
-  private final Map<String, EngineLines> engines = new LinkedHashMap<>();
+  private final Map<String, EngineConnections> engines = new LinkedHashMap<>();
   private final Map<Integer, PgSession> sessions = new LinkedHashMap<>(); // the oldest first
   private final ArrayDeque<OpenTask> finished = new ArrayDeque<>();
-  private final ArrayDeque<Runnable> later = new ArrayDeque<>();
-  private int sessionNumber;
-  private boolean admitted = true; // as the module was last told
-  private int owed; // answers
-  private boolean told; // the module has heard something and not yet decided
+  private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
+  private int lastProcessId;
+  private boolean admitting = true; // as the module was last told
+  private int unansweredTasks; // answers
+  private boolean decisionPending; // the module has heard something and not yet decided
 
   public Manager(
-      Config config,
+      ManagerConfig config,
       Timers timers,
       Sockets sockets,
-      BiFunction<Settings, Actions, Decisions> start,
-      TaskWatch watch,
-      Siblings siblings) {
+      BiFunction<Settings, Actions, DecisionModule> start,
+      TaskListener watch,
+      PeerManagers siblings) {
     this.config = config;
-    this.watch = watch;
-    this.siblings = siblings;
+    this.listener = watch;
+    this.peerManagers = siblings;
     this.timers = timers;
     this.sockets = sockets;
     limits =
-        new EngineLines.Limits(
-            config.connectTime(), Math.max(config.idleTime() / 2, config.idleTime() - LONGEST_LAG));
-    descriptors(config.mostDescriptors());
-    intake =
-        new Intake(
-            config.settings().grades().stream().map(Grade::name).collect(toSet()),
+        new EngineConnections.Limits(
+            config.connectTimeoutNanos(),
+            Math.max(
+                config.idleTimeoutNanos() / 2,
+                config.idleTimeoutNanos() - IDLE_TIMEOUT_MARGIN_NANOS));
+    updateMaxDescriptors(config.maxDescriptors());
+    taskParser =
+        new TaskParser(
+            config.settings().queryClasses().stream().map(QueryClass::name).collect(toSet()),
             config.settings().tenants().stream().map(Settings.Tenant::name).collect(toSet()));
     orderedClasses =
-        config.settings().grades().stream()
-            .filter(Grade::inOrder)
-            .map(Grade::name)
+        config.settings().queryClasses().stream()
+            .filter(QueryClass::serializedByKey)
+            .map(QueryClass::name)
             .collect(toSet());
     module = start.apply(config.settings(), this);
-    timers.at(timers.now() + ROUND, this::round);
+    timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
   // ---- The loop's side ----
 
   @Override
-  public void later(Runnable what) {
-    later.add(what);
+  public void defer(Runnable what) {
+    deferred.add(what);
   }
 
   /** Lets the module decide on all that it has heard, until nothing is left to be told. */
-  public void turn() {
-    while (told || !later.isEmpty()) {
-      for (int i = later.size(); i > 0; i--) {
-        later.poll().run();
+  public void processPending() {
+    while (decisionPending || !deferred.isEmpty()) {
+      for (int i = deferred.size(); i > 0; i--) {
+        deferred.poll().run();
       }
-      if (told) {
-        told = false;
+      if (decisionPending) {
+        decisionPending = false;
         module.decide(timers.now());
         // Only now: the module may act on a task in the very turn in which it hears that it is
         // over.
         for (OpenTask task = finished.poll(); task != null; task = finished.poll()) {
-          if (task.out == 0) {
+          if (task.openForwards == 0) {
             tasks.remove(task.id, task);
           }
         }
@@ -138,10 +142,10 @@
   }
 
   /** How many descriptors there are in all. */
-  public void descriptors(int most) {
-    limits.most = most - SPARE_DESCRIPTORS;
-    mostSessions = most / 2;
-    sockets.mostAccepted(mostSessions + LAST_DESCRIPTORS);
+  public void updateMaxDescriptors(int most) {
+    limits.maxOpenConnections = most - RESERVED_DESCRIPTORS;
+    maxSessions = most / 2;
+    sockets.maxAccepted(maxSessions + MIN_FREE_DESCRIPTORS);
   }
 
   public Counters counters() {
@@ -155,46 +159,46 @@
   /**
    * Asks what became of the forwards that the life before left out; the engines are known by then.
    */
-  public void inquire() {
-    if (!watch.left().isEmpty()) {
-      new Inquiry(this, timers, watch).start(watch.left());
+  public void resolveForwards() {
+    if (!listener.unresolvedForwards().isEmpty()) {
+      new ForwardResolution(this, timers, listener).start(listener.unresolvedForwards());
     }
   }
 
-  EngineLines engine(String id) {
+  EngineConnections engine(String id) {
     return engines.get(id);
   }
 
   /** So many managers share the engines from now on. */
-  public void siblings(int count) {
-    told = true;
-    module.siblings(timers.now(), count);
+  public void managerCountChanged(int count) {
+    decisionPending = true;
+    module.onManagerCount(timers.now(), count);
   }
 
   /** The manager is to end, and no answer given after that time will count. */
-  public void stopping(long until) {
-    told = true;
-    module.stopping(timers.now(), until);
+  public void beginShutdown(long until) {
+    decisionPending = true;
+    module.onShutdown(timers.now(), until);
   }
 
   /** Is no answer owed, and none still being read? */
   public boolean idle() {
-    return owed == 0 && sessions.values().stream().noneMatch(PgSession::busy);
+    return unansweredTasks == 0 && sessions.values().stream().noneMatch(PgSession::busy);
   }
 
   /** Ends all sessions, and each connection to an engine once its call has ended. */
   public void close() {
-    engines.values().forEach(EngineLines::retire);
-    new ArrayList<>(sessions.values()).forEach(PgSession::end);
+    engines.values().forEach(EngineConnections::retire);
+    new ArrayList<>(sessions.values()).forEach(PgSession::closeAfterFlush);
   }
 
-  private void round() {
-    new ArrayList<>(sessions.values()).forEach(PgSession::round);
+  private void checkSessionsAndEngines() {
+    new ArrayList<>(sessions.values()).forEach(PgSession::checkProgress);
     // Not at once: the module may act on an engine in the very turn in which it hears that it has
     // gone.
-    engines.values().removeIf(engine -> engine.forgotten(2 * ROUND));
-    engines.values().forEach(EngineLines::trim);
-    timers.at(timers.now() + ROUND, this::round);
+    engines.values().removeIf(engine -> engine.retiredLongerThan(2 * ROUND_INTERVAL_NANOS));
+    engines.values().forEach(EngineConnections::closeExpiredIdle);
+    timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
   // ---- The command channel's side ----
@@ -202,38 +206,39 @@
   /** Engines as listed, and where those are that have not gone. */
   public void engines(
       boolean complete, List<EngineEntry> entries, Map<String, InetSocketAddress> addresses) {
-    counters.add("channel.lists");
+    counters.increment("channel.lists");
     if (complete) {
       engines.values().stream()
           .filter(engine -> !addresses.containsKey(engine.id))
-          .forEach(EngineLines::retire);
+          .forEach(EngineConnections::retire);
     }
     for (EngineEntry entry : entries) {
       if (entry.state() != EngineEntry.State.GONE) {
         engines
             .computeIfAbsent(
-                entry.id(), id -> new EngineLines(id, sockets, timers, limits, counters))
-            .listed(addresses.get(entry.id()), entry.state() == EngineEntry.State.READY);
+                entry.id(), id -> new EngineConnections(id, sockets, timers, limits, counters))
+            .updateListing(addresses.get(entry.id()), entry.state() == EngineEntry.State.READY);
       } else if (engines.containsKey(entry.id())) {
         engines.get(entry.id()).retire();
       }
     }
-    tasks.values().forEach(task -> task.forwards.forEach(OpenForward::undrained));
-    told = true;
-    module.engines(timers.now(), complete, entries);
+    tasks.values().forEach(task -> task.forwards.forEach(OpenForward::engineListChanged));
+    decisionPending = true;
+    module.onEngineList(timers.now(), complete, entries);
   }
 
   // ---- The clients' side ----
 
-  public void accepted(Connection connection) {
-    counters.add("clients.connections");
-    int number = ++sessionNumber;
-    PgSession session = new PgSession(connection, this, number, secrets.nextInt());
-    if (sessions.size() >= mostSessions
-        || sockets.open() > limits.most + SPARE_DESCRIPTORS - LAST_DESCRIPTORS) {
-      counters.add("clients.too_many");
-      PgSession given = leastNeeded();
-      (given == null ? session : given).refuse();
+  public void connectionAccepted(Connection connection) {
+    counters.increment("clients.connections");
+    int number = ++lastProcessId;
+    PgSession session = new PgSession(connection, this, number, random.nextInt());
+    if (sessions.size() >= maxSessions
+        || sockets.openConnections()
+            > limits.maxOpenConnections + RESERVED_DESCRIPTORS - MIN_FREE_DESCRIPTORS) {
+      counters.increment("clients.too_many");
+      PgSession given = sessionToEvict();
+      (given == null ? session : given).rejectConnection();
     }
     sessions.put(number, session);
   }
@@ -242,10 +247,10 @@
    * Guards against crowds that connect and say nothing: they make room for each other, and for the
    * usual clients.
    */
-  private PgSession leastNeeded() {
+  private PgSession sessionToEvict() {
     PgSession least = null;
     for (PgSession one : sessions.values()) {
-      if (one.dispensable() > (least == null ? -1 : least.dispensable())) {
+      if (one.evictionPriority() > (least == null ? -1 : least.evictionPriority())) {
         least = one;
       }
     }
@@ -254,62 +259,64 @@
 
   @Override
   public void query(PgSession session, byte[] text, long at) {
-    counters.add("clients.queries");
+    counters.increment("clients.queries");
     Statement statement;
-    TaskOffer offer;
+    TaskRequest offer;
     String stamp;
     try {
-      statement = Statement.read(text);
-      if (statement.is(SHOW_STATS)) {
-        session.rows(STATS, List.of(stats()));
+      statement = Statement.parse(text);
+      if (statement.equalsIgnoringCase(SHOW_STATS)) {
+        session.sendRows(STATS_COLUMNS, List.of(statsRows()));
         return;
       }
-      if (statement.is(SHOW_FLEET) && siblings.members() != null) {
-        session.rows(Siblings.COLUMNS, List.of(fleet()));
+      if (statement.equalsIgnoringCase(SHOW_FLEET) && peerManagers.members() != null) {
+        session.sendRows(PeerManagers.MEMBER_COLUMNS, List.of(memberRows()));
         return;
       }
-      offer = intake.offer(statement, at);
-      stamp = Intake.stamp(statement);
+      offer = taskParser.parseTask(statement, at);
+      stamp = TaskParser.idempotencyKey(statement);
       if (tasks.containsKey(offer.id())) {
-        throw new Junk("field id: a task with this id is open");
+        throw new ProtocolException("field id: a task with this id is open");
       }
-    } catch (Junk e) {
-      counters.add("clients.unusable");
-      session.unusable(e.getMessage());
+    } catch (ProtocolException e) {
+      counters.increment("clients.unusable");
+      session.rejectQuery(e.getMessage());
       return;
     }
     OpenTask task =
         new OpenTask(
             offer.id(),
-            offer.grade(),
+            offer.queryClass(),
             statement.body(),
-            offer.cutOffAt(),
-            offer.key() != null && orderedClasses.contains(offer.grade()),
+            offer.deadlineNanos(),
+            offer.key() != null && orderedClasses.contains(offer.queryClass()),
             stamp,
             session);
-    session.open(task);
-    owed++;
+    session.openQuery(task);
+    unansweredTasks++;
     tasks.put(task.id, task);
-    counters.add("tasks.taken");
-    told = true;
-    if (watch.admits() != admitted) {
-      admitted = !admitted;
-      module.admit(timers.now(), admitted);
+    counters.increment("tasks.taken");
+    decisionPending = true;
+    if (listener.acceptsTasks() != admitting) {
+      admitting = !admitting;
+      module.onAdmissionChange(timers.now(), admitting);
     }
-    watch.taken(timers.now(), offer);
-    module.task(timers.now(), offer);
+    listener.taskAccepted(timers.now(), offer);
+    module.onTask(timers.now(), offer);
   }
 
-  private static void row(StringBuilder rows, String name, long value) {
+  private static void appendRow(StringBuilder rows, String name, long value) {
     rows.append(name).append('\t').append(value).append('\n');
   }
 
-  private byte[] stats() {
+  private byte[] statsRows() {
     StringBuilder rows = new StringBuilder();
-    counters.all().forEach((kind, count) -> row(rows, kind, count));
-    sockets.junk().forEach((reason, count) -> row(rows, "connections.junk." + reason, count));
-    siblings.counts().forEach((kind, count) -> row(rows, kind, count));
-    engineStats(rows);
+    counters.asMap().forEach((kind, count) -> appendRow(rows, kind, count));
+    sockets
+        .protocolErrors()
+        .forEach((reason, count) -> appendRow(rows, "connections.junk." + reason, count));
+    peerManagers.counts().forEach((kind, count) -> appendRow(rows, kind, count));
+    appendEngineStats(rows);
     return rows.toString().getBytes(StandardCharsets.UTF_8);
   }
 
@@ -317,91 +324,96 @@
    * The module's view beside what is on the sockets: they differ only by news that it has not yet
    * been told. Of thousands of engines the first ones are shown, and how many are not.
    */
-  private void engineStats(StringBuilder rows) {
-    row(rows, "engines.known", engines.size());
-    int most = rows.length() + LONGEST_ENGINE_STATS;
+  private void appendEngineStats(StringBuilder rows) {
+    appendRow(rows, "engines.known", engines.size());
+    int most = rows.length() + MAX_ENGINE_STATS_CHARS;
     int notShown = 0;
-    for (EngineView view : module.view(timers.now())) {
+    for (EngineStatus view : module.engineStatuses(timers.now())) {
       if (rows.length() > most) {
         notShown++;
       } else {
-        engineStats(rows, view);
+        appendEngineStats(rows, view);
       }
     }
     if (notShown > 0) {
-      row(rows, "engines.not_shown", notShown);
+      appendRow(rows, "engines.not_shown", notShown);
     }
   }
 
-  private void engineStats(StringBuilder rows, EngineView view) {
-    EngineLines engine = engines.get(view.id());
+  private void appendEngineStats(StringBuilder rows, EngineStatus view) {
+    EngineConnections engine = engines.get(view.id());
     String name = "engine." + view.id();
-    row(rows, name + ".forwards.module", view.forwards());
-    row(rows, name + ".forwards.sockets", engine == null ? 0 : engine.forwards);
-    row(rows, name + ".report.age.ms", view.reportAge() < 0 ? -1 : view.reportAge() / MS);
-    row(rows, name + ".excluded", view.excluded() ? 1 : 0);
+    appendRow(rows, name + ".forwards.module", view.openForwards());
+    appendRow(rows, name + ".forwards.sockets", engine == null ? 0 : engine.openForwards);
+    appendRow(
+        rows,
+        name + ".report.age.ms",
+        view.reportAgeNanos() < 0 ? -1 : view.reportAgeNanos() / NANOS_PER_MS);
+    appendRow(rows, name + ".excluded", view.excluded() ? 1 : 0);
   }
 
-  private byte[] fleet() {
+  private byte[] memberRows() {
     StringBuilder rows = new StringBuilder();
-    siblings.members().forEach(member -> rows.append(String.join("\t", member)).append('\n'));
+    peerManagers.members().forEach(member -> rows.append(String.join("\t", member)).append('\n'));
     return rows.toString().getBytes(StandardCharsets.UTF_8);
   }
 
   @Override
-  public void cancel(int number, int secret) {
+  public void cancelRequested(int number, int secret) {
     PgSession session = sessions.get(number);
-    if (session != null && session.fits(secret) && session.open() instanceof OpenTask task) {
-      counters.add("clients.cancels");
+    if (session != null
+        && session.matchesSecretKey(secret)
+        && session.openQuery() instanceof OpenTask task) {
+      counters.increment("clients.cancels");
       abandon(
           task,
-          TaskWatch.End.ABANDONED,
-          () -> session.error("57014", "canceling statement due to user request"));
+          TaskListener.TaskEnd.ABANDONED,
+          () -> session.sendError("57014", "canceling statement due to user request"));
     }
   }
 
   @Override
-  public void gone(PgSession session) {
-    if (session.open() instanceof OpenTask task) {
-      counters.add("clients.left");
-      abandon(task, TaskWatch.End.ABANDONED, () -> {});
+  public void sessionEnded(PgSession session) {
+    if (session.openQuery() instanceof OpenTask task) {
+      counters.increment("clients.left");
+      abandon(task, TaskListener.TaskEnd.ABANDONED, () -> {});
     }
   }
 
   @Override
-  public void malformed(String why) {
-    counters.add("clients.malformed." + why.replace(' ', '_'));
+  public void protocolViolated(String why) {
+    counters.increment("clients.malformed." + why.replace(' ', '_'));
   }
 
   @Override
-  public void over(PgSession session) {
-    sessions.remove(session.number());
+  public void sessionReleased(PgSession session) {
+    sessions.remove(session.processId());
   }
 
   /**
    * The client waits no longer: it is told so, and the module that nobody needs an answer any more.
    */
-  void timeUp(OpenTask task) {
+  void taskTimedOut(OpenTask task) {
     if (!task.answered()) {
       PgSession session = task.session;
       abandon(
           task,
-          TaskWatch.End.TIME_UP,
-          () -> session.error(FAILED, "the time is up; the statement may have run"));
+          TaskListener.TaskEnd.TIME_UP,
+          () -> session.sendError(SQLSTATE_FAILED, "the time is up; the statement may have run"));
     }
   }
 
-  private void abandon(OpenTask task, TaskWatch.End end, Runnable say) {
+  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable say) {
     if (!task.answered()) {
-      over(task, end, 0, say);
-      told = true;
-      module.abandoned(timers.now(), task.id);
+      endTask(task, end, 0, say);
+      decisionPending = true;
+      module.onClientLeft(timers.now(), task.id);
     }
   }
 
   // ---- What has become of a forward ----
 
-  void ended(
+  void forwardEnded(
       OpenForward forward,
       Outcome outcome,
       long cost,
@@ -409,25 +421,29 @@
       LoadReport report,
       List<byte[]> pages) {
     OpenTask task = forward.task;
-    task.out--;
-    forward.engine.forwards--;
-    counters.add("forwards.ended." + outcome);
+    task.openForwards--;
+    forward.engine.openForwards--;
+    counters.increment("forwards.ended." + outcome);
     boolean served = outcome == Outcome.OK && !task.answered();
-    watch.ended(timers.now(), task.id, forward.index, outcome, cost, memory, served);
+    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, cost, memory, served);
     if (served) {
       PgSession session = task.session;
-      over(task, TaskWatch.End.HANDLED, forward.bytes(), () -> session.rows(COLUMNS, pages));
+      endTask(
+          task,
+          TaskListener.TaskEnd.HANDLED,
+          forward.resultBytes(),
+          () -> session.sendRows(RESULT_COLUMNS, pages));
     }
     boolean over = task.answered();
-    forget(task);
-    told = true;
-    module.outcome(
+    removeIfFinished(task);
+    decisionPending = true;
+    module.onForwardEnd(
         timers.now(),
         task.id,
         forward.index,
         forward.engine.id,
         outcome,
-        timers.now() - forward.at,
+        timers.now() - forward.createdAt,
         over,
         cost,
         memory,
@@ -435,48 +451,48 @@
   }
 
   /** The one place where a task stops being owed an answer. */
-  private void over(OpenTask task, TaskWatch.End end, long bytes, Runnable say) {
-    owed--;
-    counters.add(ENDED[end.ordinal()]);
-    task.session.open(null);
+  private void endTask(OpenTask task, TaskListener.TaskEnd end, long bytes, Runnable say) {
+    unansweredTasks--;
+    counters.increment(TASK_END_COUNTERS[end.ordinal()]);
+    task.session.openQuery(null);
     task.session = null;
-    task.forwards.forEach(OpenForward::takeBack);
-    forget(task);
-    watch.answered(timers.now(), task.id, end, bytes, say);
+    task.forwards.forEach(OpenForward::withdrawUnsent);
+    removeIfFinished(task);
+    listener.beforeAnswer(timers.now(), task.id, end, bytes, say);
   }
 
-  private void forget(OpenTask task) {
-    if (task.answered() && task.out == 0) {
+  private void removeIfFinished(OpenTask task) {
+    if (task.answered() && task.openForwards == 0) {
       finished.add(task);
     }
   }
 
   /** What has come of a probe. */
-  void probed(EngineLines engine, Outcome outcome, LoadReport report) {
-    counters.add("probes.ended." + outcome);
-    told = true;
-    module.probed(timers.now(), engine.id, outcome, report);
+  void probeEnded(EngineConnections engine, Outcome outcome, LoadReport report) {
+    counters.increment("probes.ended." + outcome);
+    decisionPending = true;
+    module.onProbeEnd(timers.now(), engine.id, outcome, report);
   }
 
   /** The load that an answer told, or null. */
-  LoadReport report(Http.Answer answer) throws Junk {
-    String load = answer.field("x-load");
-    return load == null ? null : config.report(figures(load));
+  LoadReport parseLoadReport(HttpCodec.Response answer) throws ProtocolException {
+    String load = answer.header("x-load");
+    return load == null ? null : config.toLoadReport(parseLoadFigures(load));
   }
 
-  private double[] figures(String told) throws Junk {
-    double[] figures = new double[config.columns().size()];
+  private double[] parseLoadFigures(String told) throws ProtocolException {
+    double[] figures = new double[config.reportColumns().size()];
     Arrays.fill(figures, Double.NaN);
     for (int from = 0; from < told.length(); ) {
       int end = told.indexOf(';', from);
       end = end < 0 ? told.length() : end;
       int colon = told.indexOf(':', from);
       if (colon < 0 || colon > end) {
-        throw new Junk("a load report without a figure");
+        throw new ProtocolException("a load report without a figure");
       }
-      int column = config.column(told.substring(from, colon).strip());
+      int column = config.columnIndex(told.substring(from, colon).strip());
       if (column >= 0) {
-        figures[column] = Http.amount(told.substring(colon + 1, end).strip());
+        figures[column] = HttpCodec.parseNonNegative(told.substring(colon + 1, end).strip());
       }
       from = end + 1;
     }
@@ -488,30 +504,31 @@
   @Override
   public void forward(String id, String engine, long timeOut) {
     OpenTask task = tasks.get(id);
-    counters.add("forwards.sent");
+    counters.increment("forwards.sent");
     OpenForward forward =
         new OpenForward(this, timers, task, task.forwards.size(), engines.get(engine));
     task.forwards.add(forward);
-    task.out++;
-    forward.engine.forwards++;
-    forward.due(timeOut > 0 ? Math.min(timers.now() + timeOut, task.cutOffAt) : task.cutOffAt);
-    watch.sent(timers.now(), id, forward.index, engine, task.memoryMb, forward::start);
+    task.openForwards++;
+    forward.engine.openForwards++;
+    forward.setDeadline(
+        timeOut > 0 ? Math.min(timers.now() + timeOut, task.deadline) : task.deadline);
+    listener.beforeForward(timers.now(), id, forward.index, engine, task.memoryMb, forward::start);
   }
 
   @Override
-  public void bounce(String id, long pause) {
+  public void reject(String id, long pause) {
     OpenTask task = tasks.get(id);
     if (task != null && !task.answered()) {
       PgSession session = task.session;
-      over(
+      endTask(
           task,
-          TaskWatch.End.BOUNCED,
+          TaskListener.TaskEnd.BOUNCED,
           0,
           () ->
-              session.error(
+              session.sendError(
                   "53300",
                   pause > 0
-                      ? "no room at present, after=" + (pause + MS - 1) / MS
+                      ? "no room at present, after=" + (pause + NANOS_PER_MS - 1) / NANOS_PER_MS
                       : "no room at present"));
     }
   }
@@ -521,47 +538,47 @@
     OpenTask task = tasks.get(id);
     if (task != null && !task.answered()) {
       PgSession session = task.session;
-      over(
+      endTask(
           task,
-          TaskWatch.End.ABORTED,
+          TaskListener.TaskEnd.ABORTED,
           0,
-          () -> session.error(FAILED, "the statement failed; it may have run"));
+          () -> session.sendError(SQLSTATE_FAILED, "the statement failed; it may have run"));
     }
   }
 
   @Override
-  public void provide(String id, long memoryMb, int priority) {
+  public void assignResources(String id, long memoryMb, int priority) {
     OpenTask task = tasks.get(id);
     boolean changed = task.priority != priority;
     task.memoryMb = memoryMb;
     task.priority = priority;
-    if (changed && task.out > 0) {
-      task.forwards.forEach(forward -> forward.priority(priority));
+    if (changed && task.openForwards > 0) {
+      task.forwards.forEach(forward -> forward.sendPriority(priority));
     }
   }
 
   @Override
   public void probe(String id) {
-    counters.add("probes.sent");
-    new Probe(this, engines.get(id)).start(timers, config.connectTime());
+    counters.increment("probes.sent");
+    new Probe(this, engines.get(id)).start(timers, config.connectTimeoutNanos());
   }
 
   @Override
   public void cancel(String id, int index) {
     OpenTask task = tasks.get(id);
     if (task != null && index < task.forwards.size()) {
-      counters.add("forwards.cancelled");
+      counters.increment("forwards.cancelled");
       task.forwards.get(index).cancel();
     }
   }
 
   @Override
-  public void wake(long in, String token) {
-    timers.at(
+  public void scheduleWakeUp(long in, String token) {
+    timers.schedule(
         timers.now() + in,
         () -> {
-          told = true;
-          module.woken(timers.now(), token);
+          decisionPending = true;
+          module.onWakeUp(timers.now(), token);
         });
   }
 
--- a/src/main/java/tansytrack/state/OpenForward.java
+++ b/src/main/java/tansytrack/state/OpenForward.java
@@ -5,177 +5,183 @@
 import java.util.List;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
-import tansytrack.wire.Http;
-import tansytrack.wire.HttpLine;
-import tansytrack.wire.Junk;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
 import tansytrack.wire.PgSession;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One forward: the call that starts it, the questions after it, the pages of its result. All pages
  * are gathered before the first row goes to the client, as a page that is lost with its engine
  * could not be made good afterwards.
  */
-final class OpenForward implements HttpLine.Caller {
+final class OpenForward implements HttpConnection.ResponseHandler {
 
   static final int COLUMNS = 3;
-  private static final int MOST_PAGES = 64; // a result is 48,000 bytes, a page 6,000 at most
-  private static final int MOST_BYTES = 1 << 16;
-  private static final long HELD_OPEN = AttemptCancellation.HELD_OPEN;
-  private static final long MARGIN = AttemptCancellation.MARGIN;
-  private static final long OVERDUE =
-      HELD_OPEN + 2 * MARGIN; // a call without its answer by then has lost it
-  private static final int MOST_BROKEN =
+  private static final int MAX_PAGES = 64; // a result is 48,000 bytes, a page 6,000 at most
+  private static final int MAX_RESULT_BYTES = 1 << 16;
+  private static final long MAX_LONG_POLL_NANOS = AttemptCancellation.MAX_LONG_POLL_NANOS;
+  private static final long TRANSIT_MARGIN_NANOS = AttemptCancellation.TRANSIT_MARGIN_NANOS;
+  private static final long RESPONSE_TIMEOUT_NANOS =
+      MAX_LONG_POLL_NANOS
+          + 2 * TRANSIT_MARGIN_NANOS; // a call without its answer by then has lost it
+  private static final int MAX_CONSECUTIVE_FAILURES =
       8; // calls in a row: one in four spoilt makes this one in 65,000
-  private static final long LATEST =
+  private static final long MAX_START_DELAY_NANOS =
       50_000_000L; // a starting call is made again up to so long behind its decision
-  private static final long PAUSE = 10_000_000L; // before each further one, by how many came before
-  private static final long REFUSED_PAUSE = 50_000_000L; // likewise, before one that may be refused
-  private static final int MOST_PAUSES = 5;
-  private static final int REFUSALS_OF_THE_DEAD = 3; // in a row, behind a reset: its process died
+  private static final long RETRY_DELAY_STEP_NANOS =
+      10_000_000L; // before each further one, by how many came before
+  private static final long REFUSED_RETRY_DELAY_STEP_NANOS =
+      50_000_000L; // likewise, before one that may be refused
+  private static final int MAX_REFUSED_DELAY_STEPS = 5;
+  private static final int MIN_REFUSALS_OF_DEAD_PROCESS =
+      3; // in a row, behind a reset: its process died
 
   final OpenTask task;
   final int index;
-  final EngineLines engine;
-  final long at;
+  final EngineConnections engine;
+  final long createdAt;
   private final Manager manager;
   private final Timers timers;
   private final String path;
   private final List<byte[]> pages = new ArrayList<>();
   private Timers.Timer timer;
-  private HttpLine line; // with the open call
-  private int bytes;
+  private HttpConnection connection; // with the open call
+  private int resultBytes;
   private int pageCount;
-  private boolean heard; // its engine ever said that it has the query
-  private boolean left; // a byte of the call that starts it was written
-  private boolean silent; // an answer was overdue since the last whole one
-  private boolean stalled; // a call ever went without an answer: it may yet be taken up
-  private int broken; // calls in a row that brought nothing whole
-  private int refusals; // of those, the last ones in a row that were refused
+  private boolean knownToEngine; // its engine ever said that it has the query
+  private boolean mayHaveBeenSent; // a byte of the call that starts it was written
+  private boolean responseOverdue; // an answer was overdue since the last whole one
+  private boolean everUnanswered; // a call ever went without an answer: it may yet be taken up
+  private int consecutiveFailures; // calls in a row that brought nothing whole
+  private int consecutiveRefusals; // of those, the last ones in a row that were refused
   private boolean
-      reset; // a call ever broke since the last whole answer, on a connection that was up
-  private Timers.Timer callTimer;
+      connectionBroke; // a call ever broke since the last whole answer, on a connection that was up
+  private Timers.Timer requestTimer;
   private boolean cancelled;
-  private boolean over;
-  private long calledAt;
-  private long askedAt; // the last question that may have come to the engine
-  private String asking; // what was asked last; null: the call that starts it
-  private long until;
-  private double cost;
-  private double memory;
+  private boolean ended;
+  private long requestedAt;
+  private long lastPolledAt; // the last question that may have come to the engine
+  private String openPollPath; // what was asked last; null: the call that starts it
+  private long deadline;
+  private double workMs;
+  private double peakMb;
   private LoadReport report;
 
-  OpenForward(Manager manager, Timers timers, OpenTask task, int index, EngineLines engine) {
+  OpenForward(Manager manager, Timers timers, OpenTask task, int index, EngineConnections engine) {
     this.manager = manager;
     this.timers = timers;
     this.task = task;
     this.index = index;
     this.engine = engine;
-    at = timers.now();
-    askedAt = at;
+    createdAt = timers.now();
+    lastPolledAt = createdAt;
     path = "/o/" + task.id;
   }
 
   /** Of the pages that it has brought so far. */
-  int bytes() {
-    return bytes;
+  int resultBytes() {
+    return resultBytes;
   }
 
   /** Sets until when it may take. */
-  void due(long by) {
-    until = by;
-    timer = timers.at(until, this::timeOut);
+  void setDeadline(long by) {
+    deadline = by;
+    timer = timers.schedule(deadline, this::deadlinePassed);
   }
 
   /** Sends it, if it was not given up meanwhile; its end comes later, never within this call. */
   void start() {
-    postOpen(Long.MAX_VALUE);
+    sendStartIfValid(Long.MAX_VALUE);
   }
 
-  private void post() {
-    long wait = Math.max(1, (until - timers.now()) / 1_000_000);
+  private void sendStart() {
+    long wait = Math.max(1, (deadline - timers.now()) / 1_000_000);
     String fields =
         "X-Req: "
             + task.id
             + "\r\nX-Class: "
-            + task.grade
+            + task.queryClass
             + "\r\nX-Wait-Ms: "
             + wait
             + "\r\n"
-            + (task.stamp == null ? "" : "Idempotency-Key: " + task.stamp + "\r\n")
+            + (task.idempotencyKey == null
+                ? ""
+                : "Idempotency-Key: " + task.idempotencyKey + "\r\n")
             + (task.memoryMb > 0 ? "Grant-Mb: " + task.memoryMb + "\r\n" : "")
             + "Rank: "
             + task.priority
             + "\r\n";
-    asking = null;
-    called(engine.call("POST", "/o", fields, task.statement, this));
+    openPollPath = null;
+    requestMade(engine.send("POST", "/o", fields, task.statement, this));
   }
 
-  private void ask(String what) {
-    engine.whenAvailable(
+  private void poll(String what) {
+    engine.whenConnectionAvailable(
         () -> {
-          if (!over && !cancelled) {
-            asking = what;
-            called(engine.call("GET", path + what, this));
+          if (!ended && !cancelled) {
+            openPollPath = what;
+            requestMade(engine.send("GET", path + what, this));
           }
         });
   }
 
-  private void askRested(String what) {
-    long rests = engine.rests();
+  private void pollAfterReuseDelay(String what) {
+    long rests = engine.reuseDelay();
     if (rests == 0) {
-      ask(what);
+      poll(what);
     } else {
-      callTimer = timers.at(timers.now() + rests, () -> ask(what));
+      requestTimer = timers.schedule(timers.now() + rests, () -> poll(what));
     }
   }
 
-  private void called(HttpLine by) {
-    line = by;
-    calledAt = timers.now();
-    if (line != null) {
-      callTimer = timers.at(calledAt + OVERDUE, this::overdue);
-    } else if (left) {
-      manager.later(this::lost);
+  private void requestMade(HttpConnection by) {
+    connection = by;
+    requestedAt = timers.now();
+    if (connection != null) {
+      requestTimer = timers.schedule(requestedAt + RESPONSE_TIMEOUT_NANOS, this::requestTimedOut);
+    } else if (mayHaveBeenSent) {
+      manager.defer(this::cancelAsLost);
     } else {
-      manager.later(() -> end(Outcome.NEVER_SENT));
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     }
   }
 
   @Override
-  public void answered(Http.Answer answer) throws Junk {
+  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
     int status = answer.status();
     if (status != 200 && status != 202 && status != 500 && status != 503 && status != 504) {
-      throw new Junk("status " + status);
+      throw new ProtocolException("status " + status);
     }
-    boolean notRun = "1".equals(answer.field("x-not-run"));
-    LoadReport told = manager.report(answer);
+    boolean notRun = "1".equals(answer.header("x-not-run"));
+    LoadReport told = manager.parseLoadReport(answer);
     if (status == 200) {
-      page(answer);
+      addPage(answer);
     }
-    quiet();
-    engine.heard();
+    clearRequest();
+    engine.recordResponse();
     report = told == null ? report : told;
-    left = true;
-    heard |= status == 200 || status == 202;
-    askedAt = timers.now();
-    boolean again = broken > 0 || silent;
-    boolean wasSilent = silent;
-    broken = 0;
-    refusals = 0;
-    reset = false;
-    silent = false;
+    mayHaveBeenSent = true;
+    knownToEngine |= status == 200 || status == 202;
+    lastPolledAt = timers.now();
+    boolean again = consecutiveFailures > 0 || responseOverdue;
+    boolean wasSilent = responseOverdue;
+    consecutiveFailures = 0;
+    consecutiveRefusals = 0;
+    connectionBroke = false;
+    responseOverdue = false;
     if (status == 200 || status == 202) {
       if (status == 200 && pages.size() == pageCount) {
         end(Outcome.OK);
       } else {
         String next = "/" + pages.size();
         // Not within this call: the connection that brought the answer is free only behind it.
-        manager.later(() -> askRested(next));
+        manager.defer(() -> pollAfterReuseDelay(next));
       }
-    } else if (again && asking != null && (wasSilent || !notRun)) {
+    } else if (again && openPollPath != null && (wasSilent || !notRun)) {
       // Not known after a break. Not an error: that would say it runs no more, and a key would not
       // rest.
-      letGo(Outcome.RESET);
+      cancelAtEngine(Outcome.RESET);
     } else if (status == 503) {
       end(notRun ? Outcome.FULL : Outcome.ERROR);
     } else {
@@ -183,34 +189,35 @@
     }
   }
 
-  private void quiet() {
-    line = null;
-    if (callTimer != null) {
-      callTimer.cancel();
+  private void clearRequest() {
+    connection = null;
+    if (requestTimer != null) {
+      requestTimer.cancel();
     }
   }
 
   /** Takes a page that is whole and the one asked for; else it is junk and nothing has changed. */
-  private void page(Http.Answer answer) throws Junk {
+  private void addPage(HttpCodec.Response answer) throws ProtocolException {
     int count = pageCount;
     if (pages.isEmpty()) {
-      double told = answer.number("page-count", 0);
-      if (told < 1 || told > MOST_PAGES || told != Math.rint(told)) {
-        throw new Junk("a result of " + told + " pages");
+      double told = answer.numericHeader("page-count", 0);
+      if (told < 1 || told > MAX_PAGES || told != Math.rint(told)) {
+        throw new ProtocolException("a result of " + told + " pages");
       }
       count = (int) told;
-    } else if (answer.number("page-no", -1) != pages.size()) {
-      throw new Junk("another page than asked for");
+    } else if (answer.numericHeader("page-no", -1) != pages.size()) {
+      throw new ProtocolException("another page than asked for");
     }
-    if (bytes + answer.body().length > MOST_BYTES || !PgSession.holdsRows(answer.body(), COLUMNS)) {
-      throw new Junk("a page that does not hold whole rows, or too large a result");
+    if (resultBytes + answer.body().length > MAX_RESULT_BYTES
+        || !PgSession.hasWholeRows(answer.body(), COLUMNS)) {
+      throw new ProtocolException("a page that does not hold whole rows, or too large a result");
     }
     if (pages.isEmpty()) {
-      cost = answer.number("work-ms", 0);
-      memory = answer.number("peak-mb", 0);
+      workMs = answer.numericHeader("work-ms", 0);
+      peakMb = answer.numericHeader("peak-mb", 0);
     }
     pageCount = count;
-    bytes += answer.body().length;
+    resultBytes += answer.body().length;
     pages.add(answer.body());
   }
 
@@ -218,17 +225,17 @@
    * No whole answer in time: the connection is given up, and the query, which belongs to none,
    * asked for on another.
    */
-  private void overdue() {
-    if (!over && line != null) {
-      manager.counters().add("calls.overdue");
-      HttpLine open = line;
-      stalled = true;
-      boolean up = open.up(); // then the call may have come to the engine
+  private void requestTimedOut() {
+    if (!ended && connection != null) {
+      manager.counters().increment("calls.overdue");
+      HttpConnection open = connection;
+      everUnanswered = true;
+      boolean up = open.connected(); // then the call may have come to the engine
       if (up) {
-        engine.unanswered(open);
+        engine.recordUnanswered(open);
       }
-      open.drop();
-      failed(up ? HttpLine.Failure.BROKEN : HttpLine.Failure.LATE);
+      open.abort();
+      requestFailed(up ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
     }
   }
 
@@ -239,37 +246,41 @@
    * can, refuses new ones and works on.
    */
   @Override
-  public void failed(HttpLine.Failure why) {
-    HttpLine on = line;
-    quiet();
-    if (over || cancelled) {
+  public void requestFailed(HttpConnection.Failure why) {
+    HttpConnection on = connection;
+    clearRequest();
+    if (ended || cancelled) {
       return;
     }
-    manager.counters().add("calls." + why);
-    broken++;
-    refusals = why == HttpLine.Failure.REFUSED ? refusals + 1 : 0;
-    if (why == HttpLine.Failure.BROKEN) {
-      left = true;
-      reset = true;
-      askedAt = on.begunAt();
+    manager.counters().increment("calls." + why);
+    consecutiveFailures++;
+    consecutiveRefusals = why == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
+    if (why == HttpConnection.Failure.BROKEN) {
+      mayHaveBeenSent = true;
+      connectionBroke = true;
+      lastPolledAt = on.requestStartedAt();
     }
-    boolean late = why == HttpLine.Failure.LATE || timers.now() - calledAt > HELD_OPEN + MARGIN;
-    silent |= late && left;
-    if (!left) {
-      notStarted(why);
-    } else if (processDied() || timers.now() > endsUnasked()) {
+    boolean late =
+        why == HttpConnection.Failure.LATE
+            || timers.now() - requestedAt > MAX_LONG_POLL_NANOS + TRANSIT_MARGIN_NANOS;
+    responseOverdue |= late && mayHaveBeenSent;
+    if (!mayHaveBeenSent) {
+      startFailed(why);
+    } else if (processDied() || timers.now() > unpolledEndTime()) {
       end(Outcome.RESET);
-    } else if (broken >= MOST_BROKEN && !silent && refusals == 0) {
-      lost();
+    } else if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
+        && !responseOverdue
+        && consecutiveRefusals == 0) {
+      cancelAsLost();
     } else {
       String again = "/" + pages.size();
-      callTimer = timers.at(timers.now() + pause(), () -> ask(again));
+      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(again));
     }
   }
 
-  private void notStarted(HttpLine.Failure why) {
-    if (why == HttpLine.Failure.UNSENT && broken < MOST_BROKEN) {
-      manager.later(() -> postOpen(LATEST));
+  private void startFailed(HttpConnection.Failure why) {
+    if (why == HttpConnection.Failure.UNSENT && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
+      manager.defer(() -> sendStartIfValid(MAX_START_DELAY_NANOS));
     } else {
       end(Outcome.UNREACHED); // the call itself never left: nothing ran
     }
@@ -282,27 +293,29 @@
    * new ones too.
    */
   private boolean processDied() {
-    return reset
-        && refusals >= REFUSALS_OF_THE_DEAD
-        && !silent
-        && !stalled
-        && engine.takes()
+    return connectionBroke
+        && consecutiveRefusals >= MIN_REFUSALS_OF_DEAD_PROCESS
+        && !responseOverdue
+        && !everUnanswered
+        && engine.acceptsWork()
         && !engine.connected();
   }
 
-  private long endsUnasked() {
-    return AttemptCancellation.endsUnasked(engine, askedAt, until, task.ordered);
+  private long unpolledEndTime() {
+    return AttemptCancellation.unpolledEndTime(engine, lastPolledAt, deadline, task.ordered);
   }
 
-  private long pause() {
-    if (silent) {
-      return Math.max(PAUSE, calledAt + OVERDUE - timers.now());
+  private long retryDelay() {
+    if (responseOverdue) {
+      return Math.max(RETRY_DELAY_STEP_NANOS, requestedAt + RESPONSE_TIMEOUT_NANOS - timers.now());
     }
-    if (refusals > 0) {
+    if (consecutiveRefusals > 0) {
       // Where connections are up, the next question waits for one of them.
-      return engine.connected() ? 0 : Math.min(refusals, MOST_PAUSES) * REFUSED_PAUSE;
+      return engine.connected()
+          ? 0
+          : Math.min(consecutiveRefusals, MAX_REFUSED_DELAY_STEPS) * REFUSED_RETRY_DELAY_STEP_NANOS;
     }
-    return (broken - 1) * PAUSE;
+    return (consecutiveFailures - 1) * RETRY_DELAY_STEP_NANOS;
   }
 
   /**
@@ -310,14 +323,14 @@
    * while nobody could have decided otherwise. Else the module hears that nothing was sent, and
    * decides again under all its rules.
    */
-  private void postOpen(long latest) {
-    if (over || cancelled) {
+  private void sendStartIfValid(long latest) {
+    if (ended || cancelled) {
       return;
     }
-    if (task.answered() || !engine.takes() || timers.now() - at > latest) {
-      manager.later(() -> end(Outcome.NEVER_SENT));
+    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > latest) {
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     } else {
-      post();
+      sendStart();
     }
   }
 
@@ -325,9 +338,9 @@
    * The list has changed. Guards against a call that begins at an engine told to drain while its
    * connection came up.
    */
-  void undrained() {
-    if (!engine.takes()) {
-      takeBack();
+  void engineListChanged() {
+    if (!engine.acceptsWork()) {
+      withdrawUnsent();
     }
   }
 
@@ -336,13 +349,16 @@
    * call whose connection is still coming up is taken back, also where nothing that runs can be
    * cancelled.
    */
-  void takeBack() {
-    if (!over && !cancelled && !left && (line == null || !line.up())) {
-      if (line != null) {
-        line.drop();
+  void withdrawUnsent() {
+    if (!ended
+        && !cancelled
+        && !mayHaveBeenSent
+        && (connection == null || !connection.connected())) {
+      if (connection != null) {
+        connection.abort();
       }
-      quiet();
-      manager.later(() -> end(Outcome.NEVER_SENT));
+      clearRequest();
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     }
   }
 
@@ -351,11 +367,11 @@
    * answered at once, but the forward stays out until it is given up for sure, as the call for that
    * may not be taken up.
    */
-  private void timeOut() {
-    if (!over && timers.now() >= task.cutOffAt) {
-      manager.timeUp(task);
+  private void deadlinePassed() {
+    if (!ended && timers.now() >= task.deadline) {
+      manager.taskTimedOut(task);
     }
-    letGo(Outcome.TIME_OUT);
+    cancelAtEngine(Outcome.TIME_OUT);
   }
 
   /**
@@ -364,63 +380,63 @@
    * vanished, the forward stays out until its engine must have dropped it for not being asked.
    */
   void cancel() {
-    letGo(Outcome.CANCELLED);
+    cancelAtEngine(Outcome.CANCELLED);
   }
 
   /** Its connections broke and it was not found again. */
-  private void lost() {
-    letGo(Outcome.RESET);
+  private void cancelAsLost() {
+    cancelAtEngine(Outcome.RESET);
   }
 
   /** From now on it is only to end; how it ended is said once that is sure. */
-  private void letGo(Outcome outcome) {
-    if (!over && !cancelled) {
+  private void cancelAtEngine(Outcome outcome) {
+    if (!ended && !cancelled) {
       cancelled = true;
-      release();
+      abortRequest();
       AttemptCancellation.Attempt attempt =
           new AttemptCancellation.Attempt(
               path,
-              askedAt,
-              until,
-              heard,
-              silent || stalled,
+              lastPolledAt,
+              deadline,
+              knownToEngine,
+              responseOverdue || everUnanswered,
               task.ordered,
-              outcome == Outcome.RESET && (silent || stalled));
+              outcome == Outcome.RESET && (responseOverdue || everUnanswered));
       new AttemptCancellation(engine, timers, attempt, () -> end(outcome)).start();
     }
   }
 
-  private void release() {
-    if (line != null) {
-      askedAt = line.up() ? line.begunAt() : askedAt;
-      line.drop();
+  private void abortRequest() {
+    if (connection != null) {
+      lastPolledAt = connection.connected() ? connection.requestStartedAt() : lastPolledAt;
+      connection.abort();
     }
-    quiet();
+    clearRequest();
   }
 
-  void priority(int priority) {
-    if (!over && !cancelled) {
-      engine.aside(
+  void sendPriority(int priority) {
+    if (!ended && !cancelled) {
+      engine.sendInBackground(
           "PUT",
           path,
           Integer.toString(priority).getBytes(StandardCharsets.US_ASCII),
-          EngineLines.ANY_TIME,
+          EngineConnections.ANY_TIME,
           gone -> {});
     }
   }
 
   private void end(Outcome outcome) {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     timer.cancel();
-    quiet();
-    manager.ended(
+    clearRequest();
+    manager.forwardEnded(
         this,
         outcome,
-        Math.round(cost * 1e6),
-        memory,
+        Math.round(workMs * 1e6),
+        peakMb,
         report,
         outcome == Outcome.OK ? pages : null);
   }
--- a/src/main/java/tansytrack/state/OpenTask.java
+++ b/src/main/java/tansytrack/state/OpenTask.java
@@ -8,16 +8,17 @@
 final class OpenTask {
 
   final String id;
-  final String grade;
+  final String queryClass;
   final byte[] statement;
-  final long cutOffAt;
+  final long deadline;
   final boolean ordered; // one at a time with the others of its key
-  final String stamp; // a mark by which engines know a repeat, as its client gave it; or null
+  final String
+      idempotencyKey; // a mark by which engines know a repeat, as its client gave it; or null
   PgSession session; // null once it is answered or abandoned
   long memoryMb;
   int priority = 1;
   final List<OpenForward> forwards = new ArrayList<>(2);
-  int out;
+  int openForwards;
 
   OpenTask(
       String id,
@@ -28,11 +29,11 @@
       String stamp,
       PgSession session) {
     this.id = id;
-    this.grade = grade;
+    this.queryClass = grade;
     this.statement = statement;
-    this.cutOffAt = cutOffAt;
+    this.deadline = cutOffAt;
     this.ordered = ordered;
-    this.stamp = stamp;
+    this.idempotencyKey = stamp;
     this.session = session;
   }
 
--- a/src/main/java/tansytrack/state/Siblings.java
+++ b/src/main/java/tansytrack/state/PeerManagers.java
@@ -7,22 +7,22 @@
  * The other managers, as far as this one keeps in touch with them. Called on the loop; none of it
  * waits.
  */
-public interface Siblings extends AutoCloseable {
+public interface PeerManagers extends AutoCloseable {
 
   /** Where nothing is switched on. */
-  Siblings NONE = new Siblings() {};
+  PeerManagers NONE = new PeerManagers() {};
 
   /** Columns of what is shown of members; read only, handed as it is to the rows' writer. */
   @SuppressWarnings("MutablePublicArray")
-  String[] COLUMNS = {
+  String[] MEMBER_COLUMNS = {
     "name", "place", "standing", "stage", "since_s", "incarnation", "version", "settings", "facts"
   };
 
   /** It takes tasks from now on. */
-  default void serving() {}
+  default void markServing() {}
 
   /** It is told to end. */
-  default void ending() {}
+  default void markLeaving() {}
 
   /** Counts for SHOW STATS, by name. */
   default Map<String, Long> counts() {
--- a/src/main/java/tansytrack/state/Probe.java
+++ b/src/main/java/tansytrack/state/Probe.java
@@ -2,40 +2,40 @@
 
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
-import tansytrack.wire.Http;
-import tansytrack.wire.HttpLine;
-import tansytrack.wire.Junk;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
+import tansytrack.wire.ProtocolException;
 
 /** A question for an engine's load. */
-final class Probe implements HttpLine.Caller {
+final class Probe implements HttpConnection.ResponseHandler {
 
-  private static final int TRIES = 2; // further ones
+  private static final int MAX_RETRIES = 2; // further ones
 
   private final Manager manager;
-  private final EngineLines engine;
-  private HttpLine line;
+  private final EngineConnections engine;
+  private HttpConnection connection;
   private Timers.Timer timer;
-  private boolean over;
-  private int tries;
+  private boolean ended;
+  private int retries;
 
-  Probe(Manager manager, EngineLines engine) {
+  Probe(Manager manager, EngineConnections engine) {
     this.manager = manager;
     this.engine = engine;
   }
 
   /** Asks; its end comes later, never within this call. */
   void start(Timers timers, long within) {
-    line = engine.call("GET", "/stats", this);
-    timer = timers.at(timers.now() + within, this::late);
-    if (line == null) {
-      manager.later(() -> end(Outcome.NEVER_SENT, null));
+    connection = engine.send("GET", "/stats", this);
+    timer = timers.schedule(timers.now() + within, this::timedOut);
+    if (connection == null) {
+      manager.defer(() -> end(Outcome.NEVER_SENT, null));
     }
   }
 
   @Override
-  public void answered(Http.Answer answer) throws Junk {
-    LoadReport report = manager.report(answer);
-    engine.heard();
+  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
+    LoadReport report = manager.parseLoadReport(answer);
+    engine.recordResponse();
     end(
         answer.status() == 200 ? Outcome.OK : answer.status() == 503 ? Outcome.FULL : Outcome.ERROR,
         report);
@@ -46,28 +46,28 @@
    * same time.
    */
   @Override
-  public void failed(HttpLine.Failure why) {
-    boolean again = why == HttpLine.Failure.BROKEN || why == HttpLine.Failure.UNSENT;
-    line = again && tries++ < TRIES ? engine.call("GET", "/stats", this) : null;
-    if (line == null) {
-      end(why == HttpLine.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
+  public void requestFailed(HttpConnection.Failure why) {
+    boolean again = why == HttpConnection.Failure.BROKEN || why == HttpConnection.Failure.UNSENT;
+    connection = again && retries++ < MAX_RETRIES ? engine.send("GET", "/stats", this) : null;
+    if (connection == null) {
+      end(why == HttpConnection.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
     }
   }
 
-  private void late() {
-    if (!over) {
-      if (line != null) {
-        line.drop();
+  private void timedOut() {
+    if (!ended) {
+      if (connection != null) {
+        connection.abort();
       }
       end(Outcome.TIME_OUT, null);
     }
   }
 
   private void end(Outcome outcome, LoadReport report) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       timer.cancel();
-      manager.probed(engine, outcome, report);
+      manager.probeEnded(engine, outcome, report);
     }
   }
 }
--- a/src/main/java/tansytrack/parts/EngineList.java
+++ b/src/main/java/tansytrack/util/EngineList.java
@@ -1,4 +1,4 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,26 +11,26 @@
 public final class EngineList {
 
   private final ArrayList<EngineEntry> entries = new ArrayList<>();
-  private final List<Count> counts = new ArrayList<>();
+  private final List<EngineCounter> counts = new ArrayList<>();
 
   /** How many are listed of some kind. */
-  public static final class Count {
+  public static final class EngineCounter {
     private final Predicate<EngineEntry> counted;
-    private int now;
+    private int value;
 
-    private Count(Predicate<EngineEntry> counted) {
+    private EngineCounter(Predicate<EngineEntry> counted) {
       this.counted = counted;
     }
 
     /** The number at present. */
-    public int now() {
-      return now;
+    public int value() {
+      return value;
     }
   }
 
   /** Counts those from now on; to be asked for while nothing is listed. */
-  public Count count(Predicate<EngineEntry> counted) {
-    counts.add(new Count(counted));
+  public EngineCounter count(Predicate<EngineEntry> counted) {
+    counts.add(new EngineCounter(counted));
     return counts.get(counts.size() - 1);
   }
 
@@ -46,12 +46,12 @@
   }
 
   /** The whole list: by id, each once. */
-  public void set(Collection<EngineEntry> all) {
+  public void replaceAll(Collection<EngineEntry> all) {
     entries.clear();
     entries.addAll(all);
     entries.removeIf(entry -> entry.state() == EngineEntry.State.GONE);
     entries.trimToSize();
-    counts.forEach(count -> count.now = 0);
+    counts.forEach(count -> count.value = 0);
     entries.forEach(entry -> count(entry, 1));
   }
 
@@ -68,8 +68,8 @@
   }
 
   private void count(EngineEntry entry, int one) {
-    for (Count count : counts) {
-      count.now += count.counted.test(entry) ? one : 0;
+    for (EngineCounter count : counts) {
+      count.value += count.counted.test(entry) ? one : 0;
     }
   }
 
--- a/src/main/java/tansytrack/parts/Loop.java
+++ b/src/main/java/tansytrack/util/EventLoop.java
@@ -1,31 +1,31 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
 /**
  * Parts that talk only by putting notes into inboxes, and the one loop that empties them, in turn.
  */
-public final class Loop {
+public final class EventLoop {
 
-  private final ArrayDeque<Part> ready = new ArrayDeque<>();
+  private final ArrayDeque<Actor> ready = new ArrayDeque<>();
 
   /** A note in an inbox: what the part that takes it is to do. */
-  public interface Note {
+  public interface Message {
     /** Carries the note out; called on the loop. */
-    void take();
+    void handle();
   }
 
   /** A part with its inbox: notes are put by anybody on the loop and taken in its turn. */
-  public abstract static class Part {
-    private final Loop loop;
-    private final ArrayDeque<Note> inbox = new ArrayDeque<>();
+  public abstract static class Actor {
+    private final EventLoop loop;
+    private final ArrayDeque<Message> inbox = new ArrayDeque<>();
 
-    protected Part(Loop loop) {
+    protected Actor(EventLoop loop) {
       this.loop = loop;
     }
 
     /** Puts a note into the inbox; it is taken when the loop comes to this part. */
-    public final void put(Note note) {
+    public final void post(Message note) {
       inbox.add(note);
       if (inbox.size() == 1) {
         loop.ready.add(this);
@@ -34,10 +34,10 @@
   }
 
   /** Takes one note of each part in turn until none is left. */
-  public void empty() {
+  public void runUntilIdle() {
     while (!ready.isEmpty()) {
-      Part part = ready.poll();
-      part.inbox.peek().take();
+      Actor part = ready.poll();
+      part.inbox.peek().handle();
       part.inbox.poll();
       if (!part.inbox.isEmpty()) {
         ready.add(part);
--- a/src/main/java/tansytrack/parts/KeyLine.java
+++ b/src/main/java/tansytrack/util/KeyQueue.java
@@ -1,4 +1,4 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
@@ -6,15 +6,15 @@
  * The tasks of one key, in the order taken; how many forwards of theirs are out, and until when the
  * key rests.
  */
-public final class KeyLine<T> {
+public final class KeyQueue<T> {
 
   public final long key;
-  public final ArrayDeque<T> line = new ArrayDeque<>();
-  public int out;
-  public long restsUntil;
+  public final ArrayDeque<T> tasks = new ArrayDeque<>();
+  public int openForwards;
+  public long cooldownUntilNanos;
 
   /** The tasks of one key, in the order in which they came. */
-  public KeyLine(long key) {
+  public KeyQueue(long key) {
     this.key = key;
   }
 }
--- a/src/main/java/tansytrack/parts/Num.java
+++ b/src/main/java/tansytrack/util/MathUtil.java
@@ -1,12 +1,12 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 /** Arithmetic that several parts share. */
-public final class Num {
+public final class MathUtil {
 
-  private Num() {}
+  private MathUtil() {}
 
   /** A running mean after one more sample; NaN until the first. */
-  public static double mean(double old, double sample, double weight) {
+  public static double movingAverage(double old, double sample, double weight) {
     return Double.isNaN(old) ? sample : old + weight * (sample - old);
   }
 
@@ -16,7 +16,7 @@
   }
 
   /** The index that a point between 0 and 1 falls on when each takes room by its weight. */
-  public static int pick(double[] weights, double point) {
+  public static int pickWeighted(double[] weights, double point) {
     double total = 0;
     for (double weight : weights) {
       total += weight;
--- a/src/main/java/tansytrack/parts/Recent.java
+++ b/src/main/java/tansytrack/util/SlidingWindow.java
@@ -1,9 +1,9 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
 /** What happened of late: times and amounts, forgotten from the oldest on. */
-public final class Recent {
+public final class SlidingWindow {
 
   private final ArrayDeque<long[]> happened = new ArrayDeque<>();
 
@@ -13,7 +13,7 @@
   }
 
   /** Forgets what happened before that time. */
-  public void forget(long before) {
+  public void evictBefore(long before) {
     while (!happened.isEmpty() && happened.peek()[0] < before) {
       happened.poll();
     }
--- a/src/main/java/tansytrack/parts/StableHash.java
+++ b/src/main/java/tansytrack/util/StableHash.java
@@ -1,4 +1,4 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 /** 64-bit hashes that are the same in every process and version. */
 public final class StableHash {
--- a/src/main/java/tansytrack/parts/Tenant.java
+++ b/src/main/java/tansytrack/util/TenantQueue.java
@@ -1,16 +1,16 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayList;
 
 /** One tenant's queue and where it stands in the turns. */
-public final class Tenant<T> {
+public final class TenantQueue<T> {
 
   public final double weight;
-  public double current; // smooth weighted round-robin
+  public double currentWeight; // smooth weighted round-robin
   public final ArrayList<T> waiters = new ArrayList<>(); // least time left first
 
   /** A tenant without waiters; its weight is its part of the turns. */
-  public Tenant(double weight) {
+  public TenantQueue(double weight) {
     this.weight = weight;
   }
 }
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -16,56 +16,59 @@
   /** Whose connection it is. */
   public interface Owner {
     /** More bytes are in the ring; the last ones came at that time. */
-    void heard(long at) throws Junk;
+    void received(long at) throws ProtocolException;
 
     /** All that was to be written has been handed to the system. */
-    default void written() {}
+    default void writeCompleted() {}
 
     /** It is over, or never came up; said once, and not when the owner itself closed it. */
     void closed(boolean wasUp);
 
     /** It has given back what it held, whoever closed it; said once. */
-    default void over() {}
+    default void released() {}
   }
 
-  private static final int CHUNK = 1 << 15; // handed to the system at once: bounds what lies there
-  static final int MOST_UNREAD =
+  private static final int MAX_WRITE_BYTES =
+      1 << 15; // handed to the system at once: bounds what lies there
+  static final int MAX_UNREAD_BYTES =
       1 << 15; // handed over and not yet read: then reading stops for a while
 
-  final AtomicInteger unread = new AtomicInteger();
-  public final Ring in;
-  public final Ring out;
+  final AtomicInteger unreadBytes = new AtomicInteger();
+  public final RingBuffer input;
+  public final RingBuffer output;
   private final Sockets sockets;
   private Owner owner;
   private IoSession session; // null until it is up
-  private ConnectFuture coming;
+  private ConnectFuture connectFuture;
   private boolean writing;
   private boolean closing;
-  private boolean over;
+  private boolean released;
   private boolean refused;
-  private long handed; // bytes handed to the system so far, whether or not it has taken them
-  private long cameAt; // when it came up
-  private boolean shutByUs; // it was closed on this side, perhaps while the system was taking bytes
+  private long
+      bytesSubmitted; // bytes handed to the system so far, whether or not it has taken them
+  private long connectedAt; // when it came up
+  private boolean
+      closedLocally; // it was closed on this side, perhaps while the system was taking bytes
 
   Connection(Sockets sockets, int mostIn, int mostOut) {
     this.sockets = sockets;
-    in = new Ring(mostIn);
-    out = new Ring(mostOut);
+    input = new RingBuffer(mostIn);
+    output = new RingBuffer(mostOut);
   }
 
   /** Names who is told of what comes in and of the end. */
-  public void own(Owner by) {
+  public void setOwner(Owner by) {
     owner = by;
   }
 
   /** Whether it may still be written to. */
   public boolean open() {
-    return !over && !closing;
+    return !released && !closing;
   }
 
   /** It has given back all that it held. */
-  public boolean ended() {
-    return over;
+  public boolean isReleased() {
+    return released;
   }
 
   /** The machine it was to go to refused it: nothing listens there. */
@@ -74,7 +77,7 @@
   }
 
   /** Bytes that the system has taken so far. */
-  public long taken() {
+  public long bytesWritten() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
@@ -84,85 +87,87 @@
    * handed over counts, and the system's own count only where it was the one to say that the
    * connection is over.
    */
-  long left() {
-    return shutByUs ? handed : taken();
+  long bytesPossiblySent() {
+    return closedLocally ? bytesSubmitted : bytesWritten();
   }
 
   /** Whether the socket is connected. */
-  public boolean up() {
+  public boolean connected() {
     return session != null;
   }
 
-  long cameAt() {
-    return cameAt;
+  long connectedAt() {
+    return connectedAt;
   }
 
   /** The address of the other side, null before it is connected. */
-  public InetSocketAddress peer() {
+  public InetSocketAddress remoteAddress() {
     return session == null ? null : (InetSocketAddress) session.getRemoteAddress();
   }
 
-  void coming(ConnectFuture future) {
-    coming = future;
+  void connectFuture(ConnectFuture future) {
+    connectFuture = future;
   }
 
   /** It did not come up. */
-  void failed(Throwable why) {
+  void connectFailed(Throwable why) {
     // A connection that is reset while it comes up is no other type than one that is refused.
     refused =
         why instanceof java.net.ConnectException
             && why.getMessage() != null
             && why.getMessage().contains("refused");
-    drop();
+    closeAndNotify();
   }
 
-  void came(IoSession with) {
-    if (over) {
+  void sessionOpened(IoSession with) {
+    if (released) {
       with.closeNow();
       return;
     }
     session = with;
-    cameAt = sockets.time();
+    connectedAt = sockets.now();
     flush();
   }
 
-  void heard(IoBuffer bytes, long at) {
+  void received(IoBuffer bytes, long at) {
     int count = bytes.remaining();
-    if (unread.getAndAdd(-count) > MOST_UNREAD && unread.get() <= MOST_UNREAD && session != null) {
+    if (unreadBytes.getAndAdd(-count) > MAX_UNREAD_BYTES
+        && unreadBytes.get() <= MAX_UNREAD_BYTES
+        && session != null) {
       sockets.resumeRead(session);
     }
     if (!open()) {
       return;
     }
     try {
-      if (!in.put(bytes.buf())) {
-        throw new Junk("more bytes than the ring holds");
+      if (!input.put(bytes.buf())) {
+        throw new ProtocolException("more bytes than the ring holds");
       }
-      owner.heard(at);
-    } catch (Junk e) {
-      sockets.junk(this, e);
-      shutByUs = true;
-      drop();
+      owner.received(at);
+    } catch (ProtocolException e) {
+      sockets.protocolErrors(this, e);
+      closedLocally = true;
+      closeAndNotify();
     }
   }
 
-  void sent() {
+  void writeCompleted() {
     writing = false;
     flush();
-    if (!over && !writing && out.size() == 0) {
-      owner.written();
+    if (!released && !writing && output.size() == 0) {
+      owner.writeCompleted();
     }
   }
 
   /** Hands the next bytes to the system; the rest follows as those have gone. */
   public void flush() {
-    if (over || session == null || writing) {
+    if (released || session == null || writing) {
       return;
     }
-    if (out.size() > 0) {
+    if (output.size() > 0) {
       writing = true;
-      byte[] bytes = out.take(Math.min(CHUNK, out.size()));
-      handed += bytes.length;
+      byte[] bytes = output.take(Math.min(MAX_WRITE_BYTES, output.size()));
+      bytesSubmitted += bytes.length;
       session.write(IoBuffer.wrap(bytes));
     } else if (closing) {
       close();
@@ -170,35 +175,35 @@
   }
 
   /** Closes it once all is written. */
-  public void finish() {
+  public void closeAfterFlush() {
     closing = true;
     flush();
   }
 
   /** Closes it now; the owner is not told. */
   public void close() {
-    if (!over) {
-      over();
+    if (!released) {
+      release();
     }
   }
 
   /** As if the peer had closed it. */
-  void drop() {
-    if (!over) {
+  void closeAndNotify() {
+    if (!released) {
       boolean wasUp = session != null;
-      over();
+      release();
       owner.closed(wasUp);
     }
   }
 
-  private void over() {
-    over = true;
+  private void release() {
+    released = true;
     if (session != null) {
       session.closeNow();
-    } else if (coming != null) {
-      coming.cancel();
+    } else if (connectFuture != null) {
+      connectFuture.cancel();
     }
-    sockets.gone(this);
-    owner.over();
+    sockets.connectionReleased(this);
+    owner.released();
   }
 }
--- a/src/main/java/tansytrack/wire/Http.java
+++ b/src/main/java/tansytrack/wire/HttpCodec.java
@@ -5,30 +5,30 @@
 import java.util.TreeMap;
 
 /** HTTP/1.1 as a caller speaks it: writes calls into a ring and reads answers from one. */
-public final class Http {
+public final class HttpCodec {
 
-  private static final int LONGEST_HEAD = 1 << 13;
+  private static final int MAX_HEAD_BYTES = 1 << 13;
 
   /** An answer; the names of its fields in lower case. */
-  public record Answer(int status, Map<String, String> fields, byte[] body, boolean lasts) {
+  public record Response(int status, Map<String, String> headers, byte[] body, boolean keepAlive) {
 
     /** The value of a header field by its name in lower case, or null. */
-    public String field(String name) {
-      return fields.get(name);
+    public String header(String name) {
+      return headers.get(name);
     }
 
     /** A field that is a number from 0 on; the other value where it is absent. */
-    public double number(String name, double otherwise) throws Junk {
-      String value = fields.get(name);
-      return value == null ? otherwise : amount(value);
+    public double numericHeader(String name, double otherwise) throws ProtocolException {
+      String value = headers.get(name);
+      return value == null ? otherwise : parseNonNegative(value);
     }
   }
 
-  private Http() {}
+  private HttpCodec() {}
 
   /** A call; the fields are whole lines, each with its line end. */
-  public static void call(
-      Ring out, String method, String path, String host, String fields, byte[] body) {
+  public static void writeRequest(
+      RingBuffer out, String method, String path, String host, String fields, byte[] body) {
     String head =
         method
             + ' '
@@ -49,24 +49,24 @@
    * The next final answer, taken out of the ring, or null while it is not whole. What only says
    * that one will come (1xx) is passed over. An answer with its head may take half of the ring.
    */
-  public static Answer answer(Ring in) throws Junk {
+  public static Response readResponse(RingBuffer in) throws ProtocolException {
     while (true) {
-      int end = headEnd(in);
+      int end = findHeadEnd(in);
       if (end < 0) {
         return null;
       }
       byte[] start = in.copy(0, Math.min(end, 10));
       if (start.length < 10 || start[9] != '1') {
-        return finalAnswer(in, end);
+        return readFinalResponse(in, end);
       }
-      statusLine(in.copy(0, end));
+      statusLineLength(in.copy(0, end));
       in.skip(end);
     }
   }
 
   /** Checks the first line of a head and gives its length. */
-  private static int statusLine(byte[] head) throws Junk {
-    int line = lineEnd(head, 0);
+  private static int statusLineLength(byte[] head) throws ProtocolException {
+    int line = findLineEnd(head, 0);
     if (line < 12
         || head[0] != 'H'
         || head[1] != 'T'
@@ -77,63 +77,64 @@
         || head[6] != '.'
         || head[8] != ' '
         || (line > 12 && head[12] != ' ')) {
-      throw new Junk("not an HTTP/1 answer");
+      throw new ProtocolException("not an HTTP/1 answer");
     }
     return line;
   }
 
-  private static Answer finalAnswer(Ring in, int end) throws Junk {
-    int longest = in.most() / 2;
+  private static Response readFinalResponse(RingBuffer in, int end) throws ProtocolException {
+    int longest = in.maxCapacity() / 2;
     byte[] head = in.copy(0, end);
-    int line = statusLine(head);
-    int status = (int) whole(head, 9, 12);
+    int line = statusLineLength(head);
+    int status = (int) parseDigits(head, 9, 12);
     Map<String, String> fields = new TreeMap<>();
     for (int from = line + 2; from < head.length - 2; ) {
-      int to = lineEnd(head, from);
+      int to = findLineEnd(head, from);
       int colon = from;
       while (colon < to && head[colon] != ':') {
         colon++;
       }
       if (colon == to || colon == from) {
-        throw new Junk("a field without a name");
+        throw new ProtocolException("a field without a name");
       }
       String value = new String(head, colon + 1, to - colon - 1, StandardCharsets.UTF_8).strip();
-      String before = fields.put(lower(head, from, colon), value);
+      String before = fields.put(lowerCaseAscii(head, from, colon), value);
       if (before != null && !before.equals(value)) {
-        throw new Junk("a field with two values");
+        throw new ProtocolException("a field with two values");
       }
       from = to + 2;
     }
     boolean lasts = head[7] == '1' && !"close".equalsIgnoreCase(fields.get("connection"));
     if (status == 204 || status == 304) {
       in.skip(end);
-      return new Answer(status, fields, new byte[0], lasts);
+      return new Response(status, fields, new byte[0], lasts);
     }
     String coding = fields.get("transfer-encoding");
     if (coding != null) {
       if (!coding.equalsIgnoreCase("chunked")) {
-        throw new Junk("unknown transfer coding");
+        throw new ProtocolException("unknown transfer coding");
       }
-      return chunked(in, end, status, fields, lasts);
+      return readChunked(in, end, status, fields, lasts);
     }
     String told = fields.get("content-length");
     if (told == null) {
-      throw new Junk("an answer without a length");
+      throw new ProtocolException("an answer without a length");
     }
     byte[] digits = told.getBytes(StandardCharsets.US_ASCII);
-    long length = whole(digits, 0, digits.length);
+    long length = parseDigits(digits, 0, digits.length);
     if (length > longest) {
-      throw new Junk("an answer over " + longest + " bytes");
+      throw new ProtocolException("an answer over " + longest + " bytes");
     }
     if (in.size() < end + length) {
       return null;
     }
     in.skip(end);
-    return new Answer(status, fields, in.take((int) length), lasts);
+    return new Response(status, fields, in.take((int) length), lasts);
   }
 
-  private static Answer chunked(
-      Ring in, int from, int status, Map<String, String> fields, boolean lasts) throws Junk {
+  private static Response readChunked(
+      RingBuffer in, int from, int status, Map<String, String> fields, boolean lasts)
+      throws ProtocolException {
     java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
     int at = from;
     while (true) {
@@ -144,63 +145,63 @@
         if (at + 1 >= in.size()) {
           return null;
         }
-        byte sign = in.at(at);
-        if (sign == '\r' && in.at(at + 1) == '\n') {
+        byte sign = in.byteAt(at);
+        if (sign == '\r' && in.byteAt(at + 1) == '\n') {
           break;
         }
         int digit = Character.digit(sign, 16);
         extension |= sign == ';' || sign == ' ';
         if (!extension && (digit < 0 || ++digits > 5)) {
-          throw new Junk("a chunk without a length");
+          throw new ProtocolException("a chunk without a length");
         }
         length = extension ? length : length * 16 + digit;
       }
       at += 2;
-      if (digits == 0 || body.size() + length > in.most() / 2) {
-        throw new Junk("a chunk without a length, or too many bytes in all");
+      if (digits == 0 || body.size() + length > in.maxCapacity() / 2) {
+        throw new ProtocolException("a chunk without a length, or too many bytes in all");
       }
       if (in.size() < at + length + 2) {
         return null;
       }
       body.writeBytes(in.copy(at, length));
       at += length;
-      if (in.at(at) != '\r' || in.at(at + 1) != '\n') {
-        throw new Junk("a chunk without an end");
+      if (in.byteAt(at) != '\r' || in.byteAt(at + 1) != '\n') {
+        throw new ProtocolException("a chunk without an end");
       }
       at += 2;
       if (length == 0) {
         in.skip(at);
-        return new Answer(status, fields, body.toByteArray(), lasts);
+        return new Response(status, fields, body.toByteArray(), lasts);
       }
     }
   }
 
-  private static int headEnd(Ring in) throws Junk {
+  private static int findHeadEnd(RingBuffer in) throws ProtocolException {
     int size = in.size();
-    for (int i = 3; i < size && i < LONGEST_HEAD; i++) {
-      if (in.at(i) == '\n'
-          && in.at(i - 1) == '\r'
-          && in.at(i - 2) == '\n'
-          && in.at(i - 3) == '\r') {
+    for (int i = 3; i < size && i < MAX_HEAD_BYTES; i++) {
+      if (in.byteAt(i) == '\n'
+          && in.byteAt(i - 1) == '\r'
+          && in.byteAt(i - 2) == '\n'
+          && in.byteAt(i - 3) == '\r') {
         return i + 1;
       }
     }
-    if (size >= LONGEST_HEAD) {
-      throw new Junk("an answer's head over " + LONGEST_HEAD + " bytes");
+    if (size >= MAX_HEAD_BYTES) {
+      throw new ProtocolException("an answer's head over " + MAX_HEAD_BYTES + " bytes");
     }
     return -1;
   }
 
-  private static int lineEnd(byte[] text, int from) throws Junk {
+  private static int findLineEnd(byte[] text, int from) throws ProtocolException {
     for (int i = from; i + 1 < text.length; i++) {
       if (text[i] == '\r' && text[i + 1] == '\n') {
         return i;
       }
     }
-    throw new Junk("a line without an end");
+    throw new ProtocolException("a line without an end");
   }
 
-  private static String lower(byte[] text, int from, int to) {
+  private static String lowerCaseAscii(byte[] text, int from, int to) {
     StringBuilder name = new StringBuilder(to - from);
     for (int i = from; i < to; i++) {
       name.append(Character.toLowerCase((char) (text[i] & 127)));
@@ -208,22 +209,22 @@
     return name.toString();
   }
 
-  private static long whole(byte[] digits, int from, int to) throws Junk {
+  private static long parseDigits(byte[] digits, int from, int to) throws ProtocolException {
     long value = 0;
     for (int i = from; i < to; i++) {
       if (digits[i] < '0' || digits[i] > '9' || to - from > 15) {
-        throw new Junk("not a whole number");
+        throw new ProtocolException("not a whole number");
       }
       value = value * 10 + digits[i] - '0';
     }
     if (to <= from) {
-      throw new Junk("no number");
+      throw new ProtocolException("no number");
     }
     return value;
   }
 
   /** A finite number from 0 on. */
-  public static double amount(String text) throws Junk {
+  public static double parseNonNegative(String text) throws ProtocolException {
     try {
       double value = Double.parseDouble(text);
       if (value >= 0 && value < Double.POSITIVE_INFINITY) {
@@ -232,6 +233,6 @@
     } catch (NumberFormatException e) {
       // said below
     }
-    throw new Junk("not an amount: " + text);
+    throw new ProtocolException("not an amount: " + text);
   }
 }
--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -12,176 +12,180 @@
  */
 public final class Json {
 
-  private static final int DEEPEST = 32; // far deeper than any message here
+  private static final int MAX_DEPTH = 32; // far deeper than any message here
 
   private final byte[] text;
-  private final Map<String, String> names = new HashMap<>(); // of members: each once in memory
-  private int at;
+  private final Map<String, String> memberNames =
+      new HashMap<>(); // of members: each once in memory
+  private int position;
   private int depth;
 
   private Json(byte[] text) {
     this.text = text;
   }
 
-  public static Object read(byte[] text) throws Junk {
+  public static Object parse(byte[] text) throws ProtocolException {
     Json json = new Json(text);
-    Object value = json.value();
-    json.blanks();
-    if (json.at < text.length) {
-      throw json.junk("more behind the end");
+    Object value = json.parseValue();
+    json.skipWhitespace();
+    if (json.position < text.length) {
+      throw json.malformed("more behind the end");
     }
     return value;
   }
 
   @SuppressWarnings("unchecked")
-  public static Map<String, Object> map(Object value, String what) throws Junk {
+  public static Map<String, Object> asObject(Object value, String what) throws ProtocolException {
     if (value instanceof Map) {
       return (Map<String, Object>) value;
     }
-    throw new Junk(what + " is not an object");
+    throw new ProtocolException(what + " is not an object");
   }
 
   @SuppressWarnings("unchecked")
-  public static List<Object> list(Object value, String what) throws Junk {
+  public static List<Object> asList(Object value, String what) throws ProtocolException {
     if (value instanceof List) {
       return (List<Object>) value;
     }
-    throw new Junk(what + " is not a list");
+    throw new ProtocolException(what + " is not a list");
   }
 
-  public static String text(Object value, String what) throws Junk {
+  public static String asString(Object value, String what) throws ProtocolException {
     if (value instanceof String) {
       return (String) value;
     }
-    throw new Junk(what + " is not a string");
+    throw new ProtocolException(what + " is not a string");
   }
 
-  public static double number(Object value, String what) throws Junk {
+  public static double asDouble(Object value, String what) throws ProtocolException {
     if (value instanceof Number) {
       return ((Number) value).doubleValue();
     }
-    throw new Junk(what + " is not a number");
+    throw new ProtocolException(what + " is not a number");
   }
 
-  private Junk junk(String what) {
-    return new Junk("JSON: " + what + " at byte " + at, at >= text.length);
+  private ProtocolException malformed(String what) {
+    return new ProtocolException("JSON: " + what + " at byte " + position, position >= text.length);
   }
 
-  private void blanks() {
-    while (at < text.length
-        && (text[at] == ' ' || text[at] == '\n' || text[at] == '\r' || text[at] == '\t')) {
-      at++;
+  private void skipWhitespace() {
+    while (position < text.length
+        && (text[position] == ' '
+            || text[position] == '\n'
+            || text[position] == '\r'
+            || text[position] == '\t')) {
+      position++;
     }
   }
 
-  private boolean next(char wanted) {
-    blanks();
-    if (at < text.length && text[at] == wanted) {
-      at++;
+  private boolean consumeIf(char wanted) {
+    skipWhitespace();
+    if (position < text.length && text[position] == wanted) {
+      position++;
       return true;
     }
     return false;
   }
 
-  private Object value() throws Junk {
-    blanks();
-    if (at == text.length) {
-      throw junk("ends early");
+  private Object parseValue() throws ProtocolException {
+    skipWhitespace();
+    if (position == text.length) {
+      throw malformed("ends early");
     }
-    if (++depth > DEEPEST) {
-      throw junk("too deep");
+    if (++depth > MAX_DEPTH) {
+      throw malformed("too deep");
     }
     Object value =
-        switch (text[at]) {
-          case '{' -> object();
-          case '[' -> array();
-          case '"' -> string();
-          case 't' -> word("true", Boolean.TRUE);
-          case 'f' -> word("false", Boolean.FALSE);
-          case 'n' -> word("null", null);
-          default -> number();
+        switch (text[position]) {
+          case '{' -> parseObject();
+          case '[' -> parseArray();
+          case '"' -> parseString();
+          case 't' -> parseLiteral("true", Boolean.TRUE);
+          case 'f' -> parseLiteral("false", Boolean.FALSE);
+          case 'n' -> parseLiteral("null", null);
+          default -> asDouble();
         };
     depth--;
     return value;
   }
 
-  private Object word(String word, Object value) throws Junk {
+  private Object parseLiteral(String word, Object value) throws ProtocolException {
     for (int i = 0; i < word.length(); i++) {
-      if (at == text.length || text[at++] != word.charAt(i)) {
-        throw junk("unknown word");
+      if (position == text.length || text[position++] != word.charAt(i)) {
+        throw malformed("unknown word");
       }
     }
     return value;
   }
 
-  private Map<String, Object> object() throws Junk {
+  private Map<String, Object> parseObject() throws ProtocolException {
     Map<String, Object> object = new LinkedHashMap<>();
-    at++;
-    if (next('}')) {
+    position++;
+    if (consumeIf('}')) {
       return object;
     }
     do {
-      blanks();
-      if (at == text.length || text[at] != '"') {
-        throw junk("no name");
+      skipWhitespace();
+      if (position == text.length || text[position] != '"') {
+        throw malformed("no name");
       }
-      String name = names.computeIfAbsent(string(), same -> same);
-      if (!next(':')) {
-        throw junk("no colon");
+      String name = memberNames.computeIfAbsent(parseString(), same -> same);
+      if (!consumeIf(':')) {
+        throw malformed("no colon");
       }
-      object.put(name, value());
-    } while (next(','));
-    if (!next('}')) {
-      throw junk("object without an end");
+      object.put(name, parseValue());
+    } while (consumeIf(','));
+    if (!consumeIf('}')) {
+      throw malformed("object without an end");
     }
     return object;
   }
 
-  private List<Object> array() throws Junk {
+  private List<Object> parseArray() throws ProtocolException {
     List<Object> array = new ArrayList<>();
-    at++;
-    if (next(']')) {
+    position++;
+    if (consumeIf(']')) {
       return array;
     }
     do {
-      array.add(value());
-    } while (next(','));
-    if (!next(']')) {
-      throw junk("list without an end");
+      array.add(parseValue());
+    } while (consumeIf(','));
+    if (!consumeIf(']')) {
+      throw malformed("list without an end");
     }
     return array;
   }
 
-  private String string() throws Junk {
-    int from = ++at;
-    while (at < text.length && text[at] != '"' && text[at] != '\\') {
-      at++;
+  private String parseString() throws ProtocolException {
+    int from = ++position;
+    while (position < text.length && text[position] != '"' && text[position] != '\\') {
+      position++;
     }
-    if (at < text.length && text[at] == '"') {
-      return new String(text, from, at++ - from, StandardCharsets.UTF_8);
+    if (position < text.length && text[position] == '"') {
+      return new String(text, from, position++ - from, StandardCharsets.UTF_8);
     }
     StringBuilder made = new StringBuilder();
     while (true) {
-      made.append(new String(text, from, at - from, StandardCharsets.UTF_8));
-      if (at == text.length) {
-        throw junk("string without an end");
+      made.append(new String(text, from, position - from, StandardCharsets.UTF_8));
+      if (position == text.length) {
+        throw malformed("string without an end");
       }
-      if (text[at++] == '"') {
+      if (text[position++] == '"') {
         return made.toString();
       }
-      made.append(escaped());
-      from = at;
-      while (at < text.length && text[at] != '"' && text[at] != '\\') {
-        at++;
+      made.append(parseEscape());
+      from = position;
+      while (position < text.length && text[position] != '"' && text[position] != '\\') {
+        position++;
       }
     }
   }
 
-  private char escaped() throws Junk {
-    if (at == text.length) {
-      throw junk("string without an end");
+  private char parseEscape() throws ProtocolException {
+    if (position == text.length) {
+      throw malformed("string without an end");
     }
-    byte b = text[at++];
+    byte b = text[position++];
     switch (b) {
       case '"', '\\', '/':
         return (char) b;
@@ -198,38 +202,39 @@
       case 'u':
         int code = 0;
         for (int i = 0; i < 4; i++) {
-          int digit = at < text.length ? Character.digit(text[at++], 16) : -1;
+          int digit = position < text.length ? Character.digit(text[position++], 16) : -1;
           if (digit < 0) {
-            throw junk("bad escape");
+            throw malformed("bad escape");
           }
           code = code * 16 + digit;
         }
         return (char) code;
       default:
-        throw junk("bad escape");
+        throw malformed("bad escape");
     }
   }
 
-  private Number number() throws Junk {
-    int from = at;
+  private Number asDouble() throws ProtocolException {
+    int from = position;
     boolean whole = true;
-    while (at < text.length
-        && (text[at] >= '0' && text[at] <= '9' || "+-.eE".indexOf(text[at]) >= 0)) {
-      whole &= text[at] >= '0' && text[at] <= '9' || text[at] == '-';
-      at++;
+    while (position < text.length
+        && (text[position] >= '0' && text[position] <= '9'
+            || "+-.eE".indexOf(text[position]) >= 0)) {
+      whole &= text[position] >= '0' && text[position] <= '9' || text[position] == '-';
+      position++;
     }
-    String digits = new String(text, from, at - from, StandardCharsets.US_ASCII);
+    String digits = new String(text, from, position - from, StandardCharsets.US_ASCII);
     try {
       if (whole && digits.length() < 19) {
         return Long.valueOf(digits);
       }
       Double value = Double.valueOf(digits);
       if (value.isInfinite()) {
-        throw junk("number out of range");
+        throw malformed("number out of range");
       }
       return value;
     } catch (NumberFormatException e) {
-      throw junk("no value");
+      throw malformed("no value");
     }
   }
 }
--- a/src/main/java/tansytrack/wire/Junk.java
+++ b/src/main/java/tansytrack/wire/ProtocolException.java
@@ -1,24 +1,24 @@
 package tansytrack.wire;
 
 /** A peer said what its protocol does not allow. */
-public final class Junk extends Exception {
+public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final boolean cutOff;
+  private final boolean truncated;
 
   /** A message that breaks the protocol; the text names how. */
-  public Junk(String what) {
+  public ProtocolException(String what) {
     this(what, false);
   }
 
   /** As above; cutOff: the message just ended too early. */
-  public Junk(String what, boolean cutOff) {
+  public ProtocolException(String what, boolean cutOff) {
     super(what, null, false, false);
-    this.cutOff = cutOff;
+    this.truncated = cutOff;
   }
 
   /** What was wrong, without the figures and words of this one case. */
-  String reason() {
+  String counterLabel() {
     StringBuilder reason = new StringBuilder();
     for (char c : getMessage().toCharArray()) {
       if (c == ':' || c == '\'' || Character.isDigit(c)) {
@@ -31,7 +31,7 @@
   }
 
   /** Is all right as far as it goes, and only its end is missing? */
-  public boolean cutOff() {
-    return cutOff;
+  public boolean truncated() {
+    return truncated;
   }
 }
--- a/src/main/java/tansytrack/wire/Ring.java
+++ b/src/main/java/tansytrack/wire/RingBuffer.java
@@ -6,24 +6,25 @@
  * The bytes of one direction of a connection: a ring that starts small, doubles when full, and has
  * a bound.
  */
-public final class Ring {
+public final class RingBuffer {
 
-  private static final int FIRST = 1 << 11; // most messages are shorter
+  private static final int INITIAL_CAPACITY_BYTES = 1 << 11; // most messages are shorter
 
-  private static final int KEPT =
+  private static final int MAX_RETAINED_CAPACITY_BYTES =
       1 << 13; // by an empty ring: hundreds of sessions must not keep their largest
 
-  private final int most;
-  private byte[] bytes = new byte[FIRST];
+  private final int maxCapacity;
+  private byte[] bytes = new byte[INITIAL_CAPACITY_BYTES];
   private int head;
   private int size;
 
   /** A ring that holds at most so many bytes; a power of two. */
-  public Ring(int most) {
-    if (Integer.bitCount(most) != 1 || most < FIRST) {
-      throw new IllegalArgumentException("the bound of a ring is a power of two from " + FIRST);
+  public RingBuffer(int most) {
+    if (Integer.bitCount(most) != 1 || most < INITIAL_CAPACITY_BYTES) {
+      throw new IllegalArgumentException(
+          "the bound of a ring is a power of two from " + INITIAL_CAPACITY_BYTES);
     }
-    this.most = most;
+    this.maxCapacity = most;
   }
 
   /** How many bytes it holds. */
@@ -32,17 +33,17 @@
   }
 
   /** How many bytes it may hold. */
-  public int most() {
-    return most;
+  public int maxCapacity() {
+    return maxCapacity;
   }
 
   /** What more it could hold. */
-  public int space() {
-    return most - size;
+  public int freeSpace() {
+    return maxCapacity - size;
   }
 
   /** The byte at an index, counted from the oldest. */
-  public byte at(int index) {
+  public byte byteAt(int index) {
     if (index < 0 || index >= size) {
       throw new IndexOutOfBoundsException(index);
     }
@@ -51,19 +52,19 @@
 
   /** Four bytes, the highest first. */
   public int intAt(int index) {
-    return (at(index) & 255) << 24
-        | (at(index + 1) & 255) << 16
-        | (at(index + 2) & 255) << 8
-        | (at(index + 3) & 255);
+    return (byteAt(index) & 255) << 24
+        | (byteAt(index + 1) & 255) << 16
+        | (byteAt(index + 2) & 255) << 8
+        | (byteAt(index + 3) & 255);
   }
 
   /** Takes all of the buffer, or nothing: false if it does not fit. */
   public boolean put(ByteBuffer from) {
     int count = from.remaining();
-    if (count > space()) {
+    if (count > freeSpace()) {
       return false;
     }
-    room(count);
+    ensureCapacity(count);
     int tail = head + size & bytes.length - 1;
     int first = Math.min(count, bytes.length - tail);
     from.get(bytes, tail, first);
@@ -101,8 +102,8 @@
     }
     head = head + count & bytes.length - 1;
     size -= count;
-    if (size == 0 && bytes.length > KEPT) {
-      bytes = new byte[FIRST];
+    if (size == 0 && bytes.length > MAX_RETAINED_CAPACITY_BYTES) {
+      bytes = new byte[INITIAL_CAPACITY_BYTES];
       head = 0;
     }
   }
@@ -114,7 +115,7 @@
     return taken;
   }
 
-  private void room(int more) {
+  private void ensureCapacity(int more) {
     int wanted = bytes.length;
     while (wanted < size + more) {
       wanted *= 2;
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -35,16 +35,17 @@
 
   private static final AttributeKey CONNECTION = new AttributeKey(Sockets.class, "connection");
   private static final int BACKLOG = 1024; // as many as there can be descriptors
-  private static final int READ_FIRST =
+  private static final int INITIAL_READ_BYTES =
       1 << 11; // bytes of a first read, and bounds to what MINA adapts it
-  private static final int READ_MOST = 1 << 14;
-  private static final int FRONT_IN = 1 << 16; // the longest message of a client
-  private static final int FRONT_OUT = 1 << 19; // a result of the most bytes, in the shortest rows
-  private static final int CALL_OUT = 1 << 17; // a statement, with its header
+  private static final int MAX_READ_BYTES = 1 << 14;
+  private static final int CLIENT_INPUT_BYTES = 1 << 16; // the longest message of a client
+  private static final int CLIENT_OUTPUT_BYTES =
+      1 << 19; // a result of the most bytes, in the shortest rows
+  private static final int REQUEST_OUTPUT_BYTES = 1 << 17; // a statement, with its header
 
-  private static final long SAID_EVERY = 1_000_000_000L;
+  private static final long WARNING_INTERVAL_NANOS = 1_000_000_000L;
 
-  private final Consumer<Runnable> hand;
+  private final Consumer<Runnable> eventLoop;
   private final LongSupplier clock;
   private final ExecutorService threads =
       Executors.newCachedThreadPool(
@@ -57,15 +58,15 @@
       new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, SelectorProvider.provider());
   private final Acceptor acceptor = new Acceptor();
   private final NioSocketConnector connector = new NioSocketConnector(threads, processors);
-  private Consumer<Connection> accepted;
-  private int open;
+  private Consumer<Connection> acceptHandler;
+  private int openConnections;
   private final Map<String, Long> junk = new TreeMap<>();
-  private int unsaid;
-  private long saidAt;
+  private int unloggedErrors;
+  private long lastWarningAt;
 
   /** All connections of the process; what their threads have to tell is handed to the loop. */
   public Sockets(Consumer<Runnable> hand, LongSupplier clock) {
-    this.hand = hand;
+    this.eventLoop = hand;
     this.clock = clock;
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
@@ -78,14 +79,14 @@
 
   private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setReadBufferSize(READ_FIRST);
-    config.setMinReadBufferSize(READ_FIRST);
-    config.setMaxReadBufferSize(READ_MOST);
+    config.setReadBufferSize(INITIAL_READ_BYTES);
+    config.setMinReadBufferSize(INITIAL_READ_BYTES);
+    config.setMaxReadBufferSize(MAX_READ_BYTES);
   }
 
   /** More accepted connections than that are closed at once. */
-  public void mostAccepted(int most) {
-    acceptor.most = most;
+  public void maxAccepted(int most) {
+    acceptor.maxAccepted = most;
   }
 
   /**
@@ -93,8 +94,8 @@
    * left nothing could be accepted and no engine reached.
    */
   private final class Acceptor extends NioSocketAcceptor {
-    private final AtomicInteger held = new AtomicInteger();
-    private volatile int most = Integer.MAX_VALUE;
+    private final AtomicInteger accepted = new AtomicInteger();
+    private volatile int maxAccepted = Integer.MAX_VALUE;
 
     Acceptor() {
       super(threads, processors);
@@ -105,11 +106,11 @@
         throws Exception {
       // MINA's own count follows only as its other thread takes the sessions: a whole backlog would
       // slip through.
-      if (held.get() < most) {
+      if (accepted.get() < maxAccepted) {
         NioSession session = super.accept(processor, from);
         if (session != null) {
-          held.incrementAndGet();
-          session.getCloseFuture().addListener(closed -> held.decrementAndGet());
+          accepted.incrementAndGet();
+          session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
         }
         return session;
       }
@@ -124,7 +125,7 @@
   /** Listens there; each connection comes as a note, and is to get its owner at once. */
   public InetSocketAddress listen(InetSocketAddress at, Consumer<Connection> to)
       throws IOException {
-    accepted = to;
+    acceptHandler = to;
     acceptor.bind(at);
     return acceptor.getLocalAddress();
   }
@@ -136,29 +137,29 @@
 
   /** A connection that is on its way; what is written meanwhile goes out once it is up. */
   public Connection connect(InetSocketAddress to, int mostIn, Connection.Owner owner) {
-    Connection connection = new Connection(this, mostIn, CALL_OUT);
-    connection.own(owner);
-    open++;
+    Connection connection = new Connection(this, mostIn, REQUEST_OUTPUT_BYTES);
+    connection.setOwner(owner);
+    openConnections++;
     ConnectFuture coming =
         connector.connect(to, (session, future) -> session.setAttribute(CONNECTION, connection));
-    connection.coming(coming);
+    connection.connectFuture(coming);
     coming.addListener(
         done -> {
           if (!coming.isConnected()) {
-            hand.accept(() -> connection.failed(coming.getException()));
+            eventLoop.accept(() -> connection.connectFailed(coming.getException()));
           }
         });
     return connection;
   }
 
   /** The time now, by the clock that stamps what is heard. */
-  long time() {
+  long now() {
     return clock.getAsLong();
   }
 
   /** Connections open or on their way. */
-  public int open() {
-    return open;
+  public int openConnections() {
+    return openConnections;
   }
 
   /**
@@ -170,27 +171,27 @@
     processors.flush((NioSession) session);
   }
 
-  void gone(Connection connection) {
-    open--;
+  void connectionReleased(Connection connection) {
+    openConnections--;
   }
 
   /** Connections closed for what came on them, by reason. */
-  public Map<String, Long> junk() {
+  public Map<String, Long> protocolErrors() {
     return junk;
   }
 
   /** Said once a second at most: bad peers must not take the time of the others. */
-  void junk(Connection connection, Junk junk) {
-    this.junk.merge(junk.reason(), 1L, Long::sum);
-    unsaid++;
-    if (clock.getAsLong() - saidAt >= SAID_EVERY) {
-      saidAt = clock.getAsLong();
+  void protocolErrors(Connection connection, ProtocolException junk) {
+    this.junk.merge(junk.counterLabel(), 1L, Long::sum);
+    unloggedErrors++;
+    if (clock.getAsLong() - lastWarningAt >= WARNING_INTERVAL_NANOS) {
+      lastWarningAt = clock.getAsLong();
       Logger.warn(
           "connection with {} closed: {}{}",
-          connection.peer(),
+          connection.remoteAddress(),
           junk.getMessage(),
-          unsaid > 1 ? " (" + unsaid + " closed since the last such line)" : "");
-      unsaid = 0;
+          unloggedErrors > 1 ? " (" + unloggedErrors + " closed since the last such line)" : "");
+      unloggedErrors = 0;
     }
   }
 
@@ -214,16 +215,16 @@
     public void sessionOpened(IoSession session) {
       Connection known = (Connection) session.getAttribute(CONNECTION);
       if (known != null) {
-        hand.accept(() -> known.came(session));
+        eventLoop.accept(() -> known.sessionOpened(session));
         return;
       }
-      Connection fresh = new Connection(Sockets.this, FRONT_IN, FRONT_OUT);
+      Connection fresh = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
       session.setAttribute(CONNECTION, fresh);
-      hand.accept(
+      eventLoop.accept(
           () -> {
-            open++;
-            accepted.accept(fresh);
-            fresh.came(session);
+            openConnections++;
+            acceptHandler.accept(fresh);
+            fresh.sessionOpened(session);
           });
     }
 
@@ -232,26 +233,26 @@
       long at = clock.getAsLong();
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       IoBuffer bytes = (IoBuffer) message;
-      if (connection.unread.addAndGet(bytes.remaining()) > Connection.MOST_UNREAD) {
+      if (connection.unreadBytes.addAndGet(bytes.remaining()) > Connection.MAX_UNREAD_BYTES) {
         session.suspendRead();
-        if (connection.unread.get() <= Connection.MOST_UNREAD) {
+        if (connection.unreadBytes.get() <= Connection.MAX_UNREAD_BYTES) {
           session.resumeRead(); // the loop has taken it meanwhile, and saw nothing to resume
         }
       }
-      hand.accept(() -> connection.heard(bytes, at));
+      eventLoop.accept(() -> connection.received(bytes, at));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
       Connection connection = (Connection) session.getAttribute(CONNECTION);
-      hand.accept(connection::sent);
+      eventLoop.accept(connection::writeCompleted);
     }
 
     @Override
     public void sessionClosed(IoSession session) {
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       if (connection != null) {
-        hand.accept(connection::drop);
+        eventLoop.accept(connection::closeAndNotify);
       }
     }
 
--- a/src/main/java/tansytrack/wire/Statement.java
+++ b/src/main/java/tansytrack/wire/Statement.java
@@ -12,9 +12,9 @@
  */
 public final class Statement {
 
-  private static final Set<String> BEFORE_TABLES =
+  private static final Set<String> KEYWORDS_BEFORE_TABLES =
       Set.of("from", "join", "into", "update", "table", "only", "copy");
-  private static final Set<String> AFTER_TABLES =
+  private static final Set<String> KEYWORDS_AFTER_TABLES =
       Set.of(
           "where",
           "select",
@@ -30,24 +30,24 @@
           "union",
           "except",
           "intersect");
-  private static final String STAGING = "staging";
+  private static final String STAGING_SCHEMA = "staging";
 
   private final Map<String, String> fields = new HashMap<>();
   private final byte[] text;
   private final byte[] body;
-  private int at;
-  private String word; // the name just read, in lower case; null for anything else
-  private boolean bare; // not in quotation marks, so it may be a key word
+  private int position;
+  private String identifier; // the name just read, in lower case; null for anything else
+  private boolean unquoted; // not in quotation marks, so it may be a key word
 
   private Statement(byte[] text, int from) {
     this.text = text;
     body = Arrays.copyOfRange(text, from, text.length);
-    at = from;
+    position = from;
   }
 
   /** Reads the comment at the head of a statement, and its fields. */
-  public static Statement read(byte[] text) throws Junk {
-    int from = blanks(text, 0);
+  public static Statement parse(byte[] text) throws ProtocolException {
+    int from = skipWhitespace(text, 0);
     if (from + 1 >= text.length || text[from] != '/' || text[from + 1] != '*') {
       return new Statement(text, from);
     }
@@ -56,9 +56,9 @@
       to++;
     }
     if (to + 1 >= text.length) {
-      throw new Junk("comment without an end");
+      throw new ProtocolException("comment without an end");
     }
-    Statement made = new Statement(text, blanks(text, to + 2));
+    Statement made = new Statement(text, skipWhitespace(text, to + 2));
     made.fields(from + 2, to);
     return made;
   }
@@ -69,9 +69,9 @@
   }
 
   /** Is it these words, in any case and with blanks round them? */
-  public boolean is(String words) {
+  public boolean equalsIgnoringCase(String words) {
     return body.length < 2 * words.length()
-        && string(text.length - body.length, text.length).strip().equalsIgnoreCase(words);
+        && decode(text.length - body.length, text.length).strip().equalsIgnoreCase(words);
   }
 
   /** The statement without that comment. */
@@ -79,15 +79,15 @@
     return body;
   }
 
-  private static int blanks(byte[] text, int from) {
+  private static int skipWhitespace(byte[] text, int from) {
     int at = from;
-    while (at < text.length && blank(text[at])) {
+    while (at < text.length && isWhitespace(text[at])) {
       at++;
     }
     return at;
   }
 
-  private static boolean blank(byte sign) {
+  private static boolean isWhitespace(byte sign) {
     return sign == ' ' || sign == '\n' || sign == '\r' || sign == '\t' || sign == '\f';
   }
 
@@ -100,13 +100,13 @@
         end++;
       }
       if (equals > 0) {
-        fields.put(string(i, equals).strip(), string(equals + 1, end).strip());
+        fields.put(decode(i, equals).strip(), decode(equals + 1, end).strip());
       }
       i = end + 1;
     }
   }
 
-  private String string(int from, int to) {
+  private String decode(int from, int to) {
     return new String(text, from, to - from, java.nio.charset.StandardCharsets.UTF_8);
   }
 
@@ -114,22 +114,22 @@
    * The number behind the underscore in the name of the schema that is read or written, or -1. A
    * name where a table stands goes before any other: an alias may look like a schema too.
    */
-  public long group() {
+  public long dataSet() {
     long other = -1;
     boolean tables = false; // a list of tables is open
     boolean wanted = false; // a table's name would stand here
     String schema = null; // a name that a dot may follow
     boolean dotted = false;
-    while (next()) {
-      if (word == null) {
-        byte sign = text[at - 1];
+    while (nextToken()) {
+      if (identifier == null) {
+        byte sign = text[position - 1];
         wanted = sign == ',' ? tables : (sign == '.' && wanted) || (sign == '(' && wanted);
         dotted = sign == '.' && schema != null;
         schema = dotted ? schema : null;
         continue;
       }
       if (dotted) {
-        long group = number(schema);
+        long group = dataSetOfSchema(schema);
         if (group >= 0 && wanted) {
           return group;
         }
@@ -137,28 +137,28 @@
         wanted = false;
         schema = null;
         dotted = false;
-      } else if (bare && BEFORE_TABLES.contains(word)) {
+      } else if (unquoted && KEYWORDS_BEFORE_TABLES.contains(identifier)) {
         tables = true;
         wanted = true;
         schema = null;
-      } else if (bare && AFTER_TABLES.contains(word)) {
+      } else if (unquoted && KEYWORDS_AFTER_TABLES.contains(identifier)) {
         tables = false;
         wanted = false;
         schema = null;
       } else {
         wanted &= schema == null;
-        schema = word;
+        schema = identifier;
       }
     }
     return other;
   }
 
-  private static long number(String schema) {
+  private static long dataSetOfSchema(String schema) {
     int under = schema.lastIndexOf('_');
     if (under < 1
         || under == schema.length() - 1
         || schema.length() - under > 16
-        || schema.equals(STAGING)) {
+        || schema.equals(STAGING_SCHEMA)) {
       return -1;
     }
     long number = 0;
@@ -173,115 +173,122 @@
   }
 
   private byte peek(int ahead) {
-    return at + ahead < text.length ? text[at + ahead] : 0;
+    return position + ahead < text.length ? text[position + ahead] : 0;
   }
 
   /** Reads the next name or sign, past blanks, comments and strings; false at the end. */
-  private boolean next() {
-    word = null;
-    while (at < text.length) {
-      byte sign = text[at];
-      if (blank(sign)) {
-        at++;
+  private boolean nextToken() {
+    identifier = null;
+    while (position < text.length) {
+      byte sign = text[position];
+      if (isWhitespace(sign)) {
+        position++;
       } else if (sign == '-' && peek(1) == '-') {
-        while (at < text.length && text[at] != '\n') {
-          at++;
+        while (position < text.length && text[position] != '\n') {
+          position++;
         }
       } else if (sign == '/' && peek(1) == '*') {
-        comment();
+        skipBlockComment();
       } else if (sign == '\'') {
-        quoted('\'', false);
+        skipQuoted('\'', false);
       } else if ((sign == 'e' || sign == 'E') && peek(1) == '\'') {
-        at++;
-        quoted('\'', true);
-      } else if (sign == '$' && dollars()) {
+        position++;
+        skipQuoted('\'', true);
+      } else if (sign == '$' && skipDollarQuoted()) {
 
       } else if (sign == '"') {
-        int from = at;
-        quoted('"', false);
-        word = string(from + 1, Math.max(from + 1, at - 1));
-        bare = false;
+        int from = position;
+        skipQuoted('"', false);
+        identifier = decode(from + 1, Math.max(from + 1, position - 1));
+        unquoted = false;
         return true;
-      } else if (letter(sign)) {
-        int from = at;
-        while (at < text.length && (letter(text[at]) || digit(text[at]) || text[at] == '$')) {
-          at++;
+      } else if (isIdentifierStart(sign)) {
+        int from = position;
+        while (position < text.length
+            && (isIdentifierStart(text[position])
+                || isDigit(text[position])
+                || text[position] == '$')) {
+          position++;
         }
-        word = string(from, at).toLowerCase(Locale.ROOT);
-        bare = true;
+        identifier = decode(from, position).toLowerCase(Locale.ROOT);
+        unquoted = true;
         return true;
-      } else if (digit(sign)) {
-        while (at < text.length && (letter(text[at]) || digit(text[at]) || text[at] == '.')) {
-          at++;
+      } else if (isDigit(sign)) {
+        while (position < text.length
+            && (isIdentifierStart(text[position])
+                || isDigit(text[position])
+                || text[position] == '.')) {
+          position++;
         }
       } else {
-        at++;
+        position++;
         return true;
       }
     }
     return false;
   }
 
-  private static boolean letter(byte sign) {
+  private static boolean isIdentifierStart(byte sign) {
     return (sign >= 'a' && sign <= 'z') || (sign >= 'A' && sign <= 'Z') || sign == '_' || sign < 0;
   }
 
-  private static boolean digit(byte sign) {
+  private static boolean isDigit(byte sign) {
     return sign >= '0' && sign <= '9';
   }
 
-  private void comment() {
+  private void skipBlockComment() {
     int depth = 0;
-    while (at < text.length) {
-      if (text[at] == '/' && peek(1) == '*') {
+    while (position < text.length) {
+      if (text[position] == '/' && peek(1) == '*') {
         depth++;
-        at += 2;
-      } else if (text[at] == '*' && peek(1) == '/') {
-        at += 2;
+        position += 2;
+      } else if (text[position] == '*' && peek(1) == '/') {
+        position += 2;
         if (--depth == 0) {
           return;
         }
       } else {
-        at++;
+        position++;
       }
     }
   }
 
   /** Past a string or a quoted name; a doubled mark stands for itself. */
-  private void quoted(char mark, boolean escapes) {
-    at++;
-    while (at < text.length) {
-      if (escapes && text[at] == '\\') {
-        at += 2;
-      } else if (text[at] != mark) {
-        at++;
+  private void skipQuoted(char mark, boolean escapes) {
+    position++;
+    while (position < text.length) {
+      if (escapes && text[position] == '\\') {
+        position += 2;
+      } else if (text[position] != mark) {
+        position++;
       } else if (peek(1) == mark) {
-        at += 2;
+        position += 2;
       } else {
-        at++;
+        position++;
         return;
       }
     }
-    at = Math.min(at, text.length);
+    position = Math.min(position, text.length);
   }
 
   /** Past a string between dollar marks, if one starts here. */
-  private boolean dollars() {
-    int end = at + 1;
-    while (end < text.length && (letter(text[end]) || (digit(text[end]) && end > at + 1))) {
+  private boolean skipDollarQuoted() {
+    int end = position + 1;
+    while (end < text.length
+        && (isIdentifierStart(text[end]) || (isDigit(text[end]) && end > position + 1))) {
       end++;
     }
     if (end == text.length || text[end] != '$') {
       return false;
     }
-    int length = end + 1 - at;
+    int length = end + 1 - position;
     for (int i = end + 1; i + length <= text.length; i++) {
-      if (Arrays.equals(text, i, i + length, text, at, at + length)) {
-        at = i + length;
+      if (Arrays.equals(text, i, i + length, text, position, position + length)) {
+        position = i + length;
         return true;
       }
     }
-    at = text.length;
+    position = text.length;
     return true;
   }
 }
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -28,7 +28,7 @@
         .layer("api")
         .definedBy("tansytrack.api")
         .layer("parts")
-        .definedBy("tansytrack.parts")
+        .definedBy("tansytrack.util")
         .layer("policy")
         .definedBy("tansytrack.policy")
         .layer("settings")
@@ -92,9 +92,9 @@
             "tansytrack.fleet",
             "tansytrack.lab.load",
             "tansytrack.lab.scale",
-            "tansytrack.lab.world",
+            "tansytrack.lab.simulation",
             "tansytrack.api",
-            "tansytrack.parts",
+            "tansytrack.util",
             "tansytrack.policy")
         .or()
         .haveFullyQualifiedName("tansytrack.Decide")
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -13,10 +13,10 @@
 import tansytrack.api.EngineEntry;
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
-import tansytrack.fleet.Reckoning;
-import tansytrack.fleet.Rules;
-import tansytrack.lab.world.FleetWorld;
-import tansytrack.lab.world.Weather;
+import tansytrack.fleet.BudgetDivisor;
+import tansytrack.fleet.MembershipConfig;
+import tansytrack.lab.simulation.LinkConditions;
+import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
  * Managers whose number changes, with links between them that break, and engines that start cold:
@@ -28,14 +28,14 @@
   private static final int ENGINES = 4;
   private static final long COST = 250; // ms of work of a task
   private static final long STEP = 50; // ms
-  private static final Settings.ColdRule COLD =
-      new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+  private static final Settings.ColdStartLimit COLD =
+      new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
 
   /** One manager in one of its lives. */
   private static final class Life {
     final long id;
     final Manager manager = new Manager();
-    final Reckoning reckoning = new Reckoning(MEMBERS - 1, 10_000 * MS);
+    final BudgetDivisor reckoning = new BudgetDivisor(MEMBERS - 1, 10_000 * MS);
     final long began; // on the world's clock
     final ArrayDeque<String[]> out = new ArrayDeque<>(); // task, engine and when it ends
     int seen;
@@ -63,8 +63,12 @@
   }
 
   private void play(long seed, boolean byView) {
-    FleetWorld world =
-        FleetWorld.of(MEMBERS, Rules.usual(List.of("m0", "m1")), seed, Weather.FINE.losing(0.1));
+    MembershipSimulation world =
+        MembershipSimulation.startConverged(
+            MEMBERS,
+            MembershipConfig.defaults(List.of("m0", "m1")),
+            seed,
+            LinkConditions.GOOD.withLoss(0.1));
     SplittableRandom chance = new SplittableRandom(seed);
     lives.clear();
     sends.clear();
@@ -74,21 +78,21 @@
     }
     long from = world.now();
     int cut = chance.nextInt(3);
-    world.at(
+    world.schedule(
         from + 1000 * MS,
-        () -> world.cut((a, b) -> cut == 0 || cut == 1 && !a.place().equals(b.place())));
+        () -> world.partition((a, b) -> cut == 0 || cut == 1 && !a.zone().equals(b.zone())));
     for (int i = 0; i < 3; i++) {
       String address = "m" + chance.nextInt(MEMBERS);
-      world.at(
+      world.schedule(
           from + chance.nextLong(8000 * MS),
           () -> {
             if (world.node(address).running() && chance.nextBoolean()) {
-              world.end(address);
+              world.shutDown(address);
             } else {
               world.kill(address);
             }
           });
-      world.at(
+      world.schedule(
           from + (9000 + chance.nextLong(12_000)) * MS,
           () -> {
             if (!world.node(address).running()) {
@@ -98,7 +102,7 @@
     }
     for (int engine = 0; engine < ENGINES; engine++) {
       int which = engine;
-      world.at(
+      world.schedule(
           from + (6000 + chance.nextLong(14_000)) * MS,
           () -> {
             startedAt[which] = world.now() / MS;
@@ -107,8 +111,8 @@
           });
     }
     for (long at = from; at < from + 25_000 * MS; at += STEP * MS) {
-      world.run(at);
-      for (FleetWorld.Node node : world.nodes()) {
+      world.runUntil(at);
+      for (MembershipSimulation.Node node : world.nodes()) {
         if (node.running()) {
           turn(world, node, byView, chance);
         } else {
@@ -119,12 +123,15 @@
   }
 
   private void turn(
-      FleetWorld world, FleetWorld.Node node, boolean byView, SplittableRandom chance) {
+      MembershipSimulation world,
+      MembershipSimulation.Node node,
+      boolean byView,
+      SplittableRandom chance) {
     long now = world.now() / MS;
     Life life = lives.get(node.name());
-    if (life == null || life.id != node.fleet().self().life()) {
+    if (life == null || life.id != node.membership().self().instanceId()) {
       // Its clock is at its first step by the end of this turn.
-      life = new Life(node.fleet().self().life(), now - STEP, chance.nextLong());
+      life = new Life(node.membership().self().instanceId(), now - STEP, chance.nextLong());
       lives.put(node.name(), life);
       EngineEntry[] all = new EngineEntry[ENGINES];
       for (int i = 0; i < ENGINES; i++) {
@@ -132,11 +139,11 @@
       }
       life.manager.list(true, all);
     }
-    node.fleet().others().forEach(life.reckoning::changed);
+    node.membership().others().forEach(life.reckoning::memberChanged);
     int by =
         byView
-            ? node.fleet().view().there()
-            : life.reckoning.used(world.now(), node.fleet().view().there());
+            ? node.membership().view().liveMembers()
+            : life.reckoning.update(world.now(), node.membership().view().liveMembers());
     fewest = Math.min(fewest, by);
     life.manager.siblings(by).pass(STEP);
     while (!life.out.isEmpty() && Long.parseLong(life.out.peek()[1]) <= now) {
@@ -161,16 +168,16 @@
   private void sent(int engine, long now) {
     ArrayDeque<Long> window = sends.get(engine);
     window.add(now);
-    while (window.peek() <= now - COLD.window() / MS) {
+    while (window.peek() <= now - COLD.windowNanos() / MS) {
       window.poll();
     }
     double age =
-        startedAt[engine] == 0 ? 1 : (now - startedAt[engine]) * MS / (double) COLD.warmAfter();
+        startedAt[engine] == 0 ? 1 : (now - startedAt[engine]) * MS / (double) COLD.warmUpNanos();
     if (age < 1) {
       most = Math.max(most, window.size());
       double allowed =
-          COLD.multiple()
-              * (COLD.startCapacity() + (1 - COLD.startCapacity()) * age)
+          COLD.overloadFactor()
+              * (COLD.startCapacityFraction() + (1 - COLD.startCapacityFraction()) * age)
               * 4
               * 1000
               / COST;
--- a/src/test/java/tansytrack/DecideSubsetTest.java
+++ b/src/test/java/tansytrack/DecideSubsetTest.java
@@ -21,8 +21,8 @@
 /** The module with lists of engines under the bound of a subset and far above it. */
 class DecideSubsetTest {
 
-  private static final Settings.ColdRule COLD =
-      new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+  private static final Settings.ColdStartLimit COLD =
+      new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
 
   private static String id(int engine) {
     return String.format("engine-%04d", engine);
@@ -111,7 +111,7 @@
   void upToTheBoundAPositionChangesNothing(int engines) {
     List<String> did = play(9, engines, 0).did;
     assertThat(play(9, engines, 17).did).isEqualTo(did);
-    assertThat(play(9, engines, Settings.UNKNOWN).did).isEqualTo(did);
+    assertThat(play(9, engines, Settings.UNKNOWN_INDEX).did).isEqualTo(did);
   }
 
   private static Manager manager(int siblings, int position) {
@@ -417,7 +417,7 @@
         manager.cold = COLD;
         manager.siblings = mistake == Mistake.FEWER && i % 2 == 0 ? managers * 3 / 4 : managers;
         manager.position = mistake == Mistake.DOUBLED && i % 4 == 1 ? i - 1 : i;
-        manager.position = mistake == Mistake.UNKNOWN ? Settings.UNKNOWN : manager.position;
+        manager.position = mistake == Mistake.UNKNOWN ? Settings.UNKNOWN_INDEX : manager.position;
         int listed = mistake == Mistake.SHORTER && i % 2 == 0 ? engines * 9 / 10 : engines;
         EngineEntry[] all = new EngineEntry[listed];
         for (int engine = 0; engine < listed; engine++) {
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -373,7 +373,7 @@
     // against sending to
     // dead engines because all are.
     Manager manager = new Manager();
-    manager.cold = new Settings.ColdRule(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
+    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
     manager.list(true, small("e")).take("t short a").decide().end("t", 0, Outcome.UNREACHED);
     assertThat(manager.takeAll(4, "u# short a").did("forward u")).isEmpty();
     manager.pass(1050).end("t", 1, Outcome.OK).takeAll(30, "w# stamp b cost=900");
--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansytrack.api.EngineEntry;
 import tansytrack.api.Settings;
-import tansytrack.parts.EngineList;
 import tansytrack.policy.EngineSubset;
+import tansytrack.util.EngineList;
 
 /**
  * Which engines a manager uses, without the module around it: evenness, churn, levels, stand-ins.
@@ -35,7 +35,7 @@
   private static final class Selection {
     final EngineList list = new EngineList();
     final EngineSubset subset;
-    final EngineSubset.Group group;
+    final EngineSubset.EngineGroup group;
     int managers;
 
     Selection(int managers, int position, Predicate<EngineEntry> allowed, long seed) {
@@ -54,13 +54,13 @@
     }
 
     boolean set(List<EngineEntry> entries) {
-      list.set(entries);
-      return subset.settle(managers);
+      list.replaceAll(entries);
+      return subset.updateLevels(managers);
     }
 
     boolean put(EngineEntry entry) {
       list.put(entry);
-      return subset.settle(managers);
+      return subset.updateLevels(managers);
     }
 
     Set<String> used() {
@@ -230,15 +230,15 @@
   @Test
   void theLevelOfAnEngineTellsHowManyManagersUseIt() {
     Selection selection = new Selection(800, 5);
-    EngineSubset.Group big = selection.subset.group(entry -> entry.kind().equals("big"));
+    EngineSubset.EngineGroup big = selection.subset.group(entry -> entry.type().equals("big"));
     selection.set(engines(4000)); // 400 big ones: level 2; all: level 5
     for (EngineEntry entry : selection.usedEntries()) {
-      assertThat(selection.subset.level(entry)).isEqualTo(entry.kind().equals("big") ? 2 : 5);
-      assertThat(big.uses(entry)).isEqualTo(entry.kind().equals("big"));
+      assertThat(selection.subset.level(entry)).isEqualTo(entry.type().equals("big") ? 2 : 5);
+      assertThat(big.uses(entry)).isEqualTo(entry.type().equals("big"));
     }
     Set<String> own = selection.used();
     sweep(selection, 20, entry -> own.contains(entry.id()));
-    assertThat(selection.usedEntries().stream().filter(selection.subset::standsIn))
+    assertThat(selection.usedEntries().stream().filter(selection.subset::isSubstitute))
         .hasSize(20)
         .allMatch(entry -> selection.subset.level(entry) == 4);
   }
@@ -278,7 +278,7 @@
   @Test
   void aGroupOfFewEnginesKeepsThemAll() {
     Selection selection =
-        new Selection(500, 123, entry -> entry.kind().equals("big"), 1); // 100 of them
+        new Selection(500, 123, entry -> entry.type().equals("big"), 1); // 100 of them
     selection.set(engines(1000));
     List<EngineEntry> used = selection.usedEntries();
     assertThat(used.stream().filter(selection.group::uses)).hasSize(100);
@@ -289,7 +289,7 @@
   void withoutAPositionManagersDifferByTheirSeed() {
     int[] users = new int[640];
     for (int seed = 0; seed < 400; seed++) {
-      Selection selection = new Selection(400, Settings.UNKNOWN, EngineSubsetTest::any, seed);
+      Selection selection = new Selection(400, Settings.UNKNOWN_INDEX, EngineSubsetTest::any, seed);
       selection.set(engines(640));
       for (String id : selection.used()) {
         users[Integer.parseInt(id.substring(7))]++;
@@ -305,7 +305,7 @@
     int most = 0;
     for (int i = 0; i < sweeps; i++) {
       Set<String> before = selection.used();
-      selection.group.refill(
+      selection.group.adjustSubstitutes(
           selection.usedEntries().stream().filter(ill.negate()).toList(), ill.negate());
       Set<String> after = selection.used();
       most = Math.max(most, changed(List.of(before), List.of(after)));
@@ -332,7 +332,7 @@
     assertThat((double) well.size() - 1).isLessThan(0.55 * (usual + standIns - 1));
     assertThat(selection.used()).containsAll(own);
     assertThat(selection.usedEntries().stream().filter(entry -> !own.contains(entry.id())))
-        .allMatch(entry -> !odd(entry) && selection.subset.standsIn(entry));
+        .allMatch(entry -> !odd(entry) && selection.subset.isSubstitute(entry));
     assertThat(sweep(selection, 100, entry -> false)).isEqualTo(1);
     assertThat(selection.used()).isEqualTo(own);
   }
@@ -395,7 +395,7 @@
     Set<String> own = selection.used();
     for (EngineEntry entry : selection.list.all().stream().toList()) {
       if (!own.contains(entry.id())) {
-        selection.put(Manager.engine(entry.id(), entry.kind(), 0, EngineEntry.State.DRAINING, 0));
+        selection.put(Manager.engine(entry.id(), entry.type(), 0, EngineEntry.State.DRAINING, 0));
       }
     }
     assertThat(sweep(selection, 5, entry -> own.contains(entry.id()))).isZero();
@@ -407,7 +407,7 @@
     selection.set(engines(3000));
     int own = selection.used().size();
     for (int i = 0; i < 300; i++) {
-      selection.group.refill(List.of(), entry -> true);
+      selection.group.adjustSubstitutes(List.of(), entry -> true);
     }
     assertThat(selection.used()).hasSizeBetween(own, own + 94);
   }
--- a/src/test/java/tansytrack/LedgerCommandsTest.java
+++ b/src/test/java/tansytrack/LedgerCommandsTest.java
@@ -15,29 +15,29 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tansytrack.api.Grade;
 import tansytrack.api.Outcome;
-import tansytrack.api.TaskOffer;
-import tansytrack.ledger.disk.Recorder;
+import tansytrack.api.QueryClass;
+import tansytrack.api.TaskRequest;
+import tansytrack.ledger.disk.LedgerRecorder;
 import tansytrack.operator.OperatorFile;
-import tansytrack.state.TaskWatch;
+import tansytrack.state.TaskListener;
 import tansytrack.state.Timers;
 
 /** The operators' commands on a ledger that a manager left: 10,000 tenants, one task unresolved. */
 class LedgerCommandsTest {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long DAY = 20_000 * 86_400 * SECOND; // 2024-10-04
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final long START_NANOS = 20_000 * 86_400 * NANOS_PER_SECOND; // 2024-10-04
   private static final int TENANTS = 10_000;
-  private static final Grade GRADE =
-      new Grade(
+  private static final QueryClass GRADE =
+      new QueryClass(
           "g",
-          Grade.Repeat.HARMLESS,
-          Grade.Scope.ALL,
+          QueryClass.RetrySafety.IDEMPOTENT,
+          QueryClass.DeduplicationScope.ALL,
           0,
-          SECOND,
+          NANOS_PER_SECOND,
           1,
-          SECOND,
+          NANOS_PER_SECOND,
           1,
           0,
           false,
@@ -76,8 +76,8 @@
     }
   }
 
-  private Recorder life(Timers timers) throws IOException {
-    return Recorder.start(
+  private LedgerRecorder startRecorder(Timers timers) throws IOException {
+    return LedgerRecorder.start(
         OperatorFile.read(operator()).ledger(), "m", List.of(GRADE), timers, note -> {});
   }
 
@@ -91,19 +91,20 @@
             + "rates { per_task: '0.10' per_work_second: '1' } quotas { tenant: 't1' tasks: 1 } }"
             + " }");
     Timers timers = new Timers();
-    timers.now(DAY);
-    Recorder recorder = life(timers);
+    timers.now(START_NANOS);
+    LedgerRecorder recorder = startRecorder(timers);
     for (int i = 0; i <= TENANTS; i++) {
       String id = "task" + i;
-      recorder.taken(DAY, new TaskOffer(id, "g", "t" + i % TENANTS, null, 0, 0, 0, 0));
-      recorder.sent(DAY, id, 0, "e", 8, () -> {});
+      recorder.taskAccepted(
+          START_NANOS, new TaskRequest(id, "g", "t" + i % TENANTS, null, 0, 0, 0, 0));
+      recorder.beforeForward(START_NANOS, id, 0, "e", 8, () -> {});
       if (i < TENANTS) {
-        recorder.ended(DAY + 1, id, 0, Outcome.OK, SECOND / 4, 1, true);
-        recorder.answered(DAY + 1, id, TaskWatch.End.HANDLED, 10, () -> {});
+        recorder.forwardEnded(START_NANOS + 1, id, 0, Outcome.OK, NANOS_PER_SECOND / 4, 1, true);
+        recorder.beforeAnswer(START_NANOS + 1, id, TaskListener.TaskEnd.HANDLED, 10, () -> {});
       }
     }
     recorder.close();
-    life(timers).close(); // the next start resolves the one that was left open
+    startRecorder(timers).close(); // the next start resolves the one that was left open
   }
 
   @Test
--- a/src/test/java/tansytrack/Manager.java
+++ b/src/test/java/tansytrack/Manager.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.Set;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.EngineEntry;
-import tansytrack.api.EngineView;
-import tansytrack.api.Grade;
+import tansytrack.api.EngineStatus;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
+import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
-import tansytrack.api.TaskOffer;
+import tansytrack.api.TaskRequest;
 
 /** One workload manager under test: plain settings, a clock, and what the module did. */
 final class Manager implements Actions {
@@ -20,15 +20,15 @@
   static final long MS = 1_000_000L;
 
   int siblings = 1;
-  int position = Settings.UNKNOWN;
+  int position = Settings.UNKNOWN_INDEX;
   long seed = 7;
   boolean cancels = true;
   boolean copies;
   boolean probes;
   long connectTime;
   boolean tenants = true; // does the deployment name any?
-  Settings.ColdRule cold;
-  Settings.RationRule ration;
+  Settings.ColdStartLimit cold;
+  Settings.RetryBudget ration;
   final List<String> did = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
   final List<String> provided = new ArrayList<>();
@@ -36,9 +36,13 @@
   private long now = 100_000 * MS;
   private long due; // the next sweep
 
-  static Grade grade(
-      String name, Grade.Repeat repeat, Grade.Scope scope, boolean inOrder, String... kinds) {
-    return new Grade(
+  static QueryClass grade(
+      String name,
+      QueryClass.RetrySafety repeat,
+      QueryClass.DeduplicationScope scope,
+      boolean inOrder,
+      String... kinds) {
+    return new QueryClass(
         name,
         repeat,
         scope,
@@ -66,18 +70,47 @@
                   position,
                   "here",
                   List.of(
-                      grade("short", Grade.Repeat.HARMLESS, Grade.Scope.ALL, false),
-                      grade("stamp", Grade.Repeat.STAMPED, Grade.Scope.ALL, false),
-                      grade("cell", Grade.Repeat.STAMPED, Grade.Scope.CELL, false),
-                      grade("once", Grade.Repeat.ONE_SHOT, Grade.Scope.ALL, true),
-                      grade("load", Grade.Repeat.HARMLESS, Grade.Scope.ALL, false),
-                      grade("bound", Grade.Repeat.HARMLESS, Grade.Scope.ALL, false, "big")),
+                      grade(
+                          "short",
+                          QueryClass.RetrySafety.IDEMPOTENT,
+                          QueryClass.DeduplicationScope.ALL,
+                          false),
+                      grade(
+                          "stamp",
+                          QueryClass.RetrySafety.DEDUPLICATED,
+                          QueryClass.DeduplicationScope.ALL,
+                          false),
+                      grade(
+                          "cell",
+                          QueryClass.RetrySafety.DEDUPLICATED,
+                          QueryClass.DeduplicationScope.CELL,
+                          false),
+                      grade(
+                          "once",
+                          QueryClass.RetrySafety.NON_IDEMPOTENT,
+                          QueryClass.DeduplicationScope.ALL,
+                          true),
+                      grade(
+                          "load",
+                          QueryClass.RetrySafety.IDEMPOTENT,
+                          QueryClass.DeduplicationScope.ALL,
+                          false),
+                      grade(
+                          "bound",
+                          QueryClass.RetrySafety.IDEMPOTENT,
+                          QueryClass.DeduplicationScope.ALL,
+                          false,
+                          "big")),
                   tenants
                       ? List.of(
                           new Settings.Tenant("a", 0.75, 100), new Settings.Tenant("b", 0.25, 100))
                       : List.of(),
-                  Map.of("small", new Settings.Kind(4, 1000), "big", new Settings.Kind(8, 2000)),
-                  new Settings.Levers(
+                  Map.of(
+                      "small",
+                      new Settings.EngineType(4, 1000),
+                      "big",
+                      new Settings.EngineType(8, 2000)),
+                  new Settings.Capabilities(
                       probes,
                       cancels,
                       copies,
@@ -118,7 +151,7 @@
   }
 
   Manager list(boolean complete, List<EngineEntry> entries) {
-    module().engines(now, complete, entries);
+    module().onEngineList(now, complete, entries);
     module().decide(now);
     return this;
   }
@@ -144,9 +177,9 @@
       }
     }
     module()
-        .task(
+        .onTask(
             now,
-            new TaskOffer(
+            new TaskRequest(
                 word[0],
                 word[1],
                 word[2].equals("-") ? "" : word[2],
@@ -183,42 +216,43 @@
             .findFirst()
             .orElse("  ")
             .split(" ")[2];
-    module().outcome(now, task, index, engine, outcome, 0, outcome == Outcome.OK, 0, 0, report);
+    module()
+        .onForwardEnd(now, task, index, engine, outcome, 0, outcome == Outcome.OK, 0, 0, report);
     return decide();
   }
 
   /** The first forward of that task is said to stand still. */
   Manager waits(String task) {
-    return note(task, Decisions.Progress.WAITS, 2);
+    return note(task, DecisionModule.Progress.WAITING, 2);
   }
 
   /** Or to have done a share of its work. */
   Manager tells(String task, double share) {
-    return note(task, Decisions.Progress.SHARE_DONE, share);
+    return note(task, DecisionModule.Progress.FRACTION_DONE, share);
   }
 
-  private Manager note(String task, Decisions.Progress what, double amount) {
+  private Manager note(String task, DecisionModule.Progress what, double amount) {
     String engine = did("forward " + task + " ").get(0).split(" ")[2];
-    module().progress(now, task, 0, engine, what, amount);
+    module().onProgress(now, task, 0, engine, what, amount);
     return decide();
   }
 
   /** In one batch: a sweep, the end of a probe, a listing and a task. */
   Manager atOnce(EngineEntry entry, String task) {
-    module().woken(now, "sweep");
-    module().probed(now, entry.id(), Outcome.OK, null);
-    module().engines(now, false, List.of(entry));
+    module().onWakeUp(now, "sweep");
+    module().onProbeEnd(now, entry.id(), Outcome.OK, null);
+    module().onEngineList(now, false, List.of(entry));
     return take(task).decide();
   }
 
   /** It is told to end; answers count for so many milliseconds more. */
   Manager admit(boolean open) {
-    module().admit(now, open);
+    module().onAdmissionChange(now, open);
     return this;
   }
 
   Manager siblings(int count) {
-    module().siblings(now, count);
+    module().onManagerCount(now, count);
     return this;
   }
 
@@ -227,7 +261,7 @@
   }
 
   Manager stop(long ms) {
-    module().stopping(now, now + ms * MS);
+    module().onShutdown(now, now + ms * MS);
     return decide();
   }
 
@@ -237,20 +271,20 @@
 
   /** Its client leaves, and more news comes in the same batch. */
   Manager leaves(String task) {
-    module().abandoned(now, task);
+    module().onClientLeft(now, task);
     return this;
   }
 
   /** So many probes of it have ended, in the same batch as what follows. */
   Manager probes(String engine, int count) {
     for (int i = 0; i < count; i++) {
-      module().probed(now, engine, Outcome.FULL, null);
+      module().onProbeEnd(now, engine, Outcome.FULL, null);
     }
     return this;
   }
 
   Manager probed(String engine, Outcome outcome, LoadReport report) {
-    module().probed(now, engine, outcome, report);
+    module().onProbeEnd(now, engine, outcome, report);
     return decide();
   }
 
@@ -259,7 +293,7 @@
     long end = now + ms * MS;
     while (due <= end) {
       now = due;
-      module().woken(now, "sweep");
+      module().onWakeUp(now, "sweep");
       module().decide(now);
     }
     now = end;
@@ -268,7 +302,7 @@
 
   /** Ids of the engines that it has records of. */
   List<String> known() {
-    return module().view(now).stream().map(EngineView::id).toList();
+    return module().engineStatuses(now).stream().map(EngineStatus::id).toList();
   }
 
   /** Everything done so far that begins with the words. */
@@ -288,7 +322,7 @@
   }
 
   @Override
-  public void bounce(String task, long pause) {
+  public void reject(String task, long pause) {
     did.add("bounce " + task);
   }
 
@@ -298,7 +332,7 @@
   }
 
   @Override
-  public void provide(String task, long memoryMb, int priority) {
+  public void assignResources(String task, long memoryMb, int priority) {
     provided.add(task + " " + memoryMb + " " + priority);
   }
 
@@ -313,7 +347,7 @@
   }
 
   @Override
-  public void wake(long in, String token) {
+  public void scheduleWakeUp(long in, String token) {
     due = now + in;
   }
 
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -269,7 +269,7 @@
         rule(
             "7 the ration holds for every further forward",
             m -> {
-              m.ration = new Settings.RationRule(1, 0, 5000 * MS);
+              m.ration = new Settings.RetryBudget(1, 0, 5000 * MS);
               m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
               m.end("t", 0, Outcome.ERROR).end("u", 0, Outcome.ERROR).pass(4000);
             },
@@ -280,7 +280,7 @@
         rule(
             "7 and counts a share of the tasks taken",
             m -> {
-              m.ration = new Settings.RationRule(0, 0.5, 5000 * MS);
+              m.ration = new Settings.RetryBudget(0, 0.5, 5000 * MS);
               m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
               m.end("t", 0, Outcome.ERROR).end("u", 0, Outcome.ERROR).pass(4000);
             },
@@ -329,7 +329,7 @@
   void coldEngineIsNotPushedOver(int siblings, long age, long most) {
     Manager manager = new Manager();
     manager.siblings = siblings;
-    manager.cold = new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
     manager.list(true).pass(1000).list(true, engine("e", "small", 0, State.READY, 101_000 - age));
     manager.takeAll(30, "t# short a cost=300");
     assertThat(manager.sentTo("e")).isEqualTo(most);
@@ -344,7 +344,7 @@
   @CsvSource({"0, 100, 0", "500, 100, 4", "1000, 100, 8", "0, -1, 7", "200, -100, 7"})
   void aRestartedManagerLeavesRoomForWhatItsEarlierLifeSent(long since, long before, long most) {
     Manager manager = new Manager();
-    manager.cold = new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
     manager
         .list(true)
         .pass(since)
@@ -363,7 +363,7 @@
       Manager manager = new Manager();
       manager.seed = seed + i;
       manager.siblings = siblings;
-      manager.cold = new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+      manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
       manager
           .list(true, engine("e", "small", 0, State.READY, 100_000))
           .takeAll(tasks, "t# short a cost=" + cost);
@@ -398,7 +398,7 @@
       Manager manager = new Manager();
       manager.seed = i;
       manager.siblings = siblings;
-      manager.cold = new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
+      manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
       manager
           .list(true)
           .pass(1000)
--- a/src/test/java/tansytrack/adapter/AdapterTest.java
+++ b/src/test/java/tansytrack/adapter/AdapterTest.java
@@ -26,7 +26,7 @@
 
   private int run(String events) throws IOException {
     byte[] in = events.getBytes(StandardCharsets.UTF_8);
-    return new Adapter(
+    return new SimulatorAdapter(
             new ByteArrayInputStream(in), out, new PrintStream(err, true, StandardCharsets.UTF_8))
         .run();
   }
@@ -95,7 +95,7 @@
     byte[] in = batch(0, ATTACH + LISTED + TASK).getBytes(StandardCharsets.UTF_8);
     PrintStream said = new PrintStream(err, true, StandardCharsets.UTF_8);
     assertThat(
-            new Adapter(
+            new SimulatorAdapter(
                     new ByteArrayInputStream(in),
                     out,
                     said,
--- a/src/test/java/tansytrack/fleet/FleetTest.java
+++ b/src/test/java/tansytrack/fleet/FleetTest.java
@@ -21,75 +21,87 @@
 class FleetTest {
 
   private static final long MS = 1_000_000L;
-  private static final Rules RULES = Rules.usual(List.of("a1"));
+  private static final MembershipConfig RULES = MembershipConfig.defaults(List.of("a1"));
 
   private long now;
   private long number;
-  private final Fleet fleet = new Fleet(RULES, Word.first("me", "a0", "here", 77, "1", "s"), 1, 0);
+  private final Membership fleet =
+      new Membership(RULES, MemberState.initial("me", "a0", "here", 77, "1", "s"), 1, 0);
 
-  private static Word word(String name, long life, long incarnation, Standing standing) {
-    return new Word(
+  private static MemberState word(String name, long life, long incarnation, MemberStatus standing) {
+    return new MemberState(
         name, "a-" + name, "here", life, incarnation, standing, Stage.SERVING, "1", "s", "x");
   }
 
-  private Letter letter(Letter.Kind kind, Word from, Word... words) {
-    return new Letter(kind, ++number, 5, from, "me", "", List.of(words), List.of());
+  private Message letter(Message.Kind kind, MemberState from, MemberState... words) {
+    return new Message(kind, ++number, 5, from, "me", "", List.of(words), List.of());
   }
 
-  private List<Action> hear(Word from, Word... words) {
-    return fleet.heard(now, from.address(), letter(Letter.Kind.PING, from, words));
+  private List<Action> hear(MemberState from, MemberState... words) {
+    return fleet.receive(now, from.address(), letter(Message.Kind.PING, from, words));
   }
 
-  private Standing held(String name) {
+  private MemberStatus held(String name) {
     return fleet.others().stream()
         .filter(one -> one.name().equals(name))
-        .map(Word::standing)
+        .map(MemberState::status)
         .findFirst()
         .orElse(null);
   }
 
   static Stream<Arguments> merges() {
-    Word alive = word("b", 1, 5, Standing.ALIVE);
+    MemberState alive = word("b", 1, 5, MemberStatus.ALIVE);
     return Stream.of(
-        arguments("the same again", alive, alive, Standing.ALIVE, 5L),
-        arguments("suspected", alive, word("b", 1, 5, Standing.SUSPECT), Standing.SUSPECT, 5L),
+        arguments("the same again", alive, alive, MemberStatus.ALIVE, 5L),
+        arguments(
+            "suspected", alive, word("b", 1, 5, MemberStatus.SUSPECT), MemberStatus.SUSPECT, 5L),
         arguments(
             "suspected at an older one",
             alive,
-            word("b", 1, 4, Standing.SUSPECT),
-            Standing.ALIVE,
+            word("b", 1, 4, MemberStatus.SUSPECT),
+            MemberStatus.ALIVE,
             5L),
         arguments(
             "refuted",
-            word("b", 1, 5, Standing.SUSPECT),
-            word("b", 1, 6, Standing.ALIVE),
-            Standing.ALIVE,
+            word("b", 1, 5, MemberStatus.SUSPECT),
+            word("b", 1, 6, MemberStatus.ALIVE),
+            MemberStatus.ALIVE,
             6L),
         arguments(
             "alive again at the same",
-            word("b", 1, 5, Standing.SUSPECT),
+            word("b", 1, 5, MemberStatus.SUSPECT),
             alive,
-            Standing.SUSPECT,
+            MemberStatus.SUSPECT,
             5L),
-        arguments("dead by hearsay", alive, word("b", 1, 5, Standing.DEAD), Standing.SUSPECT, 5L),
-        arguments("left", alive, word("b", 1, 6, Standing.LEFT), Standing.LEFT, 6L),
+        arguments(
+            "dead by hearsay", alive, word("b", 1, 5, MemberStatus.DEAD), MemberStatus.SUSPECT, 5L),
+        arguments("left", alive, word("b", 1, 6, MemberStatus.LEFT), MemberStatus.LEFT, 6L),
         arguments(
             "left, told late",
-            word("b", 1, 7, Standing.ALIVE),
-            word("b", 1, 6, Standing.LEFT),
-            Standing.ALIVE,
+            word("b", 1, 7, MemberStatus.ALIVE),
+            word("b", 1, 6, MemberStatus.LEFT),
+            MemberStatus.ALIVE,
             7L),
         arguments(
-            "another life, older", alive, word("b", 9, 4, Standing.ALIVE), Standing.ALIVE, 5L),
+            "another life, older",
+            alive,
+            word("b", 9, 4, MemberStatus.ALIVE),
+            MemberStatus.ALIVE,
+            5L),
         arguments(
-            "another life, later", alive, word("b", 9, 6, Standing.ALIVE), Standing.ALIVE, 6L),
-        arguments("unknown and dead", null, word("b", 1, 5, Standing.DEAD), null, 0L));
+            "another life, later",
+            alive,
+            word("b", 9, 6, MemberStatus.ALIVE),
+            MemberStatus.ALIVE,
+            6L),
+        arguments("unknown and dead", null, word("b", 1, 5, MemberStatus.DEAD), null, 0L));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("merges")
-  void whatIsHeldAfterAWord(String name, Word before, Word told, Standing after, long incarnation) {
-    Word teller = word("c", 3, 1, Standing.ALIVE);
+  void whatIsHeldAfterAWord(
+      String name, MemberState before, MemberState told, MemberStatus after, long incarnation) {
+    MemberState teller = word("c", 3, 1, MemberStatus.ALIVE);
     if (before != null) {
       hear(teller, before);
     }
@@ -98,58 +110,59 @@
     assertThat(
             fleet.others().stream()
                 .filter(one -> one.name().equals("b"))
-                .mapToLong(Word::incarnation)
+                .mapToLong(MemberState::incarnation)
                 .sum())
         .isEqualTo(incarnation);
-    assertThat(fleet.view().there()).isEqualTo(2 + (after != null && after.there() ? 1 : 0));
+    assertThat(fleet.view().liveMembers()).isEqualTo(2 + (after != null && after.isLive() ? 1 : 0));
   }
 
   @Test
   void itRefutesWhatIsSaidOfItselfAndDoubtsItself() {
-    Word of = new Word("me", "a0", "here", 77, 4, Standing.DEAD, Stage.SERVING, "1", "s", "x");
-    List<Action> done = hear(word("b", 1, 1, Standing.ALIVE), of);
+    MemberState of =
+        new MemberState("me", "a0", "here", 77, 4, MemberStatus.DEAD, Stage.SERVING, "1", "s", "x");
+    List<Action> done = hear(word("b", 1, 1, MemberStatus.ALIVE), of);
     assertThat(fleet.self().incarnation()).isEqualTo(5);
-    assertThat(fleet.health()).isEqualTo(1);
+    assertThat(fleet.healthScore()).isEqualTo(1);
     assertThat(done.get(done.size() - 1))
         .isInstanceOfSatisfying(
             Action.Send.class,
             send -> {
-              assertThat(send.letter().kind()).isEqualTo(Letter.Kind.ACK);
-              assertThat(send.letter().from()).isEqualTo(fleet.self());
+              assertThat(send.message().kind()).isEqualTo(Message.Kind.ACK);
+              assertThat(send.message().sender()).isEqualTo(fleet.self());
             });
   }
 
   @Test
   void aPingForAnotherIsNotAnsweredInItsName() {
-    Word from = word("b", 1, 1, Standing.ALIVE);
+    MemberState from = word("b", 1, 1, MemberStatus.ALIVE);
     List<Action> done =
-        fleet.heard(
+        fleet.receive(
             now,
             "a-b",
-            new Letter(Letter.Kind.PING, 1, 5, from, "other", "", List.of(), List.of()));
+            new Message(Message.Kind.PING, 1, 5, from, "other", "", List.of(), List.of()));
     assertThat(done)
         .filteredOn(Action.Send.class::isInstance)
         .singleElement()
         .isInstanceOfSatisfying(
-            Action.Send.class, send -> assertThat(send.letter().sequence()).isZero());
+            Action.Send.class, send -> assertThat(send.message().requestId()).isZero());
   }
 
   static Stream<Arguments> unusable() {
-    Word good = word("b", 1, 1, Standing.ALIVE);
+    MemberState good = word("b", 1, 1, MemberStatus.ALIVE);
     return Stream.of(
-        arguments("no name", word("", 1, 1, Standing.ALIVE), good),
-        arguments("a name behind all others", word("~b", 1, 1, Standing.ALIVE), good),
-        arguments("a name too long", word("b".repeat(65), 1, 1, Standing.ALIVE), good),
-        arguments("incarnation 0", word("b", 1, 0, Standing.ALIVE), good),
+        arguments("no name", word("", 1, 1, MemberStatus.ALIVE), good),
+        arguments("a name behind all others", word("~b", 1, 1, MemberStatus.ALIVE), good),
+        arguments("a name too long", word("b".repeat(65), 1, 1, MemberStatus.ALIVE), good),
+        arguments("incarnation 0", word("b", 1, 0, MemberStatus.ALIVE), good),
         arguments(
-            "an incarnation without room", word("b", 1, Long.MAX_VALUE, Standing.ALIVE), good),
-        arguments("no life", word("b", 0, 1, Standing.ALIVE), good),
-        arguments("a word among others", good, word("c", 1, -1, Standing.ALIVE)));
+            "an incarnation without room", word("b", 1, Long.MAX_VALUE, MemberStatus.ALIVE), good),
+        arguments("no life", word("b", 0, 1, MemberStatus.ALIVE), good),
+        arguments("a word among others", good, word("c", 1, -1, MemberStatus.ALIVE)));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("unusable")
-  void whatCannotBeUsedIsCountedAndChangesNothing(String name, Word from, Word word) {
+  void whatCannotBeUsedIsCountedAndChangesNothing(String name, MemberState from, MemberState word) {
     assertThat(hear(from, word)).isEmpty();
     assertThat(fleet.others()).isEmpty();
     assertThat(fleet.counts()).containsEntry("unusable", 1L);
@@ -157,10 +170,10 @@
 
   @Test
   void moreMembersThanMayBeKnownAreRefused() {
-    for (int i = 0; i < RULES.mostMembers() + 10; i++) {
-      hear(word("b" + i, 1, 1, Standing.ALIVE));
+    for (int i = 0; i < RULES.maxMembers() + 10; i++) {
+      hear(word("b" + i, 1, 1, MemberStatus.ALIVE));
     }
-    assertThat(fleet.view().there()).isEqualTo(RULES.mostMembers() + 1);
+    assertThat(fleet.view().liveMembers()).isEqualTo(RULES.maxMembers() + 1);
     assertThat(fleet.counts()).containsEntry("too_many", 10L);
   }
 
@@ -171,10 +184,10 @@
     long sent = 0;
     for (int i = 0; i < 100_000; i++) {
       now += chance.nextLong(10 * MS);
-      Word from = any(chance);
-      Letter any =
-          new Letter(
-              Letter.Kind.values()[chance.nextInt(6)],
+      MemberState from = any(chance);
+      Message any =
+          new Message(
+              Message.Kind.values()[chance.nextInt(6)],
               chance.nextLong(-5, 1000),
               chance.nextLong(50),
               from,
@@ -192,41 +205,45 @@
                       new long[chance.nextInt(10)],
                       chance.nextLong(-1, 2000 * MS),
                       1000 * MS)));
-      List<Action> done = new ArrayList<>(fleet.heard(now, from.address(), any));
-      if (now >= fleet.due()) {
+      List<Action> done = new ArrayList<>(fleet.receive(now, from.address(), any));
+      if (now >= fleet.nextDeadline()) {
         done.addAll(fleet.tick(now));
       }
       for (Action action : done) {
         if (action instanceof Action.Send send) {
-          sent += send.letter().bytes();
-          assertThat(send.letter().bytes()).isLessThanOrEqualTo(RULES.datagram() + 300);
+          sent += send.message().maxEncodedBytes();
+          assertThat(send.message().maxEncodedBytes())
+              .isLessThanOrEqualTo(RULES.maxMessageBytes() + 300);
         }
       }
-      assertThat(fleet.due()).isGreaterThanOrEqualTo(0);
+      assertThat(fleet.nextDeadline()).isGreaterThanOrEqualTo(0);
     }
     assertThat(fleet.others()).hasSizeLessThanOrEqualTo(41);
     assertThat(sent).isPositive();
   }
 
-  private static Word any(SplittableRandom chance) {
+  private static MemberState any(SplittableRandom chance) {
     String name = chance.nextInt(50) == 0 ? "me" : "b" + chance.nextInt(40);
     return word(
-        name, chance.nextLong(0, 4), chance.nextLong(0, 50), Standing.values()[chance.nextInt(4)]);
+        name,
+        chance.nextLong(0, 4),
+        chance.nextLong(0, 50),
+        MemberStatus.values()[chance.nextInt(4)]);
   }
 
   @Test
   void eachLetterOfALifeCountsOnceAndOldOnesNotAtAll() {
-    Numbers numbers = new Numbers();
+    ReplayWindow numbers = new ReplayWindow();
     assertThat(
             Stream.of(10L, 12L, 11L, 12L, 10L, 80L, 17L, 16L, 18L)
-                .map(one -> numbers.fresh(1, one)))
+                .map(one -> numbers.accept(1, one)))
         .containsExactly(true, true, true, false, false, true, true, false, true);
-    assertThat(numbers.fresh(2, 3)).isTrue();
+    assertThat(numbers.accept(2, 3)).isTrue();
   }
 
   @Test
   void rumoursGoOutLeastToldFirstSoOftenAndNoMore() {
-    Rumours<String> rumours = new Rumours<>(String::length);
+    GossipQueue<String> rumours = new GossipQueue<>(String::length);
     rumours.put("a", "x".repeat(50));
     rumours.put("b", "y".repeat(50));
     assertThat(rumours.take(60, 2)).containsExactly("y".repeat(50));
@@ -265,8 +282,8 @@
   }
 
   private static List<Fact> merged(List<Fact> all) {
-    Facts facts = new Facts(100);
+    FactStore facts = new FactStore(100);
     all.forEach(one -> facts.merge(0, one));
-    return facts.of(0, "k");
+    return facts.ofKind(0, "k");
   }
 }
--- a/src/test/java/tansytrack/fleet/ReckoningTest.java
+++ b/src/test/java/tansytrack/fleet/ReckoningTest.java
@@ -7,32 +7,33 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tansytrack.lab.world.FleetWorld;
-import tansytrack.lab.world.Weather;
+import tansytrack.lab.simulation.LinkConditions;
+import tansytrack.lab.simulation.MembershipSimulation;
 
 /** By how many managers an even part is reckoned, and that all parts together stay one whole. */
 class ReckoningTest {
 
   private static final long SECOND = 1_000_000_000L;
 
-  private static Word of(String name, Standing standing) {
-    return new Word(name, name, "p", 1, 1, standing, Stage.SERVING, "", "", "");
+  private static MemberState of(String name, MemberStatus standing) {
+    return new MemberState(name, name, "p", 1, 1, standing, Stage.SERVING, "", "", "");
   }
 
   @Test
   void onlyWhoSaidThatItLeavesCountsNoMoreAndOnlyAfterAWhile() {
-    Reckoning reckoning = new Reckoning(9, 30 * SECOND);
-    assertThat(reckoning.used(0, 1)).isEqualTo(10);
-    reckoning.changed(of("a", Standing.DEAD));
-    reckoning.changed(of("b", Standing.LEFT));
-    reckoning.changed(of("c", Standing.LEFT));
-    assertThat(reckoning.used(SECOND, 1)).isEqualTo(10);
-    reckoning.changed(of("c", Standing.ALIVE)); // back within the while: its part never moved
-    assertThat(reckoning.used(20 * SECOND, 2)).isEqualTo(10);
-    assertThat(reckoning.used(31 * SECOND, 2)).isEqualTo(9);
-    reckoning.changed(of("b", Standing.ALIVE));
-    assertThat(reckoning.used(32 * SECOND, 3)).isEqualTo(10); // at once
-    assertThat(reckoning.used(33 * SECOND, 14)).isEqualTo(14);
+    BudgetDivisor reckoning = new BudgetDivisor(9, 30 * SECOND);
+    assertThat(reckoning.update(0, 1)).isEqualTo(10);
+    reckoning.memberChanged(of("a", MemberStatus.DEAD));
+    reckoning.memberChanged(of("b", MemberStatus.LEFT));
+    reckoning.memberChanged(of("c", MemberStatus.LEFT));
+    assertThat(reckoning.update(SECOND, 1)).isEqualTo(10);
+    reckoning.memberChanged(
+        of("c", MemberStatus.ALIVE)); // back within the while: its part never moved
+    assertThat(reckoning.update(20 * SECOND, 2)).isEqualTo(10);
+    assertThat(reckoning.update(31 * SECOND, 2)).isEqualTo(9);
+    reckoning.memberChanged(of("b", MemberStatus.ALIVE));
+    assertThat(reckoning.update(32 * SECOND, 3)).isEqualTo(10); // at once
+    assertThat(reckoning.update(33 * SECOND, 14)).isEqualTo(14);
   }
 
   /**
@@ -41,10 +42,10 @@
    */
   @Test
   void whoComesAndGoesMovesNothing() {
-    Reckoning reckoning = new Reckoning(9, 30 * SECOND);
+    BudgetDivisor reckoning = new BudgetDivisor(9, 30 * SECOND);
     for (int i = 0; i < 100; i++) {
-      reckoning.changed(of("a", i % 2 == 0 ? Standing.LEFT : Standing.ALIVE));
-      assertThat(reckoning.used(i * 10L * SECOND, 5)).isEqualTo(10);
+      reckoning.memberChanged(of("a", i % 2 == 0 ? MemberStatus.LEFT : MemberStatus.ALIVE));
+      assertThat(reckoning.update(i * 10L * SECOND, 5)).isEqualTo(10);
     }
   }
 
@@ -59,9 +60,13 @@
     int whole = 0;
     for (long seed = 1; seed <= 60; seed++) {
       int members = 12;
-      FleetWorld world =
-          FleetWorld.of(members, Rules.usual(List.of("m0", "m1")), seed, Weather.FINE.losing(0.1));
-      Map<String, Reckoning> reckonings = new HashMap<>();
+      MembershipSimulation world =
+          MembershipSimulation.startConverged(
+              members,
+              MembershipConfig.defaults(List.of("m0", "m1")),
+              seed,
+              LinkConditions.GOOD.withLoss(0.1));
+      Map<String, BudgetDivisor> reckonings = new HashMap<>();
       Map<String, Long> lives = new HashMap<>();
       SplittableRandom chance = new SplittableRandom(seed);
       long start = world.now();
@@ -70,25 +75,25 @@
         long at = start + chance.nextLong(150 * SECOND);
         long back = at + chance.nextLong(80 * SECOND);
         switch (chance.nextInt(4)) {
-          case 0 -> world.at(at, () -> world.kill(address));
+          case 0 -> world.schedule(at, () -> world.kill(address));
           case 1 ->
-              world.at(
+              world.schedule(
                   at,
                   () ->
-                      world.cut(
+                      world.partition(
                           (from, to) ->
-                              from.place().equals("place-1") != to.place().equals("place-1")));
-          case 2 -> world.at(at, () -> world.cut((from, to) -> false));
+                              from.zone().equals("place-1") != to.zone().equals("place-1")));
+          case 2 -> world.schedule(at, () -> world.partition((from, to) -> false));
           default ->
-              world.at(
+              world.schedule(
                   at,
                   () -> {
                     if (world.node(address).running()) {
-                      world.end(address);
+                      world.shutDown(address);
                     }
                   });
         }
-        world.at(
+        world.schedule(
             back,
             () -> {
               if (!world.node(address).running()) {
@@ -97,19 +102,19 @@
             });
       }
       while (world.now() < start + 240 * SECOND) {
-        world.run(world.now() + SECOND / 10);
+        world.runUntil(world.now() + SECOND / 10);
         double parts = 0;
         int running = 0;
         int unheard = 0;
-        for (FleetWorld.Node node : world.nodes()) {
+        for (MembershipSimulation.Node node : world.nodes()) {
           if (node.running()) {
-            if (!Long.valueOf(node.fleet().self().life())
-                .equals(lives.put(node.name(), node.fleet().self().life()))) {
-              reckonings.put(node.name(), new Reckoning(members - 1, 30 * SECOND));
+            if (!Long.valueOf(node.membership().self().instanceId())
+                .equals(lives.put(node.name(), node.membership().self().instanceId()))) {
+              reckonings.put(node.name(), new BudgetDivisor(members - 1, 30 * SECOND));
             }
-            Reckoning one = reckonings.get(node.name());
-            node.fleet().others().forEach(one::changed);
-            int used = one.used(world.now(), node.fleet().view().there());
+            BudgetDivisor one = reckonings.get(node.name());
+            node.membership().others().forEach(one::memberChanged);
+            int used = one.update(world.now(), node.membership().view().liveMembers());
             moved += used < members ? 1 : 0;
             parts += 1.0 / used;
             running++;
@@ -127,16 +132,16 @@
     assertThat(whole).as("looks at which all were heard").isGreaterThan(60 * 1000);
   }
 
-  private static boolean heardByAll(FleetWorld world, FleetWorld.Node one) {
-    for (FleetWorld.Node other : world.nodes()) {
+  private static boolean heardByAll(MembershipSimulation world, MembershipSimulation.Node one) {
+    for (MembershipSimulation.Node other : world.nodes()) {
       if (other != one
           && other.running()
-          && other.fleet().others().stream()
+          && other.membership().others().stream()
               .noneMatch(
                   word ->
                       word.name().equals(one.name())
-                          && word.life() == one.fleet().self().life()
-                          && word.standing() != Standing.LEFT)) {
+                          && word.instanceId() == one.membership().self().instanceId()
+                          && word.status() != MemberStatus.LEFT)) {
         return false;
       }
     }
--- a/src/test/java/tansytrack/fleet/udp/FleetLinkTest.java
+++ b/src/test/java/tansytrack/fleet/udp/FleetLinkTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import tansytrack.fleet.Fact;
-import tansytrack.fleet.Letter;
+import tansytrack.fleet.MemberState;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.Standing;
-import tansytrack.fleet.Word;
 import tansytrack.fleet.proto.LetterForm;
 import tansytrack.operator.OperatorFile;
 
@@ -30,7 +30,7 @@
   private static final long MS = 1_000_000L;
 
   private final List<String> addresses = new ArrayList<>();
-  private final List<FleetLink> links = new ArrayList<>();
+  private final List<UdpMembership> links = new ArrayList<>();
   private final AtomicInteger[] reckoned = new AtomicInteger[4];
 
   FleetLinkTest() throws IOException {
@@ -43,19 +43,19 @@
     taken.forEach(DatagramSocket::close);
   }
 
-  private FleetLink start(int which, long settle) throws IOException {
+  private UdpMembership start(int which, long settle) throws IOException {
     return start(which, settle, 1);
   }
 
-  private FleetLink start(int which, long settle, int configured) throws IOException {
-    List<OperatorFile.PeerLine> peers = new ArrayList<>();
+  private UdpMembership start(int which, long settle, int configured) throws IOException {
+    List<OperatorFile.FleetPeer> peers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       if (i != which) {
-        peers.add(new OperatorFile.PeerLine("m" + i, addresses.get(i), i == 0));
+        peers.add(new OperatorFile.FleetPeer("m" + i, addresses.get(i), i == 0));
       }
     }
-    FleetLink link =
-        FleetLink.start(
+    UdpMembership link =
+        UdpMembership.start(
             new OperatorFile.FleetSection(
                 "m" + which, "here", addresses.get(which), peers, 100 * MS, 16_384, settle),
             "m" + which,
@@ -69,7 +69,7 @@
 
   @AfterEach
   void end() {
-    links.forEach(FleetLink::close);
+    links.forEach(UdpMembership::close);
   }
 
   private static void await(BooleanSupplier what) {
@@ -84,24 +84,24 @@
     }
   }
 
-  private static long there(FleetLink link, Standing standing) {
+  private static long there(UdpMembership link, MemberStatus standing) {
     return link.members().stream().filter(row -> row[2].equals(standing.name())).count();
   }
 
   @Test
   void threeFindEachOtherThoughTheSeedComesLastAndLeavingIsTold() throws IOException {
-    FleetLink second = start(1, 50 * MS);
-    FleetLink third = start(2, 50 * MS);
+    UdpMembership second = start(1, 50 * MS);
+    UdpMembership third = start(2, 50 * MS);
     assertThat(reckoned[1].get()).isIn(0, 3); // those it does not know count
-    FleetLink first = start(0, 50 * MS);
-    await(() -> links.stream().allMatch(link -> there(link, Standing.ALIVE) == 3));
-    third.serving();
+    UdpMembership first = start(0, 50 * MS);
+    await(() -> links.stream().allMatch(link -> there(link, MemberStatus.ALIVE) == 3));
+    third.markServing();
     await(
         () ->
             first.members().stream()
                 .anyMatch(row -> row[0].equals("m2") && row[3].equals("SERVING")));
     third.close();
-    await(() -> there(first, Standing.LEFT) == 1 && there(second, Standing.LEFT) == 1);
+    await(() -> there(first, MemberStatus.LEFT) == 1 && there(second, MemberStatus.LEFT) == 1);
     await(() -> reckoned[0].get() == 2 && reckoned[1].get() == 2);
     await(
         () -> first.counts().get("fleet.there") == 2 && first.counts().get("fleet.reckoned") == 2);
@@ -113,25 +113,26 @@
    */
   @Test
   void aFileThatNamesFewerThanWereConfiguredLowersTheNumberByNobody() throws IOException {
-    FleetLink first = start(0, MS, 100);
-    FleetLink second = start(1, MS, 100);
-    await(() -> there(first, Standing.ALIVE) == 2 && reckoned[0].get() == 100);
+    UdpMembership first = start(0, MS, 100);
+    UdpMembership second = start(1, MS, 100);
+    await(() -> there(first, MemberStatus.ALIVE) == 2 && reckoned[0].get() == 100);
     second.close();
     await(() -> reckoned[0].get() == 99);
   }
 
   @Test
   void whatCannotBeUsedIsCountedByReasonAndNeverAnswered() throws IOException {
-    FleetLink first = start(0, 50 * MS);
+    UdpMembership first = start(0, 50 * MS);
     String[] host = addresses.get(1).split(":");
     InetSocketAddress to =
         new InetSocketAddress("127.0.0.1", Integer.parseInt(addresses.get(0).split(":")[1]));
     byte[] good =
-        Forms.bytes(new Letter(Letter.Kind.PING, 1, 1, word("m2"), "m0", "", List.of(), List.of()));
+        MessageCodec.encode(
+            new Message(Message.Kind.PING, 1, 1, word("m2"), "m0", "", List.of(), List.of()));
     byte[] tells =
-        Forms.bytes(
-            new Letter(
-                Letter.Kind.PING, 1, 1, word("m1"), "m0", "", List.of(word("x")), List.of()));
+        MessageCodec.encode(
+            new Message(
+                Message.Kind.PING, 1, 1, word("m1"), "m0", "", List.of(word("x")), List.of()));
     try (DatagramSocket peer =
             new DatagramSocket(Integer.parseInt(host[1]), InetAddress.getLoopbackAddress());
         DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -164,15 +165,16 @@
         .hasMessageContaining(addresses.get(0));
   }
 
-  private static Word word(String name) {
-    return new Word(name, name, "p", 77, 3, Standing.SUSPECT, Stage.LEAVING, "1.2", "abc", "b");
+  private static MemberState word(String name) {
+    return new MemberState(
+        name, name, "p", 77, 3, MemberStatus.SUSPECT, Stage.LEAVING, "1.2", "abc", "b");
   }
 
   @Test
-  void lettersAreTheSameBehindTheirBytes() throws Forms.Unreadable {
-    for (Letter.Kind kind : Letter.Kind.values()) {
-      Letter letter =
-          new Letter(
+  void lettersAreTheSameBehindTheirBytes() throws MessageCodec.DecodeException {
+    for (Message.Kind kind : Message.Kind.values()) {
+      Message letter =
+          new Message(
               kind,
               7,
               8,
@@ -183,8 +185,9 @@
               List.of(
                   new Fact(
                       "a", 3, 77, "k", "s", 9, new long[] {-1, 0, Long.MAX_VALUE}, 5000, 7000)));
-      assertThat(Forms.letter(Forms.bytes(letter))).isEqualTo(letter);
-      assertThat(Forms.bytes(letter).length).isLessThanOrEqualTo(letter.bytes() + 30);
+      assertThat(MessageCodec.decode(MessageCodec.encode(letter))).isEqualTo(letter);
+      assertThat(MessageCodec.encode(letter).length)
+          .isLessThanOrEqualTo(letter.maxEncodedBytes() + 30);
     }
   }
 
@@ -195,9 +198,9 @@
   @Test
   void bytesOfChanceAreReadOrRefused() {
     byte[] good =
-        Forms.bytes(
-            new Letter(
-                Letter.Kind.PAGE,
+        MessageCodec.encode(
+            new Message(
+                Message.Kind.SYNC_RESPONSE,
                 7,
                 8,
                 word("a"),
@@ -217,9 +220,9 @@
         chance.nextBytes(bytes);
       }
       try {
-        Forms.letter(bytes);
+        MessageCodec.decode(bytes);
         read++;
-      } catch (Forms.Unreadable e) {
+      } catch (MessageCodec.DecodeException e) {
         refused++;
       }
     }
--- a/src/test/java/tansytrack/lab/FleetLinksTest.java
+++ b/src/test/java/tansytrack/lab/FleetLinksTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.Decide;
-import tansytrack.fleet.Standing;
-import tansytrack.lab.world.Faults;
-import tansytrack.lab.world.FleetWorld.Seen;
-import tansytrack.lab.world.MembershipFigures;
-import tansytrack.lab.world.Weather;
-import tansytrack.settings.Unusable;
+import tansytrack.fleet.MemberStatus;
+import tansytrack.lab.simulation.FaultSchedule;
+import tansytrack.lab.simulation.LinkConditions;
+import tansytrack.lab.simulation.MembershipMetrics;
+import tansytrack.lab.simulation.MembershipSimulation.Observation;
+import tansytrack.settings.InvalidInputException;
 
 /** The experiment on a fleet of processes, as it stands in lab/, and what judges it. */
 class FleetLinksTest {
@@ -77,81 +77,83 @@
     assertThat(played(file.toString())).startsWith("true");
   }
 
-  private static Seen seen(double at, String by, String of, Standing standing) {
-    return new Seen((long) (at * SECOND), by, of, 1, standing);
+  private static Observation seen(double at, String by, String of, MemberStatus standing) {
+    return new Observation((long) (at * SECOND), by, of, 1, standing);
   }
 
   /** Each figure of the judge is shown to fire on a record that is wrong on purpose. */
   @Test
   void theJudgeSeesWhatIsWrong() {
     List<String> two = List.of("a", "b");
-    Faults kill =
-        new Faults(
-            Weather.FINE,
+    FaultSchedule kill =
+        new FaultSchedule(
+            LinkConditions.GOOD,
             List.of(),
-            List.of(new Faults.ProcessTrouble(5 * SECOND, 0, "b", Faults.Kind.KILL)));
-    Faults cut =
-        new Faults(
-            Weather.FINE,
             List.of(
-                new Faults.LinkTrouble(
+                new FaultSchedule.ProcessFault(
+                    5 * SECOND, 0, "b", FaultSchedule.ProcessFaultKind.KILL)));
+    FaultSchedule cut =
+        new FaultSchedule(
+            LinkConditions.GOOD,
+            List.of(
+                new FaultSchedule.LinkFault(
                     5 * SECOND,
                     5 * SECOND,
-                    new Faults.End("a"),
-                    new Faults.End("b"),
+                    new FaultSchedule.Endpoint("a"),
+                    new FaultSchedule.Endpoint("b"),
                     true,
-                    Weather.FINE.losing(1))),
+                    LinkConditions.GOOD.withLoss(1))),
             List.of());
-    Faults none = new Faults(Weather.FINE, List.of(), List.of());
-    Seen ab = seen(1, "a", "b", Standing.ALIVE);
-    Seen ba = seen(2, "b", "a", Standing.ALIVE);
+    FaultSchedule none = new FaultSchedule(LinkConditions.GOOD, List.of(), List.of());
+    Observation ab = seen(1, "a", "b", MemberStatus.ALIVE);
+    Observation ba = seen(2, "b", "a", MemberStatus.ALIVE);
     Map<String, Double> fine =
-        new MembershipFigures(
-                two, kill, List.of(ab, ba, seen(7, "a", "b", Standing.DEAD)), 20 * SECOND)
-            .figures();
+        new MembershipMetrics(
+                two, kill, List.of(ab, ba, seen(7, "a", "b", MemberStatus.DEAD)), 20 * SECOND)
+            .compute();
     assertThat(fine)
         .containsEntry("joined_ms_max", 2000.0)
         .containsEntry("killed.known_ms_max", 2000.0)
         .containsEntry("living.dead_ms_max", 0.0);
     assertThat(
-            new MembershipFigures(two, kill, List.of(ab, ba), 20 * SECOND)
-                .figures()
+            new MembershipMetrics(two, kill, List.of(ab, ba), 20 * SECOND)
+                .compute()
                 .get("killed.known_ms_max"))
         .isGreaterThan(1e8);
     assertThat(
-            new MembershipFigures(two, none, List.of(ab), 20 * SECOND)
-                .figures()
+            new MembershipMetrics(two, none, List.of(ab), 20 * SECOND)
+                .compute()
                 .get("joined_ms_max"))
         .isGreaterThan(1e8);
     assertThat(
-            new MembershipFigures(
+            new MembershipMetrics(
                     two,
                     none,
                     List.of(
                         ab,
                         ba,
-                        seen(7, "a", "b", Standing.DEAD),
-                        seen(9, "a", "b", Standing.ALIVE)),
+                        seen(7, "a", "b", MemberStatus.DEAD),
+                        seen(9, "a", "b", MemberStatus.ALIVE)),
                     20 * SECOND)
-                .figures())
+                .compute())
         .containsEntry("living.dead_ms_max", 2000.0);
     assertThat(
-            new MembershipFigures(
+            new MembershipMetrics(
                     two,
                     cut,
                     List.of(
                         ab,
                         ba,
-                        seen(8, "a", "b", Standing.DEAD),
-                        seen(13, "a", "b", Standing.ALIVE)),
+                        seen(8, "a", "b", MemberStatus.DEAD),
+                        seen(13, "a", "b", MemberStatus.ALIVE)),
                     40 * SECOND)
-                .figures())
+                .compute())
         .containsEntry("living.dead_ms_max", 0.0)
         .containsEntry("healed_ms_max", 3000.0);
     assertThat(
-            new MembershipFigures(
-                    two, cut, List.of(ab, ba, seen(8, "a", "b", Standing.DEAD)), 40 * SECOND)
-                .figures())
+            new MembershipMetrics(
+                    two, cut, List.of(ab, ba, seen(8, "a", "b", MemberStatus.DEAD)), 40 * SECOND)
+                .compute())
         .satisfies(figures -> assertThat(figures.get("healed_ms_max")).isGreaterThan(1e8))
         .satisfies(figures -> assertThat(figures.get("living.dead_ms_max")).isGreaterThan(5000));
   }
@@ -182,7 +184,7 @@
     Path file =
         Files.writeString(folder.resolve("x"), text.contains("fleet") ? text : text + " fleet { }");
     assertThatThrownBy(() -> Laboratory.read(file.toString()))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(said);
   }
 }
--- a/src/test/java/tansytrack/lab/LedgerCrashTest.java
+++ b/src/test/java/tansytrack/lab/LedgerCrashTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.Decide;
 import tansytrack.lab.proto.Claim;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** The experiment on crashes, as it stands in lab/, and the laboratory's own rules. */
 class LedgerCrashTest {
@@ -73,7 +73,7 @@
   void anExperimentThatCannotBeUsedIsSaid(String text, String said) throws Exception {
     Path file = Files.writeString(folder.resolve("x"), text);
     assertThatThrownBy(() -> Laboratory.read(file.toString()))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(said);
   }
 }
--- a/src/test/java/tansytrack/lab/OpenLoopTest.java
+++ b/src/test/java/tansytrack/lab/OpenLoopTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** A load against a server whose delay is known, and which stalls. */
 class OpenLoopTest {
@@ -178,7 +178,7 @@
   void aLoadThatCannotBeUsedIsSaid(String good, String bad, String said) {
     assertThat(LoadFile.of("f", LOAD).load.getSeconds()).isEqualTo(3);
     assertThatThrownBy(() -> LoadFile.of("f", LOAD.replace(good, bad)))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(said);
   }
 }
--- a/src/test/java/tansytrack/lab/footprint/FootprintTest.java
+++ b/src/test/java/tansytrack/lab/footprint/FootprintTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** The measurement of real managers: what it counts, and what it refuses. */
 class FootprintTest {
@@ -48,16 +48,16 @@
   @Test
   void whatIsOutOfBoundsIsNamedWithWhatIsAllowed() {
     assertThatThrownBy(() -> new FootprintOptions(0, 50, 0, 0, 1, 20, null, FLAGS))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessage("--managers '0'; allowed: 1 to 200");
     assertThatThrownBy(() -> new FootprintOptions(1, 20_001, 0, 0, 1, 20, null, FLAGS))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessage("--engines '20001'; allowed: 1 to 20000");
     assertThatThrownBy(() -> new FootprintOptions(1, 50, 0, 0, 0, 20, null, FLAGS))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessage("--seconds '0'; allowed: 1 to 600");
     assertThatThrownBy(() -> new FootprintOptions(1, 50, 0, 0, 1, 20, "no-such.jar", FLAGS))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessage("--jar 'no-such.jar'; allowed: a file that exists");
   }
 }
--- a/src/test/java/tansytrack/lab/scale/ScaleTest.java
+++ b/src/test/java/tansytrack/lab/scale/ScaleTest.java
@@ -22,12 +22,12 @@
 import tansytrack.Decide;
 import tansytrack.LabCommands;
 import tansytrack.api.Actions;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.api.EngineEntry;
-import tansytrack.api.EngineView;
+import tansytrack.api.EngineStatus;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
-import tansytrack.api.TaskOffer;
+import tansytrack.api.TaskRequest;
 import tansytrack.lab.ScaleTable;
 
 /** Hollow managers: counts only, so that the verdict is the same every time. */
@@ -126,7 +126,7 @@
   // ---- What judges them sees what is wrong ----
 
   /** Sends every task to the engine that was listed last, whatever its state. */
-  private static final class Herd implements Decisions {
+  private static final class Herd implements DecisionModule {
     private final Actions actions;
     private final boolean newest;
     private final List<String> listed = new ArrayList<>();
@@ -137,25 +137,25 @@
     }
 
     @Override
-    public void engines(long now, boolean complete, List<EngineEntry> entries) {
+    public void onEngineList(long now, boolean complete, List<EngineEntry> entries) {
       entries.stream()
           .filter(entry -> !listed.contains(entry.id()))
           .forEach(entry -> listed.add(entry.id()));
     }
 
     @Override
-    public void task(long now, TaskOffer offer) {
+    public void onTask(long now, TaskRequest offer) {
       actions.forward(offer.id(), listed.get(newest ? listed.size() - 1 : 0), 0);
     }
 
     @Override
-    public void admit(long now, boolean open) {}
+    public void onAdmissionChange(long now, boolean open) {}
 
     @Override
-    public void siblings(long now, int count) {}
+    public void onManagerCount(long now, int count) {}
 
     @Override
-    public void outcome(
+    public void onForwardEnd(
         long now,
         String task,
         int index,
@@ -168,27 +168,27 @@
         LoadReport report) {}
 
     @Override
-    public void probed(long now, String engine, Outcome outcome, LoadReport report) {}
+    public void onProbeEnd(long now, String engine, Outcome outcome, LoadReport report) {}
 
     @Override
-    public void progress(
+    public void onProgress(
         long now, String task, int index, String engine, Progress what, double amount) {}
 
     @Override
-    public void woken(long now, String token) {}
+    public void onWakeUp(long now, String token) {}
 
     @Override
-    public void abandoned(long now, String task) {}
+    public void onClientLeft(long now, String task) {}
 
     @Override
-    public void stopping(long now, long until) {}
+    public void onShutdown(long now, long until) {}
 
     @Override
     public void decide(long now) {}
 
     @Override
-    public List<EngineView> view(long now) {
-      return listed.stream().map(id -> new EngineView(id, 0, -1, false)).toList();
+    public List<EngineStatus> engineStatuses(long now) {
+      return listed.stream().map(id -> new EngineStatus(id, 0, -1, false)).toList();
     }
   }
 
