--- a/src/test/java/tansytrack/ledger/BillingTest.java
+++ b/src/test/java/tansytrack/ledger/BillingTest.java
@@ -16,11 +16,12 @@
 /** Periods, prices, corrections. */
 class BillingTest {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final Periods DAYS = new Periods(Periods.Length.DAY, ZoneId.of("UTC"));
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final BillingPeriods DAYS =
+      new BillingPeriods(BillingPeriods.Length.DAY, ZoneId.of("UTC"));
 
-  private static long at(String moment) {
-    return Instant.parse(moment).getEpochSecond() * SECOND;
+  private static long nanosOf(String moment) {
+    return Instant.parse(moment).getEpochSecond() * NANOS_PER_SECOND;
   }
 
   @ParameterizedTest
@@ -34,20 +35,22 @@
     "DAY, UTC, 1969-12-31T23:59:59Z, 1969-12-31"
   })
   void aMomentFallsInThePeriodOfItsZone(
-      Periods.Length length, String zone, String moment, String period) {
-    Periods periods = new Periods(length, ZoneId.of(zone));
-    assertThat(periods.of(at(moment))).isEqualTo(period);
-    assertThat(periods.start(period)).isLessThanOrEqualTo(at(moment));
-    assertThat(periods.end(period)).isGreaterThan(at(moment));
-    assertThat(periods.of(periods.end(period))).isNotEqualTo(period);
-    assertThat(periods.of(periods.end(period) - 1)).isEqualTo(period);
+      BillingPeriods.Length length, String zone, String moment, String period) {
+    BillingPeriods periods = new BillingPeriods(length, ZoneId.of(zone));
+    assertThat(periods.periodAt(nanosOf(moment))).isEqualTo(period);
+    assertThat(periods.startNanos(period)).isLessThanOrEqualTo(nanosOf(moment));
+    assertThat(periods.endNanos(period)).isGreaterThan(nanosOf(moment));
+    assertThat(periods.periodAt(periods.endNanos(period))).isNotEqualTo(period);
+    assertThat(periods.periodAt(periods.endNanos(period) - 1)).isEqualTo(period);
   }
 
   @ParameterizedTest
   @CsvSource({"2026-03-29, 23", "2026-10-25, 25", "2026-06-01, 24"})
   void aDayIsAsLongAsItIsThere(String day, int hours) {
-    Periods periods = new Periods(Periods.Length.DAY, ZoneId.of("Europe/Berlin"));
-    assertThat(periods.end(day) - periods.start(day)).isEqualTo(hours * 3600L * SECOND);
+    BillingPeriods periods =
+        new BillingPeriods(BillingPeriods.Length.DAY, ZoneId.of("Europe/Berlin"));
+    assertThat(periods.endNanos(day) - periods.startNanos(day))
+        .isEqualTo(hours * 3600L * NANOS_PER_SECOND);
   }
 
   @ParameterizedTest
@@ -60,9 +63,9 @@
     "DAY, 2026-02-29",
     "DAY, ''"
   })
-  void whatIsNoPeriodIsSaid(Periods.Length length, String text) {
-    assertThatThrownBy(() -> new Periods(length, ZoneId.of("UTC")).first(text))
-        .isInstanceOf(Periods.BadPeriod.class)
+  void whatIsNoPeriodIsSaid(BillingPeriods.Length length, String text) {
+    assertThatThrownBy(() -> new BillingPeriods(length, ZoneId.of("UTC")).firstDay(text))
+        .isInstanceOf(BillingPeriods.InvalidPeriodException.class)
         .hasMessageContaining("'" + text + "'")
         .hasMessageContaining("as in");
   }
@@ -79,13 +82,23 @@
         BigDecimal.ZERO);
   }
 
-  private static Entry entry(long number, String tenant, End end, long takenAt, Use... uses) {
+  private static Entry entry(long number, String tenant, TaskEnd end, long takenAt, Use... uses) {
     return new Entry(
-        1, number, "t" + number, tenant, "g", takenAt, takenAt + SECOND, end, 0, 0, List.of(uses));
+        1,
+        number,
+        "t" + number,
+        tenant,
+        "g",
+        takenAt,
+        takenAt + NANOS_PER_SECOND,
+        end,
+        0,
+        0,
+        List.of(uses));
   }
 
   private static Use use(long work, boolean wasted) {
-    return new Use(0, "e", 0, SECOND, wasted ? "RESET" : "OK", work, 1, 512, wasted);
+    return new Use(0, "e", 0, NANOS_PER_SECOND, wasted ? "RESET" : "OK", work, 1, 512, wasted);
   }
 
   private static final Rates RATES =
@@ -110,7 +123,7 @@
   })
   void theRateThatNamesMostAndBeganLastHolds(
       String tenant, String grade, LocalDate day, BigDecimal task) {
-    Rates.Rate rate = RATES.of(tenant, grade, day);
+    Rates.Rate rate = RATES.rateFor(tenant, grade, day);
     assertThat(rate == null ? null : rate.perTask()).isEqualTo(task);
   }
 
@@ -122,11 +135,11 @@
     "BOUNCED, 1000000000, false, 0",
     "UNRESOLVED, 1000000000, true, 0"
   })
-  void moneyIsExactAndWasteIsTheHouses(End end, long work, boolean wasted, BigDecimal price) {
+  void moneyIsExactAndWasteIsTheHouses(TaskEnd end, long work, boolean wasted, BigDecimal price) {
     Entry entry = entry(1, "b", end, 0, use(work, wasted));
     assertThat(RATES.price(entry, LocalDate.parse("2026-02-01"))).isEqualByComparingTo(price);
     Rates billed = new Rates(RATES.rates(), 2, RoundingMode.HALF_EVEN, true);
-    if (end == End.HANDLED) {
+    if (end == TaskEnd.HANDLED) {
       assertThat(billed.price(entry, LocalDate.parse("2026-02-01")))
           .isEqualByComparingTo(new BigDecimal("0.20").add(BigDecimal.valueOf(work, 9)));
     }
@@ -139,23 +152,23 @@
             List.of(rate("", "", "2026-01-01", "0.001", "0")), 2, RoundingMode.HALF_EVEN, false);
     Bill bill = new Bill("2026-02-01", DAYS, small, 0);
     for (int i = 0; i < 1000; i++) {
-      bill.take(i + 1, entry(i, "a", End.HANDLED, at("2026-02-01T10:00:00Z")));
+      bill.add(i + 1, entry(i, "a", TaskEnd.HANDLED, nanosOf("2026-02-01T10:00:00Z")));
     }
     assertThat(bill.total("a")).isEqualByComparingTo("1.00");
   }
 
   @Test
   void aClosedPeriodsSumsStayAndWhatComesLateStandsBeside() {
-    long day = at("2026-02-01T10:00:00Z");
+    long day = nanosOf("2026-02-01T10:00:00Z");
     Bill open = new Bill("2026-02-01", DAYS, RATES, 0);
-    open.take(1, entry(1, "b", End.HANDLED, day));
-    String sealed = open.sealed();
+    open.add(1, entry(1, "b", TaskEnd.HANDLED, day));
+    String sealed = open.canonicalText();
     Bill closed = new Bill("2026-02-01", DAYS, RATES, 1);
-    closed.take(1, entry(1, "b", End.HANDLED, day));
-    closed.take(2, entry(2, "b", End.HANDLED, day));
-    closed.take(3, entry(3, "b", End.HANDLED, day + 24 * 3600 * SECOND));
-    assertThat(closed.sealed()).isEqualTo(sealed);
-    assertThat(closed.late()).hasSize(1);
+    closed.add(1, entry(1, "b", TaskEnd.HANDLED, day));
+    closed.add(2, entry(2, "b", TaskEnd.HANDLED, day));
+    closed.add(3, entry(3, "b", TaskEnd.HANDLED, day + 24 * 3600 * NANOS_PER_SECOND));
+    assertThat(closed.canonicalText()).isEqualTo(sealed);
+    assertThat(closed.lateSubtotals()).hasSize(1);
     assertThat(closed.total("b")).isEqualByComparingTo("0.40");
   }
 
@@ -176,8 +189,8 @@
     String[] sums = {"-1.25", "-1.00", "0.25", "-1.00"};
     for (int i = 1; i <= 4; i++) {
       Bill bill = new Bill("2026-02-01", DAYS, RATES, 0);
-      all.subList(0, i).forEach(bill::take);
-      assertThat(bill.amended("a")).as("after %d", i).isEqualByComparingTo(sums[i - 1]);
+      all.subList(0, i).forEach(bill::add);
+      assertThat(bill.amendedAmount("a")).as("after %d", i).isEqualByComparingTo(sums[i - 1]);
     }
   }
 
@@ -206,7 +219,7 @@
             amendment(2, "1", "", false),
             amendment(3, "0", "a:2", true));
     String said =
-        Corrections.refused(
+        AmendmentValidator.rejectionReason(
             amendment(0, amount, corrects, withdraws),
             all,
             (epoch, number) -> epoch == 1 && number == 7);
@@ -219,19 +232,22 @@
 
   @Test
   void periodsCloseByThemselvesOnceTheirGraceIsOver() {
-    Closing closing = new Closing(DAYS, 3600 * SECOND);
+    ClosingPolicy closing = new ClosingPolicy(DAYS, 3600 * NANOS_PER_SECOND);
     List<String> seen = List.of("2026-02-02", "2026-02-01", "2026-01-31");
-    assertThat(closing.due(at("2026-02-02T00:59:59Z"), seen, List.of()))
+    assertThat(closing.duePeriods(nanosOf("2026-02-02T00:59:59Z"), seen, List.of()))
         .containsExactly("2026-01-31");
-    assertThat(closing.due(at("2026-02-02T01:00:00Z"), seen, List.of("2026-01-31")))
+    assertThat(closing.duePeriods(nanosOf("2026-02-02T01:00:00Z"), seen, List.of("2026-01-31")))
         .containsExactly("2026-02-01");
-    assertThat(new Closing(DAYS, 0).due(Long.MAX_VALUE, seen, List.of())).isEmpty();
-    assertThat(closing.refused("2026-02-01", at("2026-02-01T23:59:59Z"), List.of(), 0))
+    assertThat(new ClosingPolicy(DAYS, 0).duePeriods(Long.MAX_VALUE, seen, List.of())).isEmpty();
+    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-01T23:59:59Z"), List.of(), 0))
         .contains("not over");
-    assertThat(closing.refused("2026-02-01", at("2026-02-02T00:00:00Z"), List.of(), 3))
+    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 3))
         .contains("3 tasks open");
-    assertThat(closing.refused("2026-02-01", at("2026-02-02T00:00:00Z"), List.of("2026-02-01"), 0))
+    assertThat(
+            closing.rejectionReason(
+                "2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of("2026-02-01"), 0))
         .contains("closed already");
-    assertThat(closing.refused("2026-02-01", at("2026-02-02T00:00:00Z"), List.of(), 0)).isNull();
+    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 0))
+        .isNull();
   }
 }
--- a/src/test/java/tansytrack/ledger/MergedTest.java
+++ b/src/test/java/tansytrack/ledger/MergedLedgerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Merging and reconciling. */
-class MergedTest {
+class MergedLedgerTest {
 
   private static Entry entry(long epoch, long number, long bytes, Use... uses) {
     return new Entry(
@@ -26,14 +26,14 @@
         "g",
         1,
         2,
-        End.HANDLED,
+        TaskEnd.HANDLED,
         bytes,
         0,
         List.of(uses));
   }
 
   @Provide
-  Arbitrary<Merged> ledgers() {
+  Arbitrary<MergedLedger> ledgers() {
     Arbitrary<Entry> entries =
         Combinators.combine(
                 Arbitraries.longs().between(1, 2),
@@ -47,16 +47,16 @@
             Arbitraries.of("m", "n"), entries.list().ofMaxSize(8), gaps.list().ofMaxSize(2))
         .as(
             (manager, all, missing) -> {
-              Merged made = new Merged();
+              MergedLedger made = new MergedLedger();
               all.forEach(one -> made.add(manager, one));
               missing.forEach(one -> made.add(manager, one));
               return made;
             });
   }
 
-  private static Merged merged(Merged... parts) {
-    Merged all = new Merged();
-    for (Merged one : parts) {
+  private static MergedLedger merged(MergedLedger... parts) {
+    MergedLedger all = new MergedLedger();
+    for (MergedLedger one : parts) {
       all.add(one);
     }
     return all;
@@ -64,26 +64,26 @@
 
   @Property(tries = 300, seed = "7")
   void orderRepetitionAndGroupingMakeNoDifference(
-      @ForAll("ledgers") Merged one,
-      @ForAll("ledgers") Merged two,
-      @ForAll("ledgers") Merged three) {
+      @ForAll("ledgers") MergedLedger one,
+      @ForAll("ledgers") MergedLedger two,
+      @ForAll("ledgers") MergedLedger three) {
     assertThat(merged(merged(one, two), three)).isEqualTo(merged(one, merged(two, three)));
     assertThat(merged(one, two)).isEqualTo(merged(two, one));
     assertThat(merged(one, two, one)).isEqualTo(merged(one, two));
-    assertThat(merged(one, two).holes()).isEqualTo(merged(two, one).holes());
+    assertThat(merged(one, two).missingRanges()).isEqualTo(merged(two, one).missingRanges());
   }
 
   @Property(tries = 300, seed = "8")
-  void everyNumberIsThereInAGapOrInAHole(@ForAll("ledgers") Merged merged) {
+  void everyNumberIsThereInAGapOrInAHole(@ForAll("ledgers") MergedLedger merged) {
     List<String> accounted = new ArrayList<>();
     merged.entries().keySet().forEach(key -> accounted.add(key.epoch() + ":" + key.sequence()));
-    for (Merged.Hole hole : merged.holes()) {
+    for (MergedLedger.MissingRange hole : merged.missingRanges()) {
       for (long number = hole.first(); number <= hole.last(); number++) {
         assertThat(accounted).doesNotContain(hole.epoch() + ":" + number);
         accounted.add(hole.epoch() + ":" + number);
       }
     }
-    for (Merged.Key key : merged.entries().keySet()) {
+    for (MergedLedger.Key key : merged.entries().keySet()) {
       for (long number = 1; number < key.sequence(); number++) {
         long at = number;
         assertThat(
@@ -97,12 +97,12 @@
 
   @Test
   void whatIsSaidDifferentlyIsAContradictionWithBothKept() {
-    Merged all = new Merged();
+    MergedLedger all = new MergedLedger();
     all.add("m", entry(1, 1, 5));
     all.add("m", entry(1, 1, 6));
     all.add("n", entry(1, 1, 7));
-    assertThat(all.contradictions()).containsExactly(new Merged.Key("m", 1, 1));
-    assertThat(all.entries().get(new Merged.Key("m", 1, 1))).hasSize(2);
+    assertThat(all.contradictions()).containsExactly(new MergedLedger.Key("m", 1, 1));
+    assertThat(all.entries().get(new MergedLedger.Key("m", 1, 1))).hasSize(2);
   }
 
   @ParameterizedTest
@@ -123,20 +123,20 @@
       })
   void eachForwardIsMatchedWithARun(String outcome, String runs, String finding) {
     Reconciliation all = new Reconciliation();
-    all.stated("e");
+    all.addEngine("e");
     Use use = new Use(0, "e", 1, 2, outcome, 5, 0, 0, false);
-    all.take(
+    all.add(
         outcome.equals("none")
             ? entry(1, 2, 0)
             : entry(1, 1, 0, use, new Use(1, "unstated", 1, 2, "OK", 5, 0, 0, true)));
     for (String run : runs == null ? new String[0] : runs.split(" ")) {
-      all.take(
+      all.add(
           new Reconciliation.Run(
               "e", "t1-1", Long.parseLong(run.split(":")[0]), run.endsWith("true")));
     }
     if (finding == null) {
       assertThat(all.findings()).isEmpty();
-      assertThat(all.agreed()).isEqualTo(1);
+      assertThat(all.matchedForwards()).isEqualTo(1);
     } else {
       assertThat(all.findings())
           .singleElement()
@@ -151,20 +151,20 @@
       delimiter = '|',
       value = {"1,3 | position 2 is missing", "1,2 | none"})
   void positionsRunWithoutAHole(String positions, String breach) {
-    Invariants checks = new Invariants();
+    LedgerChecker checks = new LedgerChecker();
     for (String one : positions.split(",")) {
-      checks.line(Long.parseLong(one), entry(1, Long.parseLong(one), 0));
+      checks.checkLine(Long.parseLong(one), entry(1, Long.parseLong(one), 0));
     }
-    checks.batch(1, 1, 2, "x", "x");
-    assertThat(checks.breach() == null ? "none" : checks.breach()).contains(breach);
-    checks.batch(2, 4, 5, "x", "x");
-    assertThat(checks.breach()).isNotNull();
+    checks.checkBatch(1, 1, 2, "x", "x");
+    assertThat(checks.firstViolation() == null ? "none" : checks.firstViolation()).contains(breach);
+    checks.checkBatch(2, 4, 5, "x", "x");
+    assertThat(checks.firstViolation()).isNotNull();
   }
 
   @Test
   void theFirstBreachIsSaid() {
-    Invariants checks = new Invariants();
-    checks.line(
+    LedgerChecker checks = new LedgerChecker();
+    checks.checkLine(
         1,
         entry(
             1,
@@ -172,9 +172,9 @@
             0,
             new Use(0, "e", 1, 2, "OK", 0, 0, 0, false),
             new Use(1, "f", 1, 2, "OK", 0, 0, 0, false)));
-    checks.line(2, entry(1, 2, 0, new Use(0, "e", 1, 0, "", 0, 0, 0, true)));
-    checks.batch(1, 1, 2, "sealed", "other");
-    checks.closed("2026-01", "then", "now");
-    assertThat(checks.breach()).isEqualTo("entry 1:1 was served by 2 forwards");
+    checks.checkLine(2, entry(1, 2, 0, new Use(0, "e", 1, 0, "", 0, 0, 0, true)));
+    checks.checkBatch(1, 1, 2, "sealed", "other");
+    checks.checkClosedPeriod("2026-01", "then", "now");
+    assertThat(checks.firstViolation()).isEqualTo("entry 1:1 was served by 2 forwards");
   }
 }
--- /dev/null
+++ b/src/test/java/tansytrack/ledger/disk/LedgerRecorderTest.java
@@ -0,0 +1,242 @@
+package tansytrack.ledger.disk;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import tansytrack.api.Outcome;
+import tansytrack.api.QueryClass;
+import tansytrack.api.TaskRequest;
+import tansytrack.ledger.Gap;
+import tansytrack.ledger.MergedLedger;
+import tansytrack.ledger.TaskEnd;
+import tansytrack.operator.OperatorFile;
+import tansytrack.state.TaskListener;
+import tansytrack.state.Timers;
+
+/**
+ * A running manager's ledger on a disk that is full or slow for a while; the test plays the loop.
+ */
+class LedgerRecorderTest {
+
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final QueryClass GRADE =
+      new QueryClass(
+          "g",
+          QueryClass.RetrySafety.IDEMPOTENT,
+          QueryClass.DeduplicationScope.ALL,
+          0,
+          10 * NANOS_PER_MS,
+          1,
+          100 * NANOS_PER_MS,
+          1,
+          0,
+          false,
+          Set.of(),
+          Set.of(),
+          1,
+          false,
+          false);
+
+  @TempDir Path folder;
+  private final Timers timers = new Timers();
+  private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
+  private final List<String> released = new ArrayList<>();
+  private volatile String fault = "";
+  private int tasks;
+
+  private LedgerRecorder start(String more) throws IOException {
+    timers.now(NANOS_PER_MS);
+    return LedgerRecorder.start(
+        OperatorFile.parse("f", "ledger { folder: '" + folder + "' " + more + " }").ledger(),
+        "m",
+        List.of(GRADE),
+        timers,
+        inbox::add,
+        step -> {
+          if (fault.equals("full") && step.startsWith("lines")) {
+            throw new IOException("no space left on device");
+          }
+          if (fault.equals("slow") && step.equals("lines commit")) {
+            pause();
+          }
+        });
+  }
+
+  private static void pause() {
+    try {
+      Thread.sleep(2000);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  private void runTask(LedgerRecorder to) {
+    String id = "t" + ++tasks;
+    to.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
+    to.beforeForward(timers.now(), id, 0, "e", 8, () -> released.add("sent " + id));
+    to.forwardEnded(timers.now(), id, 0, Outcome.OK, 5, 1, true);
+    to.beforeAnswer(
+        timers.now(), id, TaskListener.TaskEnd.HANDLED, 10, () -> released.add("answered " + id));
+  }
+
+  /** Turns the loop until it is so. */
+  private void runLoopUntil(BooleanSupplier so) throws InterruptedException {
+    while (!so.getAsBoolean()) {
+      Runnable note = inbox.poll(10, TimeUnit.MILLISECONDS);
+      if (note != null) {
+        note.run();
+      }
+    }
+  }
+
+  private MergedLedger read() throws IOException {
+    return LedgerFiles.readMerged(List.of(folder));
+  }
+
+  @Test
+  void whatADiskDoesNotTakeIsCountedAsAGapAndTasksGoOn() throws IOException, InterruptedException {
+    LedgerRecorder recorder = start("most_unwritten: 64");
+    fault = "full";
+    for (int i = 0; i < 100; i++) {
+      runTask(recorder);
+    }
+    assertThat(released).as("nothing waits").hasSize(200);
+    assertThat(recorder.unwritten()).isEqualTo(64);
+    fault = "";
+    runLoopUntil(() -> recorder.unwritten() == 0);
+    runTask(recorder);
+    recorder.close();
+    MergedLedger all = read();
+    assertThat(all.gaps())
+        .singleElement()
+        .satisfies(
+            gap -> {
+              assertThat(gap.lines()).isEqualTo(300 - 64);
+              assertThat(gap.lastSequence()).isEqualTo(100);
+            });
+    assertThat(all.missingRanges()).isEmpty();
+    assertThat(all.entries()).containsKey(new MergedLedger.Key("m", 1, 101));
+    Gap gap = all.gaps().get(0);
+    for (long number = 1; number <= 101; number++) {
+      assertThat(
+              all.entries().containsKey(new MergedLedger.Key("m", 1, number)) || gap.covers(number))
+          .isTrue();
+    }
+  }
+
+  @Test
+  void answersAndForwardsWaitForTheCommitAndNoLongerThanAllowed()
+      throws IOException, InterruptedException {
+    LedgerRecorder recorder =
+        start("answers: AFTER_COMMIT forwards: AFTER_COMMIT most_wait_ms: 50");
+    fault = "full";
+    runTask(recorder);
+    assertThat(released).isEmpty();
+    timers.now(timers.now() + 49 * NANOS_PER_MS);
+    timers.runDue();
+    assertThat(released).isEmpty();
+    timers.now(timers.now() + NANOS_PER_MS);
+    timers.runDue();
+    assertThat(released).containsExactly("sent t1", "answered t1");
+    fault = "";
+    runTask(recorder);
+    runLoopUntil(() -> released.size() == 4);
+    assertThat(released).endsWith("sent t2", "answered t2");
+    recorder.close();
+    assertThat(read().entries()).hasSize(2);
+  }
+
+  @Test
+  void whereTheFileSaysSoNoTaskIsLetInThatCouldNotBeKept()
+      throws IOException, InterruptedException {
+    LedgerRecorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
+    fault = "full";
+    while (recorder.acceptsTasks()) {
+      runTask(recorder);
+    }
+    assertThat(tasks).isEqualTo(20);
+    fault = "";
+    runLoopUntil(recorder::acceptsTasks);
+    recorder.close();
+    assertThat(read().entries()).hasSize(20);
+    assertThat(read().gaps()).isEmpty();
+  }
+
+  /** What is bounced meanwhile must not take the room that those let in may yet need. */
+  @Test
+  void tasksThatWereLetInAreKeptHoweverManyAreBounced() throws IOException, InterruptedException {
+    LedgerRecorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
+    fault = "full";
+    int open = 0;
+    for (; recorder.acceptsTasks(); open++) {
+      recorder.taskAccepted(timers.now(), new TaskRequest("in" + open, "g", "a", null, 0, 0, 0, 0));
+      recorder.beforeForward(timers.now(), "in" + open, 0, "e", 8, () -> {});
+    }
+    for (int i = 0; i < 100; i++) {
+      recorder.taskAccepted(timers.now(), new TaskRequest("out" + i, "g", "a", null, 0, 0, 0, 0));
+      recorder.beforeAnswer(timers.now(), "out" + i, TaskListener.TaskEnd.BOUNCED, 0, () -> {});
+    }
+    for (int i = 0; i < open; i++) {
+      recorder.forwardEnded(timers.now(), "in" + i, 0, Outcome.OK, 5, 1, true);
+      recorder.beforeAnswer(timers.now(), "in" + i, TaskListener.TaskEnd.HANDLED, 10, () -> {});
+    }
+    fault = "";
+    runLoopUntil(() -> recorder.unwritten() == 0);
+    recorder.close();
+    assertThat(open).isGreaterThan(5);
+    for (long number = 1; number <= open; number++) {
+      assertThat(read().entries().get(new MergedLedger.Key("m", 1, number)))
+          .singleElement()
+          .satisfies(one -> assertThat(one.end()).isEqualTo(TaskEnd.HANDLED));
+    }
+    assertThat(read().missingRanges()).isEmpty();
+  }
+
+  @Test
+  void aDiskThatIsSlowBySecondsHoldsUpNoTaskForLongerThanAllowedAndLosesNothing()
+      throws IOException, InterruptedException {
+    LedgerRecorder recorder = start("answers: AFTER_COMMIT most_wait_ms: 50");
+    fault = "slow";
+    long from = System.nanoTime();
+    runTask(recorder);
+    Thread.sleep(100); // the commit of the first is on its way
+    for (int i = 0; i < 20; i++) {
+      runTask(recorder);
+    }
+    assertThat(System.nanoTime() - from)
+        .as("the loop never waited")
+        .isLessThan(1_000 * NANOS_PER_MS);
+    timers.now(timers.now() + 50 * NANOS_PER_MS);
+    timers.runDue();
+    assertThat(released).filteredOn(one -> one.startsWith("answered")).hasSize(21);
+    fault = "";
+    runLoopUntil(() -> recorder.unwritten() == 0);
+    recorder.close();
+    assertThat(read().entries()).hasSize(21);
+    assertThat(read().gaps()).isEmpty();
+  }
+
+  @Test
+  void refusalsNeverWaitAndTheEndReleasesWhatDoes() throws IOException {
+    LedgerRecorder recorder = start("answers: AFTER_COMMIT most_wait_ms: 10000");
+    fault = "full";
+    recorder.taskAccepted(timers.now(), new TaskRequest("b", "g", "a", null, 0, 0, 0, 0));
+    recorder.beforeAnswer(
+        timers.now(), "b", TaskListener.TaskEnd.BOUNCED, 0, () -> released.add("bounced"));
+    runTask(recorder);
+    assertThat(released).containsExactly("bounced", "sent t1");
+    fault = "";
+    recorder.close();
+    assertThat(released).endsWith("answered t1");
+    assertThat(read().entries()).hasSize(2);
+  }
+}
--- a/src/test/java/tansytrack/ledger/disk/StoreTest.java
+++ b/src/test/java/tansytrack/ledger/disk/LedgerStoreTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tansytrack.ledger.Amendment;
-import tansytrack.ledger.End;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.EntryTracker;
-import tansytrack.ledger.Line;
-import tansytrack.ledger.Merged;
+import tansytrack.ledger.LedgerUpdate;
+import tansytrack.ledger.MergedLedger;
 import tansytrack.ledger.Reconciliation;
+import tansytrack.ledger.TaskEnd;
 import tansytrack.operator.OperatorFile;
 
 /** The ledger on a disk that fails at every step, and managers that die in between. */
-class StoreTest {
+class LedgerStoreTest {
 
   @TempDir Path folder;
-  private final EntryTracker book = new EntryTracker((grade, end, time) -> 0);
+  private final EntryTracker tracker = new EntryTracker((grade, end, time) -> 0);
 
-  private static void nobody(String task, String engine) {}
+  private static void ignore(String task, String engine) {}
 
   private Path ledger() {
     return folder.resolve("ledger");
@@ -43,30 +43,31 @@
   }
 
   /** So many tasks: some handled, some bounced, some still open with a forward out. */
-  private List<Line> tasks(int from, int count) {
-    List<Line> lines = new ArrayList<>();
+  private List<LedgerUpdate> tasks(int from, int count) {
+    List<LedgerUpdate> lines = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
       String task = "t" + i;
-      book.taken(i, task, "tenant" + i % 7, "g");
+      tracker.taskTaken(i, task, "tenant" + i % 7, "g");
       if (i % 3 > 0) {
-        lines.add(book.sent(i + 1, task, 0, "e" + i % 2, 64));
+        lines.add(tracker.forwardSent(i + 1, task, 0, "e" + i % 2, 64));
       }
       if (i % 3 == 1) {
-        lines.add(book.ended(i + 2, task, 0, "OK", 5_000_000, 3, true));
+        lines.add(tracker.forwardEnded(i + 2, task, 0, "OK", 5_000_000, 3, true));
       }
       if (i % 3 < 2) {
-        lines.add(book.answered(i + 3, task, i % 3 == 0 ? End.BOUNCED : End.HANDLED, 100));
+        lines.add(
+            tracker.taskAnswered(i + 3, task, i % 3 == 0 ? TaskEnd.BOUNCED : TaskEnd.HANDLED, 100));
       }
     }
     return lines;
   }
 
-  private static List<Entry> entries(Store store) throws IOException {
+  private static List<Entry> entries(LedgerStore store) throws IOException {
     List<Entry> all = new ArrayList<>();
     store.read(
         1,
         Long.MAX_VALUE,
-        new Store.Lines() {
+        new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
             all.add(entry);
@@ -77,24 +78,24 @@
 
   @Test
   void whatALifeLeftOpenIsUnresolvedInTheNextAndNeverDropped() throws IOException {
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
-      assertThat(store.beginEpoch(1, StoreTest::nobody)).isZero();
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+      assertThat(store.beginEpoch(1, LedgerStoreTest::ignore)).isZero();
       store.write(tasks(0, 9));
-      assertThat(store.last()).isEqualTo(6);
+      assertThat(store.lastPosition()).isEqualTo(6);
       assertThat(store.openTasks()).isEqualTo(3);
     }
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
       List<String> left = new ArrayList<>();
       assertThat(store.beginEpoch(2, (task, engine) -> left.add(task + " " + engine))).isEqualTo(3);
       assertThat(left).containsExactly("t2 e0", "t5 e1", "t8 e0");
       Reconciliation.Run run = new Reconciliation.Run("e0", "t2", 7, true);
-      store.write(List.of(new Line.Told(run), new Line.Told(run)));
-      assertThat(store.told()).containsExactly(run);
+      store.write(List.of(new LedgerUpdate.RunReported(run), new LedgerUpdate.RunReported(run)));
+      assertThat(store.reportedRuns()).containsExactly(run);
       assertThat(store.epoch()).isEqualTo(2);
       assertThat(store.openTasks()).isZero();
       assertThat(entries(store))
           .hasSize(9)
-          .filteredOn(one -> one.end() == End.UNRESOLVED)
+          .filteredOn(one -> one.end() == TaskEnd.UNRESOLVED)
           .hasSize(3)
           .allMatch(
               one -> one.uses().get(0).outcome().equals("UNKNOWN") && one.uses().get(0).wasted());
@@ -103,32 +104,32 @@
 
   @Test
   void aSecondManagerIsToldWhoHoldsTheLedger() throws IOException {
-    try (Store store = Store.forManager(ledger(), "first", Faults.NONE)) {
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "first", FaultInjector.NONE)) {
       assertThat(store.manager()).isEqualTo("first");
-      assertThatThrownBy(() -> Store.forManager(ledger(), "second", Faults.NONE))
+      assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "second", FaultInjector.NONE))
           .isInstanceOf(IOException.class)
           .hasMessageContaining("held by first, process " + ProcessHandle.current().pid());
     }
-    assertThatThrownBy(() -> Store.forManager(ledger(), "second", Faults.NONE))
+    assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "second", FaultInjector.NONE))
         .hasMessageContaining("is the ledger of first, not of second");
   }
 
   @Test
   void whatIsNoLedgerIsSaidAndLeftAsItIs() throws IOException {
-    assertThatThrownBy(() -> Store.forCommand(ledger(), Faults.NONE))
+    assertThatThrownBy(() -> LedgerStore.openForCommand(ledger(), FaultInjector.NONE))
         .hasMessageContaining("holds no ledger");
     Files.createDirectories(ledger());
     Path file =
         Files.writeString(
             ledger().resolve("ledger.sqlite"), "no database, but somebody's text ".repeat(100));
-    assertThatThrownBy(() -> Store.forManager(ledger(), "m", Faults.NONE))
+    assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE))
         .hasMessageContaining("not a database");
     assertThat(file).content().startsWith("no database");
   }
 
   @Test
   void aNewerSchemaIsRefusedAndAnOlderOneIsLifted() throws IOException, SQLException {
-    Store.forManager(ledger(), "m", Faults.NONE).close();
+    LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE).close();
     String file = "jdbc:sqlite:" + ledger().resolve("ledger.sqlite");
     try (var db = DriverManager.getConnection(file);
         var run = db.createStatement()) {
@@ -136,22 +137,22 @@
       run.execute("DROP TABLE told");
       run.execute("PRAGMA user_version = 1");
     }
-    try (Store store = Store.forCommand(ledger(), Faults.NONE)) {
-      assertThat(store.closed()).isEmpty();
-      assertThat(store.told()).isEmpty();
+    try (LedgerStore store = LedgerStore.openForCommand(ledger(), FaultInjector.NONE)) {
+      assertThat(store.closedPeriods()).isEmpty();
+      assertThat(store.reportedRuns()).isEmpty();
     }
     try (var db = DriverManager.getConnection(file);
         var run = db.createStatement()) {
       run.execute("PRAGMA user_version = 99");
     }
-    assertThatThrownBy(() -> Store.forCommand(ledger(), Faults.NONE))
+    assertThatThrownBy(() -> LedgerStore.openForCommand(ledger(), FaultInjector.NONE))
         .hasMessageContaining("has schema 99");
   }
 
   @Test
   void aTornTailCostsTheUnsyncedTailAlone() throws IOException {
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
-      store.beginEpoch(1, StoreTest::nobody);
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+      store.beginEpoch(1, LedgerStoreTest::ignore);
       store.write(tasks(0, 30));
       store.write(tasks(30, 30));
       // As after a power cut: the files as they are on the disk, the log cut within its last
@@ -162,23 +163,24 @@
       Files.write(
           torn.resolve("ledger.sqlite-wal"), java.util.Arrays.copyOf(log, log.length - 100));
     }
-    try (Store store = Store.forManager(folder.resolve("torn"), "m", Faults.NONE)) {
-      assertThat(store.damage()).isNull();
-      assertThat(store.last()).isEqualTo(20);
-      assertThat(store.beginEpoch(2, StoreTest::nobody)).isEqualTo(10);
+    try (LedgerStore store =
+        LedgerStore.openForManager(folder.resolve("torn"), "m", FaultInjector.NONE)) {
+      assertThat(store.findDamage()).isNull();
+      assertThat(store.lastPosition()).isEqualTo(20);
+      assertThat(store.beginEpoch(2, LedgerStoreTest::ignore)).isEqualTo(10);
     }
   }
 
-  private static final class Broken implements Faults {
+  private static final class FailingStep implements FaultInjector {
     private final AtomicInteger left;
     private boolean broke;
 
-    Broken(int after) {
+    FailingStep(int after) {
       left = new AtomicInteger(after);
     }
 
     @Override
-    public void before(String step) throws IOException {
+    public void beforeStep(String step) throws IOException {
       if (left.getAndDecrement() == 0) {
         broke = true;
         throw new IOException("broken before " + step);
@@ -195,35 +197,35 @@
     int steps = 0;
     for (boolean more = true; more; steps++) {
       Path here = folder.resolve("n" + steps);
-      try (Store store = Store.forManager(here, "m", Faults.NONE)) {
-        store.beginEpoch(1, StoreTest::nobody);
+      try (LedgerStore store = LedgerStore.openForManager(here, "m", FaultInjector.NONE)) {
+        store.beginEpoch(1, LedgerStoreTest::ignore);
         store.write(tasks(steps * 1000, 30));
       }
-      Broken faults = new Broken(steps);
-      try (Store store = Store.forManager(here, "m", faults)) {
-        store.beginEpoch(2, StoreTest::nobody);
-        store.write(new ArrayList<>(new StoreTest().tasks(0, 9)));
-        new Exporter(store, here.resolve("out"), faults).run("protobuf", 25, 5);
+      FailingStep faults = new FailingStep(steps);
+      try (LedgerStore store = LedgerStore.openForManager(here, "m", faults)) {
+        store.beginEpoch(2, LedgerStoreTest::ignore);
+        store.write(new ArrayList<>(new LedgerStoreTest().tasks(0, 9)));
+        new Exporter(store, here.resolve("out"), faults).export("protobuf", 25, 5);
       } catch (IOException e) {
         assertThat(e).hasMessageContaining("broken before");
       }
       more = faults.broke;
-      try (Store store = Store.forManager(here, "m", Faults.NONE)) {
-        store.beginEpoch(3, StoreTest::nobody);
-        new Exporter(store, here.resolve("out"), Faults.NONE).run("protobuf", 25, 6);
-        List<Store.Batch> batches = store.batches();
+      try (LedgerStore store = LedgerStore.openForManager(here, "m", FaultInjector.NONE)) {
+        store.beginEpoch(3, LedgerStoreTest::ignore);
+        new Exporter(store, here.resolve("out"), FaultInjector.NONE).export("protobuf", 25, 6);
+        List<LedgerStore.Batch> batches = store.batches();
         long next = 1;
-        for (Store.Batch one : batches) {
-          assertThat(one.first()).isEqualTo(next);
-          assertThat(Exporter.hash(here.resolve("out").resolve(Exporter.name(one))))
-              .isEqualTo(one.sha())
+        for (LedgerStore.Batch one : batches) {
+          assertThat(one.firstPosition()).isEqualTo(next);
+          assertThat(Exporter.hash(here.resolve("out").resolve(Exporter.fileName(one))))
+              .isEqualTo(one.sha256())
               .isEqualTo(Exporter.hash(store, one));
-          next = one.last() + 1;
+          next = one.lastPosition() + 1;
         }
-        assertThat(next - 1).isEqualTo(store.last());
+        assertThat(next - 1).isEqualTo(store.lastPosition());
         assertThat(entries(store)).hasSizeGreaterThanOrEqualTo(30).doesNotHaveDuplicates();
-        Merged exported = LedgerFiles.merged(List.of(here.resolve("out")));
-        assertThat(exported).isEqualTo(LedgerFiles.merged(List.of(here)));
+        MergedLedger exported = LedgerFiles.readMerged(List.of(here.resolve("out")));
+        assertThat(exported).isEqualTo(LedgerFiles.readMerged(List.of(here)));
         try (Stream<Path> files = Files.list(here.resolve("out"))) {
           assertThat(files.filter(one -> one.toString().endsWith(".tmp"))).isEmpty();
         }
@@ -235,10 +237,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"protobuf", "csv"})
   void aNumberAlwaysHasTheSameBytes(String form) throws IOException {
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
-      store.beginEpoch(1, StoreTest::nobody);
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+      store.beginEpoch(1, LedgerStoreTest::ignore);
       store.write(tasks(0, 30));
-      store.amend(
+      store.addAmendment(
           new Amendment(
               0,
               "2026-02",
@@ -249,62 +251,65 @@
               "",
               9,
               false));
-      Exporter exporter = new Exporter(store, out(), Faults.NONE);
-      Store.Batch batch = exporter.run(form, 1000, 5);
-      assertThat(batch.last()).isEqualTo(21);
-      Path file = out().resolve(Exporter.name(batch));
+      Exporter exporter = new Exporter(store, out(), FaultInjector.NONE);
+      LedgerStore.Batch batch = exporter.export(form, 1000, 5);
+      assertThat(batch.lastPosition()).isEqualTo(21);
+      Path file = out().resolve(Exporter.fileName(batch));
       byte[] first = Files.readAllBytes(file);
       store.write(tasks(30, 30));
-      assertThat(exporter.run(form, 1000, 6).number()).isEqualTo(2);
-      assertThat(exporter.run(form, 1000, 7)).as("nothing new").isNull();
+      assertThat(exporter.export(form, 1000, 6).number()).isEqualTo(2);
+      assertThat(exporter.export(form, 1000, 7)).as("nothing new").isNull();
       Files.writeString(file, "spoilt");
-      exporter.again(1);
+      exporter.exportAgain(1);
       assertThat(file).hasBinaryContent(first);
-      assertThatThrownBy(() -> exporter.again(9)).hasMessageContaining("batch 9 does not exist");
+      assertThatThrownBy(() -> exporter.exportAgain(9))
+          .hasMessageContaining("batch 9 does not exist");
     }
   }
 
   @Test
   void aDamagedBatchIsNamedAndTheOthersAreRead() throws IOException {
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
-      store.beginEpoch(1, StoreTest::nobody);
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+      store.beginEpoch(1, LedgerStoreTest::ignore);
       store.write(tasks(0, 30));
-      new Exporter(store, out(), Faults.NONE).run("protobuf", 10, 5);
+      new Exporter(store, out(), FaultInjector.NONE).export("protobuf", 10, 5);
     }
     Path good = out().resolve("batch-00000001.pb");
     Path cut = folder.resolve("cut.pb");
     Files.copy(good, cut, StandardCopyOption.REPLACE_EXISTING);
     byte[] bytes = Files.readAllBytes(cut);
     Files.write(cut, java.util.Arrays.copyOf(bytes, bytes.length / 2));
-    assertThatThrownBy(() -> LedgerFiles.merged(List.of(cut))).hasMessageContaining("cut.pb");
-    assertThat(LedgerFiles.merged(List.of(good, good)).entries()).hasSize(10);
+    assertThatThrownBy(() -> LedgerFiles.readMerged(List.of(cut))).hasMessageContaining("cut.pb");
+    assertThat(LedgerFiles.readMerged(List.of(good, good)).entries()).hasSize(10);
   }
 
   @Test
   void verifyFindsWhatWasChangedBehindItsBack() throws IOException, SQLException {
     OperatorFile.LedgerSection section =
-        OperatorFile.of(
+        OperatorFile.parse(
                 "f",
                 "ledger { folder: '"
                     + ledger()
                     + "' billing { period: DAY"
                     + " rates { per_task: '0.10' } } }")
             .ledger();
-    try (Store store = Store.forManager(ledger(), "m", Faults.NONE)) {
-      store.beginEpoch(1, StoreTest::nobody);
+    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+      store.beginEpoch(1, LedgerStoreTest::ignore);
       store.write(tasks(0, 30));
-      new Exporter(store, out(), Faults.NONE).run("csv", 10, 5);
-      Billing.close(store, section, "1970-01-01", "me", 7);
+      new Exporter(store, out(), FaultInjector.NONE).export("csv", 10, 5);
+      Billing.closePeriod(store, section, "1970-01-01", "me", 7);
       store.write(tasks(30, 30));
       assertThat(Billing.verify(store, section, seen -> {})).isNull();
-      assertThat(Billing.bill(store, section.periods(), section.rates(), "1970-01-01").late())
+      assertThat(
+              Billing.computeBill(store, section.periods(), section.rates(), "1970-01-01")
+                  .lateSubtotals())
           .isNotEmpty();
     }
     try (var db = DriverManager.getConnection("jdbc:sqlite:" + ledger().resolve("ledger.sqlite"));
         var run = db.createStatement()) {
       run.execute("UPDATE entry SET ended = 'BOUNCED' WHERE pos = 2");
     }
-    try (Store store = Store.forCommand(ledger(), Faults.NONE)) {
+    try (LedgerStore store = LedgerStore.openForCommand(ledger(), FaultInjector.NONE)) {
       assertThat(Billing.verify(store, section, seen -> {})).contains("was bounced and has work");
     }
   }
--- a/src/test/java/tansytrack/log/EventTest.java
+++ b/src/test/java/tansytrack/log/EventTest.java
@@ -11,12 +11,12 @@
 import org.tinylog.core.LogEntry;
 import org.tinylog.runtime.RuntimeProvider;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 class EventTest {
 
   @Test
-  void aJsonLineHoldsEventFieldsMessageAndTraceAndCanBeRead() throws Junk {
+  void aJsonLineHoldsEventFieldsMessageAndTraceAndCanBeRead() throws ProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     new JsonLinesWriter(new PrintStream(out, true, StandardCharsets.UTF_8))
         .write(
@@ -35,7 +35,7 @@
     String line = out.toString(StandardCharsets.UTF_8);
     assertThat(line.strip().lines()).hasSize(1);
     Map<String, Object> read =
-        Json.map(Json.read(line.strip().getBytes(StandardCharsets.UTF_8)), "line");
+        Json.asObject(Json.parse(line.strip().getBytes(StandardCharsets.UTF_8)), "line");
     assertThat(read)
         .containsEntry("event", "ledger.opened")
         .containsEntry("epoch", "3")
--- a/src/test/java/tansytrack/operator/OperatorFileTest.java
+++ b/src/test/java/tansytrack/operator/OperatorFileTest.java
@@ -6,37 +6,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** The operators' file: what it gives, and how its faults are said. */
 class OperatorFileTest {
 
   @Test
   void anAbsentSectionIsOffAndAbsentFieldsHaveTheirDefaults() {
-    assertThat(OperatorFile.of("f", "# nothing\n").ledger()).isNull();
-    OperatorFile.LedgerSection ledger = OperatorFile.of("f", "ledger { folder: 'x' }").ledger();
-    assertThat(ledger.afterCommit()).isFalse();
-    assertThat(ledger.commitEvery()).isEqualTo(5_000_000);
-    assertThat(ledger.mostUnwritten()).isEqualTo(16384);
+    assertThat(OperatorFile.parse("f", "# nothing\n").ledger()).isNull();
+    OperatorFile.LedgerSection ledger = OperatorFile.parse("f", "ledger { folder: 'x' }").ledger();
+    assertThat(ledger.answersAfterCommit()).isFalse();
+    assertThat(ledger.commitIntervalNanos()).isEqualTo(5_000_000);
+    assertThat(ledger.maxUnwrittenLines()).isEqualTo(16384);
     assertThat(ledger.rates().decimals()).isEqualTo(2);
-    assertThat(ledger.periods().of(0)).isEqualTo("1970-01");
+    assertThat(ledger.periods().periodAt(0)).isEqualTo("1970-01");
   }
 
   @Test
   void aFleetHasItsPeersAndDefaults() {
-    assertThat(OperatorFile.of("f", "log { }").fleet()).isNull();
+    assertThat(OperatorFile.parse("f", "log { }").fleet()).isNull();
     OperatorFile.FleetSection fleet =
-        OperatorFile.of(
+        OperatorFile.parse(
                 "f",
                 "fleet { place: 'p' address: '10.0.0.1:7' peers { name: 'a' address: '10.0.0.2:7'"
                     + " seed: true } peers { name: 'b' address: '10.0.0.3:7' } }")
             .fleet();
     assertThat(fleet.peers())
         .containsExactly(
-            new OperatorFile.PeerLine("a", "10.0.0.2:7", true),
-            new OperatorFile.PeerLine("b", "10.0.0.3:7", false));
-    assertThat(fleet.probeEvery()).isEqualTo(500_000_000L);
-    assertThat(fleet.settle()).isEqualTo(30_000_000_000L);
+            new OperatorFile.FleetPeer("a", "10.0.0.2:7", true),
+            new OperatorFile.FleetPeer("b", "10.0.0.3:7", false));
+    assertThat(fleet.probeIntervalNanos()).isEqualTo(500_000_000L);
+    assertThat(fleet.settleNanos()).isEqualTo(30_000_000_000L);
   }
 
   @ParameterizedTest
@@ -77,8 +77,8 @@
             + " } | probe_every_ms: '5'; allowed: 100 to 10000"
       })
   void aFaultNamesPlaceFieldValueAndWhatIsAllowed(String text, String said) {
-    assertThatThrownBy(() -> OperatorFile.of("f", text.replace('@', '\n')))
-        .isInstanceOf(Unusable.class)
+    assertThatThrownBy(() -> OperatorFile.parse("f", text.replace('@', '\n')))
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(said)
         .hasMessageStartingWith("f:");
   }
@@ -86,7 +86,7 @@
   @Test
   void aFileThatCannotBeReadIsNamed() {
     assertThatThrownBy(() -> OperatorFile.read("/nowhere/at/all"))
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining("/nowhere/at/all");
   }
 }
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -18,10 +18,10 @@
 
   private static final int MINUTE = 60_000;
   private static final String GOOD =
-      Rehearsal.say("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
-  private static final String NOT_OVER = Rehearsal.say("202 Accepted", "", "");
+      Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
+  private static final String NOT_OVER = Rehearsal.response("202 Accepted", "", "");
   private static final String NOT_OVER_LAST =
-      Rehearsal.say("202 Accepted", "Connection: close\r\n", "");
+      Rehearsal.response("202 Accepted", "Connection: close\r\n", "");
   private static final String DELETED = "HTTP/1.1 204 No Content\r\n\r\n";
   private static final String FIRST = "00000000000000a1";
   private static final String SECOND = "00000000000000a2";
--- a/src/test/java/tansytrack/service/LongListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import tansytrack.lab.StandInChannel;
 import tansytrack.lab.footprint.EngineList;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /** A list of thousands of engines, told by the command channel or read from the file. */
-class LongListTest {
+class LongEngineListTest {
 
   private static final int ENGINES = 6200;
   private static final long PATIENCE_NANOS = 20_000_000_000L;
@@ -31,7 +31,7 @@
 
   @Test
   void aListOfThousandsOfEnginesIsTakenFromTheChannel()
-      throws IOException, InterruptedException, Junk {
+      throws IOException, InterruptedException, ProtocolException {
     try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
@@ -55,7 +55,7 @@
    */
   @Test
   void aLongListComesInOneGoThoughNothingElseHappens()
-      throws IOException, InterruptedException, Junk {
+      throws IOException, InterruptedException, ProtocolException {
     try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
--- a/src/test/java/tansytrack/service/CrossingsTest.java
+++ b/src/test/java/tansytrack/service/RaceConditionTest.java
@@ -15,12 +15,12 @@
  * Two events that cross, each in the order that does harm, over real connections: peers that do
  * only what the test says.
  */
-class CrossingsTest {
+class RaceConditionTest {
 
   private static final int MINUTE = 60_000;
   private static final String GOOD =
-      Rehearsal.say("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
-  private static final String NOT_OVER = Rehearsal.say("202 Accepted", "", "");
+      Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
+  private static final String NOT_OVER = Rehearsal.response("202 Accepted", "", "");
 
   private final List<AutoCloseable> open = new ArrayList<>();
   private ServiceFixture.Running running;
@@ -101,7 +101,7 @@
             () -> {
               try {
                 while (true) {
-                  channel.next(MINUTE).answer(Rehearsal.say("200 OK", "", news.get()));
+                  channel.next(MINUTE).answer(Rehearsal.response("200 OK", "", news.get()));
                 }
               } catch (Exception e) {
                 // the test is over
@@ -178,7 +178,7 @@
               try {
                 channel
                     .next(MINUTE)
-                    .answer(Rehearsal.say("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
+                    .answer(Rehearsal.response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
@@ -198,7 +198,7 @@
     // What the silent one says now belongs to nothing any more.
     try {
       silent.answer(
-          Rehearsal.say(
+          Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':3,'cmds':["
@@ -209,7 +209,7 @@
       // it may be closed already
     }
     again.answer(
-        Rehearsal.say(
+        Rehearsal.response(
             "200 OK",
             "",
             ("{'cursor':2,'cmds':["
@@ -238,11 +238,12 @@
       service.terminate();
       String next =
           config.replace("'channel':'" + channel.address(), "'channel':'" + moved.address());
-      service.reread(new ConfigFile.Whole(ServiceTest.read(next), moved.at(), "test"));
+      service.configurationRead(
+          new ConfigFile.LoadedConfig(ServiceTest.read(next), moved.at(), "test"));
       ScriptedPeer.Call asked = moved.next(MINUTE);
       assertThat(asked.text()).startsWith("GET /cmd/next?resume=1&");
       asked.answer(
-          Rehearsal.say(
+          Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':2,'cmds':["
--- a/src/test/java/tansytrack/service/RestartTest.java
+++ b/src/test/java/tansytrack/service/RestartTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * Starts and signals while the file or the address is not yet what it will be a moment later; real
@@ -232,14 +232,14 @@
 
   @Test
   void anOperatorsFileChoosesLogLinesThatAreObjects()
-      throws IOException, InterruptedException, Junk {
+      throws IOException, InterruptedException, ProtocolException {
     replace(config("m"));
     Path operator =
         Files.writeString(folder.resolve("operator.textproto"), "log { form: JSON_LINES }");
     serve("--operator", operator.toString());
     String line = line("listens at");
     signal("TERM");
-    assertThat(Json.map(Json.read(line.getBytes(StandardCharsets.UTF_8)), "a line"))
+    assertThat(Json.asObject(Json.parse(line.getBytes(StandardCharsets.UTF_8)), "a line"))
         .containsEntry("event", "listening")
         .containsEntry("manager", "m")
         .containsEntry("level", "INFO");
@@ -287,7 +287,7 @@
     List<String> taken = new CopyOnWriteArrayList<>();
     CountDownLatch inFirst = new CountDownLatch(1);
     CountDownLatch goOn = new CountDownLatch(1);
-    reload.to(
+    reload.setConsumer(
         whole -> {
           taken.add(whole.config().name());
           inFirst.countDown();
@@ -297,18 +297,18 @@
             Thread.currentThread().interrupt();
           }
         });
-    Thread first = new Thread(reload::signalled);
+    Thread first = new Thread(reload::onSignal);
     first.start();
     replace(config("one"));
     assertThat(inFirst.await(60, TimeUnit.SECONDS)).isTrue();
     replace(config("two"));
-    Thread second = new Thread(reload::signalled);
+    Thread second = new Thread(reload::onSignal);
     second.start();
     while (second.getState() != Thread.State.BLOCKED) {
       Thread.onSpinWait();
     }
     replace(config("three"));
-    reload.signalled(); // one waits already: comes back at once
+    reload.onSignal(); // one waits already: comes back at once
     goOn.countDown();
     first.join();
     second.join();
@@ -319,12 +319,12 @@
   void aFileThatStaysSpoiltChangesNothingAndTheNextSignalIsHeard() throws IOException {
     ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
     List<String> taken = new CopyOnWriteArrayList<>();
-    reload.to(whole -> taken.add(whole.config().name()));
+    reload.setConsumer(whole -> taken.add(whole.config().name()));
     spoil("nowhere");
-    reload.signalled();
+    reload.onSignal();
     assertThat(taken).isEmpty();
     replace(config("m"));
-    reload.signalled();
+    reload.onSignal();
     assertThat(taken).containsExactly("m");
   }
 
@@ -332,14 +332,14 @@
   void theFilesFaultsNameFileSizeAndPlace() throws IOException {
     spoil("cut off");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
-        .isInstanceOf(ConfigFile.Unsettled.class)
+        .isInstanceOf(ConfigFile.TransientFileException.class)
         .hasMessageMatching(".*config.json \\(250 bytes\\) is cut off: JSON: .* at byte 250");
     Files.writeString(file(), config("m") + "}");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
-        .isInstanceOf(Unusable.class)
+        .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining("more behind the end at byte " + WHOLE.length());
     assertThatThrownBy(() -> new ConfigFile(folder.toString()).readOnce())
-        .isInstanceOf(Unusable.class);
-    assertThatThrownBy(() -> new ConfigFile(null)).isInstanceOf(Unusable.class);
+        .isInstanceOf(InvalidInputException.class);
+    assertThatThrownBy(() -> new ConfigFile(null)).isInstanceOf(InvalidInputException.class);
   }
 }
--- a/src/test/java/tansytrack/service/ScriptedPeer.java
+++ b/src/test/java/tansytrack/service/ScriptedPeer.java
@@ -79,8 +79,8 @@
     try {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        String head = Rehearsal.head(in);
-        in.skipNBytes(Rehearsal.length(head));
+        String head = Rehearsal.readHead(in);
+        in.skipNBytes(Rehearsal.contentLength(head));
         calls.add(new Call(one, head.substring(0, head.indexOf(" HTTP"))));
       }
     } catch (IOException e) {
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.service.ServiceTest.Client;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** What the command channel and the configuration tell a manager, at its start and later. */
 class ServiceConfigurationTest extends ServiceFixture {
@@ -96,8 +96,8 @@
         Client client = new Client(at).started();
         Client open = new Client(at).started()) {
       ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file.toString()));
-      reload.to(service::reread);
-      SighupHandler.take(reload::signalled);
+      reload.setConsumer(service::configurationRead);
+      SighupHandler.install(reload::onSignal);
       open.send(Client.message('Q', Client.task("safe", "00000000000000e3", "late")));
       second.list =
           ("{'cursor':3,'cmds':[" + listed(3, "e", engine.address(), "gone") + "]}")
@@ -150,7 +150,7 @@
       })
   void anUnusableConfigurationIsSaidPlainly(String good, String bad) throws IOException {
     assertThatThrownBy(() -> read(config().replace(good, bad == null ? "" : bad)))
-        .isInstanceOf(Unusable.class);
+        .isInstanceOf(InvalidInputException.class);
     Path file = folder.resolve("config.json");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     PrintStream to = new PrintStream(out, true, StandardCharsets.UTF_8);
--- a/src/test/java/tansytrack/service/ServiceFixture.java
+++ b/src/test/java/tansytrack/service/ServiceFixture.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
-import tansytrack.settings.Config;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * A workload manager on loopback sockets, between stand-ins for clients, an engine and the command
@@ -35,7 +35,7 @@
     private final Thread loop;
     private volatile Throwable failure;
 
-    Running(String config) throws IOException, Junk {
+    Running(String config) throws IOException, ProtocolException {
       service = new Service(read(config));
       at = service.listen();
       loop =
@@ -56,7 +56,7 @@
       loop.join(MINUTE);
       assertThat(failure).isNull();
       assertThat(loop.isAlive()).isFalse();
-      assertThat(service.descriptors()).isZero();
+      assertThat(service.openDescriptors()).isZero();
     }
   }
 
@@ -98,16 +98,17 @@
         + "','flavor':'k','up_since_ms':0}]}}";
   }
 
-  static Config read(String config) throws Junk {
-    return Config.of(Json.read(config.replace('\'', '"').getBytes(StandardCharsets.UTF_8)));
+  static ManagerConfig read(String config) throws ProtocolException {
+    return ManagerConfig.fromJson(
+        Json.parse(config.replace('\'', '"').getBytes(StandardCharsets.UTF_8)));
   }
 
   @BeforeEach
-  void start() throws IOException, Junk {
+  void start() throws IOException, ProtocolException {
     start(config());
   }
 
-  void start(String config) throws IOException, Junk {
+  void start(String config) throws IOException, ProtocolException {
     running = new Running(config);
     service = running.service;
     at = running.at;
--- a/src/test/java/tansytrack/service/ServiceLifeTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifecycleTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tansytrack.api.Decisions;
+import tansytrack.api.DecisionModule;
 import tansytrack.service.ServiceTest.Client;
 
 /** The manager's own start, shortage of descriptors, and end. */
-class ServiceLifeTest extends ServiceFixture {
+class ServiceLifecycleTest extends ServiceFixture {
 
   /**
    * The module's view beside the sockets: one forward out, then none, and an engine whose answers
@@ -139,7 +139,7 @@
    */
   @Test
   void aRehearsalServesItsTasks() throws Exception {
-    assertThat(Rehearsal.play(read(config()))).isEqualTo(198);
+    assertThat(Rehearsal.run(read(config()))).isEqualTo(198);
   }
 
   @Test
@@ -148,17 +148,17 @@
         new Service(
             read(config()),
             (settings, actions) ->
-                (Decisions)
+                (DecisionModule)
                     Proxy.newProxyInstance(
                         getClass().getClassLoader(),
-                        new Class<?>[] {Decisions.class},
+                        new Class<?>[] {DecisionModule.class},
                         (proxy, method, arguments) -> {
                           if (method.getName().equals("task")) {
                             throw new IllegalStateException("no idea");
                           }
                           return null;
                         }),
-            Service.Extras.NONE);
+            Service.OptionalFeatures.NONE);
     try (Client client = new Client(failing.listen())) {
       client.send(Client.start(3 << 16));
       client.send(Client.message('Q', Client.task("safe", "00000000000000d5", "ok")));
--- a/src/test/java/tansytrack/service/StatementServer.java
+++ b/src/test/java/tansytrack/service/StatementServer.java
@@ -57,8 +57,8 @@
     try (one) {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        String head = Rehearsal.head(in);
-        byte[] body = new byte[Rehearsal.length(head)];
+        String head = Rehearsal.readHead(in);
+        byte[] body = new byte[Rehearsal.contentLength(head)];
         in.readFully(body);
         String call = head.substring(0, head.indexOf(" HTTP"));
         if (call.startsWith("POST")) {
@@ -89,7 +89,7 @@
   }
 
   private static String say(String status, String fields, String body) {
-    return Rehearsal.say(status, fields, body);
+    return Rehearsal.response(status, fields, body);
   }
 
   @SuppressWarnings("NonAtomicVolatileUpdate") // one call is answered at a time
--- a/src/test/java/tansytrack/settings/PairsTest.java
+++ b/src/test/java/tansytrack/settings/PairsTest.java
@@ -11,22 +11,22 @@
 class PairsTest {
 
   private static Settings settings(String... all) {
-    Pairs pairs = new Pairs();
+    SettingsParser pairs = new SettingsParser();
     for (String pair : all) {
       pairs.put(pair);
     }
-    return pairs.settings(1);
+    return pairs.toSettings(1);
   }
 
   @ParameterizedTest
   @CsvSource({"siblings=4, -1", "position=0, 0", "position=3, 3", "position=-, -1"})
   void thePositionIsUnknownWhereItIsNotTold(String pair, int position) {
-    assertThat(settings(pair).position()).isEqualTo(position);
+    assertThat(settings(pair).managerIndex()).isEqualTo(position);
   }
 
   @Test
   void thePositionOutlastsANewSeed() {
-    assertThat(settings("position=3").withSeed(9).position()).isEqualTo(3);
+    assertThat(settings("position=3").withSeed(9).managerIndex()).isEqualTo(3);
   }
 
   @Test
--- a/src/test/java/tansytrack/state/EngineLinesTest.java
+++ b/src/test/java/tansytrack/state/EngineLinesTest.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tansytrack.wire.Http;
-import tansytrack.wire.HttpLine;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
 import tansytrack.wire.Sockets;
 
 /**
@@ -45,15 +45,15 @@
     }
   }
 
-  private HttpLine.Caller caller() {
-    return new HttpLine.Caller() {
+  private HttpConnection.ResponseHandler caller() {
+    return new HttpConnection.ResponseHandler() {
       @Override
-      public void answered(Http.Answer answer) {
+      public void responseReceived(HttpCodec.Response answer) {
         answers.add(new String(answer.body(), StandardCharsets.US_ASCII));
       }
 
       @Override
-      public void failed(HttpLine.Failure why) {
+      public void requestFailed(HttpConnection.Failure why) {
         answers.add(why.name());
       }
     };
@@ -90,12 +90,12 @@
     Sockets sockets = new Sockets(this::hand, clock::get);
     try (ServerSocket engine = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
       Counters counters = new Counters();
-      EngineLines.Limits limits = new EngineLines.Limits(1000 * MS, 9000 * MS);
-      limits.most = 9;
+      EngineConnections.Limits limits = new EngineConnections.Limits(1000 * MS, 9000 * MS);
+      limits.maxOpenConnections = 9;
       engine.setSoTimeout(10_000);
-      EngineLines lines = new EngineLines("e", sockets, timers, limits, counters);
-      lines.listed((InetSocketAddress) engine.getLocalSocketAddress(), true);
-      lines.call("GET", "/one", caller());
+      EngineConnections lines = new EngineConnections("e", sockets, timers, limits, counters);
+      lines.updateListing((InetSocketAddress) engine.getLocalSocketAddress(), true);
+      lines.send("GET", "/one", caller());
       try (Socket first = engine.accept()) {
         DataInputStream in = new DataInputStream(first.getInputStream());
         while (in.available() == 0) {
@@ -113,8 +113,8 @@
           first.getOutputStream().write(answer("one")); // the copy: nobody reads it yet
         }
         clock.addAndGet((slept + stalled) * MS);
-        timers.slept(clock.get(), slept * MS);
-        lines.call("GET", "/two", caller());
+        timers.advanceAfterSleep(clock.get(), slept * MS);
+        lines.send("GET", "/two", caller());
         stop = null;
         goOn.countDown();
         if (connections == 1) {
@@ -141,7 +141,7 @@
         }
       }
       assertThat(answers).containsExactly("one", "two");
-      assertThat(counters.of("connections.to_engines")).isEqualTo(connections);
+      assertThat(counters.get("connections.to_engines")).isEqualTo(connections);
     } finally {
       sockets.close();
     }
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tansytrack.Decide;
 import tansytrack.api.EngineEntry;
-import tansytrack.settings.Config;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Connection;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
 import tansytrack.wire.PgSession;
+import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 
 /** News that cross: what the module still does with a task or an engine that is gone by then. */
@@ -38,30 +38,31 @@
   private final Manager manager;
   private final PgSession session;
 
-  ManagerTest() throws Junk {
+  ManagerTest() throws ProtocolException {
     timers.now(1000 * MS);
     manager =
         new Manager(
-            Config.of(Json.read(CONFIG.replace('\'', '"').getBytes(StandardCharsets.UTF_8))),
+            ManagerConfig.fromJson(
+                Json.parse(CONFIG.replace('\'', '"').getBytes(StandardCharsets.UTF_8))),
             timers,
             sockets,
             Decide::new,
-            TaskWatch.NONE,
-            Siblings.NONE);
+            TaskListener.NONE,
+            PeerManagers.NONE);
     Connection connection =
         sockets.connect(
             NOBODY,
             1 << 16,
             new Connection.Owner() {
               @Override
-              public void heard(long at) {}
+              public void received(long at) {}
 
               @Override
               public void closed(boolean wasUp) {}
             });
     session = new PgSession(connection, manager, 1, 2);
     list("READY");
-    manager.turn();
+    manager.processPending();
   }
 
   @AfterEach
@@ -89,15 +90,15 @@
   void aTaskThatIsLeftInTheSameTurnIsNeverSent(boolean before, String end) {
     ask();
     if (before) {
-      manager.gone(session);
+      manager.sessionEnded(session);
     }
-    manager.turn();
+    manager.processPending();
     // Nothing ever comes up: what was sent is given up after its time.
     timers.now(timers.now() + 250 * MS);
-    timers.run();
-    assertThat(manager.counters().of(end)).isEqualTo(1);
-    assertThat(manager.counters().of("tasks.taken")).isEqualTo(1);
-    assertThat(manager.counters().of("tasks.abandoned")).isEqualTo(before ? 1 : 0);
+    timers.runDue();
+    assertThat(manager.counters().get(end)).isEqualTo(1);
+    assertThat(manager.counters().get("tasks.taken")).isEqualTo(1);
+    assertThat(manager.counters().get("tasks.abandoned")).isEqualTo(before ? 1 : 0);
     assertThat(manager.idle()).isEqualTo(before);
   }
 
@@ -108,10 +109,10 @@
   @ValueSource(strings = {"GONE", "DRAINING"})
   void anEngineMayGoInTheTurnInWhichItIsProbed(String state) {
     timers.now(timers.now() + 60_000 * MS);
-    timers.run();
+    timers.runDue();
     list(state);
-    manager.turn();
-    assertThat(manager.counters().of("probes.sent")).isEqualTo(1);
+    manager.processPending();
+    assertThat(manager.counters().get("probes.sent")).isEqualTo(1);
   }
 
   /** Guards against an engine that is listed again in the turn of a sweep which forgets it. */
@@ -119,13 +120,13 @@
   @ValueSource(longs = {0, 5000})
   void anEngineMayComeBack(long later) {
     list("GONE");
-    manager.turn();
+    manager.processPending();
     timers.now(timers.now() + later * MS);
-    timers.run();
+    timers.runDue();
     list("READY");
     ask();
-    manager.turn();
-    assertThat(manager.counters().of("forwards.sent")).isEqualTo(1);
+    manager.processPending();
+    assertThat(manager.counters().get("forwards.sent")).isEqualTo(1);
     assertThat(manager.engineCount()).isEqualTo(1);
   }
 
@@ -137,13 +138,13 @@
   @CsvSource({"260, 0", "2010, 0", "2400, 0", "4010, 0", "4260, 0", "4400, 1"})
   void whatCannotBeGivenUpStaysOutUntilItsEngineDropsIt(long after, long ended) {
     ask();
-    manager.turn();
+    manager.processPending();
     manager.cancel("00000000000000a1", 0);
     long from = timers.now();
     for (long at = 10; at <= after; at += 10) {
       timers.now(from + at * MS);
-      timers.run();
+      timers.runDue();
     }
-    assertThat(manager.counters().of("forwards.ended.CANCELLED")).isEqualTo(ended);
+    assertThat(manager.counters().get("forwards.ended.CANCELLED")).isEqualTo(ended);
   }
 }
--- a/src/test/java/tansytrack/wire/ParsersTest.java
+++ b/src/test/java/tansytrack/wire/ParsersTest.java
@@ -17,8 +17,8 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static Ring ring(String text) {
-    Ring ring = new Ring(1 << 16);
+  private static RingBuffer ring(String text) {
+    RingBuffer ring = new RingBuffer(1 << 16);
     assertThat(ring.put(bytes(text))).isTrue();
     return ring;
   }
@@ -26,7 +26,7 @@
   @ParameterizedTest(name = "{0} at a time, {1} taken")
   @CsvSource({"1, 1", "700, 700", "1000, 999", "2048, 2000", "3000, 2999"})
   void aRingKeepsItsBytesInOrderAtItsWrap(int put, int taken) {
-    Ring ring = new Ring(1 << 13);
+    RingBuffer ring = new RingBuffer(1 << 13);
     int written = 0;
     int read = 0;
     for (int turn = 0; turn < 50; turn++) {
@@ -34,7 +34,7 @@
       for (int i = 0; i < put; i++) {
         next[i] = (byte) (written + i);
       }
-      boolean fits = put <= ring.space();
+      boolean fits = put <= ring.freeSpace();
       assertThat(ring.put(next)).isEqualTo(fits);
       written += fits ? put : 0;
       byte[] out = ring.take(Math.min(taken, ring.size()));
@@ -59,8 +59,8 @@
         "\"\\/\\\\\" | /\\",
         "9223372036854775807 | 9.223372036854776E18"
       })
-  void jsonIsRead(String text, String value) throws Junk {
-    assertThat(String.valueOf(Json.read(bytes(text)))).isEqualTo(value.replace("\\n", "\n"));
+  void jsonIsRead(String text, String value) throws ProtocolException {
+    assertThat(String.valueOf(Json.parse(bytes(text)))).isEqualTo(value.replace("\\n", "\n"));
   }
 
   @ParameterizedTest
@@ -84,7 +84,7 @@
         "nan"
       })
   void junkIsNoJson(String text) {
-    assertThatThrownBy(() -> Json.read(bytes(text))).isInstanceOf(Junk.class);
+    assertThatThrownBy(() -> Json.parse(bytes(text))).isInstanceOf(ProtocolException.class);
   }
 
   @ParameterizedTest
@@ -132,17 +132,17 @@
             + " | 200 | abc | true"
       })
   void anAnswerIsWholeAtItsLastByteOnly(String text, int status, String body, boolean lasts)
-      throws Junk {
+      throws ProtocolException {
     byte[] all = bytes(text.replace("\\r", "\r").replace("\\n", "\n"));
-    Ring ring = new Ring(1 << 16);
+    RingBuffer ring = new RingBuffer(1 << 16);
     for (int i = 0; i < all.length; i++) {
-      assertThat(Http.answer(ring)).as("after %s bytes", i).isNull();
+      assertThat(HttpCodec.readResponse(ring)).as("after %s bytes", i).isNull();
       ring.put(new byte[] {all[i]});
     }
-    Http.Answer answer = Http.answer(ring);
+    HttpCodec.Response answer = HttpCodec.readResponse(ring);
     assertThat(answer.status()).isEqualTo(status);
     assertThat(new String(answer.body(), StandardCharsets.UTF_8)).isEqualTo(body);
-    assertThat(answer.lasts()).isEqualTo(lasts);
+    assertThat(answer.keepAlive()).isEqualTo(lasts);
     assertThat(ring.size()).isZero();
   }
 
@@ -160,8 +160,10 @@
         "\r\n\r\n"
       })
   void junkIsNoAnswer(String text) {
-    assertThatThrownBy(() -> Http.answer(ring(text))).isInstanceOf(Junk.class);
-    assertThatThrownBy(() -> Http.answer(ring("x".repeat(9000)))).isInstanceOf(Junk.class);
+    assertThatThrownBy(() -> HttpCodec.readResponse(ring(text)))
+        .isInstanceOf(ProtocolException.class);
+    assertThatThrownBy(() -> HttpCodec.readResponse(ring("x".repeat(9000))))
+        .isInstanceOf(ProtocolException.class);
   }
 
   @ParameterizedTest
@@ -188,22 +190,23 @@
         "$1 | -1",
         " | -1"
       })
-  void theGroupIsInTheSchemasName(String text, long group) throws Junk {
-    assertThat(Statement.read(bytes(text == null ? "" : text)).group()).isEqualTo(group);
+  void theGroupIsInTheSchemasName(String text, long group) throws ProtocolException {
+    assertThat(Statement.parse(bytes(text == null ? "" : text)).dataSet()).isEqualTo(group);
   }
 
   @Test
-  void fieldsStandInTheLeadingComment() throws Junk {
+  void fieldsStandInTheLeadingComment() throws ProtocolException {
     Statement read =
-        Statement.read(
+        Statement.parse(
             bytes(" /* class=report, id=9b,wait=1500,odd,=x */ SELECT /* class=no */ 1"));
     assertThat(read.field("class")).isEqualTo("report");
     assertThat(read.field("id")).isEqualTo("9b");
     assertThat(read.field("odd")).isNull();
     assertThat(new String(read.body(), StandardCharsets.UTF_8))
         .isEqualTo("SELECT /* class=no */ 1");
-    assertThat(Statement.read(bytes("SELECT 1")).field("class")).isNull();
-    assertThatThrownBy(() -> Statement.read(bytes("/* class=report"))).isInstanceOf(Junk.class);
+    assertThat(Statement.parse(bytes("SELECT 1")).field("class")).isNull();
+    assertThatThrownBy(() -> Statement.parse(bytes("/* class=report")))
+        .isInstanceOf(ProtocolException.class);
   }
 
   /**
@@ -232,10 +235,10 @@
       }
       byte[] cut = java.util.Arrays.copyOf(bytes, chance.nextInt(bytes.length + 1));
       try {
-        Statement.read(cut).group();
-        Http.answer(ring(new String(cut, StandardCharsets.ISO_8859_1)));
-        Json.read(cut);
-      } catch (Junk e) {
+        Statement.parse(cut).dataSet();
+        HttpCodec.readResponse(ring(new String(cut, StandardCharsets.ISO_8859_1)));
+        Json.parse(cut);
+      } catch (ProtocolException e) {
         junk++;
       }
     }
--- a/src/test/java/tansytrack/wire/PgSessionTest.java
+++ b/src/test/java/tansytrack/wire/PgSessionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A session whose connection never sends: nobody reads what it is answered. */
-class PgSessionTest implements PgSession.Front {
+class PgSessionTest implements PgSession.Handler {
 
   private final Connection connection =
       new Connection(new Sockets(note -> {}, () -> 0), 1 << 16, 1 << 12);
@@ -27,18 +27,18 @@
   }
 
   @Override
-  public void cancel(int number, int secret) {}
+  public void cancelRequested(int number, int secret) {}
 
   @Override
-  public void gone(PgSession from) {
+  public void sessionEnded(PgSession from) {
     gone++;
   }
 
   @Override
-  public void over(PgSession from) {}
+  public void sessionReleased(PgSession from) {}
 
   @Override
-  public void later(Runnable what) {
+  public void defer(Runnable what) {
     later.add(what);
   }
 
@@ -51,7 +51,7 @@
       byte[] text = query.getBytes(StandardCharsets.UTF_8);
       bytes.put((byte) 'Q').putInt(5 + text.length).put(text).put((byte) 0);
     }
-    connection.heard(IoBuffer.wrap(bytes.flip()), 7);
+    connection.received(IoBuffer.wrap(bytes.flip()), 7);
   }
 
   /**
@@ -62,13 +62,13 @@
   void aClientThatDoesNothingIsCut(String start, String query, int round) {
     send(start.equals("half") ? "" : start, query.equals("half") ? "" : query);
     if (start.equals("half") || query.equals("half")) {
-      connection.heard(IoBuffer.wrap(new byte[] {0, 0, 0, 9, 0}), 7);
+      connection.received(IoBuffer.wrap(new byte[] {0, 0, 0, 9, 0}), 7);
     }
     for (int i = 1; i < round; i++) {
-      session.round();
+      session.checkProgress();
       assertThat(connection.open()).as("round %s", i).isTrue();
     }
-    session.round();
+    session.checkProgress();
     assertThat(connection.open()).isFalse();
     assertThat(gone).isEqualTo(1);
   }
@@ -91,20 +91,21 @@
   void messagesThatAskForNothingAreBounded(int count, String what, int every, boolean ends) {
     send(what.equals("tls") ? "" : "yes", "");
     for (int i = 1; i <= count && connection.open(); i++) {
-      connection.out.skip(connection.out.size());
+      connection.output.skip(connection.output.size());
       switch (what) {
         case "tls" ->
-            connection.heard(IoBuffer.wrap(new byte[] {0, 0, 0, 8, 4, (byte) 0xd2, 0x16, 0x2f}), 7);
+            connection.received(
+                IoBuffer.wrap(new byte[] {0, 0, 0, 8, 4, (byte) 0xd2, 0x16, 0x2f}), 7);
         case "empty" -> send("", ";");
         case "unusable" -> {
           send("", "SELECT 1");
-          session.unusable("field id: missing");
+          session.rejectQuery("field id: missing");
         }
         default ->
-            connection.heard(IoBuffer.wrap(new byte[] {(byte) what.charAt(0), 0, 0, 0, 4}), 7);
+            connection.received(IoBuffer.wrap(new byte[] {(byte) what.charAt(0), 0, 0, 0, 4}), 7);
       }
       if (i % every == 0) {
-        session.round();
+        session.checkProgress();
       }
     }
     assertThat(connection.open()).isEqualTo(!ends);
@@ -117,14 +118,14 @@
   @Test
   void aLongWaitForAnAnswerIsNotTheClients() {
     send("yes", "SELECT 1");
-    connection.out.skip(connection.out.size());
+    connection.output.skip(connection.output.size());
     for (int i = 0; i < 100; i++) {
-      session.round();
+      session.checkProgress();
     }
-    session.rows(new String[] {"a"}, List.of(new byte[0]));
+    session.sendRows(new String[] {"a"}, List.of(new byte[0]));
     for (int i = 0; i < 60; i++) {
-      session.round();
-      assertThat(session.ended()).as("round %s", i).isFalse();
+      session.checkProgress();
+      assertThat(session.isReleased()).as("round %s", i).isFalse();
     }
   }
 
@@ -136,7 +137,7 @@
   @CsvSource({"10, false", "100, true"})
   void answersThatPassTheRingEndTheSession(int rows, boolean ends) {
     send("yes", "SELECT 1");
-    session.rows(
+    session.sendRows(
         new String[] {"a", "b"},
         List.of(
             "x\ty of some length, for more than one ring\n"
@@ -144,7 +145,7 @@
                 .getBytes(StandardCharsets.UTF_8)));
     new ArrayList<>(later).forEach(Runnable::run);
     assertThat(queries).isEqualTo(1);
-    assertThat(session.ended()).isEqualTo(ends);
+    assertThat(session.isReleased()).isEqualTo(ends);
   }
 
   /**
@@ -154,7 +155,7 @@
   @Test
   void whatIsReadBehindTheEndOfASessionIsNotAsked() {
     send("yes", "");
-    session.end();
+    session.closeAfterFlush();
     send("", "SELECT 1");
     assertThat(queries).isZero();
   }
--- a/src/test/java/tansytrack/wire/SocketsTest.java
+++ b/src/test/java/tansytrack/wire/SocketsTest.java
@@ -19,7 +19,7 @@
   @Test
   void moreConnectionsThanThereMayBeAreClosedWhereTheyAreAccepted() throws IOException {
     Sockets sockets = new Sockets(note -> {}, () -> 0);
-    sockets.mostAccepted(2);
+    sockets.maxAccepted(2);
     InetSocketAddress at = sockets.listen(new InetSocketAddress("127.0.0.1", 0), connection -> {});
     List<Socket> clients = new ArrayList<>();
     int closed = 0;
