--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -12,12 +12,12 @@
 import tansytrack.command.Command;
 import tansytrack.command.CommandGroup;
 import tansytrack.command.ErrorReportingCommand;
-import tansytrack.lab.FleetTable;
-import tansytrack.lab.Laboratory;
-import tansytrack.lab.LedgerBench;
+import tansytrack.lab.ExperimentRunner;
+import tansytrack.lab.FakeDeployment;
+import tansytrack.lab.LedgerBenchmark;
 import tansytrack.lab.LoadCommand;
+import tansytrack.lab.MembershipTable;
 import tansytrack.lab.ScaleTable;
-import tansytrack.lab.StandIns;
 import tansytrack.lab.footprint.FootprintOptions;
 import tansytrack.lab.footprint.FootprintTable;
 import tansytrack.lab.proto.Experiment;
@@ -63,7 +63,7 @@
   }
 
   /** Plays a file with a seed and leaves results. */
-  abstract static class Playing extends ErrorReportingCommand {
+  abstract static class SeededRun extends ErrorReportingCommand {
     @Option(name = "--seed", metaVar = "N", usage = "of the first run")
     private long seed = 1;
 
@@ -71,16 +71,19 @@
         name = "--out",
         metaVar = "FOLDER",
         usage = "where results are left; absent: a new temporary folder")
-    private String out;
+    private String outputFolder;
 
     /** Whether all that was claimed holds. */
-    abstract boolean played(long from, Path to) throws IOException, InterruptedException;
+    abstract boolean runWithSeed(long from, Path to) throws IOException, InterruptedException;
 
     @Override
     protected final int execute() throws IOException {
-      Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+      Path to =
+          outputFolder == null
+              ? Files.createTempDirectory("tansytrack-lab")
+              : Path.of(outputFolder);
       try {
-        boolean held = played(seed, to);
+        boolean held = runWithSeed(seed, to);
         System.out.println("results in " + to);
         return held ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
@@ -99,7 +102,7 @@
     private String file;
 
     @Option(name = "--work-ms", metaVar = "N", usage = "work on a task, in milliseconds")
-    private int work = 20;
+    private int workMs = 20;
 
     @Override
     public String description() {
@@ -108,7 +111,7 @@
 
     @Override
     protected int execute() throws IOException {
-      StandIns.of(file, work, System.out);
+      FakeDeployment.start(file, workMs, System.out);
       try {
         Thread.sleep(Long.MAX_VALUE);
       } catch (InterruptedException e) {
@@ -119,7 +122,7 @@
   }
 
   /** An experiment. */
-  public static final class Run extends Playing {
+  public static final class Run extends SeededRun {
     @Argument(
         required = true,
         metaVar = "FILE",
@@ -133,10 +136,10 @@
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException, InterruptedException {
-      Experiment experiment = Laboratory.read(file);
+    boolean runWithSeed(long from, Path to) throws IOException, InterruptedException {
+      Experiment experiment = ExperimentRunner.read(file);
       try {
-        return Laboratory.run(experiment, from, to, Decide::new, System.out);
+        return ExperimentRunner.run(experiment, from, to, Decide::new, System.out);
       } catch (IOException e) {
         System.err.println("tansytrack: the experiment ended early: " + e);
         return false;
@@ -145,7 +148,7 @@
   }
 
   /** An open-loop load. */
-  public static final class Load extends Playing {
+  public static final class Load extends SeededRun {
     @Argument(
         required = true,
         metaVar = "FILE",
@@ -166,13 +169,13 @@
     }
 
     @Override
-    boolean played(long from, Path out) throws IOException, InterruptedException {
+    boolean runWithSeed(long from, Path out) throws IOException, InterruptedException {
       return LoadCommand.run(file, to, from, out, System.out);
     }
   }
 
   /** The membership's measurement. */
-  public static final class Fleet extends Playing {
+  public static final class Fleet extends SeededRun {
     @Option(name = "--members", metaVar = "N,N", usage = "sizes to play")
     private String members = "10,100,300";
 
@@ -192,8 +195,8 @@
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException {
-      return FleetTable.run(members, loss, runs, from, to, System.out);
+    boolean runWithSeed(long from, Path to) throws IOException {
+      return MembershipTable.run(members, loss, runs, from, to, System.out);
     }
   }
 
@@ -209,13 +212,13 @@
         name = "--siblings",
         metaVar = "N",
         usage = "managers that each process is told of; 0: as many as there are processes")
-    private int siblings;
+    private int managerCount;
 
     @Option(
         name = "--settle",
         metaVar = "SECONDS",
         usage = "between the last start and the first reading")
-    private int settle = 4;
+    private int settleSeconds = 4;
 
     @Option(name = "--seconds", metaVar = "N", usage = "of each reading")
     private int seconds = 5;
@@ -233,13 +236,13 @@
         name = "--jvm",
         metaVar = "FLAGS",
         usage = "flags of the java command; absent: those of the run line")
-    private String jvm = FootprintOptions.RUN_LINE_FLAGS;
+    private String jvm = FootprintOptions.DEPLOYED_JVM_FLAGS;
 
     @Option(
         name = "--out",
         metaVar = "FOLDER",
         usage = "where results are left; absent: a new temporary folder")
-    private String out;
+    private String outputFolder;
 
     @Override
     public String description() {
@@ -253,8 +256,12 @@
     @Override
     protected int execute() throws IOException {
       FootprintOptions options =
-          new FootprintOptions(managers, engines, siblings, settle, seconds, rate, jar, jvm);
-      Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+          new FootprintOptions(
+              managers, engines, managerCount, settleSeconds, seconds, rate, jar, jvm);
+      Path to =
+          outputFolder == null
+              ? Files.createTempDirectory("tansytrack-lab")
+              : Path.of(outputFolder);
       try {
         boolean reached = FootprintTable.run(options, to, System.out);
         System.out.println("results in " + to);
@@ -267,7 +274,7 @@
   }
 
   /** Hollow managers at scale. */
-  public static final class Scale extends Playing {
+  public static final class Scale extends SeededRun {
     @Option(name = "--managers", metaVar = "N", required = true, usage = "real decision modules")
     private int managers;
 
@@ -284,7 +291,7 @@
     private double rate = 8;
 
     @Option(name = "--schedule", metaVar = "NAME", usage = "the failures to play")
-    private String schedule = FailureSchedule.REST.text();
+    private String schedule = FailureSchedule.NO_FAILURE.scheduleName();
 
     @Option(name = "--sizes", metaVar = "N", usage = "5 or more: a ladder of sizes with slopes")
     private int sizes = 1;
@@ -299,7 +306,7 @@
     private int threads = 1;
 
     @Option(name = "--grow", metaVar = "WHAT", usage = "along the ladder")
-    private ScaleTable.Grows grows = ScaleTable.Grows.BOTH;
+    private ScaleTable.Dimension dimension = ScaleTable.Dimension.BOTH;
 
     @Override
     public String description() {
@@ -310,11 +317,11 @@
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException {
+    boolean runWithSeed(long from, Path to) throws IOException {
       FailureSchedule failures = ScaleTable.schedule("--schedule", schedule);
       ScalePlan plan = new ScalePlan(managers, engines, zones, seconds, rate, failures, from);
-      ScaleTable.checked(plan);
-      ScaleTable.Ladder ladder = new ScaleTable.Ladder(sizes, factor, grows);
+      ScaleTable.validate(plan);
+      ScaleTable.SizeSeries ladder = new ScaleTable.SizeSeries(sizes, factor, dimension);
       ScaleTable.run(plan, ladder, Decide::new, threads, to, System.out, System.err);
       return true;
     }
@@ -377,10 +384,10 @@
       if (Files.exists(to)) {
         throw new InvalidInputException("--folder '" + folder + "' exists; allowed: a new one");
       }
-      LedgerBench bench = new LedgerBench(System.out);
+      LedgerBenchmark bench = new LedgerBenchmark(System.out);
       bench.throughput(to.resolve("full"), entries);
       for (String wait : List.of("AT_ONCE", "AFTER_COMMIT")) {
-        bench.paced(to.resolve(wait), 500, seconds, wait);
+        bench.fixedRate(to.resolve(wait), 500, seconds, wait);
       }
       bench.restart(to.resolve("full"), to.resolve("copy"));
       return 0;
--- a/src/main/java/tansytrack/fleet/BudgetDivisor.java
+++ b/src/main/java/tansytrack/fleet/BudgetDivisor.java
@@ -13,9 +13,9 @@
 
   private final int namedPeers; // other managers, in the operators' file or by the settings
   private final long settleNanos;
-  private final Set<String> left = new TreeSet<>();
+  private final Set<String> leftMembers = new TreeSet<>();
   private int divisor;
-  private int highestWanted; // the most that was wanted since less than what is used is wanted
+  private int highestRequired; // the most that was wanted since less than what is used is wanted
   private long lowerSince = -1; // that is; -1: it is not
 
   /** With so many others named; fewer count once that has been wanted for so long. */
@@ -28,25 +28,25 @@
   /** Something else is held of a member; unknown names count as they are there. */
   public void memberChanged(MemberState after) {
     if (after.status() == MemberStatus.LEFT) {
-      left.add(after.name());
+      leftMembers.add(after.name());
     } else {
-      left.remove(after.name());
+      leftMembers.remove(after.name());
     }
   }
 
   /** The number to use from now on. */
   public int update(long now, int there) {
-    int wanted = Math.max(there, namedPeers + 1 - left.size());
-    if (wanted >= divisor) {
-      divisor = wanted;
+    int required = Math.max(there, namedPeers + 1 - leftMembers.size());
+    if (required >= divisor) {
+      divisor = required;
       lowerSince = -1;
     } else if (lowerSince < 0) {
       lowerSince = now;
-      highestWanted = wanted;
+      highestRequired = required;
     } else {
-      highestWanted = Math.max(highestWanted, wanted);
+      highestRequired = Math.max(highestRequired, required);
       if (now - lowerSince >= settleNanos) {
-        divisor = highestWanted;
+        divisor = highestRequired;
         lowerSince = -1;
       }
     }
--- a/src/main/java/tansytrack/fleet/FactStore.java
+++ b/src/main/java/tansytrack/fleet/FactStore.java
@@ -16,7 +16,7 @@
   private final int maxFacts;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final TreeSet<Entry> byExpiry = new TreeSet<>();
-  private long refused;
+  private long rejected;
 
   private record Entry(Fact fact, long expiresAt) implements Comparable<Entry> {
     @Override
@@ -39,7 +39,7 @@
     }
     Entry old = entries.get(fact.key());
     if (old == null && entries.size() >= maxFacts) {
-      refused++;
+      rejected++;
       return false;
     }
     boolean later = old == null || fact.supersedes(old.fact);
@@ -109,7 +109,7 @@
   }
 
   /** How many facts were refused for want of room. */
-  public long refused() {
-    return refused;
+  public long rejected() {
+    return rejected;
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/UdpMembership.java
+++ b/src/main/java/tansytrack/fleet/udp/UdpMembership.java
@@ -60,7 +60,7 @@
   private volatile long droppedEvents;
   private volatile boolean stopped;
   private long publishedAt;
-  private long lastRefusalLoggedAt;
+  private long lastRejectionLoggedAt;
   private int lastDivisor = -1;
 
   private UdpMembership(
@@ -235,8 +235,8 @@
   private void reject(String why, InetSocketAddress from, String said) {
     count("refused." + why);
     long now = System.nanoTime();
-    if (now - lastRefusalLoggedAt >= NANOS_PER_SECOND) {
-      lastRefusalLoggedAt = now;
+    if (now - lastRejectionLoggedAt >= NANOS_PER_SECOND) {
+      lastRejectionLoggedAt = now;
       Logger.warn("fleet: a datagram from {} cannot be used: {}", from, said);
     }
   }
@@ -315,7 +315,7 @@
     all.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
     all.put("fleet.health", (long) membership.healthScore());
     all.put("fleet.facts", (long) membership.facts().size());
-    all.put("fleet.facts_refused", membership.facts().refused());
+    all.put("fleet.facts_refused", membership.facts().rejected());
     all.put("fleet.overflow", droppedEvents);
     publishedCounts = Map.copyOf(all);
   }
--- a/src/main/java/tansytrack/lab/Claims.java
+++ b/src/main/java/tansytrack/lab/ClaimEvaluator.java
@@ -6,16 +6,16 @@
 import tansytrack.lab.proto.Claim;
 
 /** What an experiment claims, held against the figures of a run. */
-public final class Claims {
+public final class ClaimEvaluator {
 
   /** One claim with what was measured; a figure that was not measured does not hold. */
-  public record Judged(String figure, String bound, String measured, boolean held) {}
+  public record ClaimResult(String figure, String bound, String measured, boolean held) {}
 
-  private Claims() {}
+  private ClaimEvaluator() {}
 
   /** Compares each claim with the figure that it names; one without a figure is not held. */
-  public static List<Judged> judge(List<Claim> claims, Map<String, Double> figures) {
-    List<Judged> judged = new ArrayList<>();
+  public static List<ClaimResult> evaluate(List<Claim> claims, Map<String, Double> figures) {
+    List<ClaimResult> judged = new ArrayList<>();
     for (Claim claim : claims) {
       Double figure = figures.get(claim.getFigure());
       boolean held =
@@ -33,16 +33,16 @@
             default -> ">= ";
           };
       judged.add(
-          new Judged(
+          new ClaimResult(
               claim.getFigure(),
-              sign + shown(claim.getBound()),
-              figure == null ? "not measured" : shown(figure),
+              sign + format(claim.getBound()),
+              figure == null ? "not measured" : format(figure),
               held));
     }
     return judged;
   }
 
-  static String shown(double figure) {
+  static String format(double figure) {
     return figure == Math.rint(figure) && Math.abs(figure) < 1e15
         ? Long.toString((long) figure)
         : String.format(java.util.Locale.ROOT, "%.3f", figure);
--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -21,30 +21,30 @@
  */
 final class DatagramRelays implements AutoCloseable {
 
-  private static final int LONGEST = 2048;
+  private static final int MAX_DATAGRAM_BYTES = 2048;
 
   private final FaultSchedule faults;
   private final List<String> names;
-  private final List<String> places;
+  private final List<String> zones;
   private final List<InetSocketAddress> managers;
   private final Selector selector = Selector.open();
-  private final Leg[][] legs; // [whom it is known to][whom it stands for]
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
-  private long order;
-  private volatile long start;
-  private volatile boolean over;
+  private final RelaySocket[][] sockets; // [whom it is known to][whom it stands for]
+  private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
+  private long nextSequence;
+  private volatile long startNanos;
+  private volatile boolean closed;
   private long forwarded;
   private long lost;
 
-  private final class Leg {
-    final int at;
-    final int of;
+  private final class RelaySocket {
+    final int owner;
+    final int peer;
     final DatagramChannel channel;
     final LinkModel link;
 
-    Leg(int at, int of, long seed) throws IOException {
-      this.at = at;
-      this.of = of;
+    RelaySocket(int at, int of, long seed) throws IOException {
+      this.owner = at;
+      this.peer = of;
       link = new LinkModel(seed);
       channel = DatagramChannel.open();
       channel.configureBlocking(false);
@@ -53,10 +53,14 @@
     }
   }
 
-  private record Late(long at, long order, Leg by, byte[] datagram) implements Comparable<Late> {
+  private record DelayedDatagram(
+      long dueNanos, long sequence, RelaySocket receivedOn, byte[] datagram)
+      implements Comparable<DelayedDatagram> {
     @Override
-    public int compareTo(Late other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+    public int compareTo(DelayedDatagram other) {
+      return dueNanos != other.dueNanos
+          ? Long.compare(dueNanos, other.dueNanos)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -69,23 +73,23 @@
       throws IOException {
     this.faults = faults;
     this.names = names;
-    this.places = places;
+    this.zones = places;
     this.managers = managers;
     SplittableRandom chance = new SplittableRandom(seed);
-    legs = new Leg[names.size()][names.size()];
+    sockets = new RelaySocket[names.size()][names.size()];
     for (int at = 0; at < names.size(); at++) {
       for (int of = 0; of < names.size(); of++) {
-        legs[at][of] = at == of ? null : new Leg(at, of, chance.nextLong());
+        sockets[at][of] = at == of ? null : new RelaySocket(at, of, chance.nextLong());
       }
     }
-    start = System.nanoTime();
-    StandInEngine.thread(this::run).start();
+    startNanos = System.nanoTime();
+    FakeEngine.daemonThread(this::relayDatagrams).start();
   }
 
   /** Where the one sends to reach the other. */
   String address(int at, int of) {
     try {
-      InetSocketAddress where = (InetSocketAddress) legs[at][of].channel.getLocalAddress();
+      InetSocketAddress where = (InetSocketAddress) sockets[at][of].channel.getLocalAddress();
       return where.getAddress().getHostAddress() + ':' + where.getPort();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -93,8 +97,8 @@
   }
 
   /** The schedule begins now. */
-  void begin() {
-    start = System.nanoTime();
+  void startSchedule() {
+    startNanos = System.nanoTime();
   }
 
   long forwarded() {
@@ -105,27 +109,29 @@
     return lost;
   }
 
-  private void run() {
-    ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+  private void relayDatagrams() {
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     List<SelectionKey> ready = new ArrayList<>();
     try {
-      while (!over) {
+      while (!closed) {
         long wait =
-            late.isEmpty() ? 100 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
+            delayed.isEmpty()
+                ? 100
+                : Math.max(1, (delayed.peek().dueNanos - System.nanoTime()) / 1_000_000);
         selector.select(Math.min(wait, 100));
         ready.addAll(selector.selectedKeys());
         selector.selectedKeys().clear();
         for (SelectionKey key : ready) {
-          take((Leg) key.attachment(), buffer);
+          receive((RelaySocket) key.attachment(), buffer);
         }
         ready.clear();
         long now = System.nanoTime();
-        while (!late.isEmpty() && late.peek().at <= now) {
-          Late one = late.poll();
+        while (!delayed.isEmpty() && delayed.peek().dueNanos <= now) {
+          DelayedDatagram one = delayed.poll();
           // The other end's socket for the sender: its address is the one that the receiver knows
           // the sender by.
-          Leg out = legs[one.by.of][one.by.at];
-          out.channel.send(ByteBuffer.wrap(one.datagram), managers.get(one.by.of));
+          RelaySocket out = sockets[one.receivedOn.peer][one.receivedOn.owner];
+          out.channel.send(ByteBuffer.wrap(one.datagram), managers.get(one.receivedOn.peer));
           forwarded++;
         }
       }
@@ -134,7 +140,7 @@
     }
   }
 
-  private void take(Leg leg, ByteBuffer buffer) throws IOException {
+  private void receive(RelaySocket leg, ByteBuffer buffer) throws IOException {
     buffer.clear();
     while (leg.channel.receive(buffer) != null) {
       buffer.flip();
@@ -145,24 +151,24 @@
       long[] copies =
           leg.link.deliveryDelays(
               faults.linkConditions(
-                  now - start,
-                  names.get(leg.at),
-                  places.get(leg.at),
-                  names.get(leg.of),
-                  places.get(leg.of)));
+                  now - startNanos,
+                  names.get(leg.owner),
+                  zones.get(leg.owner),
+                  names.get(leg.peer),
+                  zones.get(leg.peer)));
       lost += copies.length == 0 ? 1 : 0;
       for (long takes : copies) {
-        late.add(new Late(now + takes, order++, leg, datagram));
+        delayed.add(new DelayedDatagram(now + takes, nextSequence++, leg, datagram));
       }
     }
   }
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     selector.close();
-    for (Leg[] row : legs) {
-      for (Leg leg : row) {
+    for (RelaySocket[] row : sockets) {
+      for (RelaySocket leg : row) {
         if (leg != null) {
           leg.channel.close();
         }
--- a/src/main/java/tansytrack/lab/Laboratory.java
+++ b/src/main/java/tansytrack/lab/ExperimentRunner.java
@@ -19,34 +19,34 @@
  * Runs an experiment: as many runs as its file says, a figure each, then its claims over all of
  * them.
  */
-public final class Laboratory {
+public final class ExperimentRunner {
 
-  private static final String WORST =
+  private static final String MAX_SUFFIX =
       "_max"; // ends the names of figures of which the worst run counts
 
-  private static final String LEAST = "_min";
+  private static final String MIN_SUFFIX = "_min";
 
-  private Laboratory() {}
+  private ExperimentRunner() {}
 
   /** Reads an experiment file and checks what holds for every kind of experiment. */
   public static Experiment read(String file) {
-    Experiment read = TextFile.parsed(file, TextFile.text(file), Experiment.newBuilder()).build();
+    Experiment read = LabInput.parse(file, LabInput.read(file), Experiment.newBuilder()).build();
     if (read.hasFleet()) {
-      FleetRun.checked(file, read);
+      FleetRun.validate(file, read);
       return read;
     }
     if (read.getScaleCount() > 0) {
-      ScaleExperiment.checked(file, read);
+      ScaleExperiment.validate(file, read);
       return read;
     }
-    TextFile.bounded(file, "managers", read.getManagers(), 1, 16);
-    TextFile.bounded(file, "engines", read.getEngines(), 1, 64);
-    TextFile.bounded(file, "clients", read.getClients(), 1, 256);
-    TextFile.bounded(file, "seconds", read.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
-    TextFile.bounded(file, "least_work_ms", read.getLeastWorkMs(), 0, 10000);
+    LabInput.requireRange(file, "managers", read.getManagers(), 1, 16);
+    LabInput.requireRange(file, "engines", read.getEngines(), 1, 64);
+    LabInput.requireRange(file, "clients", read.getClients(), 1, 256);
+    LabInput.requireRange(file, "seconds", read.getSeconds(), 1, 3600);
+    LabInput.requireRange(file, "runs", read.getRuns(), 1, 1000);
+    LabInput.requireRange(file, "least_work_ms", read.getLeastWorkMs(), 0, 10000);
     for (Fault fault : read.getFaultsList()) {
-      TextFile.bounded(file, "faults.manager", fault.getManager(), 0, read.getManagers() - 1);
+      LabInput.requireRange(file, "faults.manager", fault.getManager(), 0, read.getManagers() - 1);
     }
     if (read.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -64,7 +64,7 @@
     Files.createDirectories(out);
     List<Map<String, Double>> all = new ArrayList<>();
     for (int i = 0; i < experiment.getRuns(); i++) {
-      all.add(played(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
+      all.add(runOnce(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
       to.println(
           "run "
               + (i + 1)
@@ -83,44 +83,45 @@
                     sums.merge(
                         name,
                         figure,
-                        name.endsWith(WORST)
+                        name.endsWith(MAX_SUFFIX)
                             ? Math::max
-                            : name.endsWith(LEAST) ? Math::min : Double::sum)));
-    List<Claims.Judged> judged = Claims.judge(experiment.getClaimsList(), sums);
+                            : name.endsWith(MIN_SUFFIX) ? Math::min : Double::sum)));
+    List<ClaimEvaluator.ClaimResult> judged =
+        ClaimEvaluator.evaluate(experiment.getClaimsList(), sums);
     to.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
     boolean held = true;
-    for (Claims.Judged one : judged) {
+    for (ClaimEvaluator.ClaimResult one : judged) {
       to.printf(
           "%-30s %-14s %-14s %s%n",
           one.figure(), one.bound(), one.measured(), one.held() ? "yes" : "NO");
       held &= one.held();
     }
-    kept(experiment, seed, out, all, judged);
+    writeResults(experiment, seed, out, all, judged);
     return held;
   }
 
-  private static Map<String, Double> played(
+  private static Map<String, Double> runOnce(
       Experiment experiment, long seed, Path folder, ModuleFactory factory)
       throws IOException, InterruptedException {
     if (experiment.getScaleCount() > 0) {
-      return new ScaleExperiment(experiment, seed, factory).play();
+      return new ScaleExperiment(experiment, seed, factory).run();
     }
     if (experiment.hasFleet()) {
       try (FleetRun run = new FleetRun(experiment, seed, folder)) {
-        return run.play();
+        return run.run();
       }
     }
     try (LedgerRun run = new LedgerRun(experiment, seed, folder)) {
-      return run.play();
+      return run.run();
     }
   }
 
-  private static void kept(
+  private static void writeResults(
       Experiment experiment,
       long seed,
       Path out,
       List<Map<String, Double>> all,
-      List<Claims.Judged> judged)
+      List<ClaimEvaluator.ClaimResult> judged)
       throws IOException {
     TreeSet<String> names = new TreeSet<>();
     all.forEach(one -> names.addAll(one.keySet()));
@@ -128,7 +129,7 @@
     for (int i = 0; i < all.size(); i++) {
       csv.append(seed + i);
       for (String name : names) {
-        csv.append(',').append(Claims.shown(all.get(i).getOrDefault(name, Double.NaN)));
+        csv.append(',').append(ClaimEvaluator.format(all.get(i).getOrDefault(name, Double.NaN)));
       }
       csv.append('\n');
     }
@@ -143,7 +144,7 @@
                 + all.size()
                 + ",\"claims\":[");
     for (int i = 0; i < judged.size(); i++) {
-      Claims.Judged one = judged.get(i);
+      ClaimEvaluator.ClaimResult one = judged.get(i);
       json.append(i > 0 ? "," : "")
           .append("{\"figure\":")
           .append(JsonLinesWriter.quote(one.figure()))
--- a/src/main/java/tansytrack/lab/StandInChannel.java
+++ b/src/main/java/tansytrack/lab/FakeCommandChannel.java
@@ -12,20 +12,20 @@
 import java.util.regex.Pattern;
 
 /** A command channel for the lab, on loopback: numbered events, asked for by long polls. */
-public final class StandInChannel implements AutoCloseable {
+public final class FakeCommandChannel implements AutoCloseable {
 
-  private static final Pattern ASKED =
+  private static final Pattern POLL_REQUEST =
       Pattern.compile("GET /cmd/next\\?resume=(\\d{1,18})&block=(\\d{1,6}) ");
-  private static final long LONGEST_BLOCK_MS = 5000;
+  private static final long MAX_BLOCK_MS = 5000;
 
   private final ServerSocket socket = new ServerSocket();
   private final List<String> events = new ArrayList<>();
 
   /** Listens at the address at once; calls are answered on threads of its own. */
-  public StandInChannel(InetSocketAddress at) throws IOException {
+  public FakeCommandChannel(InetSocketAddress at) throws IOException {
     socket.setReuseAddress(true);
     socket.bind(at, 256);
-    StandInEngine.thread(this::accept).start();
+    FakeEngine.daemonThread(this::accept).start();
   }
 
   /**
@@ -36,17 +36,17 @@
   }
 
   /** The next event, as JSON without its number. */
-  public synchronized void tell(String nodes) {
+  public synchronized void publish(String nodes) {
     events.add("{\"cursor\":" + (events.size() + 1) + ",\"nodes\":" + nodes + '}');
     notifyAll();
   }
 
   /** All that was told up to now, in the form of `known`. */
-  public synchronized String known() {
-    return after(0);
+  public synchronized String knownEvents() {
+    return eventsAfter(0);
   }
 
-  private String after(int number) {
+  private String eventsAfter(int number) {
     return "{\"cursor\":"
         + Math.max(number, events.size())
         + ",\"cmds\":["
@@ -54,21 +54,21 @@
         + "]}";
   }
 
-  private synchronized String next(int resume, long blockMs) throws InterruptedException {
-    long until = System.nanoTime() + Math.min(blockMs, LONGEST_BLOCK_MS) * 1_000_000;
+  private synchronized String awaitEvents(int resume, long blockMs) throws InterruptedException {
+    long until = System.nanoTime() + Math.min(blockMs, MAX_BLOCK_MS) * 1_000_000;
     for (long left = blockMs;
         events.size() <= resume && left > 0;
         left = (until - System.nanoTime()) / 1_000_000) {
       wait(left);
     }
-    return after(resume);
+    return eventsAfter(resume);
   }
 
   private void accept() {
     try {
       while (true) {
         Socket one = socket.accept();
-        StandInEngine.thread(() -> serve(one)).start();
+        FakeEngine.daemonThread(() -> serve(one)).start();
       }
     } catch (IOException e) {
       // closed
@@ -79,14 +79,14 @@
     try (one) {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        Matcher asked = ASKED.matcher(StandInEngine.head(in));
+        Matcher asked = POLL_REQUEST.matcher(FakeEngine.readHead(in));
         String answer =
             asked.lookingAt()
-                ? StandInEngine.say(
+                ? FakeEngine.response(
                     "200 OK",
                     "",
-                    next(Integer.parseInt(asked.group(1)), Long.parseLong(asked.group(2))))
-                : StandInEngine.say("404 Not Found", "", "");
+                    awaitEvents(Integer.parseInt(asked.group(1)), Long.parseLong(asked.group(2))))
+                : FakeEngine.response("404 Not Found", "", "");
         one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
--- a/src/main/java/tansytrack/lab/StandIns.java
+++ b/src/main/java/tansytrack/lab/FakeDeployment.java
@@ -11,40 +11,41 @@
 /**
  * Stand-ins for all that a configuration names, at the addresses that it gives, on loopback alone.
  */
-public final class StandIns {
+public final class FakeDeployment {
 
-  private StandIns() {}
+  private FakeDeployment() {}
 
   /**
    * Starts a stand-in for every engine of a configuration, and for its command channel, until
    * ended.
    */
-  public static void of(String file, int workMs, PrintStream out) throws IOException {
+  public static void start(String file, int workMs, PrintStream out) throws IOException {
     try {
       Map<String, Object> all =
           Json.asObject(
-              Json.parse(TextFile.text(file).getBytes(StandardCharsets.UTF_8)),
+              Json.parse(LabInput.read(file).getBytes(StandardCharsets.UTF_8)),
               "the configuration");
-      StandInChannel channel =
-          new StandInChannel(
-              TextFile.loopback("channel", Json.asString(all.get("channel"), "channel")));
+      FakeCommandChannel channel =
+          new FakeCommandChannel(
+              LabInput.loopbackAddress("channel", Json.asString(all.get("channel"), "channel")));
       for (Object event :
           Json.asList(Json.asObject(all.get("known"), "known").get("cmds"), "cmds")) {
         Map<String, Object> nodes =
             Json.asObject(Json.asObject(event, "an event").get("nodes"), "nodes");
         for (Object member : Json.asList(nodes.get("members"), "members")) {
           Map<String, Object> one = Json.asObject(member, "a member");
-          StandInEngine engine =
-              new StandInEngine(
+          FakeEngine engine =
+              new FakeEngine(
                   Json.asString(one.get("id"), "id"),
-                  TextFile.loopback("host_port", Json.asString(one.get("host_port"), "host_port")),
+                  LabInput.loopbackAddress(
+                      "host_port", Json.asString(one.get("host_port"), "host_port")),
                   workMs,
                   workMs);
           out.println(engine.name() + " at " + engine.address());
         }
         // The numbers of the file's own events are taken; those who have them are told nothing
         // more.
-        channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
+        channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
       }
       out.println("command channel at " + channel.address());
     } catch (ProtocolException e) {
--- a/src/main/java/tansytrack/lab/StandInEngine.java
+++ b/src/main/java/tansytrack/lab/FakeEngine.java
@@ -26,31 +26,32 @@
  * follows from its id, and keeps its own count of what it ran. A query runs on until it ends, is
  * given up, or was not asked for in 2 s.
  */
-public final class StandInEngine implements AutoCloseable {
+public final class FakeEngine implements AutoCloseable {
 
-  private static final long HELD_OPEN_MS = 250;
-  private static final long UNASKED_MS = 2000;
-  private static final long TICK_MS = 2; // between looks at what has ended, where cores are shared
-  private static final int LONGEST_HEAD = 1 << 14;
-  private static final int LONGEST_BODY = 1 << 17;
-  private static final String ROWS = "monday\t12\tnone\ntuesday\t7\tlate\n";
+  private static final long LONG_POLL_MS = 250;
+  private static final long POLL_TIMEOUT_MS = 2000;
+  private static final long MODEL_INTERVAL_MS =
+      2; // between looks at what has ended, where cores are shared
+  private static final int MAX_HEAD_BYTES = 1 << 14;
+  private static final int MAX_BODY_BYTES = 1 << 17;
+  private static final String RESULT_ROWS = "monday\t12\tnone\ntuesday\t7\tlate\n";
 
   /** Hears what comes whole and how it ends, in order. */
-  interface Watcher {
-    void arrived(String engine, String id, double work);
+  interface Listener {
+    void forwardArrived(String engine, String id, double work);
 
     /** It ended, was given up or never ran. */
-    void over(String engine, String id, boolean mayHaveRun);
+    void forwardEnded(String engine, String id, boolean mayHaveRun);
   }
 
   /** One query that was taken up. */
   private final class Query {
     final String id;
     final double workMs;
-    boolean over;
-    boolean done;
-    long asked = System.nanoTime();
-    ScheduledFuture<?> end;
+    boolean ended;
+    boolean completed;
+    long lastPollNanos = System.nanoTime();
+    ScheduledFuture<?> completion;
 
     Query(String id, double workMs) {
       this.id = id;
@@ -61,7 +62,7 @@
       this.id = id;
       // Thousandths, so that what is told in text is what is counted.
       workMs =
-          (leastMs * 1000
+          (minMs * 1000
                   + Math.floorMod(
                       (id.hashCode() * 0x9E3779B97F4A7C15L) >>> 16, spreadMs * 1000 + 1))
               / 1000.0;
@@ -69,67 +70,67 @@
   }
 
   private final String name;
-  private final long leastMs;
+  private final long minMs;
   private final long spreadMs;
   private final ServerSocket socket = new ServerSocket();
-  private final ScheduledExecutorService clock =
-      Executors.newSingleThreadScheduledExecutor(StandInEngine::thread);
-  private final Map<String, Query> open = new HashMap<>();
-  private final List<Query> all = new ArrayList<>();
+  private final ScheduledExecutorService scheduler =
+      Executors.newSingleThreadScheduledExecutor(FakeEngine::daemonThread);
+  private final Map<String, Query> openQueries = new HashMap<>();
+  private final List<Query> queries = new ArrayList<>();
   private final List<Socket> connections = new ArrayList<>();
   private final EngineModel model; // null: each query works for itself
-  private final ToDoubleFunction<String> works; // nanoseconds of work by a query's id
-  private final Watcher watcher;
+  private final ToDoubleFunction<String> workNanos; // nanoseconds of work by a query's id
+  private final Listener listener;
 
   /**
    * One whose queries share cores as the model says, which falls as it says, and which tells what
    * it sees.
    */
-  StandInEngine(
+  FakeEngine(
       String name,
       InetSocketAddress at,
       EngineModel model,
       ToDoubleFunction<String> works,
-      Watcher watcher)
+      Listener watcher)
       throws IOException {
     this.name = name;
-    leastMs = 0;
+    minMs = 0;
     spreadMs = 0;
     this.model = model;
-    this.works = works;
-    this.watcher = watcher;
-    open(at);
-    every(TICK_MS, TICK_MS, this::advance);
+    this.workNanos = works;
+    this.listener = watcher;
+    listen(at);
+    scheduleRepeating(MODEL_INTERVAL_MS, MODEL_INTERVAL_MS, this::advance);
   }
 
   /**
    * An engine whose queries take a time between two bounds, without a model of its cores or memory.
    */
-  public StandInEngine(String name, InetSocketAddress at, long leastMs, long spreadMs)
+  public FakeEngine(String name, InetSocketAddress at, long leastMs, long spreadMs)
       throws IOException {
     this.name = name;
-    this.leastMs = leastMs;
+    this.minMs = leastMs;
     this.spreadMs = spreadMs;
     model = null;
-    works = null;
-    watcher = null;
-    open(at);
+    workNanos = null;
+    listener = null;
+    listen(at);
   }
 
-  private void open(InetSocketAddress at) throws IOException {
+  private void listen(InetSocketAddress at) throws IOException {
     socket.setReuseAddress(true);
     socket.bind(at, 1024);
-    thread(this::accept).start();
-    every(UNASKED_MS, UNASKED_MS / 8, this::dropUnasked);
+    daemonThread(this::accept).start();
+    scheduleRepeating(POLL_TIMEOUT_MS, POLL_TIMEOUT_MS / 8, this::endUnpolled);
   }
 
   /** Repeats a step until the clock is shut down; an exception in one ends the repetition. */
   @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the end of a repeated step
-  private void every(long firstMs, long everyMs, Runnable step) {
-    clock.scheduleAtFixedRate(step, firstMs, everyMs, TimeUnit.MILLISECONDS);
+  private void scheduleRepeating(long firstMs, long everyMs, Runnable step) {
+    scheduler.scheduleAtFixedRate(step, firstMs, everyMs, TimeUnit.MILLISECONDS);
   }
 
-  static Thread thread(Runnable what) {
+  static Thread daemonThread(Runnable what) {
     Thread thread = new Thread(what, "lab");
     thread.setDaemon(true);
     return thread;
@@ -155,7 +156,7 @@
         synchronized (connections) {
           connections.add(one);
         }
-        thread(() -> serve(one)).start();
+        daemonThread(() -> serve(one)).start();
       }
     } catch (IOException e) {
       // closed
@@ -166,8 +167,8 @@
     try (one) {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        String head = head(in);
-        byte[] body = new byte[length(head)];
+        String head = readHead(in);
+        byte[] body = new byte[contentLength(head)];
         in.readFully(body);
         one.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
       }
@@ -181,12 +182,12 @@
   }
 
   /** The head of the next call, up to its blank line. */
-  static String head(DataInputStream in) throws IOException {
+  static String readHead(DataInputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     int tail = 0;
     while (tail != 0x0d0a0d0a) {
       int octet = in.read();
-      if (octet < 0 || head.size() > LONGEST_HEAD) {
+      if (octet < 0 || head.size() > MAX_HEAD_BYTES) {
         throw new EOFException();
       }
       head.write(octet);
@@ -195,11 +196,11 @@
     return head.toString(StandardCharsets.UTF_8);
   }
 
-  private static int length(String head) throws IOException {
+  private static int contentLength(String head) throws IOException {
     for (String line : head.split("\r\n")) {
       if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
         int length = Integer.parseInt(line.substring(15).strip());
-        if (length >= 0 && length <= LONGEST_BODY) {
+        if (length >= 0 && length <= MAX_BODY_BYTES) {
           return length;
         }
         throw new IOException("a body of " + length);
@@ -208,7 +209,7 @@
     return 0;
   }
 
-  private static String field(String head, String name) {
+  private static String headerField(String head, String name) {
     return Arrays.stream(head.split("\r\n"))
         .filter(line -> line.toLowerCase(Locale.ROOT).startsWith(name + ':'))
         .map(line -> line.substring(name.length() + 1).strip())
@@ -216,7 +217,7 @@
         .orElse("");
   }
 
-  static String say(String status, String fields, String body) {
+  static String response(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
         + "\r\n"
@@ -231,37 +232,37 @@
     String[] call = head.substring(0, head.indexOf("\r\n")).split(" ");
     String path = call.length > 1 ? call[1] : "";
     if (call[0].equals("POST") && path.equals("/o")) {
-      Query query = started(field(head, "x-req"));
+      Query query = admit(headerField(head, "x-req"));
       return query == null
-          ? say("503 Service Unavailable", "X-Not-Run: 1\r\n" + load(), "")
-          : news(query);
+          ? response("503 Service Unavailable", "X-Not-Run: 1\r\n" + loadReport(), "")
+          : awaitResult(query);
     }
     if (path.equals("/alive") || path.equals("/stats")) {
-      return say("200 OK", load(), "");
+      return response("200 OK", loadReport(), "");
     }
     String[] parts = path.split("/");
     if (parts.length < 3 || !parts[1].equals("o")) {
-      return say("404 Not Found", "", "");
+      return response("404 Not Found", "", "");
     }
     return switch (call[0]) {
       case "GET" ->
-          known(parts[2]) == null
-              ? say("500 Internal Server Error", "", "")
-              : news(known(parts[2]));
+          openQuery(parts[2]) == null
+              ? response("500 Internal Server Error", "", "")
+              : awaitResult(openQuery(parts[2]));
       case "DELETE" -> {
-        over(known(parts[2]), false);
+        end(openQuery(parts[2]), false);
         yield "HTTP/1.1 204 No Content\r\n\r\n";
       }
       default -> "HTTP/1.1 204 No Content\r\n\r\n";
     };
   }
 
-  private synchronized Query known(String id) {
-    return open.get(id);
+  private synchronized Query openQuery(String id) {
+    return openQueries.get(id);
   }
 
-  private synchronized String load() {
-    long busy = open.values().stream().filter(one -> !one.over).count();
+  private synchronized String loadReport() {
+    long busy = openQueries.values().stream().filter(one -> !one.ended).count();
     if (model != null) {
       return String.format(
           Locale.ROOT, "X-Load: busy_reqs:%d;cpu_share:%.2f\r\n", busy, model.utilization());
@@ -270,44 +271,44 @@
   }
 
   /** Takes it up; null: it is full. */
-  private synchronized Query started(String id) throws InterruptedException {
+  private synchronized Query admit(String id) throws InterruptedException {
     if (model != null) {
-      return shared(id);
+      return admitByModel(id);
     }
     Query query = new Query(id);
-    open.put(id, query);
-    all.add(query);
-    query.end =
-        clock.schedule(
-            () -> over(query, true), (long) (query.workMs * 1000), TimeUnit.MICROSECONDS);
+    openQueries.put(id, query);
+    queries.add(query);
+    query.completion =
+        scheduler.schedule(
+            () -> end(query, true), (long) (query.workMs * 1000), TimeUnit.MICROSECONDS);
     return query;
   }
 
-  private Query shared(String id) throws InterruptedException {
-    double work = works.applyAsDouble(id);
-    watcher.arrived(name, id, work);
+  private Query admitByModel(String id) throws InterruptedException {
+    double work = workNanos.applyAsDouble(id);
+    listener.forwardArrived(name, id, work);
     EngineModel.Admission taken = model.start(System.nanoTime(), id, work, 1);
     if (taken != EngineModel.Admission.STARTED) {
-      watcher.over(name, id, taken == EngineModel.Admission.DOWN);
+      listener.forwardEnded(name, id, taken == EngineModel.Admission.DOWN);
       if (taken == EngineModel.Admission.DOWN) {
-        fall();
+        crash();
       }
       return null;
     }
     Query query = new Query(id, work / 1e6);
-    open.put(id, query);
-    all.add(query);
+    openQueries.put(id, query);
+    queries.add(query);
     return query;
   }
 
   private synchronized void advance() {
     for (String id : model.advance(System.nanoTime())) {
-      over(open.get(id), true);
+      end(openQueries.get(id), true);
     }
   }
 
   /** It stays down: its connections are reset, new ones refused. */
-  private void fall() throws InterruptedException {
+  private void crash() throws InterruptedException {
     try {
       close();
     } catch (IOException e) {
@@ -317,63 +318,63 @@
   }
 
   /** Its process has died: what it had is gone. */
-  synchronized void lose() {
-    for (Query query : List.copyOf(open.values())) {
-      over(query, false);
+  synchronized void loseQueries() {
+    for (Query query : List.copyOf(openQueries.values())) {
+      end(query, false);
     }
   }
 
-  synchronized boolean fallen() {
+  synchronized boolean hasCrashed() {
     return model != null && model.crashed();
   }
 
-  synchronized void slow(double factor) {
+  synchronized void slowDown(double factor) {
     model.slowdown(System.nanoTime(), factor);
   }
 
-  private synchronized void over(Query query, boolean done) {
-    if (query != null && !query.over) {
-      query.over = true;
-      query.done = done;
+  private synchronized void end(Query query, boolean done) {
+    if (query != null && !query.ended) {
+      query.ended = true;
+      query.completed = done;
       if (model != null) {
         model.cancel(System.nanoTime(), query.id);
-        watcher.over(name, query.id, true);
+        listener.forwardEnded(name, query.id, true);
       } else {
-        query.end.cancel(false);
+        query.completion.cancel(false);
       }
       notifyAll();
     }
   }
 
   /** The end of a query, or after a while the word that it runs on. */
-  private synchronized String news(Query query) throws InterruptedException {
-    long until = System.nanoTime() + HELD_OPEN_MS * 1_000_000;
-    query.asked = System.nanoTime();
-    while (!query.over) {
+  private synchronized String awaitResult(Query query) throws InterruptedException {
+    long until = System.nanoTime() + LONG_POLL_MS * 1_000_000;
+    query.lastPollNanos = System.nanoTime();
+    while (!query.ended) {
       long left = (until - System.nanoTime()) / 1_000_000;
       if (left <= 0) {
-        return say("202 Accepted", "", "");
+        return response("202 Accepted", "", "");
       }
       wait(left);
     }
-    query.asked = System.nanoTime();
-    return query.done
-        ? say(
+    query.lastPollNanos = System.nanoTime();
+    return query.completed
+        ? response(
             "200 OK",
             "Page-Count: 1\r\nPeak-Mb: 4\r\nWork-Ms: "
                 + String.format(Locale.ROOT, "%.3f", query.workMs)
                 + "\r\n"
-                + load(),
-            ROWS)
-        : say("500 Internal Server Error", "", "");
+                + loadReport(),
+            RESULT_ROWS)
+        : response("500 Internal Server Error", "", "");
   }
 
-  private synchronized void dropUnasked() {
+  private synchronized void endUnpolled() {
     long now = System.nanoTime();
-    for (Query query : List.copyOf(open.values())) {
-      if (now - query.asked > UNASKED_MS * 1_000_000) {
-        over(query, false);
-        open.remove(query.id);
+    for (Query query : List.copyOf(openQueries.values())) {
+      if (now - query.lastPollNanos > POLL_TIMEOUT_MS * 1_000_000) {
+        end(query, false);
+        openQueries.remove(query.id);
       }
     }
   }
@@ -384,22 +385,23 @@
    */
   public synchronized List<String> statement() {
     List<String> rows = new ArrayList<>();
-    for (Query query : all) {
-      rows.add(name + ',' + query.id + ',' + Math.round(query.workMs * 1e6) + ',' + query.done);
+    for (Query query : queries) {
+      rows.add(
+          name + ',' + query.id + ',' + Math.round(query.workMs * 1e6) + ',' + query.completed);
     }
     rows.add(name + ",,,");
     return rows;
   }
 
   /** How many queries it was sent. */
-  public synchronized long runs() {
-    return all.size();
+  public synchronized long queryCount() {
+    return queries.size();
   }
 
   @Override
   public void close() throws IOException {
     socket.close();
-    clock.shutdownNow();
+    scheduler.shutdownNow();
     synchronized (connections) {
       for (Socket one : List.copyOf(connections)) {
         one.close();
--- a/src/main/java/tansytrack/lab/FleetRun.java
+++ b/src/main/java/tansytrack/lab/FleetRun.java
@@ -36,15 +36,15 @@
  */
 final class FleetRun implements AutoCloseable {
 
-  private static final long MS = 1_000_000L;
-  private static final int MOST_PROCESSES = 200;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final int MAX_PROCESSES = 200;
 
   private final Experiment experiment;
   private final long seed;
   private final Path folder;
   private final FaultSchedule faults;
   private final List<String> names = new ArrayList<>();
-  private final List<String> places = new ArrayList<>();
+  private final List<String> zones = new ArrayList<>();
   private final List<ManagerProcess> managers = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private FleetTraffic traffic;
@@ -55,42 +55,42 @@
     this.experiment = experiment;
     this.seed = seed;
     this.folder = folder;
-    faults = faults(experiment.getFleet());
+    faults = faultSchedule(experiment.getFleet());
     for (int i = 0; i < experiment.getManagers(); i++) {
       names.add("m" + i);
-      places.add("place-" + i % Math.max(1, experiment.getFleet().getPlaces()));
+      zones.add("place-" + i % Math.max(1, experiment.getFleet().getPlaces()));
     }
   }
 
   /** Says what in the file cannot be used. */
-  static void checked(String file, Experiment read) {
+  static void validate(String file, Experiment read) {
     FleetPlan plan = read.getFleet();
-    TextFile.bounded(
-        file, "managers", read.getManagers(), 2, plan.getVirtualTime() ? 1000 : MOST_PROCESSES);
-    TextFile.bounded(file, "seconds", read.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
-    TextFile.bounded(file, "fleet.places", plan.getPlaces(), 1, read.getManagers());
-    TextFile.bounded(file, "fleet.probe_every_ms", plan.getProbeEveryMs(), 100, 10_000);
-    weathered(file, "fleet.weather", plan.getWeather());
+    LabInput.requireRange(
+        file, "managers", read.getManagers(), 2, plan.getVirtualTime() ? 1000 : MAX_PROCESSES);
+    LabInput.requireRange(file, "seconds", read.getSeconds(), 1, 3600);
+    LabInput.requireRange(file, "runs", read.getRuns(), 1, 1000);
+    LabInput.requireRange(file, "fleet.places", plan.getPlaces(), 1, read.getManagers());
+    LabInput.requireRange(file, "fleet.probe_every_ms", plan.getProbeEveryMs(), 100, 10_000);
+    validateLinkConditions(file, "fleet.weather", plan.getWeather());
     for (LinkTrouble one : plan.getLinksList()) {
-      weathered(file, "fleet.links.weather", one.getWeather());
-      ended(file, "fleet.links.from", one.getFrom(), read);
-      ended(file, "fleet.links.to", one.getTo(), read);
+      validateLinkConditions(file, "fleet.links.weather", one.getWeather());
+      validateEndpoint(file, "fleet.links.from", one.getFrom(), read);
+      validateEndpoint(file, "fleet.links.to", one.getTo(), read);
     }
     checkProcesses(file, read);
     checkEngines(file, plan);
     for (Version one : plan.getVersionsList()) {
-      ended(file, "fleet.versions.manager", one.getManager(), read);
+      validateEndpoint(file, "fleet.versions.manager", one.getManager(), read);
       if (!Files.isReadable(Path.of(one.getJar()))) {
         throw new InvalidInputException(
             file + ": fleet.versions.jar: '" + one.getJar() + "'; allowed: a jar that can be read");
       }
     }
     for (StreamTrouble one : plan.getStreamsList()) {
-      TextFile.bounded(file, "fleet.streams.part", one.getPart(), 0, 1);
+      LabInput.requireRange(file, "fleet.streams.part", one.getPart(), 0, 1);
     }
     if (plan.hasLoad()) {
-      LoadFile.checked(file, plan.getLoad());
+      LoadFile.validated(file, plan.getLoad());
     }
     if (read.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -100,7 +100,7 @@
   private static void checkProcesses(String file, Experiment read) {
     for (ProcessTrouble one : read.getFleet().getProcessesList()) {
       if (!one.getManager().matches("m[0-9]{1,3}")
-          || number(one.getManager()) >= read.getManagers()) {
+          || index(one.getManager()) >= read.getManagers()) {
         throw new InvalidInputException(
             file
                 + ": fleet.processes.manager: '"
@@ -108,7 +108,7 @@
                 + "'; allowed: m0 to m"
                 + (read.getManagers() - 1));
       }
-      TextFile.bounded(
+      LabInput.requireRange(
           file,
           "fleet.processes.for_ms",
           one.getForMs(),
@@ -118,14 +118,14 @@
   }
 
   private static void checkEngines(String file, FleetPlan plan) {
-    TextFile.bounded(file, "fleet.engines", plan.getEngines(), 0, 64);
+    LabInput.requireRange(file, "fleet.engines", plan.getEngines(), 0, 64);
     if (plan.getEngines() > 0) {
-      TextFile.bounded(file, "fleet.engine.cores", plan.getEngine().getCores(), 0.1, 1000);
-      TextFile.bounded(
+      LabInput.requireRange(file, "fleet.engine.cores", plan.getEngine().getCores(), 0.1, 1000);
+      LabInput.requireRange(
           file, "fleet.engine.most_queries", plan.getEngine().getMostQueries(), 1, 100_000);
     }
     for (EngineTrouble one : plan.getEngineTroublesList()) {
-      if (!one.getEngine().matches("e[0-9]{1,2}") || number(one.getEngine()) >= plan.getEngines()) {
+      if (!one.getEngine().matches("e[0-9]{1,2}") || index(one.getEngine()) >= plan.getEngines()) {
         throw new InvalidInputException(
             file
                 + ": fleet.engine_troubles.engine: '"
@@ -136,12 +136,12 @@
     }
   }
 
-  private static int number(String name) {
+  private static int index(String name) {
     return Integer.parseInt(name.substring(1));
   }
 
-  private static void ended(String file, String field, String end, Experiment read) {
-    boolean manager = end.matches("m[0-9]{1,3}") && number(end) < read.getManagers();
+  private static void validateEndpoint(String file, String field, String end, Experiment read) {
+    boolean manager = end.matches("m[0-9]{1,3}") && index(end) < read.getManagers();
     boolean place =
         end.matches("place-[0-9]{1,3}")
             && Integer.parseInt(end.substring(6)) < read.getFleet().getPlaces();
@@ -156,32 +156,32 @@
     }
   }
 
-  private static void weathered(String file, String field, LinkWeather weather) {
-    TextFile.bounded(file, field + ".loss", weather.getLoss(), 0, 1);
-    TextFile.bounded(file, field + ".doubled", weather.getDoubled(), 0, 1);
-    TextFile.bounded(file, field + ".burst", weather.getBurst(), 0, 1000);
-    TextFile.bounded(file, field + ".least_us", weather.getLeastUs(), 0, 10_000_000);
-    TextFile.bounded(file, field + ".spread_us", weather.getSpreadUs(), 0, 10_000_000);
+  private static void validateLinkConditions(String file, String field, LinkWeather weather) {
+    LabInput.requireRange(file, field + ".loss", weather.getLoss(), 0, 1);
+    LabInput.requireRange(file, field + ".doubled", weather.getDoubled(), 0, 1);
+    LabInput.requireRange(file, field + ".burst", weather.getBurst(), 0, 1000);
+    LabInput.requireRange(file, field + ".least_us", weather.getLeastUs(), 0, 10_000_000);
+    LabInput.requireRange(file, field + ".spread_us", weather.getSpreadUs(), 0, 10_000_000);
   }
 
-  private static FaultSchedule faults(FleetPlan plan) {
+  private static FaultSchedule faultSchedule(FleetPlan plan) {
     List<FaultSchedule.LinkFault> links = new ArrayList<>();
     for (LinkTrouble one : plan.getLinksList()) {
       links.add(
           new FaultSchedule.LinkFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
+              one.getAtMs() * NANOS_PER_MS,
+              one.getForMs() * NANOS_PER_MS,
               new FaultSchedule.Endpoint(one.getFrom()),
               new FaultSchedule.Endpoint(one.getTo()),
               one.getBothWays(),
-              weather(one.getWeather())));
+              linkConditions(one.getWeather())));
     }
     List<FaultSchedule.ProcessFault> processes = new ArrayList<>();
     for (ProcessTrouble one : plan.getProcessesList()) {
       processes.add(
           new FaultSchedule.ProcessFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
+              one.getAtMs() * NANOS_PER_MS,
+              one.getForMs() * NANOS_PER_MS,
               one.getManager(),
               FaultSchedule.ProcessFaultKind.valueOf(one.getKind().name())));
     }
@@ -189,18 +189,18 @@
     for (StreamTrouble one : plan.getStreamsList()) {
       streams.add(
           new FaultSchedule.StreamFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
+              one.getAtMs() * NANOS_PER_MS,
+              one.getForMs() * NANOS_PER_MS,
               new FaultSchedule.Endpoint(one.getFrom()),
               new FaultSchedule.Endpoint(one.getTo()),
               FaultSchedule.StreamFaultKind.valueOf(one.getKind().name()),
-              one.getDelayMs() * MS,
+              one.getDelayMs() * NANOS_PER_MS,
               one.getPart()));
     }
-    return new FaultSchedule(weather(plan.getWeather()), links, processes, streams);
+    return new FaultSchedule(linkConditions(plan.getWeather()), links, processes, streams);
   }
 
-  private static LinkConditions weather(LinkWeather from) {
+  private static LinkConditions linkConditions(LinkWeather from) {
     return new LinkConditions(
         from.getLoss(),
         from.getBurst(),
@@ -210,37 +210,38 @@
   }
 
   /** Plays it, and gives its figures. */
-  Map<String, Double> play() throws IOException, InterruptedException {
-    return experiment.getFleet().getVirtualTime() ? virtual() : real();
+  Map<String, Double> run() throws IOException, InterruptedException {
+    return experiment.getFleet().getVirtualTime() ? runSimulation() : runProcesses();
   }
 
-  private Map<String, Double> virtual() {
+  private Map<String, Double> runSimulation() {
     List<String> seeds = names.subList(0, Math.min(3, names.size()));
     MembershipSimulation world =
         new MembershipSimulation(
-            MembershipConfig.defaults(seeds, experiment.getFleet().getProbeEveryMs() * MS, 16_384),
+            MembershipConfig.defaults(
+                seeds, experiment.getFleet().getProbeEveryMs() * NANOS_PER_MS, 16_384),
             seed);
     for (int i = 0; i < names.size(); i++) {
-      world.node(names.get(i), names.get(i), places.get(i));
+      world.node(names.get(i), names.get(i), zones.get(i));
     }
     names.forEach(world::start);
     world.injectFaults(faults);
-    world.runUntil(experiment.getSeconds() * 1000L * MS);
+    world.runUntil(experiment.getSeconds() * 1000L * NANOS_PER_MS);
     return new MembershipMetrics(names, faults, world.observations(), world.now()).compute();
   }
 
-  private Map<String, Double> real() throws IOException, InterruptedException {
-    traffic = new FleetTraffic(experiment.getFleet(), faults, names, places, seed);
-    launch();
+  private Map<String, Double> runProcesses() throws IOException, InterruptedException {
+    traffic = new FleetTraffic(experiment.getFleet(), faults, names, zones, seed);
+    startManagers();
     Instant start = Instant.now();
-    relays.begin();
+    relays.startSchedule();
     long from = System.nanoTime();
-    traffic.begin(managers.stream().map(one -> one.listen).toList(), from);
-    long end = playFaults(from);
+    traffic.start(managers.stream().map(one -> one.listenAddress).toList(), from);
+    long end = injectFaults(from);
     Map<String, Double> served = traffic.figures(folder);
     List<MembershipSimulation.Observation> seen = new ArrayList<>();
     for (ManagerProcess one : managers) {
-      seen.addAll(seen(one, start));
+      seen.addAll(observations(one, start));
     }
     Map<String, Double> figures = new MembershipMetrics(names, faults, seen, end).compute();
     figures.putAll(served);
@@ -250,7 +251,7 @@
   }
 
   /** Starts all managers, each behind relays, and waits until they listen. */
-  private void launch() throws IOException, InterruptedException {
+  private void startManagers() throws IOException, InterruptedException {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int i = 0; i < names.size(); i++) {
       try (DatagramSocket free =
@@ -258,32 +259,32 @@
         addresses.add(new InetSocketAddress(free.getLocalAddress(), free.getLocalPort()));
       }
     }
-    relays = new DatagramRelays(faults, names, places, addresses, seed);
+    relays = new DatagramRelays(faults, names, zones, addresses, seed);
     for (int i = 0; i < names.size(); i++) {
       managers.add(
           new ManagerProcess(
               names.get(i),
               folder.resolve(names.get(i)),
-              traffic.channel(i),
-              traffic.known(i),
+              traffic.channelAddress(i),
+              traffic.knownEvents(i),
               "127.20.0." + (i + 1),
-              operator(i, addresses.get(i)),
+              operatorConfig(i, addresses.get(i)),
               ManagerProcess.settings(
-                  names.size(), places.get(i), experiment.getFleet().getEngine())));
-      managers.get(i).version(jar(names.get(i)));
+                  names.size(), zones.get(i), experiment.getFleet().getEngine())));
+      managers.get(i).useJar(jarFor(names.get(i)));
     }
     for (ManagerProcess one : managers) {
       one.launch();
     }
     for (ManagerProcess one : managers) {
-      one.listens();
+      one.awaitListening();
     }
   }
 
   /** Waits until the faults are played; gives how long that took. */
-  private long playFaults(long from) throws IOException, InterruptedException {
+  private long injectFaults(long from) throws IOException, InterruptedException {
     for (FaultSchedule.ProcessFault one : faults.processes()) {
-      Thread thread = StandInEngine.thread(() -> trouble(one, from));
+      Thread thread = FakeEngine.daemonThread(() -> inject(one, from));
       threads.add(thread);
       thread.start();
     }
@@ -299,7 +300,7 @@
   }
 
   /** The jar that it runs from, or null: this program. */
-  private String jar(String name) {
+  private String jarFor(String name) {
     String jar = null;
     for (Version one : experiment.getFleet().getVersionsList()) {
       jar = one.getManager().equals("*") || one.getManager().equals(name) ? one.getJar() : jar;
@@ -307,12 +308,12 @@
     return jar;
   }
 
-  private String operator(int which, InetSocketAddress own) {
+  private String operatorConfig(int which, InetSocketAddress own) {
     FleetPlan plan = experiment.getFleet();
     StringBuilder text =
         new StringBuilder(
             "log { form: JSON_LINES }\nfleet {\n  place: \""
-                + places.get(which)
+                + zones.get(which)
                 + "\"\n  address: \""
                 + own.getAddress().getHostAddress()
                 + ':'
@@ -336,8 +337,8 @@
     return text.append("}\n").toString();
   }
 
-  private void trouble(FaultSchedule.ProcessFault what, long from) {
-    ManagerProcess of = managers.get(number(what.member()));
+  private void inject(FaultSchedule.ProcessFault what, long from) {
+    ManagerProcess of = managers.get(index(what.member()));
     try {
       FleetTraffic.sleepUntil(from + what.startNanos());
       switch (what.kind()) {
@@ -355,7 +356,7 @@
           if (what.durationNanos() > 0) {
             FleetTraffic.sleepUntil(from + what.startNanos() + what.durationNanos());
             of.launch();
-            traffic.restarted(of.name);
+            traffic.managerRestarted(of.name);
           }
         }
         default -> throw new IllegalStateException();
@@ -371,10 +372,10 @@
    * What a manager logged of the others, from the start of the schedule; what came before has the
    * time 0.
    */
-  private static List<MembershipSimulation.Observation> seen(ManagerProcess by, Instant start)
-      throws IOException {
+  private static List<MembershipSimulation.Observation> observations(
+      ManagerProcess by, Instant start) throws IOException {
     List<MembershipSimulation.Observation> all = new ArrayList<>();
-    for (String line : by.lines()) {
+    for (String line : by.logLines()) {
       if (line.contains("\"event\":\"fleet.member\"")) {
         try {
           Map<String, Object> one =
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -29,29 +29,31 @@
  */
 final class FleetTraffic implements AutoCloseable {
 
-  private static final long MS = 1_000_000L;
-  private static final long ENDING = 4000 * MS;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final long SHUTDOWN_NANOS = 4000 * NANOS_PER_MS;
 
   private final FleetPlan plan;
   private final FaultSchedule faults;
   private final List<String> managers;
-  private final List<String> places;
+  private final List<String> zones;
   private final long seed;
-  private final List<StandInEngine> engines = new ArrayList<>();
+  private final List<FakeEngine> engines = new ArrayList<>();
   private final List<InetSocketAddress> engineAddresses = new ArrayList<>();
-  private final List<StandInChannel> channels = new ArrayList<>();
-  private final List<StreamRelay> lists = new ArrayList<>();
-  private final List<List<StreamRelay>> relays = new ArrayList<>(); // by manager and engine
-  private final List<InvariantChecker.Event> log = Collections.synchronizedList(new ArrayList<>());
-  private final Map<String, Arrival> asked = new ConcurrentHashMap<>();
-  private final Map<String, String> taker = new ConcurrentHashMap<>(); // the manager of a task
-  private final Map<Integer, Long> startedAt =
+  private final List<FakeCommandChannel> channels = new ArrayList<>();
+  private final List<StreamRelay> channelRelays = new ArrayList<>();
+  private final List<List<StreamRelay>> engineRelays = new ArrayList<>(); // by manager and engine
+  private final List<InvariantChecker.Event> events =
+      Collections.synchronizedList(new ArrayList<>());
+  private final Map<String, Arrival> arrivals = new ConcurrentHashMap<>();
+  private final Map<String, String> managerOfTask =
+      new ConcurrentHashMap<>(); // the manager of a task
+  private final Map<Integer, Long> engineStartNanos =
       new HashMap<>(); // of engines, ns on this machine's steady clock
-  private final List<OpenLoop> loads = new ArrayList<>();
+  private final List<OpenLoopGenerator> loads = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private int revision = 1;
-  private int falls;
-  private volatile long start = System.nanoTime();
+  private int crashes;
+  private volatile long startNanos = System.nanoTime();
   private volatile Exception failure;
 
   FleetTraffic(
@@ -60,21 +62,24 @@
     this.plan = plan;
     this.faults = faults;
     this.managers = managers;
-    this.places = places;
+    this.zones = places;
     this.seed = seed;
     for (int i = 0; i < plan.getEngines(); i++) {
-      engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), longAgo()));
+      engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), warmStartNanos()));
       String[] at = engines.get(i).address().split(":");
       engineAddresses.add(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
     }
     for (int m = 0; m < managers.size(); m++) {
       int by = m;
-      StandInChannel channel =
-          new StandInChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      FakeCommandChannel channel =
+          new FakeCommandChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       channels.add(channel);
-      lists.add(
+      channelRelays.add(
           new StreamRelay(
-              "127.0.0.1", address(channel.address()), () -> holds(by, "list", "list"), seed ^ m));
+              "127.0.0.1",
+              address(channel.address()),
+              () -> activeFault(by, "list", "list"),
+              seed ^ m));
       List<StreamRelay> own = new ArrayList<>();
       for (int i = 0; i < engines.size(); i++) {
         int to = i;
@@ -82,18 +87,19 @@
             new StreamRelay(
                 "127.23." + m + '.' + (i + 1),
                 engineAddresses.get(i),
-                () -> holds(by, "e" + to, enginePlace(to)),
+                () -> activeFault(by, "e" + to, engineZone(to)),
                 seed * 4096 + m * 64L + i));
       }
-      relays.add(own);
+      engineRelays.add(own);
     }
     for (int i = 0; i < engines.size(); i++) {
-      told(i, "ready");
+      announce(i, "ready");
     }
   }
 
-  private long longAgo() {
-    return System.nanoTime() - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * MS;
+  private long warmStartNanos() {
+    return System.nanoTime()
+        - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * NANOS_PER_MS;
   }
 
   private static InetSocketAddress address(String text) {
@@ -102,65 +108,67 @@
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  private String enginePlace(int engine) {
+  private String engineZone(int engine) {
     return "place-" + engine % plan.getPlaces();
   }
 
-  private FaultSchedule.StreamFault holds(int manager, String to, String place) {
+  private FaultSchedule.StreamFault activeFault(int manager, String to, String place) {
     return faults.activeStreamFault(
-        System.nanoTime() - start, managers.get(manager), places.get(manager), to, place);
+        System.nanoTime() - startNanos, managers.get(manager), zones.get(manager), to, place);
   }
 
-  private StandInEngine engine(int which, InetSocketAddress at, long startedAt) throws IOException {
+  private FakeEngine engine(int which, InetSocketAddress at, long startedAt) throws IOException {
     EngineForm form = plan.getEngine();
     EngineModel.Spec spec =
         new EngineModel.Spec(
             form.getCores(),
             form.getMostQueries(),
             form.getStartCapacity(),
-            form.getWarmAfterMs() * MS,
+            form.getWarmAfterMs() * NANOS_PER_MS,
             form.getMultiple(),
-            form.getWindowMs() * MS);
-    return new StandInEngine(
+            form.getWindowMs() * NANOS_PER_MS);
+    return new FakeEngine(
         "e" + which,
         at,
         new EngineModel(spec, startedAt),
-        id -> asked.containsKey(id) ? asked.get(id).costMs() * MS : MS,
-        new StandInEngine.Watcher() {
+        id -> arrivals.containsKey(id) ? arrivals.get(id).costMs() * NANOS_PER_MS : NANOS_PER_MS,
+        new FakeEngine.Listener() {
           @Override
-          public void arrived(String engine, String id, double work) {
-            log.add(
+          public void forwardArrived(String engine, String id, double work) {
+            events.add(
                 new InvariantChecker.ForwardArrived(
-                    System.nanoTime(), taker.getOrDefault(id, "?"), engine, id, work));
+                    System.nanoTime(), managerOfTask.getOrDefault(id, "?"), engine, id, work));
           }
 
           @Override
-          public void over(String engine, String id, boolean mayHaveRun) {
-            log.add(new InvariantChecker.ForwardEnded(System.nanoTime(), engine, id, mayHaveRun));
+          public void forwardEnded(String engine, String id, boolean mayHaveRun) {
+            events.add(
+                new InvariantChecker.ForwardEnded(System.nanoTime(), engine, id, mayHaveRun));
           }
         });
   }
 
   /** Tells all managers of an engine; each by the address of its own relay. */
-  private synchronized void told(int engine, String phase) {
-    long since = startedAt.getOrDefault(engine, 0L);
-    long unix = since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / MS;
-    log.add(
+  private synchronized void announce(int engine, String phase) {
+    long since = engineStartNanos.getOrDefault(engine, 0L);
+    long unix =
+        since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / NANOS_PER_MS;
+    events.add(
         new InvariantChecker.EngineListed(
-            System.nanoTime(), "e" + engine, enginePlace(engine), phase.equals("ready"), since));
+            System.nanoTime(), "e" + engine, engineZone(engine), phase.equals("ready"), since));
     revision++;
     for (int m = 0; m < managers.size(); m++) {
       channels
           .get(m)
-          .tell(
+          .publish(
               "{\"revision\":"
                   + revision
                   + ",\"complete\":false,\"members\":[{\"id\":\"e"
                   + engine
                   + "\",\"host_port\":\""
-                  + relays.get(m).get(engine).address()
+                  + engineRelays.get(m).get(engine).address()
                   + "\",\"locality\":\""
-                  + enginePlace(engine)
+                  + engineZone(engine)
                   + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\""
                   + phase
                   + "\",\"size\":8,\"up_since_ms\":"
@@ -169,53 +177,54 @@
     }
   }
 
-  String channel(int manager) {
-    return lists.get(manager).address();
+  String channelAddress(int manager) {
+    return channelRelays.get(manager).address();
   }
 
-  String known(int manager) {
-    return channels.get(manager).known();
+  String knownEvents(int manager) {
+    return channels.get(manager).knownEvents();
   }
 
   /** The load and the troubles begin now. */
-  void begin(List<InetSocketAddress> listeners, long from) {
-    start = from;
+  void start(List<InetSocketAddress> listeners, long from) {
+    startNanos = from;
     for (int m = 0; plan.hasLoad() && m < managers.size(); m++) {
       String name = managers.get(m);
-      LoadFile file = LoadFile.checked("fleet.load", plan.getLoad());
-      OpenLoop load = new OpenLoop(file, listeners.get(m), seed * 64 + m, watcher(name));
+      LoadFile file = LoadFile.validated("fleet.load", plan.getLoad());
+      OpenLoopGenerator load =
+          new OpenLoopGenerator(file, listeners.get(m), seed * 64 + m, listener(name));
       loads.add(load);
-      run(load::play);
+      run(load::run);
     }
     for (EngineTrouble one : plan.getEngineTroublesList()) {
-      run(() -> trouble(one, from));
+      run(() -> inject(one, from));
     }
   }
 
   /** Writes down what a manager's clients ask and hear. */
-  private OpenLoop.Watcher watcher(String name) {
-    return new OpenLoop.Watcher() {
+  private OpenLoopGenerator.Listener listener(String name) {
+    return new OpenLoopGenerator.Listener() {
       @Override
-      public void asking(String id, Arrival one, long waitMs) {
-        asked.put(id, one);
-        taker.put(id, name);
+      public void taskSubmitted(String id, Arrival one, long waitMs) {
+        arrivals.put(id, one);
+        managerOfTask.put(id, name);
         long now = System.nanoTime();
-        log.add(
+        events.add(
             new InvariantChecker.TaskSubmitted(
                 now,
                 name,
                 id,
-                one.grade().equals("load")
+                one.queryClass().equals("load")
                     ? InvariantChecker.RetrySafety.NON_IDEMPOTENT
                     : InvariantChecker.RetrySafety.IDEMPOTENT,
                 one.key(),
-                now + waitMs * MS,
+                now + waitMs * NANOS_PER_MS,
                 Set.of()));
       }
 
       @Override
-      public void answered(String id, LabClient.Answer answer) {
-        log.add(
+      public void taskAnswered(String id, LabClient.Answer answer) {
+        events.add(
             new InvariantChecker.TaskAnswered(
                 System.nanoTime(),
                 id,
@@ -227,11 +236,11 @@
       }
 
       @Override
-      public void failed(String id, long connectedAt) {
+      public void taskFailed(String id, long connectedAt) {
         // One that a manager was taken down under is lost with it; one that was never
         // taken is owed nothing.
-        if (connectedAt >= 0 && downSince(name, connectedAt)) {
-          log.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
+        if (connectedAt >= 0 && wentDownSince(name, connectedAt)) {
+          events.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
         }
       }
     };
@@ -241,31 +250,33 @@
    * Was that manager killed or ended since? One that ends closes connections for a while, which
    * tasks may cross.
    */
-  private boolean downSince(String name, long time) {
+  private boolean wentDownSince(String name, long time) {
     return faults.processes().stream()
         .anyMatch(
             one ->
                 one.member().equals(name)
                     && one.kind() != FaultSchedule.ProcessFaultKind.STOP
-                    && start
+                    && startNanos
                             + one.startNanos()
-                            + (one.kind() == FaultSchedule.ProcessFaultKind.END ? ENDING : 0)
+                            + (one.kind() == FaultSchedule.ProcessFaultKind.END
+                                ? SHUTDOWN_NANOS
+                                : 0)
                         >= time
-                    && start + one.startNanos() <= System.nanoTime());
+                    && startNanos + one.startNanos() <= System.nanoTime());
   }
 
   /** That manager has been started again. */
-  void restarted(String name) {
-    log.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
+  void managerRestarted(String name) {
+    events.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
   }
 
-  private interface Step {
+  private interface ThrowingRunnable {
     void run() throws Exception;
   }
 
-  private void run(Step what) {
+  private void run(ThrowingRunnable what) {
     Thread thread =
-        StandInEngine.thread(
+        FakeEngine.daemonThread(
             () -> {
               try {
                 what.run();
@@ -279,38 +290,39 @@
     thread.start();
   }
 
-  private void trouble(EngineTrouble what, long from) throws IOException, InterruptedException {
+  private void inject(EngineTrouble what, long from) throws IOException, InterruptedException {
     int which = Integer.parseInt(what.getEngine().substring(1));
-    sleepUntil(from + what.getAtMs() * MS);
+    sleepUntil(from + what.getAtMs() * NANOS_PER_MS);
     switch (what.getKind()) {
       case RESTART -> {
-        StandInEngine old = swap(which, null);
+        FakeEngine old = replaceEngine(which, null);
         old.close();
-        old.lose();
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
+        old.loseQueries();
+        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
         synchronized (this) {
-          startedAt.put(which, System.nanoTime());
+          engineStartNanos.put(which, System.nanoTime());
         }
-        falls += old.fallen() ? 1 : 0;
-        swap(which, engine(which, engineAddresses.get(which), startedAt.get(which)));
-        told(which, "ready");
+        crashes += old.hasCrashed() ? 1 : 0;
+        replaceEngine(
+            which, engine(which, engineAddresses.get(which), engineStartNanos.get(which)));
+        announce(which, "ready");
       }
       case SLOW -> {
-        engines.get(which).slow(what.getFactor());
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
-        engines.get(which).slow(1);
+        engines.get(which).slowDown(what.getFactor());
+        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
+        engines.get(which).slowDown(1);
       }
       case DRAIN -> {
-        told(which, "draining");
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
-        told(which, "ready");
+        announce(which, "draining");
+        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
+        announce(which, "ready");
       }
       default -> throw new IllegalStateException();
     }
   }
 
-  private synchronized StandInEngine swap(int which, StandInEngine next) {
-    StandInEngine old = engines.get(which);
+  private synchronized FakeEngine replaceEngine(int which, FakeEngine next) {
+    FakeEngine old = engines.get(which);
     if (next != null) {
       engines.set(which, next);
     }
@@ -318,7 +330,7 @@
   }
 
   static void sleepUntil(long time) throws InterruptedException {
-    Thread.sleep(Math.max(0, (time - System.nanoTime()) / MS));
+    Thread.sleep(Math.max(0, (time - System.nanoTime()) / NANOS_PER_MS));
   }
 
   /**
@@ -335,7 +347,7 @@
     Map<String, Double> figures = new TreeMap<>();
     double tasks = 0;
     double good = 0;
-    for (OpenLoop load : loads) {
+    for (OpenLoopGenerator load : loads) {
       Map<String, Double> one = load.figures();
       tasks += one.get("tasks");
       good += one.get("tasks") * one.get("share");
@@ -343,32 +355,32 @@
     EngineForm form = plan.getEngine();
     InvariantChecker.Limits rules =
         new InvariantChecker.Limits(
-            500 * MS,
-            60 * MS,
-            1050 * MS,
+            500 * NANOS_PER_MS,
+            60 * NANOS_PER_MS,
+            1050 * NANOS_PER_MS,
             form.getCores(),
             form.getStartCapacity(),
-            form.getWarmAfterMs() * MS,
+            form.getWarmAfterMs() * NANOS_PER_MS,
             form.getMultiple(),
-            form.getWindowMs() * MS,
+            form.getWindowMs() * NANOS_PER_MS,
             0,
             0,
             0);
     List<InvariantChecker.Event> all;
-    synchronized (log) {
-      all = new ArrayList<>(log);
+    synchronized (events) {
+      all = new ArrayList<>(events);
     }
     all.sort(Comparator.comparingLong(InvariantChecker.Event::at));
     Files.write(
         folder.resolve("seen.log"),
-        all.stream().map(one -> (one.at() - start) / 1000 + " us " + one).toList());
+        all.stream().map(one -> (one.at() - startNanos) / 1000 + " us " + one).toList());
     InvariantChecker.violations(rules, all)
         .forEach((rule, times) -> figures.put("broken." + rule, (double) times));
     InvariantChecker.firstViolations(rules, all).forEach(System.err::println);
-    for (StandInEngine one : engines) {
-      falls += one.fallen() ? 1 : 0;
+    for (FakeEngine one : engines) {
+      crashes += one.hasCrashed() ? 1 : 0;
     }
-    figures.put("engines.fallen", (double) falls);
+    figures.put("engines.fallen", (double) crashes);
     figures.put("tasks", tasks);
     figures.put("share_min", tasks == 0 ? 1 : good / tasks);
     return figures;
@@ -376,18 +388,18 @@
 
   @Override
   public void close() throws IOException {
-    for (StandInEngine one : engines) {
+    for (FakeEngine one : engines) {
       one.close();
     }
-    for (List<StreamRelay> own : relays) {
+    for (List<StreamRelay> own : engineRelays) {
       for (StreamRelay one : own) {
         one.close();
       }
     }
-    for (StreamRelay one : lists) {
+    for (StreamRelay one : channelRelays) {
       one.close();
     }
-    for (StandInChannel one : channels) {
+    for (FakeCommandChannel one : channels) {
       one.close();
     }
   }
--- a/src/main/java/tansytrack/lab/LabClient.java
+++ b/src/main/java/tansytrack/lab/LabClient.java
@@ -19,7 +19,7 @@
   /** What came back: HANDLED, or the SQLSTATE of the error with its text. */
   public record Answer(String code, String text, List<String> columns, List<List<String>> cells) {
     /** How many rows came. */
-    public int rows() {
+    public int rowCount() {
       return cells.size();
     }
 
@@ -29,7 +29,7 @@
     }
   }
 
-  private static final int BEHIND_NAME = 18; // bytes of a column's description
+  private static final int COLUMN_ATTRIBUTES_BYTES = 18; // bytes of a column's description
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
@@ -49,11 +49,11 @@
                 .putInt(3 << 16)
                 .put(who)
                 .array());
-    answer();
+    readAnswer();
   }
 
   /** Sends one simple query and waits for its whole answer. */
-  public Answer ask(String statement) throws IOException {
+  public Answer query(String statement) throws IOException {
     byte[] text = (statement + '\0').getBytes(StandardCharsets.UTF_8);
     socket
         .getOutputStream()
@@ -63,11 +63,11 @@
                 .putInt(4 + text.length)
                 .put(text)
                 .array());
-    return answer();
+    return readAnswer();
   }
 
   /** Reads up to the next ReadyForQuery. */
-  private Answer answer() throws IOException {
+  private Answer readAnswer() throws IOException {
     String code = "HANDLED";
     String text = "";
     List<String> columns = new ArrayList<>();
@@ -82,35 +82,35 @@
           text = field.startsWith("M") ? field.substring(1) : text;
         }
       } else if (type == 'T') {
-        names(ByteBuffer.wrap(body), columns);
+        readColumnNames(ByteBuffer.wrap(body), columns);
       } else if (type == 'D') {
-        cells.add(row(ByteBuffer.wrap(body)));
+        cells.add(readRow(ByteBuffer.wrap(body)));
       } else if (type == 'Z') {
         return new Answer(code, text, columns, cells);
       }
     }
   }
 
-  private static void names(ByteBuffer body, List<String> into) {
+  private static void readColumnNames(ByteBuffer body, List<String> into) {
     for (int left = body.getShort(); left > 0; left--) {
       int from = body.position();
       while (body.get() != 0) {
         // to its end
       }
-      into.add(text(body, from, body.position() - 1 - from));
-      body.position(body.position() + BEHIND_NAME);
+      into.add(decode(body, from, body.position() - 1 - from));
+      body.position(body.position() + COLUMN_ATTRIBUTES_BYTES);
     }
   }
 
-  private static String text(ByteBuffer body, int from, int length) {
+  private static String decode(ByteBuffer body, int from, int length) {
     return new String(body.array(), body.arrayOffset() + from, length, StandardCharsets.UTF_8);
   }
 
-  private static List<String> row(ByteBuffer body) {
+  private static List<String> readRow(ByteBuffer body) {
     List<String> row = new ArrayList<>();
     for (int left = body.getShort(); left > 0; left--) {
       int length = body.getInt();
-      row.add(length < 0 ? "" : text(body, body.position(), length));
+      row.add(length < 0 ? "" : decode(body, body.position(), length));
       body.position(body.position() + Math.max(0, length));
     }
     return row;
--- a/src/main/java/tansytrack/lab/TextFile.java
+++ b/src/main/java/tansytrack/lab/LabInput.java
@@ -13,11 +13,11 @@
  * What the lab's files and options have in common: how they are read, and how their faults are
  * said.
  */
-final class TextFile {
+final class LabInput {
 
-  private TextFile() {}
+  private LabInput() {}
 
-  static String text(String file) {
+  static String read(String file) {
     try {
       return Files.readString(Path.of(file), StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -26,7 +26,7 @@
   }
 
   /** Reads protobuf's text format. */
-  static <B extends Message.Builder> B parsed(String file, String text, B into) {
+  static <B extends Message.Builder> B parse(String file, String text, B into) {
     try {
       TextFormat.merge(text, into);
       return into;
@@ -35,23 +35,23 @@
     }
   }
 
-  static void bounded(String file, String field, double value, double least, double most) {
+  static void requireRange(String file, String field, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
       throw new InvalidInputException(
           file
               + ": "
               + field
               + ": '"
-              + Claims.shown(value)
+              + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + Claims.shown(least)
+              + ClaimEvaluator.format(least)
               + " to "
-              + Claims.shown(most));
+              + ClaimEvaluator.format(most));
     }
   }
 
   /** An address with a port; the lab reaches nothing but this machine. */
-  static InetSocketAddress loopback(String field, String text) {
+  static InetSocketAddress loopbackAddress(String field, String text) {
     int colon = text.lastIndexOf(':');
     try {
       InetSocketAddress at =
--- a/src/main/java/tansytrack/lab/LedgerCheck.java
+++ b/src/main/java/tansytrack/lab/LedgerAudit.java
@@ -22,19 +22,19 @@
  * Holds the ledgers and exports of a run against the engines' own count, and against what a
  * consumer saw meanwhile.
  */
-final class LedgerCheck {
+final class LedgerAudit {
 
-  private final Map<String, byte[]> seen = new HashMap<>();
-  private long changed;
+  private final Map<String, byte[]> batchContents = new HashMap<>();
+  private long changedBatches;
 
   /** A consumer's look at the batches in place: a number must not come again with other bytes. */
-  synchronized void look(List<ManagerProcess> managers) throws IOException {
+  synchronized void inspectBatches(List<ManagerProcess> managers) throws IOException {
     for (ManagerProcess one : managers) {
-      for (Path file : batches(one.exports())) {
+      for (Path file : batches(one.exportFolder())) {
         byte[] bytes = Files.readAllBytes(file);
-        byte[] before = seen.putIfAbsent(file.toString(), bytes);
+        byte[] before = batchContents.putIfAbsent(file.toString(), bytes);
         if (before != null && !java.util.Arrays.equals(before, bytes)) {
-          changed++;
+          changedBatches++;
         }
       }
     }
@@ -49,14 +49,14 @@
     }
   }
 
-  Map<String, Double> figures(List<ManagerProcess> managers, List<StandInEngine> engines)
+  Map<String, Double> figures(List<ManagerProcess> managers, List<FakeEngine> engines)
       throws IOException {
-    look(managers);
+    inspectBatches(managers);
     Map<String, Double> figures = new TreeMap<>();
     MergedLedger ledgers =
-        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::ledger).toList());
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::ledgerFolder).toList());
     MergedLedger exported =
-        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exports).toList());
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exportFolder).toList());
     batches(managers, figures);
     Reconciliation sides = new Reconciliation();
     long unresolved = 0;
@@ -66,7 +66,7 @@
         unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
       }
     }
-    for (StandInEngine engine : engines) {
+    for (FakeEngine engine : engines) {
       try (InputStream in =
           new java.io.ByteArrayInputStream(
               String.join("\n", engine.statement())
@@ -87,7 +87,7 @@
         "entries.resolved_by_engines", (double) kinds.getOrDefault("resolved by the engine", 0L));
     long told = 0;
     for (ManagerProcess one : managers) {
-      try (LedgerStore store = LedgerStore.openForCommand(one.ledger(), FaultInjector.NONE)) {
+      try (LedgerStore store = LedgerStore.openForCommand(one.ledgerFolder(), FaultInjector.NONE)) {
         told += store.reportedRuns().size();
       }
     }
@@ -101,19 +101,19 @@
     figures.put("gaps", (double) ledgers.gaps().size());
     figures.put("export.differs", exported.equals(ledgers) ? 0.0 : 1.0);
     figures.put("forwards.agreed", (double) sides.matchedForwards());
-    figures.put("engines.runs", (double) engines.stream().mapToLong(StandInEngine::runs).sum());
+    figures.put("engines.runs", (double) engines.stream().mapToLong(FakeEngine::queryCount).sum());
     return figures;
   }
 
   private void batches(List<ManagerProcess> managers, Map<String, Double> figures)
       throws IOException {
-    long twice = changed;
+    long twice = changedBatches;
     long skipped = 0;
     long all = 0;
     for (ManagerProcess one : managers) {
       long number = 0;
       long position = 0;
-      for (Path file : batches(one.exports())) {
+      for (Path file : batches(one.exportFolder())) {
         BatchHead head;
         try (InputStream in = Files.newInputStream(file)) {
           head = BatchHead.parseDelimitedFrom(in);
--- a/src/main/java/tansytrack/lab/LedgerBench.java
+++ b/src/main/java/tansytrack/lab/LedgerBenchmark.java
@@ -22,19 +22,19 @@
  * Measures a ledger on this machine: the loop's cost an entry, durable entries a second, the wait
  * of an answer, a start.
  */
-public final class LedgerBench {
+public final class LedgerBenchmark {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long LONGEST = 10 * SECOND;
-  private static final int WARM = 50_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final long MAX_RECORDED_NANOS = 10 * NANOS_PER_SECOND;
+  private static final int WARM_UP_ENTRIES = 50_000;
 
   private final Timers timers = new Timers();
   private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
   private final PrintStream out;
-  private long tasks;
+  private long lastTask;
 
   /** A bench that writes its figures to the stream. */
-  public LedgerBench(PrintStream out) {
+  public LedgerBenchmark(PrintStream out) {
     this.out = out;
   }
 
@@ -58,9 +58,9 @@
             QueryClass.RetrySafety.IDEMPOTENT,
             QueryClass.DeduplicationScope.ALL,
             0,
-            SECOND,
+            NANOS_PER_SECOND,
             1,
-            SECOND,
+            NANOS_PER_SECOND,
             1,
             0,
             false,
@@ -73,7 +73,7 @@
     return LedgerRecorder.start(section, "bench", List.of(grade), timers, inbox::add);
   }
 
-  private void notes() {
+  private void runLoop() {
     timers.now(System.nanoTime());
     for (Runnable one = inbox.poll(); one != null; one = inbox.poll()) {
       one.run();
@@ -82,9 +82,9 @@
   }
 
   /** One task with one forward; gives the time that the ledger took of the loop. */
-  private long entry(LedgerRecorder to, Runnable say) {
-    String id = String.format("%016x", ++tasks);
-    TaskRequest offer = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
+  private long recordTask(LedgerRecorder to, Runnable say) {
+    String id = String.format("%016x", ++lastTask);
+    TaskRequest offer = new TaskRequest(id, "g", "tenant" + lastTask % 1000, null, 0, 0, 0, 0);
     long now = timers.now();
     long from = System.nanoTime();
     to.taskAccepted(now, offer);
@@ -97,62 +97,62 @@
   /** Entries as fast as the disk takes them, with the loop's cost of each. */
   public void throughput(Path folder, int entries) throws IOException {
     LedgerRecorder to = start(folder, "AT_ONCE", 1 << 20);
-    Histogram cost = new Histogram(LONGEST, 3);
+    Histogram cost = new Histogram(MAX_RECORDED_NANOS, 3);
     long from = System.nanoTime();
     for (int i = 0; i < entries; i++) {
-      long took = entry(to, () -> {});
-      if (i >= WARM) {
+      long took = recordTask(to, () -> {});
+      if (i >= WARM_UP_ENTRIES) {
         cost.recordValue(took);
       }
       if (i % 16 == 0) {
-        notes();
+        runLoop();
         while (to.unwritten() > 1 << 18) {
-          LockSupport.parkNanos(SECOND / 10000);
-          notes();
+          LockSupport.parkNanos(NANOS_PER_SECOND / 10000);
+          runLoop();
         }
       }
     }
     while (to.unwritten() > 0) {
-      LockSupport.parkNanos(SECOND / 10000);
-      notes();
+      LockSupport.parkNanos(NANOS_PER_SECOND / 10000);
+      runLoop();
     }
     double took = (System.nanoTime() - from) / 1e9;
     to.close();
     out.printf(
         "durable entries a second: %.0f (%d entries, %.1f s)%n", entries / took, entries, took);
-    told("the loop's cost an entry, ns, as fast as the disk takes them", cost);
+    print("the loop's cost an entry, ns, as fast as the disk takes them", cost);
   }
 
   /**
    * Entries at an even rate, with the loop's cost of each and the wait of an answer for its commit.
    */
-  public void paced(Path folder, int aSecond, int seconds, String wait) throws IOException {
+  public void fixedRate(Path folder, int aSecond, int seconds, String wait) throws IOException {
     LedgerRecorder to = start(folder, wait, 1 << 14);
-    Histogram cost = new Histogram(LONGEST, 3);
-    Histogram waited = new Histogram(LONGEST, 3);
+    Histogram cost = new Histogram(MAX_RECORDED_NANOS, 3);
+    Histogram waited = new Histogram(MAX_RECORDED_NANOS, 3);
     long from = System.nanoTime();
     for (int i = 0; i < aSecond * seconds; i++) {
-      long due = from + i * SECOND / aSecond;
+      long due = from + i * NANOS_PER_SECOND / aSecond;
       while (System.nanoTime() < due) {
-        notes();
+        runLoop();
         LockSupport.parkNanos(20_000);
       }
-      notes();
+      runLoop();
       long asked = System.nanoTime();
-      long took = entry(to, () -> waited.recordValue(System.nanoTime() - asked));
+      long took = recordTask(to, () -> waited.recordValue(System.nanoTime() - asked));
       if (i >= aSecond * seconds / 4) {
         cost.recordValue(took);
       }
     }
     while (to.unwritten() > 0) {
-      notes();
+      runLoop();
     }
     to.close();
-    told("the loop's cost an entry, ns, at " + aSecond + " a second, " + wait, cost);
-    told("the answer's wait, ns, at " + aSecond + " a second, " + wait, waited);
+    print("the loop's cost an entry, ns, at " + aSecond + " a second, " + wait, cost);
+    print("the answer's wait, ns, at " + aSecond + " a second, " + wait, waited);
   }
 
-  private void told(String what, Histogram of) {
+  private void print(String what, Histogram of) {
     out.printf(
         "%s: median %d, 99%% %d, 99.9%% %d, most %d (%d)%n",
         what,
@@ -167,12 +167,12 @@
   public void restart(Path folder, Path copy) throws IOException {
     LedgerRecorder held = start(folder, "AT_ONCE", 1 << 14);
     for (int i = 0; i < 1000; i++) {
-      String id = String.format("%016x", ++tasks);
+      String id = String.format("%016x", ++lastTask);
       held.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
       held.beforeForward(timers.now(), id, 0, "engine-a", 64, () -> {});
     }
     while (held.unwritten() > 0) {
-      notes();
+      runLoop();
     }
     Files.createDirectories(copy);
     try (Stream<Path> files = Files.list(folder)) {
--- a/src/main/java/tansytrack/lab/LedgerRun.java
+++ b/src/main/java/tansytrack/lab/LedgerRun.java
@@ -18,35 +18,34 @@
  */
 final class LedgerRun implements AutoCloseable {
 
-  private static final int PATIENCE_MS = 4000;
-  private static final int PAUSE_MS = 20; // of a client whose manager is away
-  private static final int WAIT_MS = 2500; // that a client gives its task
+  private static final int CLIENT_TIMEOUT_MS = 4000;
+  private static final int RECONNECT_DELAY_MS = 20; // of a client whose manager is away
+  private static final int TASK_TIMEOUT_MS = 2500; // that a client gives its task
 
   private final Experiment experiment;
-  private final SplittableRandom chance;
-  private final List<StandInEngine> engines = new ArrayList<>();
+  private final SplittableRandom random;
+  private final List<FakeEngine> engines = new ArrayList<>();
   private final List<ManagerProcess> managers = new ArrayList<>();
-  private final StandInChannel channel;
-  private final LedgerCheck check = new LedgerCheck();
-  private final AtomicLong asked = new AtomicLong();
+  private final FakeCommandChannel channel;
+  private final LedgerAudit audit = new LedgerAudit();
+  private final AtomicLong submitted = new AtomicLong();
   private final AtomicLong handled = new AtomicLong();
-  private final AtomicLong refused = new AtomicLong();
-  private final AtomicLong lost = new AtomicLong();
+  private final AtomicLong rejected = new AtomicLong();
+  private final AtomicLong unanswered = new AtomicLong();
   private long exportsKilled;
   private long managersKilled;
-  private volatile boolean over;
+  private volatile boolean stopping;
   private volatile IOException failure;
 
   LedgerRun(Experiment experiment, long seed, Path folder) throws IOException {
     this.experiment = experiment;
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    channel = new StandInChannel(any);
+    channel = new FakeCommandChannel(any);
     StringBuilder members = new StringBuilder();
     for (int i = 0; i < experiment.getEngines(); i++) {
-      StandInEngine engine =
-          new StandInEngine(
-              "e" + i, any, experiment.getLeastWorkMs(), experiment.getSpreadWorkMs());
+      FakeEngine engine =
+          new FakeEngine("e" + i, any, experiment.getLeastWorkMs(), experiment.getSpreadWorkMs());
       engines.add(engine);
       members
           .append(i > 0 ? "," : "")
@@ -57,7 +56,7 @@
           .append(
               "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\"ready\",\"size\":8,\"up_since_ms\":0}");
     }
-    channel.tell("{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}");
+    channel.publish("{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}");
     for (int i = 0; i < experiment.getManagers(); i++) {
       managers.add(
           new ManagerProcess(
@@ -70,7 +69,7 @@
   }
 
   /** Plays it, and gives its figures. */
-  Map<String, Double> play() throws IOException, InterruptedException {
+  Map<String, Double> run() throws IOException, InterruptedException {
     for (ManagerProcess one : managers) {
       one.start();
     }
@@ -78,24 +77,24 @@
     for (int m = 0; m < managers.size(); m++) {
       ManagerProcess to = managers.get(m);
       for (int c = 0; c < experiment.getClients(); c++) {
-        SplittableRandom own = chance.split();
+        SplittableRandom own = random.split();
         long ids = (long) (m + 1) << 40 | (long) (c + 1) << 24;
-        threads.add(StandInEngine.thread(() -> client(to, ids, own)));
+        threads.add(FakeEngine.daemonThread(() -> runClient(to, ids, own)));
       }
       if (experiment.getExportEveryMs() > 0) {
-        threads.add(StandInEngine.thread(() -> exports(to)));
+        threads.add(FakeEngine.daemonThread(() -> runExports(to)));
       }
     }
     long start = System.nanoTime();
     for (Fault fault : experiment.getFaultsList()) {
       long at =
           (long) fault.getAtMs()
-              + (fault.getSpreadMs() > 0 ? chance.nextInt(fault.getSpreadMs()) : 0);
-      threads.add(StandInEngine.thread(() -> fault(fault, start + at * 1_000_000)));
+              + (fault.getSpreadMs() > 0 ? random.nextInt(fault.getSpreadMs()) : 0);
+      threads.add(FakeEngine.daemonThread(() -> inject(fault, start + at * 1_000_000)));
     }
     threads.forEach(Thread::start);
     Thread.sleep(experiment.getSeconds() * 1000L);
-    over = true;
+    stopping = true;
     for (Thread one : threads) {
       one.join();
     }
@@ -103,11 +102,11 @@
       throw failure;
     }
     endManagers();
-    Map<String, Double> figures = check.figures(managers, engines);
-    figures.put("tasks.asked", (double) asked.get());
+    Map<String, Double> figures = audit.figures(managers, engines);
+    figures.put("tasks.asked", (double) submitted.get());
     figures.put("tasks.handled", (double) handled.get());
-    figures.put("tasks.refused", (double) refused.get());
-    figures.put("tasks.without_answer", (double) lost.get());
+    figures.put("tasks.refused", (double) rejected.get());
+    figures.put("tasks.without_answer", (double) unanswered.get());
     figures.put("exports.killed", (double) exportsKilled);
     figures.put("managers.killed", (double) managersKilled);
     return figures;
@@ -121,47 +120,47 @@
       }
     }
     for (ManagerProcess one : managers) {
-      if (one.export().waitFor() != 0) {
+      if (one.startExport().waitFor() != 0) {
         throw new IOException("the last export of " + one.name + " failed; see export.log");
       }
     }
   }
 
-  private void client(ManagerProcess to, long ids, SplittableRandom own) {
+  private void runClient(ManagerProcess to, long ids, SplittableRandom own) {
     long number = ids;
-    while (!over) {
-      try (LabClient client = new LabClient(to.listen, PATIENCE_MS)) {
-        while (!over) {
-          asked.incrementAndGet();
+    while (!stopping) {
+      try (LabClient client = new LabClient(to.listenAddress, CLIENT_TIMEOUT_MS)) {
+        while (!stopping) {
+          submitted.incrementAndGet();
           String grade = own.nextInt(4) == 0 ? "load" : "query";
           boolean answered = false;
           try {
             LabClient.Answer answer =
-                client.ask(
+                client.query(
                     "/* class="
                         + grade
                         + ",id="
                         + String.format("%016x", ++number)
                         + ",wait="
-                        + WAIT_MS
+                        + TASK_TIMEOUT_MS
                         + ",tenant=t"
                         + own.nextInt(3)
                         + ",mb=8,cost=10 */ SELECT day FROM sales_"
                         + own.nextInt(20)
                         + ".orders");
             answered = true;
-            (answer.handled() ? handled : refused).incrementAndGet();
+            (answer.handled() ? handled : rejected).incrementAndGet();
           } finally {
-            lost.addAndGet(answered ? 0 : 1);
+            unanswered.addAndGet(answered ? 0 : 1);
           }
         }
       } catch (IOException e) {
-        pause(PAUSE_MS);
+        sleep(RECONNECT_DELAY_MS);
       }
     }
   }
 
-  private static void pause(long ms) {
+  private static void sleep(long ms) {
     try {
       Thread.sleep(ms);
     } catch (InterruptedException e) {
@@ -169,12 +168,12 @@
     }
   }
 
-  private void exports(ManagerProcess of) {
-    while (!over) {
-      pause(experiment.getExportEveryMs());
+  private void runExports(ManagerProcess of) {
+    while (!stopping) {
+      sleep(experiment.getExportEveryMs());
       try {
-        of.export().waitFor();
-        check.look(managers);
+        of.startExport().waitFor();
+        audit.inspectBatches(managers);
       } catch (IOException e) {
         failure = e;
       } catch (InterruptedException e) {
@@ -183,22 +182,22 @@
     }
   }
 
-  private void fault(Fault fault, long at) {
-    pause(Math.max(0, (at - System.nanoTime()) / 1_000_000));
+  private void inject(Fault fault, long at) {
+    sleep(Math.max(0, (at - System.nanoTime()) / 1_000_000));
     ManagerProcess of = managers.get(fault.getManager());
     try {
       if (fault.getKind() == Fault.Kind.KILL_MANAGER) {
         synchronized (of) { // a kill waits until the start before it is over
           of.kill();
-          pause(fault.getForMs());
+          sleep(fault.getForMs());
           of.start();
         }
         synchronized (this) {
           managersKilled++;
         }
       } else {
-        Process export = of.export();
-        pause(fault.getForMs() + (fault.getSpreadMs() > 0 ? at / 1000 % fault.getSpreadMs() : 0));
+        Process export = of.startExport();
+        sleep(fault.getForMs() + (fault.getSpreadMs() > 0 ? at / 1000 % fault.getSpreadMs() : 0));
         boolean running = export.isAlive();
         export.destroyForcibly().waitFor();
         synchronized (this) {
@@ -215,7 +214,7 @@
   @Override
   public void close() throws IOException {
     managers.forEach(ManagerProcess::close);
-    for (StandInEngine engine : engines) {
+    for (FakeEngine engine : engines) {
       engine.close();
     }
     channel.close();
--- a/src/main/java/tansytrack/lab/LoadCommand.java
+++ b/src/main/java/tansytrack/lab/LoadCommand.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import tansytrack.lab.load.Latencies;
+import tansytrack.lab.load.LatencyStatistics;
 
 /** Plays a load file against a listener on loopback and judges its claims. */
 public final class LoadCommand {
@@ -17,36 +17,39 @@
   public static boolean run(String name, String to, long seed, Path out, PrintStream told)
       throws IOException, InterruptedException {
     LoadFile file = LoadFile.read(name);
-    OpenLoop loop = new OpenLoop(file, TextFile.loopback("--to", to), seed);
-    loop.play();
+    OpenLoopGenerator loop =
+        new OpenLoopGenerator(file, LabInput.loopbackAddress("--to", to), seed);
+    loop.run();
     Map<String, Double> figures = loop.figures();
     Files.createDirectories(out);
     StringBuilder csv = new StringBuilder("second,tasks,share,latency_ms_p50,latency_ms_p99\n");
-    for (Map.Entry<Long, Latencies.Window> one : loop.latencies().seconds().entrySet()) {
-      Latencies.Window window = one.getValue();
+    for (Map.Entry<Long, LatencyStatistics.Totals> one : loop.latencies().seconds().entrySet()) {
+      LatencyStatistics.Totals window = one.getValue();
       csv.append(one.getKey())
           .append(',')
           .append(window.tasks())
           .append(',')
-          .append(Claims.shown(window.share()))
+          .append(ClaimEvaluator.format(window.share()))
           .append(',')
-          .append(Claims.shown(window.latency(50) / 1e6))
+          .append(ClaimEvaluator.format(window.latency(50) / 1e6))
           .append(',')
-          .append(Claims.shown(window.latency(99) / 1e6))
+          .append(ClaimEvaluator.format(window.latency(99) / 1e6))
           .append('\n');
     }
     Files.writeString(out.resolve("seconds.csv"), csv);
-    told.println(loop.punctuality().said());
-    if (loop.punctuality().isVoid()) {
+    told.println(loop.sendDelays().summary());
+    if (loop.sendDelays().isVoid()) {
       return false;
     }
-    figures.forEach((figure, value) -> told.printf("%-34s %s%n", figure, Claims.shown(value)));
-    List<Claims.Judged> judged = Claims.judge(file.load.getClaimsList(), figures);
+    figures.forEach(
+        (figure, value) -> told.printf("%-34s %s%n", figure, ClaimEvaluator.format(value)));
+    List<ClaimEvaluator.ClaimResult> judged =
+        ClaimEvaluator.evaluate(file.definition.getClaimsList(), figures);
     judged.forEach(
         one ->
             told.printf(
                 "%-34s %-14s %-14s %s%n",
                 one.figure(), one.bound(), one.measured(), one.held() ? "held" : "NOT HELD"));
-    return judged.stream().allMatch(Claims.Judged::held);
+    return judged.stream().allMatch(ClaimEvaluator.ClaimResult::held);
   }
 }
--- a/src/main/java/tansytrack/lab/ManagerProcess.java
+++ b/src/main/java/tansytrack/lab/ManagerProcess.java
@@ -19,7 +19,7 @@
  */
 final class ManagerProcess implements AutoCloseable {
 
-  private static final long PATIENCE_MS = 20_000;
+  private static final long START_STOP_TIMEOUT_MS = 20_000;
   private static final String SETTINGS =
       "{\"siblings\":1,\"skus\":[\"k\"],\"extra\":{\"cpu_of_kind\":[8],"
           + "\"memory_by_kind_mb\":[8192],"
@@ -40,13 +40,17 @@
 
   final String name;
   final Path folder;
-  final InetSocketAddress listen;
+  final InetSocketAddress listenAddress;
   private Process process;
   private String jar;
-  private int starts;
+  private int startCount;
 
   ManagerProcess(
-      String name, Path folder, StandInChannel channel, boolean forwardsWait, boolean answersWait)
+      String name,
+      Path folder,
+      FakeCommandChannel channel,
+      boolean forwardsWait,
+      boolean answersWait)
       throws IOException {
     this(
         name,
@@ -65,9 +69,9 @@
   }
 
   /** With that text as its operators' file, at a free port of that address. */
-  ManagerProcess(String name, Path folder, StandInChannel channel, String host, String operator)
+  ManagerProcess(String name, Path folder, FakeCommandChannel channel, String host, String operator)
       throws IOException {
-    this(name, folder, channel.address(), channel.known(), host, operator, SETTINGS);
+    this(name, folder, channel.address(), channel.knownEvents(), host, operator, SETTINGS);
   }
 
   /** With settings of its own, and the list at that address. */
@@ -83,7 +87,7 @@
     this.name = name;
     this.folder = Files.createDirectories(folder);
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-      listen = new InetSocketAddress(host, free.getLocalPort());
+      listenAddress = new InetSocketAddress(host, free.getLocalPort());
     }
     Files.writeString(
         folder.resolve("config.json"),
@@ -92,7 +96,7 @@
             + "\",\"listen\":\""
             + host
             + ':'
-            + listen.getPort()
+            + listenAddress.getPort()
             + "\",\"seed\":\""
             + Integer.toHexString(name.hashCode())
             + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"channel\":\""
@@ -127,11 +131,11 @@
                         + engine.getWindowMs()));
   }
 
-  Path ledger() {
+  Path ledgerFolder() {
     return folder.resolve("ledger");
   }
 
-  Path exports() {
+  Path exportFolder() {
     return folder.resolve("out");
   }
 
@@ -140,12 +144,12 @@
   }
 
   /** From now on it runs from that jar; null: this program. */
-  void version(String path) {
+  void useJar(String path) {
     jar = path;
   }
 
   /** This program with these arguments, its output in a file. */
-  Process program(String log, String... arguments) throws IOException {
+  Process startProgram(String log, String... arguments) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -169,20 +173,20 @@
   /** Starts it and waits until it listens. */
   void start() throws IOException, InterruptedException {
     launch();
-    listens();
+    awaitListening();
   }
 
   /** Starts it. */
   void launch() throws IOException {
-    String log = "manager-" + ++starts + ".log";
+    String log = "manager-" + ++startCount + ".log";
     Files.deleteIfExists(folder.resolve(log)); // of an earlier run in the same folder
-    process = program(log, "serve", "--operator", operatorFile().toString());
+    process = startProgram(log, "serve", "--operator", operatorFile().toString());
   }
 
   /** Waits until it listens. */
-  void listens() throws IOException, InterruptedException {
-    String log = "manager-" + starts + ".log";
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+  void awaitListening() throws IOException, InterruptedException {
+    String log = "manager-" + startCount + ".log";
+    long until = System.nanoTime() + START_STOP_TIMEOUT_MS * 1_000_000;
     while (!Files.readString(folder.resolve(log), StandardCharsets.UTF_8).contains("listens at")) {
       if (!process.isAlive() || System.nanoTime() > until) {
         throw new IOException(name + " does not come up: " + Files.readString(folder.resolve(log)));
@@ -202,9 +206,9 @@
   }
 
   /** What it logged in all its starts. */
-  List<String> lines() throws IOException {
+  List<String> logLines() throws IOException {
     List<String> all = new ArrayList<>();
-    for (int i = 1; i <= starts; i++) {
+    for (int i = 1; i <= startCount; i++) {
       all.addAll(
           Files.readAllLines(folder.resolve("manager-" + i + ".log"), StandardCharsets.UTF_8));
     }
@@ -214,22 +218,22 @@
   /** SIGTERM; false where it had to be killed. */
   boolean stop() throws InterruptedException {
     process.destroy();
-    if (process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+    if (process.waitFor(START_STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       return true;
     }
     kill();
     return false;
   }
 
-  Process export() throws IOException {
-    return program(
+  Process startExport() throws IOException {
+    return startProgram(
         "export.log",
         "ledger",
         "export",
         "--ledger",
-        ledger().toString(),
+        ledgerFolder().toString(),
         "--to",
-        exports().toString());
+        exportFolder().toString());
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -8,7 +8,7 @@
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.lab.scale.ScalePlan;
 import tansytrack.lab.scale.ScaleResult;
-import tansytrack.lab.scale.ScaleWorld;
+import tansytrack.lab.scale.ScaleSimulation;
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
@@ -26,19 +26,19 @@
   }
 
   /** Says what in the file cannot be used. */
-  static void checked(String file, Experiment read) {
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
+  static void validate(String file, Experiment read) {
+    LabInput.requireRange(file, "runs", read.getRuns(), 1, 1000);
     for (ScalePart part : read.getScaleList()) {
       if (part.getName().isEmpty()) {
         throw new InvalidInputException(file + ": scale.name: ''; allowed: a name");
       }
-      TextFile.bounded(file, "scale.managers", part.getManagers(), 1, Integer.MAX_VALUE);
-      TextFile.bounded(file, "scale.engines", part.getEngines(), 1, Integer.MAX_VALUE);
-      TextFile.bounded(file, "scale.zones", part.getZones(), 1, part.getEngines());
-      TextFile.bounded(file, "scale.seconds", part.getSeconds(), 1, 3600);
-      TextFile.bounded(file, "scale.rate", part.getRate(), 0.01, 10_000);
+      LabInput.requireRange(file, "scale.managers", part.getManagers(), 1, Integer.MAX_VALUE);
+      LabInput.requireRange(file, "scale.engines", part.getEngines(), 1, Integer.MAX_VALUE);
+      LabInput.requireRange(file, "scale.zones", part.getZones(), 1, part.getEngines());
+      LabInput.requireRange(file, "scale.seconds", part.getSeconds(), 1, 3600);
+      LabInput.requireRange(file, "scale.rate", part.getRate(), 0.01, 10_000);
       ScaleTable.schedule(file + ": scale.schedule", scheduleName(part));
-      ScaleTable.checked(plan(part, 0));
+      ScaleTable.validate(plan(part, 0));
     }
     if (read.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -46,7 +46,9 @@
   }
 
   private static String scheduleName(ScalePart part) {
-    return part.getSchedule().isEmpty() ? FailureSchedule.REST.text() : part.getSchedule();
+    return part.getSchedule().isEmpty()
+        ? FailureSchedule.NO_FAILURE.scheduleName()
+        : part.getSchedule();
   }
 
   private static ScalePlan plan(ScalePart part, long seed) {
@@ -61,18 +63,18 @@
   }
 
   /** Plays its parts, and gives their figures. */
-  Map<String, Double> play() {
+  Map<String, Double> run() {
     for (ScalePart part : experiment.getScaleList()) {
-      ScaleMemory.checked(
+      ScaleMemory.requireMemory(
           plan(part, seed),
           factory,
-          ScaleMemory.limit(),
+          ScaleMemory.limitBytes(),
           (double) Runtime.getRuntime().maxMemory());
     }
     Map<String, Double> figures = new TreeMap<>();
     for (ScalePart part : experiment.getScaleList()) {
-      ScaleWorld world = new ScaleWorld(plan(part, seed), factory, Workers.ALONE);
-      world.play(new ProgressLine(part.getName(), System.err));
+      ScaleSimulation world = new ScaleSimulation(plan(part, seed), factory, Workers.SEQUENTIAL);
+      world.run(new ProgressLine(part.getName(), System.err));
       ScaleResult.of(world)
           .figures()
           .forEach((name, figure) -> figures.put(part.getName() + '.' + name, figure));
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -14,7 +14,7 @@
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.lab.scale.ScalePlan;
 import tansytrack.lab.scale.ScaleResult;
-import tansytrack.lab.scale.ScaleWorld;
+import tansytrack.lab.scale.ScaleSimulation;
 import tansytrack.lab.scale.Slope;
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
@@ -22,12 +22,12 @@
 /** Plays hollow fleets at one size or several, and leaves tables, CSV and charts. */
 public final class ScaleTable {
 
-  private static final double MIB = 1024.0 * 1024;
-  private static final int MOST_THREADS = 64;
-  private static final String HEAP = "heap_bytes";
+  private static final double BYTES_PER_MIB = 1024.0 * 1024;
+  private static final int MAX_THREADS = 64;
+  private static final String HEAP_FIGURE = "heap_bytes";
 
   /** What grows from size to size. */
-  public enum Grows {
+  public enum Dimension {
     MANAGERS,
     ENGINES,
     BOTH
@@ -40,7 +40,7 @@
    * @param factor between two
    * @param grows what differs
    */
-  public record Ladder(int sizes, int factor, Grows grows) {}
+  public record SizeSeries(int sizes, int factor, Dimension dimension) {}
 
   private final ModuleFactory factory;
   private final Workers workers;
@@ -57,55 +57,55 @@
   /** Plays all sizes of a ladder on so many threads, the progress told apart from the table. */
   public static void run(
       ScalePlan largest,
-      Ladder ladder,
+      SizeSeries ladder,
       ModuleFactory factory,
       int threads,
       Path out,
       PrintStream to,
       PrintStream progress)
       throws IOException {
-    bounded("--threads", threads, 1, MOST_THREADS);
-    try (WorkerThreads workers = new WorkerThreads(threads)) {
-      new ScaleTable(factory, threads == 1 ? Workers.ALONE : workers, to, progress)
+    requireRange("--threads", threads, 1, MAX_THREADS);
+    try (ThreadPoolWorkers workers = new ThreadPoolWorkers(threads)) {
+      new ScaleTable(factory, threads == 1 ? Workers.SEQUENTIAL : workers, to, progress)
           .run(largest, ladder, out);
     }
   }
 
   /** Names the option that cannot be used, its value and what is allowed. */
-  public static void checked(ScalePlan plan) {
-    bounded("--managers", plan.managers(), 1, Integer.MAX_VALUE);
-    bounded("--engines", plan.engines(), 1, Integer.MAX_VALUE);
-    bounded("--zones", plan.zones(), 1, plan.engines());
-    bounded("--seconds", plan.seconds(), 1, 3600);
-    bounded("--rate", plan.rate(), 0.01, 10_000);
-    if (plan.meanCost() < ScalePlan.LEAST_COST) {
+  public static void validate(ScalePlan plan) {
+    requireRange("--managers", plan.managers(), 1, Integer.MAX_VALUE);
+    requireRange("--engines", plan.engines(), 1, Integer.MAX_VALUE);
+    requireRange("--zones", plan.zones(), 1, plan.engines());
+    requireRange("--seconds", plan.seconds(), 1, 3600);
+    requireRange("--rate", plan.rate(), 0.01, 10_000);
+    if (plan.meanCostNanos() < ScalePlan.MIN_MEAN_COST_NANOS) {
       throw new InvalidInputException(
           String.format(
               Locale.ROOT,
               "--rate '%s': statements of %d ns would fill the engines;"
                   + " allowed: at most %.1f at this size",
-              Claims.shown(plan.rate()),
-              plan.meanCost(),
-              plan.rate() * plan.meanCost() / ScalePlan.LEAST_COST));
+              ClaimEvaluator.format(plan.rate()),
+              plan.meanCostNanos(),
+              plan.rate() * plan.meanCostNanos() / ScalePlan.MIN_MEAN_COST_NANOS));
     }
   }
 
-  private static void bounded(String option, double value, double least, double most) {
+  private static void requireRange(String option, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
       throw new InvalidInputException(
           option
               + " '"
-              + Claims.shown(value)
+              + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + Claims.shown(least)
+              + ClaimEvaluator.format(least)
               + " to "
-              + Claims.shown(most));
+              + ClaimEvaluator.format(most));
     }
   }
 
   /** The schedule of that name. */
   public static FailureSchedule schedule(String option, String name) {
-    return FailureSchedule.named(name)
+    return FailureSchedule.fromName(name)
         .orElseThrow(
             () ->
                 new InvalidInputException(
@@ -113,61 +113,62 @@
   }
 
   /** The plans of a ladder, the smallest first. */
-  static List<ScalePlan> rungs(ScalePlan largest, Ladder ladder) {
-    bounded("--sizes", ladder.sizes(), 1, 20);
+  static List<ScalePlan> plans(ScalePlan largest, SizeSeries ladder) {
+    requireRange("--sizes", ladder.sizes(), 1, 20);
     if (ladder.sizes() > 1) {
-      bounded("--sizes", ladder.sizes(), Slope.LEAST_SIZES, 20);
-      bounded("--factor", ladder.factor(), 2, 100);
+      requireRange("--sizes", ladder.sizes(), Slope.MIN_SIZES, 20);
+      requireRange("--factor", ladder.factor(), 2, 100);
     }
     List<ScalePlan> rungs = new ArrayList<>();
     for (int i = ladder.sizes() - 1; i >= 0; i--) {
       double by = Math.pow(ladder.factor(), i);
-      double managers = ladder.grows() == Grows.ENGINES ? 1 : by;
-      double engines = ladder.grows() == Grows.MANAGERS ? 1 : by;
+      double managers = ladder.dimension() == Dimension.ENGINES ? 1 : by;
+      double engines = ladder.dimension() == Dimension.MANAGERS ? 1 : by;
       ScalePlan rung =
-          largest.sized(
+          largest.withSize(
               (int) Math.round(largest.managers() / managers),
               (int) Math.round(largest.engines() / engines));
-      checked(rung);
+      validate(rung);
       rungs.add(rung);
     }
     return rungs;
   }
 
   /** Plays all sizes; nothing starts where one of them cannot be held. */
-  private void run(ScalePlan largest, Ladder ladder, Path out) throws IOException {
-    List<ScalePlan> rungs = rungs(largest, ladder);
+  private void run(ScalePlan largest, SizeSeries ladder, Path out) throws IOException {
+    List<ScalePlan> rungs = plans(largest, ladder);
     for (ScalePlan rung : rungs) {
       double heap = (double) Runtime.getRuntime().maxMemory();
-      ScaleMemory.checked(rung, factory, ScaleMemory.limit(), heap);
+      ScaleMemory.requireMemory(rung, factory, ScaleMemory.limitBytes(), heap);
     }
     Files.createDirectories(out);
     List<ScaleResult> results = new ArrayList<>();
     List<Double> heaps = new ArrayList<>();
     for (ScalePlan rung : rungs) {
-      Path folder = rungs.size() == 1 ? out : out.resolve(size(rung));
+      Path folder = rungs.size() == 1 ? out : out.resolve(sizeLabel(rung));
       Files.createDirectories(folder);
-      heaps.add(played(rung, folder, results));
+      heaps.add(runSize(rung, folder, results));
     }
-    table(results);
-    Files.writeString(out.resolve("result.csv"), csv(results));
+    printTable(results);
+    Files.writeString(out.resolve("result.csv"), resultCsv(results));
     if (rungs.size() > 1) {
-      slopes(results, heaps, ladder, out);
+      writeSlopes(results, heaps, ladder, out);
     }
   }
 
-  private static String size(ScalePlan plan) {
+  private static String sizeLabel(ScalePlan plan) {
     return plan.managers() + "x" + plan.engines();
   }
 
   /** The heap that the managers hold behind it, in bytes. */
-  private double played(ScalePlan plan, Path folder, List<ScaleResult> results) throws IOException {
+  private double runSize(ScalePlan plan, Path folder, List<ScaleResult> results)
+      throws IOException {
     long from = System.nanoTime();
-    ScaleWorld world = new ScaleWorld(plan, factory, workers);
-    double before = usedHeap();
-    world.play(new ProgressLine(size(plan), progress));
+    ScaleSimulation world = new ScaleSimulation(plan, factory, workers);
+    double before = usedHeapBytes();
+    world.run(new ProgressLine(sizeLabel(plan), progress));
     double took = (System.nanoTime() - from) / 1e9;
-    double heap = usedHeap() - before;
+    double heap = usedHeapBytes() - before;
     ScaleResult result = ScaleResult.of(world);
     results.add(result);
     double pairs = result.figures().get(ScaleResult.PAIRS_KNOWN);
@@ -175,54 +176,54 @@
         String.format(
             Locale.ROOT,
             "%s: %.1f s of real time; heap %.0f MiB, %.0f bytes a manager, %.0f bytes a pair",
-            size(plan),
+            sizeLabel(plan),
             took,
-            heap / MIB,
+            heap / BYTES_PER_MIB,
             heap / plan.managers(),
             heap / Math.max(1, pairs));
     progress.println(timing);
     Files.writeString(folder.resolve("timing.txt"), timing + "\n");
-    Files.writeString(folder.resolve("engines.csv"), engines(result));
-    Files.writeString(folder.resolve("managers.csv"), managers(result));
+    Files.writeString(folder.resolve("engines.csv"), enginesCsv(result));
+    Files.writeString(folder.resolve("managers.csv"), managersCsv(result));
     ScaleCharts.work(result, folder);
     ScaleCharts.inTime(result, folder);
     return heap;
   }
 
-  private static double usedHeap() {
+  private static double usedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  private void table(List<ScaleResult> results) {
+  private void printTable(List<ScaleResult> results) {
     for (ScaleResult result : results) {
       ScalePlan plan = result.plan();
       to.printf(
           Locale.ROOT,
           "%s, %d zones, schedule %s, seed %d, %d s; thinned: %s statements a second and manager,%n"
               + "%.1f ms of work each on average, %.0f an engine, %.0f%% of all cores%n",
-          size(plan),
+          sizeLabel(plan),
           plan.zones(),
-          plan.schedule().text(),
+          plan.schedule().scheduleName(),
           plan.seed(),
           plan.seconds(),
-          Claims.shown(plan.rate()),
-          plan.meanCost() / 1e6,
+          ClaimEvaluator.format(plan.rate()),
+          plan.meanCostNanos() / 1e6,
           plan.statementsPerEngine(),
-          ScalePlan.UTILISATION * 100);
+          ScalePlan.TARGET_UTILIZATION * 100);
     }
     to.printf("%-28s", "figure");
-    results.forEach(one -> to.printf("%16s", size(one.plan())));
+    results.forEach(one -> to.printf("%16s", sizeLabel(one.plan())));
     to.println();
     for (String name : results.get(0).figures().keySet()) {
       to.printf("%-28s", name);
-      results.forEach(one -> to.printf("%16s", Claims.shown(one.figures().get(name))));
+      results.forEach(one -> to.printf("%16s", ClaimEvaluator.format(one.figures().get(name))));
       to.println();
     }
   }
 
-  private static String csv(List<ScaleResult> results) {
+  private static String resultCsv(List<ScaleResult> results) {
     String names = String.join(",", results.get(0).figures().keySet());
     StringBuilder csv =
         new StringBuilder("managers,engines,zones,seconds,rate,schedule,seed," + names + "\n");
@@ -230,44 +231,49 @@
       ScalePlan plan = result.plan();
       csv.append(plan.managers()).append(',').append(plan.engines()).append(',');
       csv.append(plan.zones()).append(',').append(plan.seconds()).append(',');
-      csv.append(Claims.shown(plan.rate())).append(',').append(plan.schedule().text());
+      csv.append(ClaimEvaluator.format(plan.rate()))
+          .append(',')
+          .append(plan.schedule().scheduleName());
       csv.append(',').append(plan.seed());
-      result.figures().values().forEach(one -> csv.append(',').append(Claims.shown(one)));
+      result.figures().values().forEach(one -> csv.append(',').append(ClaimEvaluator.format(one)));
       csv.append('\n');
     }
     return csv.toString();
   }
 
-  private static String engines(ScaleResult result) {
+  private static String enginesCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("engine,zone,attempts,work_ns,known_by,used_by\n");
     for (ScaleResult.EngineWork one : result.engines()) {
       csv.append(one.id()).append(',').append(one.zone()).append(',').append(one.attempts());
-      csv.append(',').append(one.work()).append(',').append(one.knownBy());
-      csv.append(',').append(one.usedBy()).append('\n');
+      csv.append(',').append(one.workNanos()).append(',').append(one.knownByManagers());
+      csv.append(',').append(one.usedByManagers()).append('\n');
     }
     return csv.toString();
   }
 
-  private static String managers(ScaleResult result) {
+  private static String managersCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("manager,zone,known,used\n");
     for (ScaleResult.ManagerPairs one : result.managers()) {
-      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.known());
-      csv.append(',').append(one.used()).append('\n');
+      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.knownEngines());
+      csv.append(',').append(one.usedEngines()).append('\n');
     }
     return csv.toString();
   }
 
   /** Counts by size, with the largest predicted from the others; heap apart, as it is no count. */
-  private void slopes(List<ScaleResult> results, List<Double> heaps, Ladder ladder, Path out)
+  private void writeSlopes(
+      List<ScaleResult> results, List<Double> heaps, SizeSeries ladder, Path out)
       throws IOException {
     double[] sizes =
         results.stream()
             .mapToDouble(
                 one ->
-                    ladder.grows() == Grows.MANAGERS ? one.plan().managers() : one.plan().engines())
+                    ladder.dimension() == Dimension.MANAGERS
+                        ? one.plan().managers()
+                        : one.plan().engines())
             .toArray();
     Map<String, double[]> counts = new LinkedHashMap<>();
-    for (String name : ScaleResult.COUNTS) {
+    for (String name : ScaleResult.FITTED_FIGURES) {
       counts.put(name, results.stream().mapToDouble(one -> one.figures().get(name)).toArray());
     }
     String head = "figure,exponent,predicted,measured,error,usable\n";
@@ -275,14 +281,15 @@
     to.printf(
         "%-28s%10s%16s%16s%10s  %s%n",
         "slope", "exponent", "predicted", "measured", "error", "usable");
-    counts.forEach((name, figures) -> csv.append(slope(to, name, sizes, figures)));
+    counts.forEach((name, figures) -> csv.append(slopeLine(to, name, sizes, figures)));
     Files.writeString(out.resolve("slopes.csv"), csv);
     double[] heap = heaps.stream().mapToDouble(one -> one).toArray();
-    Files.writeString(out.resolve("slope-heap.csv"), head + slope(progress, HEAP, sizes, heap));
+    Files.writeString(
+        out.resolve("slope-heap.csv"), head + slopeLine(progress, HEAP_FIGURE, sizes, heap));
     ScaleCharts.slopes(sizes, counts, out);
   }
 
-  private static String slope(PrintStream to, String name, double[] sizes, double[] figures) {
+  private static String slopeLine(PrintStream to, String name, double[] sizes, double[] figures) {
     if (Arrays.stream(figures).anyMatch(one -> one <= 0)) {
       to.printf("%-28s%s%n", name, "  not over 0 at each size: no fit");
       return name + ",,,,,false\n";
@@ -293,18 +300,18 @@
         "%-28s%10.3f%16s%16s%9.1f%%  %s%n",
         name,
         slope.law().exponent(),
-        Claims.shown(slope.predicted()),
-        Claims.shown(slope.measured()),
-        slope.error() * 100,
+        ClaimEvaluator.format(slope.predicted()),
+        ClaimEvaluator.format(slope.measured()),
+        slope.relativeError() * 100,
         slope.usable() ? "yes" : "NO: over 15% off");
     return String.format(
         Locale.ROOT,
         "%s,%.4f,%s,%s,%.4f,%s%n",
         name,
         slope.law().exponent(),
-        Claims.shown(slope.predicted()),
-        Claims.shown(slope.measured()),
-        slope.error(),
+        ClaimEvaluator.format(slope.predicted()),
+        ClaimEvaluator.format(slope.measured()),
+        slope.relativeError(),
         slope.usable());
   }
 }
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -19,26 +19,26 @@
  */
 final class StreamRelay implements AutoCloseable {
 
-  private static final int LOOK_MS = 5;
-  private static final int MOST = 8192;
+  private static final int FAULT_CHECK_MS = 5;
+  private static final int BUFFER_BYTES = 8192;
 
-  private final Supplier<FaultSchedule.StreamFault> now;
+  private final Supplier<FaultSchedule.StreamFault> activeFault;
   private final InetSocketAddress target;
-  private final InetSocketAddress at;
-  private final List<Socket> open = new ArrayList<>();
+  private final InetSocketAddress listenAddress;
+  private final List<Socket> openSockets = new ArrayList<>();
   private ServerSocket listener;
-  private final Random chance; // its own lock keeps threads apart
-  private volatile boolean over;
+  private final Random random; // its own lock keeps threads apart
+  private volatile boolean closed;
 
   StreamRelay(
       String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> now, long seed)
       throws IOException {
-    chance = new Random(seed);
+    random = new Random(seed);
     this.target = target;
-    this.now = now;
+    this.activeFault = now;
     listener = listener(new InetSocketAddress(host, 0));
-    at = (InetSocketAddress) listener.getLocalSocketAddress();
-    StandInEngine.thread(this::watch).start();
+    listenAddress = (InetSocketAddress) listener.getLocalSocketAddress();
+    FakeEngine.daemonThread(this::applyFaults).start();
     accept(listener);
   }
 
@@ -50,16 +50,16 @@
   }
 
   String address() {
-    return at.getAddress().getHostAddress() + ':' + at.getPort();
+    return listenAddress.getAddress().getHostAddress() + ':' + listenAddress.getPort();
   }
 
   private void accept(ServerSocket from) {
-    StandInEngine.thread(
+    FakeEngine.daemonThread(
             () -> {
               try {
                 while (true) {
                   Socket one = from.accept();
-                  StandInEngine.thread(() -> carry(one)).start();
+                  FakeEngine.daemonThread(() -> relay(one)).start();
                 }
               } catch (IOException e) {
                 // closed
@@ -68,27 +68,28 @@
         .start();
   }
 
-  private boolean is(FaultSchedule.StreamFaultKind kind) {
-    FaultSchedule.StreamFault holds = now.get();
+  private boolean isActive(FaultSchedule.StreamFaultKind kind) {
+    FaultSchedule.StreamFault holds = activeFault.get();
     return holds != null && holds.kind() == kind;
   }
 
   /** Closes and opens the listener, and resets what is open, as the schedule goes on. */
-  private void watch() {
+  private void applyFaults() {
     boolean refused = false;
     try {
-      while (!over) {
-        Thread.sleep(LOOK_MS);
-        if (is(FaultSchedule.StreamFaultKind.RESET) || is(FaultSchedule.StreamFaultKind.REFUSED)) {
-          reset();
+      while (!closed) {
+        Thread.sleep(FAULT_CHECK_MS);
+        if (isActive(FaultSchedule.StreamFaultKind.RESET)
+            || isActive(FaultSchedule.StreamFaultKind.REFUSED)) {
+          resetConnections();
         }
-        if (is(FaultSchedule.StreamFaultKind.REFUSED) != refused) {
+        if (isActive(FaultSchedule.StreamFaultKind.REFUSED) != refused) {
           refused = !refused;
           synchronized (this) {
             if (refused) {
               listener.close();
-            } else if (!over) {
-              listener = listener(at);
+            } else if (!closed) {
+              listener = listener(listenAddress);
               accept(listener);
             }
           }
@@ -97,13 +98,13 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException e) {
-      throw new IllegalStateException("a relay cannot listen again at " + at, e);
+      throw new IllegalStateException("a relay cannot listen again at " + listenAddress, e);
     }
   }
 
-  private void reset() {
-    synchronized (open) {
-      for (Socket one : open) {
+  private void resetConnections() {
+    synchronized (openSockets) {
+      for (Socket one : openSockets) {
         try {
           one.setSoLinger(true, 0);
           one.close();
@@ -111,23 +112,23 @@
           // it is closed
         }
       }
-      open.clear();
+      openSockets.clear();
     }
   }
 
-  private void carry(Socket client) {
+  private void relay(Socket client) {
     try (client;
         Socket server = new Socket()) {
       client.setTcpNoDelay(true);
       server.setTcpNoDelay(true);
       server.connect(target);
-      synchronized (open) {
-        open.add(client);
-        open.add(server);
+      synchronized (openSockets) {
+        openSockets.add(client);
+        openSockets.add(server);
       }
-      Thread back = StandInEngine.thread(() -> pump(server, client, false));
+      Thread back = FakeEngine.daemonThread(() -> copy(server, client, false));
       back.start();
-      pump(client, server, true);
+      copy(client, server, true);
       back.join();
     } catch (IOException e) {
       // refused beyond: the client's connection ends
@@ -136,29 +137,29 @@
     }
   }
 
-  private void pump(Socket from, Socket to, boolean asks) {
-    byte[] bytes = new byte[MOST];
+  private void copy(Socket from, Socket to, boolean asks) {
+    byte[] bytes = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-        FaultSchedule.StreamFault holds = now.get();
+        FaultSchedule.StreamFault holds = activeFault.get();
         if (holds != null && holds.kind() == FaultSchedule.StreamFaultKind.SLOW) {
           Thread.sleep(holds.delayNanos() / 1_000_000);
         }
-        while (is(FaultSchedule.StreamFaultKind.SILENT) && !over) {
-          Thread.sleep(LOOK_MS);
+        while (isActive(FaultSchedule.StreamFaultKind.SILENT) && !closed) {
+          Thread.sleep(FAULT_CHECK_MS);
         }
         if (asks
             && holds != null
             && holds.kind() == FaultSchedule.StreamFaultKind.FLAKY
-            && chance.nextDouble() < holds.share()) {
+            && random.nextDouble() < holds.share()) {
           from.setSoLinger(true, 0);
           from.close();
-          if (chance.nextBoolean()) {
-            Thread.sleep(chance.nextInt((int) (1 + holds.delayNanos() / 1_000_000)));
+          if (random.nextBoolean()) {
+            Thread.sleep(random.nextInt((int) (1 + holds.delayNanos() / 1_000_000)));
             out.write(bytes, 0, count);
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(FAULT_CHECK_MS);
           }
           return;
         }
@@ -175,8 +176,8 @@
   }
 
   private void close(Socket one) {
-    synchronized (open) {
-      open.remove(one);
+    synchronized (openSockets) {
+      openSockets.remove(one);
     }
     try {
       one.close();
@@ -187,12 +188,12 @@
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     synchronized (this) {
       listener.close();
     }
-    synchronized (open) {
-      for (Socket one : open) {
+    synchronized (openSockets) {
+      for (Socket one : openSockets) {
         one.close();
       }
     }
--- a/src/main/java/tansytrack/lab/footprint/FootprintResult.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintResult.java
@@ -7,10 +7,11 @@
  *
  * @param listBytes of the whole list, as JSON
  */
-record FootprintResult(List<ManagerFootprint> managers, EngineCalls engines, int listBytes) {
+record FootprintResult(
+    List<ManagerFootprint> managers, EngineTraffic engineTraffic, int listBytes) {
 
   /** Have all managers got all changes? */
-  boolean reached() {
-    return managers.stream().allMatch(ManagerFootprint::reached);
+  boolean allChangesReceived() {
+    return managers.stream().allMatch(ManagerFootprint::allChangesReceived);
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
+++ b/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
@@ -15,19 +15,19 @@
 /** A manager in a process of its own, started as an operator would, and what it was told. */
 final class MeasuredManager implements AutoCloseable {
 
-  private static final int PATIENCE_MS = 2000; // for one handshake
-  private static final long PAUSE_MS = 5; // between two tries to reach it
+  private static final int CLIENT_TIMEOUT_MS = 2000; // for one handshake
+  private static final long CONNECT_RETRY_DELAY_MS = 5; // between two tries to reach it
 
   private final String name;
   private final Path folder;
   private final FootprintOptions options;
   private final CountingChannel channel;
-  private final InetSocketAddress listen;
+  private final InetSocketAddress listenAddress;
   private Process process;
-  private long launchedAt;
+  private long launchedAtNanos;
 
   /** Writes its configuration: that list is known to it before the channel tells anything. */
-  MeasuredManager(int number, Path parent, FootprintOptions options, ListEvents events)
+  MeasuredManager(int number, Path parent, FootprintOptions options, EngineListEvents events)
       throws IOException {
     this.options = options;
     name = "manager-" + number;
@@ -35,7 +35,7 @@
     channel = new CountingChannel(events);
     InetAddress host = InetAddress.getLoopbackAddress();
     try (ServerSocket free = new ServerSocket(0, 1, host)) {
-      listen = new InetSocketAddress(host, free.getLocalPort());
+      listenAddress = new InetSocketAddress(host, free.getLocalPort());
     }
     String settings =
         String.format(
@@ -49,8 +49,10 @@
                 + "\"retry_after\":true,\"max_retry_after_ms\":500},\"reporting\":{\"columns\":"
                 + "[\"busy_reqs\"],\"how\":\"pull\"},\"rules\":{\"answer_slack_ms\":20,"
                 + "\"drain_grace_ms\":1000}}",
-            options.siblingsTold(), EngineList.FIRST_PLACE, EngineList.KIND);
-    String address = host.getHostAddress() + ':' + listen.getPort();
+            options.effectiveManagerCount(),
+            SyntheticEngineList.FIRST_ZONE,
+            SyntheticEngineList.ENGINE_TYPE);
+    String address = host.getHostAddress() + ':' + listenAddress.getPort();
     String configuration =
         String.format(
             "{\"name\":\"%s\",\"listen\":\"%s\",\"seed\":\"%x\",\"limits\":{\"cores\":1.0,"
@@ -63,7 +65,7 @@
     return folder.resolve("config.json");
   }
 
-  private Path log() {
+  private Path logFile() {
     return folder.resolve("log.txt");
   }
 
@@ -72,7 +74,7 @@
   }
 
   InetSocketAddress address() {
-    return listen;
+    return listenAddress;
   }
 
   /** Starts the process. */
@@ -80,36 +82,37 @@
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of(options.jvmFlags().strip().split("\\s+")));
-    String classes = options.jar() == null ? System.getProperty("java.class.path") : options.jar();
-    command.addAll(List.of("-cp", classes, "tansytrack.Main", "serve"));
+    String classPath =
+        options.jar() == null ? System.getProperty("java.class.path") : options.jar();
+    command.addAll(List.of("-cp", classPath, "tansytrack.Main", "serve"));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(new File(log().toString()));
+            .redirectOutput(new File(logFile().toString()));
     builder.environment().put("ROUTER_CONFIG", configurationFile().toString());
-    launchedAt = System.nanoTime();
+    launchedAtNanos = System.nanoTime();
     process = builder.start();
   }
 
   /** Waits until a client is answered, and gives the time since the launch. */
-  long awaitService(long until) throws IOException, InterruptedException {
-    while (process.isAlive() && System.nanoTime() < until) {
-      try (LabClient client = new LabClient(listen, PATIENCE_MS)) {
-        client.ask("");
-        return System.nanoTime() - launchedAt;
+  long awaitFirstAnswer(long deadlineNanos) throws IOException, InterruptedException {
+    while (process.isAlive() && System.nanoTime() < deadlineNanos) {
+      try (LabClient client = new LabClient(listenAddress, CLIENT_TIMEOUT_MS)) {
+        client.query("");
+        return System.nanoTime() - launchedAtNanos;
       } catch (IOException e) {
-        Thread.sleep(PAUSE_MS);
+        Thread.sleep(CONNECT_RETRY_DELAY_MS);
       }
     }
-    throw new IOException(name + " does not serve in time; see " + log());
+    throw new IOException(name + " does not serve in time; see " + logFile());
   }
 
-  ProcessFigures figures() throws IOException {
-    return ProcessFigures.of(process.toHandle());
+  ProcessFigures processFigures() throws IOException {
+    return ProcessFigures.read(process.toHandle());
   }
 
   /** Is its process still there? */
-  boolean alive() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -121,9 +124,9 @@
   }
 
   /** Waits for its end until then, and kills it where it has not come. */
-  void end(long until) throws InterruptedException {
-    long left = Math.max(0, until - System.nanoTime());
-    if (process != null && !process.waitFor(left, TimeUnit.NANOSECONDS)) {
+  void awaitExitOrKill(long deadlineNanos) throws InterruptedException {
+    long remainingNanos = Math.max(0, deadlineNanos - System.nanoTime());
+    if (process != null && !process.waitFor(remainingNanos, TimeUnit.NANOSECONDS)) {
       process.destroyForcibly().waitFor();
     }
   }
--- a/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
+++ b/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
@@ -11,31 +11,34 @@
  * What the machine says of a process at one moment.
  *
  * @param residentKb memory that it holds now (VmRSS)
- * @param mostResidentKb the most that it has held so far (VmHWM)
- * @param processorTime of all its threads since its start
- * @param at when it was read, by System.nanoTime
+ * @param peakResidentKb the most that it has held so far (VmHWM)
+ * @param cpuTime of all its threads since its start
+ * @param readAtNanos when it was read, by System.nanoTime
  */
-record ProcessFigures(long residentKb, long mostResidentKb, Duration processorTime, long at) {
+record ProcessFigures(long residentKb, long peakResidentKb, Duration cpuTime, long readAtNanos) {
 
-  private static final String RESIDENT = "VmRSS:";
-  private static final String MOST_RESIDENT = "VmHWM:";
+  private static final String RESIDENT_FIELD = "VmRSS:";
+  private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
   /** Reads /proc/PID/status, and the processor time of /proc/PID/stat as the JDK reads it. */
-  static ProcessFigures of(ProcessHandle process) throws IOException {
+  static ProcessFigures read(ProcessHandle process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
-    Duration used =
+    Duration cpuTime =
         process
             .info()
             .totalCpuDuration()
             .orElseThrow(() -> new IOException("process " + process.pid() + " has ended"));
-    return parsed(Files.readAllLines(status, StandardCharsets.UTF_8), used, System.nanoTime());
+    return parse(Files.readAllLines(status, StandardCharsets.UTF_8), cpuTime, System.nanoTime());
   }
 
   /** From the lines of a status file. */
-  static ProcessFigures parsed(List<String> status, Duration processorTime, long at)
+  static ProcessFigures parse(List<String> status, Duration cpuTime, long readAtNanos)
       throws IOException {
     return new ProcessFigures(
-        kilobytes(status, RESIDENT), kilobytes(status, MOST_RESIDENT), processorTime, at);
+        kilobytes(status, RESIDENT_FIELD),
+        kilobytes(status, PEAK_RESIDENT_FIELD),
+        cpuTime,
+        readAtNanos);
   }
 
   private static long kilobytes(List<String> status, String name) throws IOException {
@@ -49,6 +52,6 @@
 
   /** The part of one core that the process has used since the earlier reading. */
   double coreShareSince(ProcessFigures earlier) {
-    return processorTime.minus(earlier.processorTime).toNanos() / (double) (at - earlier.at);
+    return cpuTime.minus(earlier.cpuTime).toNanos() / (double) (readAtNanos - earlier.readAtNanos);
   }
 }
--- a/src/main/java/tansytrack/lab/load/Latencies.java
+++ b/src/main/java/tansytrack/lab/load/LatencyStatistics.java
@@ -10,21 +10,21 @@
  * second of the intended time; and the users' own measure: earnings in time over earnings asked
  * for, where a task's retries are part of its first try.
  */
-public final class Latencies {
+public final class LatencyStatistics {
 
-  private static final long LONGEST = 3600 * Shape.SECOND;
-  private static final int DIGITS = 3;
+  private static final long MAX_LATENCY_NANOS = 3600 * RateShape.NANOS_PER_SECOND;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   /** One second of intended times. */
-  public static final class Window {
-    private final Histogram latency = new Histogram(LONGEST, DIGITS);
-    private double asked;
+  public static final class Totals {
+    private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+    private double offered;
     private double earned;
     private long tasks;
 
     /** The earned part of what was asked for, 1 where nothing was. */
     public double share() {
-      return asked == 0 ? 1 : earned / asked;
+      return offered == 0 ? 1 : earned / offered;
     }
 
     /** How many tasks it counts. */
@@ -38,29 +38,30 @@
     }
   }
 
-  private final Histogram latency = new Histogram(LONGEST, DIGITS);
-  private final Histogram service = new Histogram(LONGEST, DIGITS);
-  private final Map<String, Window> groups = new TreeMap<>();
-  private final TreeMap<Long, Window> seconds = new TreeMap<>();
-  private final Window all = new Window();
+  private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+  private final Histogram service = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+  private final Map<String, Totals> groups = new TreeMap<>();
+  private final TreeMap<Long, Totals> seconds = new TreeMap<>();
+  private final Totals all = new Totals();
 
   /**
    * A task's end: intended, sent and over in nanoseconds from the start; what it would have earned
    * in time, and did earn.
    */
-  public void over(Arrival arrival, long sent, long over, double worth, double earned) {
-    long took = Math.min(LONGEST, Math.max(0, over - arrival.at()));
+  public void record(Arrival arrival, long sent, long over, double worth, double earned) {
+    long took = Math.min(MAX_LATENCY_NANOS, Math.max(0, over - arrival.atNanos()));
     latency.recordValue(took);
-    service.recordValue(Math.min(LONGEST, Math.max(0, over - sent)));
-    for (Window window :
-        new Window[] {
+    service.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, over - sent)));
+    for (Totals window :
+        new Totals[] {
           all,
-          groups.computeIfAbsent("grade " + arrival.grade(), name -> new Window()),
-          groups.computeIfAbsent("tenant " + arrival.tenant(), name -> new Window()),
-          seconds.computeIfAbsent(arrival.at() / Shape.SECOND, name -> new Window())
+          groups.computeIfAbsent("grade " + arrival.queryClass(), name -> new Totals()),
+          groups.computeIfAbsent("tenant " + arrival.tenant(), name -> new Totals()),
+          seconds.computeIfAbsent(
+              arrival.atNanos() / RateShape.NANOS_PER_SECOND, name -> new Totals())
         }) {
       window.latency.recordValue(took);
-      window.asked += worth;
+      window.offered += worth;
       window.earned += earned;
       window.tasks++;
     }
@@ -87,12 +88,12 @@
   }
 
   /** Counts by group, in the order of their names. */
-  public Map<String, Window> groups() {
+  public Map<String, Totals> groups() {
     return groups;
   }
 
   /** Counts by second of the intended sending. */
-  public Map<Long, Window> seconds() {
+  public Map<Long, Totals> seconds() {
     return seconds;
   }
 
@@ -102,8 +103,8 @@
     for (long from : seconds.keySet()) {
       double asked = 0;
       double earned = 0;
-      for (Window one : seconds.subMap(from, from + length).values()) {
-        asked += one.asked;
+      for (Totals one : seconds.subMap(from, from + length).values()) {
+        asked += one.offered;
         earned += one.earned;
       }
       worst = asked > 0 ? Math.min(worst, earned / asked) : worst;
--- a/src/main/java/tansytrack/lab/load/Punctuality.java
+++ b/src/main/java/tansytrack/lab/load/SendDelays.java
@@ -7,25 +7,25 @@
  * was to measure, and is void: it is not smoothed, and its figures are not shown as if it were
  * whole.
  */
-public final class Punctuality {
+public final class SendDelays {
 
-  private final long allowed;
-  private final double part;
-  private final Histogram late = new Histogram(3600 * Shape.SECOND, 3);
-  private long over;
+  private final long allowedNanos;
+  private final double allowedLateShare;
+  private final Histogram delays = new Histogram(3600 * RateShape.NANOS_PER_SECOND, 3);
+  private long lateCount;
   private long unsent;
 
   /** A send may be late by so much; that part of them may be later. */
-  public Punctuality(long allowed, double part) {
-    this.allowed = allowed;
-    this.part = part;
+  public SendDelays(long allowed, double part) {
+    this.allowedNanos = allowed;
+    this.allowedLateShare = part;
   }
 
   /** Counts a task that was sent, by how much later than intended it went out. */
   public void sent(long intended, long at) {
     long by = Math.max(0, at - intended);
-    late.recordValue(Math.min(by, late.getHighestTrackableValue()));
-    over += by > allowed ? 1 : 0;
+    delays.recordValue(Math.min(by, delays.getHighestTrackableValue()));
+    lateCount += by > allowedNanos ? 1 : 0;
   }
 
   /** It had no means to send it, as all connections that it may hold were in use. */
@@ -35,20 +35,21 @@
 
   /** Whether the generator fell behind so far that the run's figures say nothing of the gateway. */
   public boolean isVoid() {
-    return unsent > 0 || (late.getTotalCount() > 0 && over > part * late.getTotalCount());
+    return unsent > 0
+        || (delays.getTotalCount() > 0 && lateCount > allowedLateShare * delays.getTotalCount());
   }
 
   /** A summary for people, in one line. */
-  public String said() {
-    return late.getTotalCount()
+  public String summary() {
+    return delays.getTotalCount()
         + " sent, "
-        + over
+        + lateCount
         + " later than "
-        + allowed / 1_000_000
+        + allowedNanos / 1_000_000
         + " ms, 99% within "
-        + late.getValueAtPercentile(99) / 1000
+        + delays.getValueAtPercentile(99) / 1000
         + " us, most "
-        + late.getMaxValue() / 1000
+        + delays.getMaxValue() / 1000
         + " us, "
         + unsent
         + " not sent"
--- a/src/main/java/tansytrack/lab/load/Mix.java
+++ b/src/main/java/tansytrack/lab/load/TaskMix.java
@@ -7,7 +7,7 @@
  * What arrives: tenants and grades by weight, data sets by Zipf's law with a hot end that moves,
  * costs drawn lognormal, keys.
  */
-public final class Mix {
+public final class TaskMix {
 
   /** A name with its weight. */
   public record Weighted(String name, double weight) {}
@@ -16,37 +16,37 @@
    * A grade: its weight, the median and spread (the deviation of the logarithm) of its cost, and
    * how many keys; 0: none.
    */
-  public record GradeLoad(
+  public record ClassLoad(
       String name, double weight, double medianMs, double spread, double memoryMb, int keys) {}
 
   private final List<Weighted> tenants;
-  private final List<GradeLoad> grades;
-  private final double[] zipf; // summed up
-  private final long moves; // ns after which the hot end has moved by one set; 0: never
+  private final List<ClassLoad> queryClasses;
+  private final double[] zipfCumulative; // summed up
+  private final long hotShiftNanos; // ns after which the hot end has moved by one set; 0: never
   private final double tenantWeight;
-  private final double gradeWeight;
+  private final double classWeight;
 
   /**
    * The choice of tenants, query classes and data sets; the popular data sets move on after a time.
    */
-  public Mix(
-      List<Weighted> tenants, List<GradeLoad> grades, int dataSets, double exponent, long moves) {
+  public TaskMix(
+      List<Weighted> tenants, List<ClassLoad> grades, int dataSets, double exponent, long moves) {
     this.tenants = List.copyOf(tenants);
-    this.grades = List.copyOf(grades);
-    this.moves = moves;
+    this.queryClasses = List.copyOf(grades);
+    this.hotShiftNanos = moves;
     tenantWeight = tenants.stream().mapToDouble(Weighted::weight).sum();
-    gradeWeight = grades.stream().mapToDouble(GradeLoad::weight).sum();
-    zipf = new double[dataSets];
+    classWeight = grades.stream().mapToDouble(ClassLoad::weight).sum();
+    zipfCumulative = new double[dataSets];
     double sum = 0;
     for (int i = 0; i < dataSets; i++) {
       sum += Math.pow(i + 1, -exponent);
-      zipf[i] = sum;
+      zipfCumulative[i] = sum;
     }
     if (tenants.isEmpty()
         || grades.isEmpty()
         || dataSets < 1
         || !(tenantWeight > 0)
-        || !(gradeWeight > 0)) {
+        || !(classWeight > 0)) {
       throw new IllegalArgumentException(
           "a mix needs tenants, grades and data sets, with weights over 0");
     }
@@ -58,8 +58,8 @@
    */
   public Arrival draw(long number, long at, UniformRandomProvider chance) {
     double ofTenant = chance.nextDouble() * tenantWeight;
-    double ofGrade = chance.nextDouble() * gradeWeight;
-    double ofSet = chance.nextDouble() * zipf[zipf.length - 1];
+    double ofGrade = chance.nextDouble() * classWeight;
+    double ofSet = chance.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
     double normal =
         Math.sqrt(-2 * Math.log(1 - chance.nextDouble()))
             * Math.cos(2 * Math.PI * chance.nextDouble());
@@ -72,23 +72,23 @@
         break;
       }
     }
-    GradeLoad grade = grades.get(grades.size() - 1);
-    for (GradeLoad one : grades) {
+    ClassLoad grade = queryClasses.get(queryClasses.size() - 1);
+    for (ClassLoad one : queryClasses) {
       ofGrade -= one.weight;
       if (ofGrade < 0) {
         grade = one;
         break;
       }
     }
-    int rank = java.util.Arrays.binarySearch(zipf, ofSet);
-    rank = Math.min(zipf.length - 1, rank >= 0 ? rank + 1 : -rank - 1);
-    long shift = moves == 0 ? 0 : at / moves;
+    int rank = java.util.Arrays.binarySearch(zipfCumulative, ofSet);
+    rank = Math.min(zipfCumulative.length - 1, rank >= 0 ? rank + 1 : -rank - 1);
+    long shift = hotShiftNanos == 0 ? 0 : at / hotShiftNanos;
     return new Arrival(
         number,
         at,
         tenant.name,
         grade.name,
-        (int) Math.floorMod(rank + shift, (long) zipf.length),
+        (int) Math.floorMod(rank + shift, (long) zipfCumulative.length),
         grade.medianMs * Math.exp(grade.spread * normal),
         grade.memoryMb,
         grade.keys == 0 ? 0 : 1 + Math.floorMod(ofKey, (long) grade.keys));
--- a/src/main/java/tansytrack/lab/scale/Attempt.java
+++ b/src/main/java/tansytrack/lab/scale/Attempt.java
@@ -4,7 +4,7 @@
 final class Attempt {
 
   final HollowManager manager;
-  final int life; // of the manager that sent it
+  final int managerInstanceId; // of the manager that sent it
   final Statement statement;
   final int index;
   final HollowEngine engine;
@@ -13,9 +13,14 @@
   /** Its outcome is decided, though the manager may not have heard of it yet. */
   boolean ended;
 
-  Attempt(HollowManager manager, int life, Statement statement, int index, HollowEngine engine) {
+  Attempt(
+      HollowManager manager,
+      int managerInstanceId,
+      Statement statement,
+      int index,
+      HollowEngine engine) {
     this.manager = manager;
-    this.life = life;
+    this.managerInstanceId = managerInstanceId;
     this.statement = statement;
     this.index = index;
     this.engine = engine;
--- a/src/main/java/tansytrack/lab/scale/EngineList.java
+++ b/src/main/java/tansytrack/lab/scale/EngineList.java
@@ -10,73 +10,73 @@
 /** The list of engines: one immutable copy for all managers, and its changes on their way. */
 final class EngineList {
 
-  private static final long LEAST_DELAY = 50 * ScalePlan.MS;
-  private static final long DELAY_SPREAD = 200 * ScalePlan.MS;
+  private static final long MIN_DELAY_NANOS = 50 * ScalePlan.NANOS_PER_MS;
+  private static final long DELAY_SPREAD_NANOS = 200 * ScalePlan.NANOS_PER_MS;
 
   /** How much later some managers hear of changes in the schedule of stale lists. */
-  static final long STALE = 5 * ScalePlan.SECOND;
+  static final long LATE_LIST_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_SECOND;
 
   /**
    * A change of the list.
    *
-   * @param at when the list held it
-   * @param heardAt when each manager heard of it
+   * @param atNanos when the list held it
+   * @param receivedAtNanos when each manager heard of it
    */
-  record Change(long at, long[] heardAt) {}
+  record Change(long atNanos, long[] receivedAtNanos) {}
 
-  private final VirtualTime clock;
-  private final SplittableRandom chance;
-  private final Map<String, EngineEntry> current = new LinkedHashMap<>();
-  private List<EngineEntry> whole = List.of();
+  private final VirtualClock clock;
+  private final SplittableRandom random;
+  private final Map<String, EngineEntry> entriesById = new LinkedHashMap<>();
+  private List<EngineEntry> snapshot = List.of();
 
-  EngineList(VirtualTime clock, SplittableRandom chance) {
+  EngineList(VirtualClock clock, SplittableRandom random) {
     this.clock = clock;
-    this.chance = chance;
+    this.random = random;
   }
 
-  static String zone(int number) {
+  static String zoneName(int number) {
     return "zone-" + number;
   }
 
   /** All engines as listed now: the same object until the next change. */
-  List<EngineEntry> whole() {
-    return whole;
+  List<EngineEntry> snapshot() {
+    return snapshot;
   }
 
   /** Changes it, without telling anybody. */
-  void hold(List<EngineEntry> entries) {
+  void apply(List<EngineEntry> entries) {
     for (EngineEntry entry : entries) {
       if (entry.state() == EngineEntry.State.GONE) {
-        current.remove(entry.id());
+        entriesById.remove(entry.id());
       } else {
-        current.put(entry.id(), entry);
+        entriesById.put(entry.id(), entry);
       }
     }
-    whole = List.copyOf(current.values());
+    snapshot = List.copyOf(entriesById.values());
   }
 
   /** Changes it, and tells all managers, each a little later; stale ones much later. */
-  Change tell(List<EngineEntry> entries, List<HollowManager> managers) {
-    hold(entries);
+  Change publish(List<EngineEntry> entries, List<HollowManager> managers) {
+    apply(entries);
     List<EngineEntry> shared = List.copyOf(entries);
-    long[] heardAt = new long[managers.size()];
+    long[] receivedAtNanos = new long[managers.size()];
     for (HollowManager manager : managers) {
-      long delay = delay() + (manager.stale ? STALE : 0);
-      heardAt[manager.index] = clock.now() + delay;
-      manager.shard.timeline.in(delay, () -> manager.hear(false, shared));
+      long delayNanos = randomDelayNanos() + (manager.receivesListLate ? LATE_LIST_DELAY_NANOS : 0);
+      receivedAtNanos[manager.index] = clock.now() + delayNanos;
+      manager.shard.events.scheduleAfter(delayNanos, () -> manager.receive(false, shared));
     }
-    return new Change(clock.now(), heardAt);
+    return new Change(clock.now(), receivedAtNanos);
   }
 
   /** How long a message of the list takes. */
-  long delay() {
-    return LEAST_DELAY + chance.nextLong(DELAY_SPREAD);
+  long randomDelayNanos() {
+    return MIN_DELAY_NANOS + random.nextLong(DELAY_SPREAD_NANOS);
   }
 
   /** Entries of these engines in that state. */
   static List<EngineEntry> entries(List<HollowEngine> engines, EngineEntry.State state) {
     List<EngineEntry> entries = new ArrayList<>();
-    engines.forEach(one -> entries.add(one.entry(state)));
+    engines.forEach(engine -> entries.add(engine.entry(state)));
     return entries;
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Timeline.java
+++ b/src/main/java/tansytrack/lab/scale/EventQueue.java
@@ -4,24 +4,26 @@
 import java.util.List;
 
 /** What is to happen at each step, in the order in which it was set. */
-final class Timeline {
+final class EventQueue {
 
-  private final VirtualTime clock;
+  private final VirtualClock clock;
   private final List<List<Runnable>> steps = new ArrayList<>();
 
-  Timeline(VirtualTime clock) {
+  EventQueue(VirtualClock clock) {
     this.clock = clock;
   }
 
   /** Sets what happens so much later, at the next step at the earliest. */
-  void in(long delay, Runnable event) {
-    at(clock.now() + delay, event);
+  void scheduleAfter(long delayNanos, Runnable event) {
+    scheduleAt(clock.now() + delayNanos, event);
   }
 
   /** Sets what happens at that time, or at the next step where that has passed. */
-  void at(long time, Runnable event) {
-    long due = (time - VirtualTime.ORIGIN + VirtualTime.STEP - 1) / VirtualTime.STEP;
-    int step = (int) Math.max(clock.step() + 1, due);
+  void scheduleAt(long atNanos, Runnable event) {
+    long dueStep =
+        (atNanos - VirtualClock.ORIGIN_NANOS + VirtualClock.STEP_NANOS - 1)
+            / VirtualClock.STEP_NANOS;
+    int step = (int) Math.max(clock.step() + 1, dueStep);
     while (steps.size() <= step) {
       steps.add(null);
     }
@@ -32,7 +34,7 @@
   }
 
   /** Lets happen what was set for the present step. */
-  void play() {
+  void runDueEvents() {
     if (clock.step() < steps.size() && steps.get(clock.step()) != null) {
       steps.set(clock.step(), null).forEach(Runnable::run);
     }
--- a/src/main/java/tansytrack/lab/scale/FailureSchedule.java
+++ b/src/main/java/tansytrack/lab/scale/FailureSchedule.java
@@ -7,7 +7,7 @@
 /** The named failures that a scale run can play. */
 public enum FailureSchedule {
   /** No failure. */
-  REST("rest"),
+  NO_FAILURE("rest"),
   /** All engines of one zone fall silent, and come back cold. */
   ZONE_LOST("zone-lost"),
   /** Managers and engines of one region cannot reach those of the others. */
@@ -23,24 +23,28 @@
   /** A part of the managers is told an empty list, and later the right one. */
   EMPTY_LIST("empty-list");
 
-  private final String text;
+  private final String scheduleName;
 
-  FailureSchedule(String text) {
-    this.text = text;
+  FailureSchedule(String scheduleName) {
+    this.scheduleName = scheduleName;
   }
 
   /** Its name on the command line and in experiments. */
-  public String text() {
-    return text;
+  public String scheduleName() {
+    return scheduleName;
   }
 
   /** The one of that name. */
-  public static Optional<FailureSchedule> named(String text) {
-    return Arrays.stream(values()).filter(one -> one.text.equals(text)).findFirst();
+  public static Optional<FailureSchedule> fromName(String name) {
+    return Arrays.stream(values())
+        .filter(schedule -> schedule.scheduleName.equals(name))
+        .findFirst();
   }
 
   /** All names, for messages. */
   public static String names() {
-    return Arrays.stream(values()).map(FailureSchedule::text).collect(Collectors.joining(", "));
+    return Arrays.stream(values())
+        .map(FailureSchedule::scheduleName)
+        .collect(Collectors.joining(", "));
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Spread.java
+++ b/src/main/java/tansytrack/lab/scale/FigureSummary.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /** Least, mean and most of some figures. */
-record Spread(double min, double mean, double max) {
+record FigureSummary(double min, double mean, double max) {
 
-  static Spread of(double[] figures) {
-    return new Spread(
+  static FigureSummary of(double[] figures) {
+    return new FigureSummary(
         Arrays.stream(figures).min().orElse(0),
         Arrays.stream(figures).average().orElse(0),
         Arrays.stream(figures).max().orElse(0));
--- a/src/main/java/tansytrack/lab/scale/HollowEngine.java
+++ b/src/main/java/tansytrack/lab/scale/HollowEngine.java
@@ -12,18 +12,18 @@
 /** An engine without sockets: the engine model, what runs on it, and what came to it. */
 final class HollowEngine {
 
-  private static final int MOST_QUERIES = 64;
+  private static final int MAX_QUERIES = 64;
   private static final EngineModel.Spec SPEC =
       new EngineModel.Spec(
-          ScalePlan.CORES,
-          MOST_QUERIES,
-          HollowSettings.START_CAPACITY,
-          HollowSettings.WARM_AFTER,
-          HollowSettings.COLD_MULTIPLE,
-          HollowSettings.COLD_WINDOW);
+          ScalePlan.CORES_PER_ENGINE,
+          MAX_QUERIES,
+          HollowSettings.START_CAPACITY_FRACTION,
+          HollowSettings.WARM_UP_NANOS,
+          HollowSettings.COLD_OVERLOAD_FACTOR,
+          HollowSettings.COLD_WINDOW_NANOS);
 
   /** How an engine answers to calls. */
-  enum Standing {
+  enum Availability {
     UP,
     /** Calls get no answer at all. */
     SILENT,
@@ -31,84 +31,85 @@
     DOWN
   }
 
-  private record Sent(long at, long work) {}
+  private record ColdArrival(long atNanos, long workNanos) {}
 
   final int index;
   final String id;
   final int slot; // its place in the fleet, which a replacement takes over
   final int zone;
-  final long meanCost;
+  final long meanCostNanos;
 
-  Standing standing = Standing.UP;
+  Availability availability = Availability.UP;
 
   /** The change by which the list says that it drains; null until then. */
-  EngineList.Change drained;
+  EngineList.Change drainChange;
 
   private EngineModel model;
-  private long startedAt;
+  private long startedAtNanos;
   private final Map<String, Attempt> running = new HashMap<>();
-  private final ArrayDeque<Sent> coldWindow = new ArrayDeque<>();
-  private long coldWork; // the sum of the window
-  private boolean overBudget; // since it started
-  private long work;
-  private long attempts;
+  private final ArrayDeque<ColdArrival> coldWindow = new ArrayDeque<>();
+  private long coldWindowWorkNanos; // the sum of the window
+  private boolean coldLimitExceeded; // since it started
+  private long workNanos;
+  private long attemptCount;
 
-  HollowEngine(int index, String id, int slot, int zone, long startedAt, long meanCost) {
+  HollowEngine(int index, String id, int slot, int zone, long startedAtNanos, long meanCostNanos) {
     this.index = index;
     this.id = id;
     this.slot = slot;
     this.zone = zone;
-    this.meanCost = meanCost;
-    start(startedAt);
+    this.meanCostNanos = meanCostNanos;
+    start(startedAtNanos);
   }
 
   /** It starts, or starts anew; at time 0 it started long ago. */
-  final void start(long at) {
-    startedAt = at;
-    model = new EngineModel(SPEC, at);
-    standing = Standing.UP;
+  final void start(long atNanos) {
+    startedAtNanos = atNanos;
+    model = new EngineModel(SPEC, atNanos);
+    availability = Availability.UP;
     coldWindow.clear();
-    coldWork = 0;
-    overBudget = false;
+    coldWindowWorkNanos = 0;
+    coldLimitExceeded = false;
   }
 
   /** As the list names it. */
   EngineEntry entry(EngineEntry.State state) {
     return new EngineEntry(
-        id, 1, EngineList.zone(zone), HollowSettings.KIND, slot, state, startedAt);
+        id, 1, EngineList.zoneName(zone), HollowSettings.ENGINE_TYPE, slot, state, startedAtNanos);
   }
 
   /** Its work so far, in nanoseconds of a core. */
-  long work() {
-    return work;
+  long workNanos() {
+    return workNanos;
   }
 
   /** Attempts that came to it. */
-  long attempts() {
-    return attempts;
+  long attemptCount() {
+    return attemptCount;
   }
 
-  boolean busy() {
+  boolean isBusy() {
     return !running.isEmpty();
   }
 
   /** Did it run before the play began, and ever since? */
-  boolean old() {
-    return startedAt == 0;
+  boolean startedBeforeRun() {
+    return startedAtNanos == 0;
   }
 
   /** An attempt comes; what runs has been advanced to that time. */
-  EngineModel.Admission take(long now, Attempt attempt) {
-    if (!busy()) {
+  EngineModel.Admission admit(long now, Attempt attempt) {
+    if (!isBusy()) {
       model.advance(now);
     }
-    EngineModel.Admission taken = model.start(now, attempt.id, (double) attempt.statement.cost, 1);
-    attempts++;
-    if (taken == EngineModel.Admission.STARTED) {
-      work += attempt.statement.cost;
+    EngineModel.Admission admission =
+        model.start(now, attempt.id, (double) attempt.statement.costNanos, 1);
+    attemptCount++;
+    if (admission == EngineModel.Admission.STARTED) {
+      workNanos += attempt.statement.costNanos;
       running.put(attempt.id, attempt);
     }
-    return taken;
+    return admission;
   }
 
   /**
@@ -116,29 +117,30 @@
    * window, chance may add two roots of N and two. True where it is the first over that since the
    * engine started.
    */
-  boolean breaksColdRule(long now, long cost) {
-    if (startedAt == 0 || model.capacityFraction(now) >= 1) {
+  boolean firstExceedsColdLimit(long now, long costNanos) {
+    if (startedAtNanos == 0 || model.capacityFraction(now) >= 1) {
       return false;
     }
-    coldWindow.add(new Sent(now, cost));
-    coldWork += cost;
-    while (coldWindow.peek().at() <= now - HollowSettings.COLD_WINDOW) {
-      coldWork -= coldWindow.poll().work();
+    coldWindow.add(new ColdArrival(now, costNanos));
+    coldWindowWorkNanos += costNanos;
+    while (coldWindow.peek().atNanos() <= now - HollowSettings.COLD_WINDOW_NANOS) {
+      coldWindowWorkNanos -= coldWindow.poll().workNanos();
     }
     double allowed =
-        HollowSettings.COLD_MULTIPLE
+        HollowSettings.COLD_OVERLOAD_FACTOR
             * model.capacityFraction(now)
-            * ScalePlan.CORES
-            * HollowSettings.COLD_WINDOW
-            / meanCost;
-    boolean over = coldWork / (double) meanCost > allowed + 2 * Math.sqrt(allowed) + 2;
-    boolean first = over && !overBudget;
-    overBudget |= over;
+            * ScalePlan.CORES_PER_ENGINE
+            * HollowSettings.COLD_WINDOW_NANOS
+            / meanCostNanos;
+    boolean exceeded =
+        coldWindowWorkNanos / (double) meanCostNanos > allowed + 2 * Math.sqrt(allowed) + 2;
+    boolean first = exceeded && !coldLimitExceeded;
+    coldLimitExceeded |= exceeded;
     return first;
   }
 
   /** Gives an attempt up; false where it does not run here. */
-  boolean giveUp(long now, Attempt attempt) {
+  boolean cancel(long now, Attempt attempt) {
     model.cancel(now, attempt.id);
     return running.remove(attempt.id) != null;
   }
@@ -146,22 +148,22 @@
   /** Lets time pass; the attempts that ended meanwhile. */
   List<Attempt> advance(long now) {
     List<Attempt> ended = new ArrayList<>();
-    for (String one : model.advance(now)) {
-      ended.add(running.remove(one));
+    for (String attemptId : model.advance(now)) {
+      ended.add(running.remove(attemptId));
     }
     return ended;
   }
 
   /** All that runs is lost; in the order of the attempts' ids. */
-  List<Attempt> dropAll() {
+  List<Attempt> removeAll() {
     List<Attempt> lost = new ArrayList<>(running.values());
-    lost.sort(java.util.Comparator.comparing(one -> one.id));
+    lost.sort(java.util.Comparator.comparing(attempt -> attempt.id));
     running.clear();
     return lost;
   }
 
   /** Its word on its load. */
-  LoadReport report() {
+  LoadReport loadReport() {
     return new LoadReport(model.utilization(), model.queryCount(), 0, Double.NaN, Double.NaN);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/HollowManager.java
+++ b/src/main/java/tansytrack/lab/scale/HollowManager.java
@@ -16,69 +16,71 @@
 /** A manager without sockets and clients: a real decision module, and what it asked to be done. */
 final class HollowManager implements Actions {
 
-  private static final double WRITES = 0.1; // part of the statements that may not run again
+  private static final double WRITE_FRACTION = 0.1; // part of the statements that may not run again
 
   final int index;
   final int zone;
 
   /** It hears changes of the list late. */
-  boolean stale;
+  boolean receivesListLate;
 
   final Shard shard;
 
-  private final ScaleWorld world;
-  private final SplittableRandom chance;
-  private final Map<String, Statement> open = new HashMap<>();
-  private final BitSet used = new BitSet();
+  private final ScaleSimulation simulation;
+  private final SplittableRandom random;
+  private final Map<String, Statement> openStatements = new HashMap<>();
+  private final BitSet usedEngines = new BitSet();
   private DecisionModule module;
-  private int life;
-  private long asked; // statements so far
-  private long due; // when the next one comes; 0: none yet
+  private int instanceId;
+  private long statementCount; // statements so far
+  private long nextDueNanos; // when the next one comes; 0: none yet
 
-  HollowManager(int index, int zone, Shard shard, ScaleWorld world, SplittableRandom chance) {
+  HollowManager(
+      int index, int zone, Shard shard, ScaleSimulation simulation, SplittableRandom random) {
     this.index = index;
     this.zone = zone;
     this.shard = shard;
-    this.world = world;
-    this.chance = chance;
+    this.simulation = simulation;
+    this.random = random;
   }
 
   /** It starts, with a new module that knows nothing, and hears the list as it is. */
   void start(ModuleFactory factory, List<EngineEntry> list) {
-    life++;
+    instanceId++;
     module =
-        factory.create(shard.settings.of(chance.nextLong(), index, EngineList.zone(zone)), this);
-    hear(true, list);
+        factory.create(
+            shard.settings.forManager(random.nextLong(), index, EngineList.zoneName(zone)), this);
+    receive(true, list);
   }
 
   /** It ends at once, with all that it holds. */
-  void end() {
-    life++;
+  void kill() {
+    instanceId++;
     module = null;
-    open.values().forEach(one -> one.over = true);
-    shard.counts.lostWithManager += open.size();
-    open.clear();
+    openStatements.values().forEach(statement -> statement.finished = true);
+    shard.counters.lostWithManager += openStatements.size();
+    openStatements.clear();
   }
 
-  boolean running() {
+  boolean isRunning() {
     return module != null;
   }
 
-  int life() {
-    return life;
+  int instanceId() {
+    return instanceId;
   }
 
-  int unanswered() {
-    return open.size();
+  int openStatementCount() {
+    return openStatements.size();
   }
 
   /** The engines that it sent to or probed, by their index. */
-  BitSet used() {
-    return used;
+  BitSet usedEngines() {
+    return usedEngines;
   }
 
   /** The engines that its module holds. */
-  List<EngineStatus> known() {
+  List<EngineStatus> knownEngines() {
     return module == null ? List.of() : module.engineStatuses(now());
   }
 
@@ -86,39 +88,40 @@
    * When the next statement comes to it. Counted on from when the last one was due, not from the
    * step at which it came: else steps would thin the rate.
    */
-  long nextDue(double rate) {
-    due = due == 0 ? now() : due;
-    due += (long) (-Math.log(1 - chance.nextDouble()) * ScalePlan.SECOND / rate);
-    return due;
+  long drawNextDue(double rate) {
+    nextDueNanos = nextDueNanos == 0 ? now() : nextDueNanos;
+    nextDueNanos += (long) (-Math.log(1 - random.nextDouble()) * ScalePlan.NANOS_PER_SECOND / rate);
+    return nextDueNanos;
   }
 
   private long now() {
-    return world.now();
+    return simulation.now();
   }
 
   // ---- What it hears ----
 
-  void hear(boolean complete, List<EngineEntry> entries) {
+  void receive(boolean complete, List<EngineEntry> entries) {
     if (module != null) {
-      long before = shard.placementChecks();
+      long checksBefore = shard.placementChecks();
       module.onEngineList(now(), complete, entries);
       module.decide(now());
-      shard.counts.listsHeard++;
-      shard.counts.listChecks += shard.placementChecks() - before;
+      shard.counters.listsReceived++;
+      shard.counters.placementChecksOnLists += shard.placementChecks() - checksBefore;
     }
   }
 
   /** A statement comes, with work between half and one and a half of the mean. */
-  void ask(long meanCost, long deadline) {
+  void submitStatement(long meanCostNanos, long deadlineNanos) {
     if (module == null) {
-      shard.counts.unserved(now());
+      shard.counters.countArrivalWithoutManager(now());
       return;
     }
-    boolean write = chance.nextDouble() < WRITES;
-    long cost = (long) (meanCost * (0.5 + chance.nextDouble()));
-    Statement statement = new Statement(index + ":" + asked++, now(), now() + deadline, cost);
-    open.put(statement.id, statement);
-    shard.counts.asked(now());
+    boolean write = random.nextDouble() < WRITE_FRACTION;
+    long costNanos = (long) (meanCostNanos * (0.5 + random.nextDouble()));
+    Statement statement =
+        new Statement(index + ":" + statementCount++, now(), now() + deadlineNanos, costNanos);
+    openStatements.put(statement.id, statement);
+    shard.counters.countArrival(now());
     module.onTask(
         now(),
         new TaskRequest(
@@ -126,25 +129,25 @@
             write ? HollowSettings.WRITE : HollowSettings.READ,
             "",
             null,
-            statement.deadline,
-            cost,
+            statement.deadlineNanos,
+            costNanos,
             0,
             -1));
     module.decide(now());
   }
 
   /** An attempt has ended. */
-  void hear(Attempt attempt, Outcome outcome, LoadReport report) {
-    if (module == null || life != attempt.life) {
+  void receive(Attempt attempt, Outcome outcome, LoadReport report) {
+    if (module == null || instanceId != attempt.managerInstanceId) {
       return;
     }
     Statement statement = attempt.statement;
-    if (outcome == Outcome.OK && !statement.over) {
-      statement.over = true;
-      open.remove(statement.id);
-      shard.counts.answered(statement, now());
+    if (outcome == Outcome.OK && !statement.finished) {
+      statement.finished = true;
+      openStatements.remove(statement.id);
+      shard.counters.countAnswer(statement, now());
     }
-    long cost = outcome == Outcome.OK ? statement.cost : 0;
+    long costNanos = outcome == Outcome.OK ? statement.costNanos : 0;
     module.onForwardEnd(
         now(),
         statement.id,
@@ -152,58 +155,59 @@
         attempt.engine.id,
         outcome,
         0,
-        statement.over,
-        cost,
+        statement.finished,
+        costNanos,
         0,
         report);
     module.decide(now());
   }
 
   /** A probe has ended. */
-  void hearProbe(int ofLife, String engine, Outcome outcome, LoadReport report) {
-    if (module != null && life == ofLife) {
+  void receiveProbeResult(
+      int probingInstanceId, String engine, Outcome outcome, LoadReport report) {
+    if (module != null && instanceId == probingInstanceId) {
       module.onProbeEnd(now(), engine, outcome, report);
       module.decide(now());
     }
   }
 
-  private void woken(int ofLife, String token) {
-    if (module != null && life == ofLife) {
-      long before = shard.placementChecks();
+  private void wakeUp(int scheduledInstanceId, String token) {
+    if (module != null && instanceId == scheduledInstanceId) {
+      long checksBefore = shard.placementChecks();
       module.onWakeUp(now(), token);
       module.decide(now());
-      shard.counts.sweeps++;
-      shard.counts.sweepChecks += shard.placementChecks() - before;
+      shard.counters.sweeps++;
+      shard.counters.placementChecksInSweeps += shard.placementChecks() - checksBefore;
     }
   }
 
   // ---- What its module asks for ----
 
   @Override
-  public void forward(String task, String engine, long timeOut) {
-    Statement statement = open.get(task);
-    HollowEngine to = world.engine(engine);
-    used.set(to.index);
-    Attempt attempt = new Attempt(this, life, statement, statement.attempts.size(), to);
+  public void forward(String task, String engine, long timeoutNanos) {
+    Statement statement = openStatements.get(task);
+    HollowEngine target = simulation.engine(engine);
+    usedEngines.set(target.index);
+    Attempt attempt = new Attempt(this, instanceId, statement, statement.attempts.size(), target);
     statement.attempts.add(attempt);
-    shard.counts.attempts++;
-    world.network().send(attempt);
+    shard.counters.attempts++;
+    simulation.network().send(attempt);
   }
 
   @Override
-  public void reject(String task, long pause) {
-    shard.counts.bounced++;
+  public void reject(String task, long retryAfterNanos) {
+    shard.counters.rejected++;
     finish(task);
   }
 
   @Override
   public void abort(String task) {
-    shard.counts.aborted++;
+    shard.counters.aborted++;
     finish(task);
   }
 
   private void finish(String task) {
-    open.remove(task).over = true;
+    openStatements.remove(task).finished = true;
   }
 
   @Override
@@ -213,24 +217,24 @@
 
   @Override
   public void probe(String engine) {
-    HollowEngine to = world.engine(engine);
-    used.set(to.index);
-    shard.counts.probes++;
-    world.network().probe(this, life, to);
+    HollowEngine target = simulation.engine(engine);
+    usedEngines.set(target.index);
+    shard.counters.probes++;
+    simulation.network().probe(this, instanceId, target);
   }
 
   @Override
   public void cancel(String task, int index) {
-    Statement statement = open.get(task);
+    Statement statement = openStatements.get(task);
     if (statement != null) {
-      world.network().cancel(statement.attempts.get(index));
+      simulation.network().cancel(statement.attempts.get(index));
     }
   }
 
   @Override
-  public void scheduleWakeUp(long in, String token) {
-    int ofLife = life;
-    shard.timeline.in(in, () -> woken(ofLife, token));
+  public void scheduleWakeUp(long delayNanos, String token) {
+    int scheduledInstanceId = instanceId;
+    shard.events.scheduleAfter(delayNanos, () -> wakeUp(scheduledInstanceId, token));
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/scale/PlacementChecks.java
+++ b/src/main/java/tansytrack/lab/scale/PlacementCheckCounter.java
@@ -8,7 +8,7 @@
  * An empty set of places that counts how often it is asked whether it is empty: once each time a
  * module checks whether a listed engine is at a place where a grade may run.
  */
-final class PlacementChecks extends AbstractSet<String> {
+final class PlacementCheckCounter extends AbstractSet<String> {
 
   private long count;
 
--- a/src/main/java/tansytrack/lab/scale/ScalePlan.java
+++ b/src/main/java/tansytrack/lab/scale/ScalePlan.java
@@ -20,34 +20,35 @@
     FailureSchedule schedule,
     long seed) {
 
-  static final long MS = 1_000_000L;
-  static final long SECOND = 1000 * MS;
+  static final long NANOS_PER_MS = 1_000_000L;
+  static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
 
   /** Cores of each engine. */
-  static final int CORES = 4;
+  static final int CORES_PER_ENGINE = 4;
 
   /** The part of all cores that the statements take together on average. */
-  public static final double UTILISATION = 0.5;
+  public static final double TARGET_UTILIZATION = 0.5;
 
   /** The least mean work of a statement, as engines count less as so much. */
-  public static final long LEAST_COST = 2 * MS;
+  public static final long MIN_MEAN_COST_NANOS = 2 * NANOS_PER_MS;
 
-  private static final long DEADLINE = 2 * SECOND;
-  private static final int DEADLINE_IN_COSTS = 10;
+  private static final long BASE_DEADLINE_NANOS = 2 * NANOS_PER_SECOND;
+  private static final int DEADLINE_MEAN_COSTS = 10;
 
   /** The mean work of a statement, such that the thinned rate loads engines like the full one. */
-  public long meanCost() {
-    return (long) (UTILISATION * CORES * engines / (managers * rate) * SECOND);
+  public long meanCostNanos() {
+    return (long)
+        (TARGET_UTILIZATION * CORES_PER_ENGINE * engines / (managers * rate) * NANOS_PER_SECOND);
   }
 
   /** How long after it came a statement has to be answered. */
-  public long deadline() {
-    return DEADLINE + DEADLINE_IN_COSTS * meanCost();
+  public long deadlineNanos() {
+    return BASE_DEADLINE_NANOS + DEADLINE_MEAN_COSTS * meanCostNanos();
   }
 
   /** When the last statements come, from the start. */
-  long duration() {
-    return seconds * SECOND;
+  long durationNanos() {
+    return seconds * NANOS_PER_SECOND;
   }
 
   /** Statements that come to an engine on average. */
@@ -56,7 +57,7 @@
   }
 
   /** The same at another size. */
-  public ScalePlan sized(int otherManagers, int otherEngines) {
+  public ScalePlan withSize(int otherManagers, int otherEngines) {
     return new ScalePlan(otherManagers, otherEngines, zones, seconds, rate, schedule, seed);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/VirtualTime.java
+++ b/src/main/java/tansytrack/lab/scale/VirtualClock.java
@@ -1,13 +1,13 @@
 package tansytrack.lab.scale;
 
 /** A clock that moves in equal steps. */
-final class VirtualTime {
+final class VirtualClock {
 
   /** The step, in nanoseconds. */
-  static final long STEP = 5 * ScalePlan.MS;
+  static final long STEP_NANOS = 5 * ScalePlan.NANOS_PER_MS;
 
   /** The time before the first step: modules take a time of 0 for never. */
-  static final long ORIGIN = 100 * ScalePlan.SECOND;
+  static final long ORIGIN_NANOS = 100 * ScalePlan.NANOS_PER_SECOND;
 
   private int step;
 
@@ -16,7 +16,7 @@
   }
 
   long now() {
-    return ORIGIN + step * STEP;
+    return ORIGIN_NANOS + step * STEP_NANOS;
   }
 
   /** Moves on by one step. */
--- a/src/main/java/tansytrack/lab/scale/Workers.java
+++ b/src/main/java/tansytrack/lab/scale/Workers.java
@@ -7,7 +7,7 @@
 public interface Workers {
 
   /** One after the other. */
-  Workers ALONE = tasks -> tasks.forEach(Runnable::run);
+  Workers SEQUENTIAL = tasks -> tasks.forEach(Runnable::run);
 
   /** Runs them all. */
   void run(List<Runnable> tasks);
--- a/src/test/java/tansytrack/service/LongEngineListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tansytrack.lab.StandInChannel;
-import tansytrack.lab.footprint.EngineList;
+import tansytrack.lab.FakeCommandChannel;
+import tansytrack.lab.footprint.SyntheticEngineList;
 import tansytrack.wire.ProtocolException;
 
 /** A list of thousands of engines, told by the command channel or read from the file. */
@@ -26,18 +26,19 @@
       3000; // far more than a list takes, and the channel's patience
 
   /** Addresses where nothing listens: no task is sent here, and the settings allow no probe. */
-  private static final EngineList LIST =
-      new EngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
+  private static final SyntheticEngineList LIST =
+      new SyntheticEngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
 
   @Test
   void aListOfThousandsOfEnginesIsTakenFromTheChannel()
       throws IOException, InterruptedException, ProtocolException {
-    try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
-      channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
+    try (FakeCommandChannel channel =
+        new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
+      channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
-        channel.tell(LIST.whole());
+        channel.publish(LIST.completeList());
         String stats = statsWith(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
         // The engine of the file has left the list, and is forgotten a little later.
@@ -56,12 +57,13 @@
   @Test
   void aLongListComesInOneGoThoughNothingElseHappens()
       throws IOException, InterruptedException, ProtocolException {
-    try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
-      channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
+    try (FakeCommandChannel channel =
+        new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
+      channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try {
-        channel.tell(LIST.whole());
+        channel.publish(LIST.completeList());
         Thread.sleep(QUIET_MS);
         try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
           assertThat(client.ask("SHOW STATS"))
@@ -91,7 +93,7 @@
   @Test
   void aListOfThousandsOfEnginesIsReadFromTheFile(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("config.json");
-    String known = "{'cursor':1,'cmds':[{'cursor':1,'nodes':" + LIST.whole() + "}]}";
+    String known = "{'cursor':1,'cmds':[{'cursor':1,'nodes':" + LIST.completeList() + "}]}";
     String config =
         ServiceTest.config("127.0.0.1:9")
             .replaceFirst("'known':.*,'settings'", "'known':" + known + ",'settings'");
