--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -1,12 +1,5 @@
 package tansytrack;
 
-// Every decision of a workload manager. One instance a manager: new Decide(settings, actions); then
-// any calls
-// that tell it something, which only put notes into inboxes; then decide(now), which empties them
-// and acts.
-// The interface is tansytrack.api: Decisions (in), Actions (out), Settings (at first). Why:
-// docs/design.md
-
 import static tansytrack.parts.Num.*;
 
 import java.util.*;
@@ -15,70 +8,115 @@
 import tansytrack.parts.*;
 import tansytrack.policy.EngineSubset;
 
+/**
+ * Makes every decision of a workload manager: admission, queueing, the choice of an engine, retries,
+ * final answers and engine health.
+ *
+ * <p>Each manager has one instance, created with its settings and a receiver of actions. The methods
+ * of {@link Decisions} report events and only post messages to actors; {@link #decide} then
+ * processes all messages and issues the resulting {@link Actions}. The class does no input or output
+ * and reads no clock: the caller passes the present time, in nanoseconds, with each call. All times
+ * and durations are in nanoseconds. The reasons for the design are in docs/design.md.
+ */
 public final class Decide implements Decisions {
 
   private static final long MS = 1_000_000L;
   private static final Set<Outcome> UNRUN =
       EnumSet.of(Outcome.FULL, Outcome.UNREACHED, Outcome.NEVER_SENT);
-  private static final double LEARN = 0.05; // weight of one new sample in a running mean
-  private static final long SWEEP = 25 * MS; // how often waiters and engines are seen to
-  private static final long LONGEST_SWEEP = 50 * MS; // where tasks are rare; under the margin below
-  private static final long ANSWER_MARGIN =
-      60 * MS; // a task is answered so long before its cut-off
-
-  // The queues: the source's bounds, its longest wait, and the design's part of the client's time
-  // left.
+  // Weight of one new sample in a moving average.
+  private static final double LEARN = 0.05;
+  // How often queued tasks and engines are checked.
+  private static final long SWEEP = 25 * MS;
+  // The longest interval, used where tasks are rare; it must stay below the deadline margin.
+  private static final long LONGEST_SWEEP = 50 * MS;
+  // A task is answered at least this long before its deadline.
+  private static final long ANSWER_MARGIN = 60 * MS;
+
+  // The queues: limits on their length, the longest wait, and the divisor that gives the part of a
+  // task's remaining time that it may spend in a queue.
   private static final int DEPTH_PER_TENANT = 32;
   private static final int DEPTH_IN_ALL = 4096;
   private static final long LONGEST_WAIT = 5000 * MS;
   private static final int WAIT_PART = 5;
 
-  // The price of engine work while tasks wait: after how long a wait, and how it falls.
+  // The price of engine work while tasks wait. A wait up to this duration sets no price.
   private static final long PATIENCE = 150 * MS;
-  private static final double PRICE_FALL = 0.96; // a sweep
-  private static final double LEAST_PRICE = 0.02; // of the usual worth
-  private static final double GRADE_PART = 0.8; // of what sets a grade's worth apart: left out
-
-  // The room: the design's bound, what counts as busy and slow, and how long one sign of pressure
-  // lasts.
+  // The factor by which the price falls in each sweep interval.
+  private static final double PRICE_FALL = 0.96;
+  // The lowest price above 0, as a fraction of the mean value of tasks.
+  private static final double LEAST_PRICE = 0.02;
+  // The part of the difference between a class's mean value and the overall mean that is ignored
+  // when a task's value is compared with the price.
+  private static final double GRADE_PART = 0.8;
+
+  // The concurrency limit: its first and its highest value in threads per core.
   private static final double THREADS_PER_CORE = 2;
   private static final double MOST_THREADS_PER_CORE = 4;
+  // At or above this CPU utilization fast answers do not raise the limit.
   private static final double BUSY = 0.8;
+  // At or above this CPU utilization, or fraction of granted memory, an engine is under pressure.
   private static final double CROWDED = 0.95;
+  // Natural logarithm of the slowdown, relative to the best one seen, up to which answers count as
+  // normal.
   private static final double WELL_ABOVE_BEST = Math.log(2);
+  // Natural logarithm of the slowdown above which one answer halves the limit.
   private static final double SLOW_ANSWER = Math.log(5);
+  // How long one sign of pressure counts; also the shortest time between two halvings of a limit.
   private static final long PRESSURE_LASTS = 1000 * MS;
-  private static final double COLD_PART = 0.9; // of the cold budget: the rest is for misjudgement
-  private static final double COLD_DEVIATIONS = 4; // kept clear of it where chance decides
-  private static final double COLD_CHANCE = 2; // the rule's room for chance, in roots and in tasks
-  private static final double SMALL = 0.25; // of our part of a market's memory: always let in
-  private static final double PRIORITY_TOP = -0.7; // ln of worth over the mean: the top priority
-  private static final double PRIORITY_STEP = 1.1; // and for each one under it
-  private static final double GRANT_SPREAD = 2; // times the mean deviation of what was needed
-  private static final double GRANT_MARGIN = 0.25; // over the estimate, until its scatter is told
-
-  // Health and reports.
-  private static final double UNUSUAL = 4; // -log10 of the chance of a silence: suspected
+  // The part of a cold engine's budget that is used; the rest allows for errors of estimation.
+  private static final double COLD_PART = 0.9;
+  // How many standard deviations are kept free where the sum over all managers depends on chance.
+  private static final double COLD_DEVIATIONS = 4;
+  // The excess that the limit on cold engines tolerates: this many square roots of the number of
+  // tasks, plus this many tasks.
+  private static final double COLD_CHANCE = 2;
+  // A task that needs less than this fraction of our part of a pool's memory is admitted to an idle
+  // engine even if the pool's memory is used up.
+  private static final double SMALL = 0.25;
+  // Natural logarithm of a task's value relative to the mean: the threshold of the top priority,
+  // and the step to each priority below it.
+  private static final double PRIORITY_TOP = -0.7;
+  private static final double PRIORITY_STEP = 1.1;
+  // A memory grant exceeds the estimate by this many mean deviations of the memory needed.
+  private static final double GRANT_SPREAD = 2;
+  // The excess over the estimate until deviations have been reported.
+  private static final double GRANT_MARGIN = 0.25;
+
+  // Health and reports. An engine is suspected when -log10 of the probability of its present
+  // silence exceeds this value.
+  private static final double UNUSUAL = 4;
+  // A shorter silence never makes an engine suspected.
   private static final long SHORTEST_SILENCE = 400 * MS;
-  private static final double FIRST_GAP = 1; // signs owed between two signs, until learned
-  private static final double HOPELESS = 3; // usual runs still to go: better taken elsewhere
+  // The number of signs of life expected between two of them, until it has been learned.
+  private static final double FIRST_GAP = 1;
+  // A forward is stalled when its remaining time exceeds this multiple of the expected run time.
+  private static final double HOPELESS = 3;
+  // The time from the suspicion of an engine to the first trial task; it doubles up to the maximum.
   private static final long FIRST_TRIAL = 1000 * MS;
   private static final long LONGEST_TRIAL_GAP = 4000 * MS;
-  private static final double FAILING = 0.3; // part of failed answers that is suspected
-  private static final long PROBE_SILENCE = 1000 * MS; // what our own answers tell of is not probed
+  // An engine is suspected when the fraction of failed answers exceeds the fleet's mean by this.
+  private static final double FAILING = 0.3;
+  // An engine that gave a sign of life within this time is not probed.
+  private static final long PROBE_SILENCE = 1000 * MS;
   private static final long PROBE_EVERY = 400 * MS;
-  private static final double REPORT_FADES =
-      8000 * MS; // into the average, as others send there too
+  // The time constant with which a report loses weight against the average, because other managers
+  // send tasks to the engine as well.
+  private static final double REPORT_FADES = 8000 * MS;
+  // An older load report is ignored.
   private static final long REPORT_LASTS = 3000 * MS;
-  private static final long PACE_LASTS =
-      8000 * MS; // after which an engine's pace is half forgotten
+  // The time scale of an engine's mean slowdown: after a gap of this length it is half forgotten.
+  private static final long PACE_LASTS = 8000 * MS;
 
-  // The draw.
-  private static final double IDLE = 0.15; // load a core of an engine that does nothing
+  // The random choice of an engine. The load per core that an idle engine counts with.
+  private static final double IDLE = 0.15;
+  // The number of data sets per engine that count as warm.
   private static final int WARM_SETS = 4;
-  private static final double WARM = 6; // for how much faster warm data sets are seen to be
-  private static final double HELD = 0.02; // of one where a load of ours holds it
-  private static final double FAR = 0.5; // of one in another place, where crossing costs
+  // The exponent that turns the time saved by warm data sets into a weight.
+  private static final double WARM = 6;
+  // The weight factor of an engine on which a bulk load of this manager holds the data set.
+  private static final double HELD = 0.02;
+  // The weight factor of an engine in another zone, where traffic between zones has a price.
+  private static final double FAR = 0.5;
 
   private final Settings set;
   private final Settings.Levers levers;
@@ -87,23 +125,28 @@
   private final Loop loop = new Loop();
   private final EngineList listed = new EngineList();
   private final EngineSubset subset;
-  private final Map<String, Engine> engines = new TreeMap<>(); // used, or with forwards still out
+  // The engines in use, and those that still have open forwards.
+  private final Map<String, Engine> engines = new TreeMap<>();
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Map<String, Row> rows = new TreeMap<>();
   private final Map<String, Market> markets = new TreeMap<>();
   private final Map<String, Tenant<Task>> tenants = new TreeMap<>();
   private final Gate gate = new Gate();
   private long now;
-  private long bornAt = -1; // when it was first told of engines
-  private int siblings; // managers that share the engines
-  private boolean shut; // nothing new is let in: it could not be kept
-
+  // The time of the first engine list, or -1.
+  private long bornAt = -1;
+  // The number of managers that share the engines.
+  private int siblings;
+  // Whether new tasks are rejected, because the manager could not record them.
+  private boolean shut;
+
+  /** Creates the module of one manager; it issues its actions to {@code actions}. */
   public Decide(Settings settings, Actions actions) {
-    set = settings;
+    this.set = settings;
     levers = settings.levers();
     siblings = settings.siblings();
     subset = new EngineSubset(settings, listed);
-    act = actions;
+    this.act = actions;
     chance = new SplittableRandom(settings.seed());
     for (Grade grade : settings.grades()) {
       String bounds = new TreeSet<>(grade.places()) + "/" + new TreeSet<>(grade.kinds());
@@ -114,12 +157,13 @@
         .tenants()
         .forEach(of -> tenants.put(of.name(), new Tenant<>(Math.max(of.share(), 0.001))));
     if (tenants.isEmpty()) {
+      // The settings name no tenants: all tasks share one queue.
       tenants.put("", new Tenant<>(1));
-    } // none is told apart: all are one
+    }
     actions.wake(SWEEP, "sweep");
   }
 
-  // ---- The door: ids become objects, and everything heard becomes a note ----
+  // ---- Events: ids are resolved to objects, and each event is posted as a message ----
 
   public void engines(long at, boolean complete, List<EngineEntry> entries) {
     now = at;
@@ -161,8 +205,9 @@
     now = at;
     siblings = Math.max(1, count);
     if (bornAt >= 0) {
+      // The number of listed engines in use may change.
       engines(at, false, List.of());
-    } // fewer or more of those listed may be used
+    }
   }
 
   public void outcome(
@@ -206,8 +251,8 @@
       }
       boolean hopeless = what == Progress.WAITS || told && run - age > HOPELESS * task.usualRun();
       if (levers.cancel() && hopeless) {
-        // Stuck behind a load, for memory or in a jam. Where it can't be taken back, leave the
-        // crowd.
+        // The forward waits for a bulk load or for memory, or the engine is overloaded. Where the
+        // forward cannot be cancelled, a second one goes to another engine.
         gate.put(() -> gate.rescue(forward));
       }
     }
@@ -258,7 +303,10 @@
             .orElse(null);
   }
 
-  /** All news first, so that no turn goes to a task whose end is in this batch; then the turns. */
+  /**
+   * Processes all events first, so that no task is dispatched that ends in the same batch; then
+   * dispatches queued tasks.
+   */
   public void decide(long at) {
     now = at;
     loop.empty();
@@ -266,20 +314,21 @@
     loop.empty();
   }
 
-  // ---- The grade table, tasks, forwards ----
+  // ---- Concurrency limits, query classes, tasks, forwards ----
 
-  /** The room: a bound on our threads, of one engine or of a market. */
+  /** An adaptive limit on the threads of this manager's tasks, on one engine or in a pool. */
   private class Room {
     double bound;
-    int threads; // of our tasks there
-    double strain; // ln of how much slower than the best seen
+    int threads; // of this manager's tasks there
+    double strain; // moving average of ln of the slowdown relative to the best one seen
     long halvedAt;
     long pressedUntil;
 
     /**
-     * Binds only under pressure; our threads up to the first bound are that too. Slow answers are
-     * none while cores of our part idle: under a price tasks guessed too low got in, and it never
-     * grew again.
+     * Tells whether a task of the class may start. Without pressure, threads up to the initial
+     * limit are always allowed. Slow answers are no sign of pressure while cores of this manager's
+     * part are idle: otherwise, while work has a price, tasks with too low an estimate are admitted,
+     * appear slow, and the limit never grows again.
      */
     boolean fits(Grade grade, double able) {
       boolean pressed = strain > WELL_ABOVE_BEST && threads >= able || now < pressedUntil;
@@ -310,19 +359,22 @@
     }
   }
 
-  /** Engines that grades are bound to, the price of work there, and the room of them all. */
+  /**
+   * The engines that certain query classes are restricted to, with the price of work on them and
+   * one concurrency limit over all of them.
+   */
   private final class Market extends Room {
     final EngineSubset.Group group;
-    double able; // cores, our part of them
-    double memory; // likewise
-    double granted; // of that, to our tasks
-    boolean pooled; // our part of an engine holds no thread, on average
-    double price; // of engine work, in earnings; 0 unless tasks wait
+    double able; // this manager's part of the cores, in warm cores
+    double memory; // this manager's part of the memory
+    double granted; // memory granted to this manager's tasks
+    boolean pooled; // this manager's part of an engine is less than one thread, on average
+    double price; // of engine work, in earnings per nanosecond; 0 unless tasks wait
 
     Market(Grade grade) {
       group =
           subset.group(
-              entry -> // rule 6: placement
+              entry -> // rule 6: placement by zone and engine type
               (grade.places().isEmpty() || grade.places().contains(entry.place()))
                       && (grade.kinds().isEmpty() || grade.kinds().contains(entry.kind())));
     }
@@ -358,19 +410,19 @@
     }
   }
 
-  /** What differs by service grade. */
+  /** The statistics of one query class. */
   private static final class Row {
     final Grade grade;
     final Market market;
-    double costBias = 1; // told cost over estimated cost
-    double memoryBias = 1; // told memory over estimated memory, and its scatter
-    double memoryScatter = GRANT_MARGIN;
-    double meanCost = Double.NaN; // of the tasks taken, in nanoseconds of work
-    double meanRun = Double.NaN; // of the handled, in nanoseconds
-    double usual = Double.NaN; // ln of run time over undisturbed run time, on all engines
-    double best = Double.NaN; // the lowest that usual has been
-    double worthMean = Double.NaN; // ln of the earnings for the work of its tasks
-    boolean noRoom; // at this turn
+    double costBias = 1; // reported cost divided by estimated cost
+    double memoryBias = 1; // reported memory divided by estimated memory
+    double memoryScatter = GRANT_MARGIN; // added to the bias in a memory grant
+    double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
+    double meanRun = Double.NaN; // of tasks that succeeded, in nanoseconds
+    double usual = Double.NaN; // mean ln of run time over isolated run time, on all engines
+    double best = Double.NaN; // the lowest value that this mean has had
+    double worthMean = Double.NaN; // mean ln of earnings per nanosecond of work
+    boolean noRoom; // a plain task of this class fitted no engine in the present turn
 
     Row(Grade grade, Market market) {
       this.grade = grade;
@@ -382,23 +434,24 @@
     final String id;
     final Row row;
     final Grade grade;
-    final Tenant<Task> tenant; // null: unknown, never held
-    final Long key; // null: none
-    KeyLine<Task> line; // where its grade keeps order
+    final Tenant<Task> tenant; // null where unknown: such a task is never queued
+    final Long key; // null where the task has none, or its class is not serialized by key
+    KeyLine<Task> line; // null where key is null
     final long cutOffAt;
     final double cost; // nanoseconds of work
-    final double lnWorth; // earnings for its work
+    final double lnWorth; // ln of earnings per nanosecond of work
     final TaskOffer offer;
-    boolean keyed; // waits for its key
-    boolean queued; // waits for room
+    boolean keyed; // waits for earlier tasks of its key
+    boolean queued; // waits in the tenant's queue
     boolean over;
     long wantedSince;
-    long waitUntil; // end of the budget in the queue
+    long waitUntil; // the time at which its queue wait budget ends
     int forwards; // sent so far
     final List<Forward> out = new ArrayList<>(2);
-    final List<Engine> failedOn = new ArrayList<>(2); // held against them once it is handled
-    Forward ran; // the first that may have run
-    long cancelled; // a bit a forward
+    // The engines on which it ended with an error; they count as failed once it succeeds elsewhere.
+    final List<Engine> failedOn = new ArrayList<>(2);
+    Forward ran; // the earliest forward that an engine may have executed
+    long cancelled; // bit set of the indexes of cancelled forwards
 
     Task(TaskOffer offer, Row row) {
       this.offer = offer;
@@ -414,18 +467,19 @@
       lnWorth = Math.log(Math.max(grade.earnings(), 1e-9) / cost);
     }
 
-    /** Run time on an engine that does nothing else. */
+    /** Returns the expected run time on an otherwise idle engine. */
     double alone() {
       return Math.max(cost / grade.threads(), 5 * MS);
     }
 
-    /** And as the fleet runs now. */
+    /** Returns the expected run time at the fleet's present slowdown. */
     double usualRun() {
       return alone() * (Double.isNaN(row.usual) ? 2 : Math.exp(row.usual));
     }
 
     /**
-     * Earnings for its work, most of what sets its grade apart left out: no grade is shed whole.
+     * Returns the earnings per nanosecond of work, corrected for most of the difference between its
+     * class and the overall mean, so that load shedding never drops a whole class.
      */
     double worth() {
       return Math.exp(lnWorth - GRADE_PART * (row.worthMean - gate.worthMean));
@@ -435,13 +489,13 @@
       return Math.min(LONGEST_WAIT, Math.max(0, cutOffAt - now) / WAIT_PART);
     }
 
-    /** The part of its budget that a waiter has used, once it has waited at all long. */
+    /** Returns the fraction of the queue wait budget that is used; 0 during the first short wait. */
     double spent() {
       long waited = now - wantedSince;
       return waited > PATIENCE ? Math.min(1, waited / (double) (waitUntil - wantedSince)) : 0;
     }
 
-    /** Nothing can come of it: its cut-off is too near, or it would outlast a manager that ends. */
+    /** Tells whether the deadline is too near, or the task would outlast the shutdown. */
     boolean outOfTime() {
       return cutOffAt - now <= ANSWER_MARGIN || usualRun() > gate.stopAt - now;
     }
@@ -450,18 +504,22 @@
       return grade.repeat() == Grade.Repeat.HARMLESS;
     }
 
-    /** Rule 2: may it go to that engine, given what its earlier forwards may have done? */
+    /**
+     * Rule 2: tells whether the task may go to that engine, given what its earlier forwards may have
+     * executed.
+     */
     boolean mayRepeatOn(Engine engine) {
       if (!out.isEmpty() && !levers.secondCopies()) {
         return false;
       }
-      // The earliest that may have run: a later one may have ended while that one is still out.
+      // The earliest forward that may have been executed: a later one may have ended while that
+      // one is still open.
       Forward first =
           out.isEmpty() || ran != null && ran.index < out.get(0).index ? ran : out.get(0);
       if (first == null || harmless()) {
         return true;
       }
-      // It leaves up to so much later, as the connection for it comes up.
+      // The request may leave this much later, while its connection is being opened.
       long since = now - first.at + LONGEST_SWEEP + levers.connectTime();
       return grade.repeat() == Grade.Repeat.STAMPED
           && since < grade.repeatWindow()
@@ -472,7 +530,7 @@
           };
     }
 
-    /** Rule 2: does a bounce keep its promise that trying again is harmless? */
+    /** Rule 2: tells whether the client may safely retry the task after a rejection. */
     boolean mayBounce() {
       return harmless()
           || ran == null && out.isEmpty()
@@ -483,38 +541,41 @@
   private record Forward(
       Task task, Engine engine, int index, long at, double memoryMb, boolean warm) {}
 
-  // ---- The gate: tenant queues, turns, final answers ----
+  // ---- The dispatcher: tenant queues, dispatching, final answers ----
 
   private final class Gate extends Loop.Part {
     final Map<Long, KeyLine<Task>> lines = new TreeMap<>();
-    final Recent taken = new Recent(); // times within the ration's window (rule 7)
-    final Recent further = new Recent();
-    double warm; // mean ln of run time over the usual with a warm data set
-    double cold = 0.1; // and without
-    boolean reports; // has any engine ever told its load?
-    boolean mostSuspect; // of the fleet: then no engine is kept out for it
+    final Recent taken = new Recent(); // tasks within the window of the retry budget (rule 7)
+    final Recent further = new Recent(); // retries within that window
+    double warm; // mean ln of run time over the usual one, with a warm data set
+    double cold = 0.1; // the same without a warm data set
+    boolean reports; // whether any engine has ever reported its load
+    boolean mostSuspect; // whether most of the fleet is suspected; then suspicion excludes none
     int waiting;
-    long stopAt = Long.MAX_VALUE; // the manager ends: what is answered later is lost
+    long stopAt = Long.MAX_VALUE; // the time after which the shutdown loses answers
     long lastGrant;
     long sweptAt = now;
     long lastTaken = now;
-    double taskGap = 1000 * MS; // mean time between tasks taken; from rare on
-    double spacing = 10 * MS; // mean time between sends, while tasks wait
-    double worthMean = Double.NaN; // mean ln of the worth of the tasks taken
-    double meanCost = Double.NaN; // of the tasks taken, in nanoseconds of work
+    double taskGap = 1000 * MS; // mean time between accepted tasks; starts as for rare tasks
+    double spacing = 10 * MS; // mean time between sends while tasks wait
+    double worthMean = Double.NaN; // mean ln of the earnings per nanosecond of accepted tasks
+    double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
 
     Gate() {
       super(loop);
     }
 
-    /** Rarer where few tasks come: what sweeps cost must not grow with the managers. */
+    /**
+     * Returns the time to the next sweep. It is longer where few tasks come, so that the cost of
+     * sweeps does not grow with the number of managers.
+     */
     long nextSweep() {
       return (long) clamp(taskGap / 2, SWEEP, LONGEST_SWEEP);
     }
 
     /**
-     * Guards against probes that cost more than they tell: rarer with fewer tasks and more
-     * managers.
+     * Returns the time between probes of an engine. It is longer with fewer tasks and more
+     * managers, so that probes do not cost more than they tell.
      */
     long probeEvery() {
       return (long) Math.max(PROBE_EVERY, engines.size() * taskGap * Math.sqrt(siblings));
@@ -532,7 +593,8 @@
         return;
       }
       if (task.key != null) {
-        // Looked up only now: one named at the door may have been dropped before its task got here.
+        // The queue is looked up only here: one found when the event arrived may have been removed
+        // before this message was processed.
         task.line = lines.computeIfAbsent(task.key, KeyLine::new);
         task.line.line.add(task);
         if (task.line.line.peek() != task || !open(task.line)) {
@@ -548,7 +610,8 @@
     }
 
     /**
-     * Into its tenant's queue; refused at once if it earns little, fits no bound or waits too long.
+     * Adds the task to its tenant's queue. Gives it up at once if its value is below the price, a
+     * queue is full, or the expected wait exceeds its budget.
      */
     private void enqueue(Task task) {
       task.keyed = false;
@@ -565,7 +628,7 @@
                   || expectedWait(task) > task.budget())) {
         refuse(task);
       } else if (task.tenant == null) {
-        route(task); // of no tenant: at once or not at all
+        route(task); // a task of no tenant is sent at once or rejected
       } else {
         queue(task);
       }
@@ -587,8 +650,8 @@
     }
 
     /**
-     * The send spacing behind it, plus, with no room, the least remaining mean run time on an
-     * engine.
+     * Returns the expected time in the queue: the send interval times the number of tasks ahead,
+     * plus the shortest remaining mean run time of any open forward on an engine of the pool.
      */
     private double expectedWait(Task task) {
       double weights = 0;
@@ -611,7 +674,10 @@
           && engines.values().stream().anyMatch(engine -> engine.fits(task));
     }
 
-    /** One turn: smooth weighted round-robin over the tenants whose next waiter fits some room. */
+    /**
+     * Dispatches one task, by smooth weighted round-robin over the tenants that have a task which
+     * can be sent.
+     */
     private void turn() {
       rows.values().forEach(row -> row.noRoom = false);
       Task chosen = null;
@@ -639,7 +705,8 @@
     }
 
     /**
-     * The fleet as a whole, at the sweep and whenever an engine is listed, suspected or cleared.
+     * Recomputes the figures of the whole fleet; called by each sweep and whenever an engine is
+     * listed, suspected or cleared.
      */
     private void survey() {
       mostSuspect =
@@ -652,14 +719,15 @@
     }
 
     /**
-     * The waiter with least time left that fits; one that fits nowhere steps aside for those that
-     * do.
+     * Returns the queued task with the earliest deadline that can be sent, or null. A task that can
+     * be sent to no engine does not block those behind it.
      */
     private Task next(ArrayList<Task> waiters) {
       for (int i = 0; i < waiters.size(); i++) {
         Task task = waiters.get(i);
         boolean plain = task.forwards == 0 && task.line == null;
-        if (!task.row.noRoom) { // no room for a plain one is none for the others
+        // Where a plain task of the class cannot be sent, no other task of the class can.
+        if (!task.row.noRoom) {
           if (fits(task)) {
             return task;
           }
@@ -674,11 +742,12 @@
       spacing = waiting > 0 || now > task.wantedSince ? mean(spacing, wait, LEARN) : spacing;
       lastGrant = now;
       if (task.tenant != null) {
+        // The remaining queued tasks have not been considered yet.
         turn();
-      } // the others had no turn
+      }
     }
 
-    /** The re-check failed: back into the queue, within the budget that it has left. */
+    /** Returns a task that no longer fits its engine to the queue, within its remaining budget. */
     private void back(Task task) {
       if (task.over) {
         return;
@@ -690,7 +759,7 @@
       }
     }
 
-    /** Gives a task up; one that still has a forward out only stops waiting for a further one. */
+    /** Gives a task up; with an open forward it only stops waiting for another one. */
     private void refuse(Task task) {
       unqueue(task);
       if (task.out.isEmpty()) {
@@ -698,7 +767,7 @@
       }
     }
 
-    /** Rule 1: the one final answer. */
+    /** Rule 1: gives the one final answer of a task without a result. */
     private void answer(Task task) {
       if (task.mayBounce()) {
         act.bounce(
@@ -712,7 +781,7 @@
       finish(task);
     }
 
-    /** Nothing more is owed or sent; its forwards stay with their engines until they end. */
+    /** Ends a task: cancels its open forwards, which stay with their engines until they end. */
     private void finish(Task task) {
       unqueue(task);
       task.over = true;
@@ -732,7 +801,8 @@
     }
 
     /**
-     * Rule 5: the next task of a key is wanted once the one before is over and the key has rested.
+     * Rule 5: enqueues the next task of a key once the one before has ended and the key's cooldown
+     * is over.
      */
     private void release(KeyLine<Task> line) {
       Task head = line.line.peek();
@@ -754,7 +824,8 @@
         if (outcome == Outcome.TIME_OUT
             || outcome == Outcome.RESET
             || outcome == Outcome.CANCELLED) {
-          task.line.restsUntil = now + set.keyRest() + LONGEST_SWEEP; // news of its end crosses
+          // One sweep is added because the end on the engine and this event may cross.
+          task.line.restsUntil = now + set.keyRest() + LONGEST_SWEEP;
         }
       }
       if (!task.over && (over || outcome == Outcome.OK)) {
@@ -766,7 +837,7 @@
       }
     }
 
-    /** Its forwards all failed: wanted again where the rules leave a way, else answered at once. */
+    /** All forwards failed: enqueues the task again where the rules allow, or else answers it. */
     private void again(Task task) {
       boolean left = task.forwards < levers.mostForwards() && !task.outOfTime();
       boolean may = left && (task.ran == null || task.grade.repeat() != Grade.Repeat.ONE_SHOT);
@@ -778,7 +849,8 @@
     }
 
     /**
-     * A forward stuck on its engine: taken back, or doubled, where grade, rules and levers allow.
+     * Cancels a stalled forward, or sends a second one, where the query class, the rules and the
+     * capabilities allow.
      */
     private void rescue(Forward forward) {
       Task task = forward.task;
@@ -797,21 +869,22 @@
       }
     }
 
-    /** Rule 7: one more further forward within the ration? */
+    /** Rule 7: tells whether one more retry is within the retry budget. */
     boolean rationAllows() {
       Settings.RationRule rule = set.ration();
       return rule == null || further.count() + 1 <= rule.spare() + rule.share() * taken.count();
     }
 
     /**
-     * Early refusal by worth: while tasks wait, work has a price, lest heavy ones take all room.
+     * Updates the price of engine work in each pool. While tasks wait, tasks whose value is below
+     * the price are rejected early, so that expensive ones do not take all capacity.
      */
     private void reprice() {
       double usual = Math.exp(worthMean);
       double fall = Math.pow(PRICE_FALL, (now - sweptAt) / (double) SWEEP);
       sweptAt = now;
       for (Market market : markets.values()) {
-        // How far through its budget the waiter is that is nearest to its end.
+        // The largest fraction of a queue wait budget that any queued task has used.
         double spent =
             tenants.values().stream()
                 .flatMap(tenant -> tenant.waiters.stream())
@@ -831,7 +904,8 @@
       markets.values().forEach(Market::refill);
       reprice();
       long window = set.ration() == null ? 0 : set.ration().window();
-      taken.forget(now - window + 2 * LONGEST_SWEEP + 1); // too early rather than too late
+      // Tasks are removed early rather than late, so that the budget is never overestimated.
+      taken.forget(now - window + 2 * LONGEST_SWEEP + 1);
       further.forget(now - window);
       tenants.values().stream()
           .flatMap(tenant -> tenant.waiters.stream())
@@ -858,8 +932,8 @@
   }
 
   /**
-   * Draws among the engines that fit, weighted against their load; an unheard one counts as
-   * average.
+   * Picks one of the engines that can take the task, at random and weighted against their load; an
+   * engine without a fresh report counts as average.
    */
   private Engine draw(Task task) {
     double average =
@@ -874,7 +948,7 @@
     return fitting.get(pick(weights, chance.nextDouble()));
   }
 
-  /** What an engine started then surely can do by now. */
+  /** Returns the fraction of its capacity that an engine started at that time has by now. */
   private double warmth(long start) {
     Settings.ColdRule rule = set.cold();
     if (rule == null || start <= 0 || now - start >= rule.warmAfter()) {
@@ -884,48 +958,47 @@
     return rule.startCapacity() + (1 - rule.startCapacity()) * age;
   }
 
-  // ---- Engines: the one record of each, its room, its health, the one place that every send
-  // passes ----
+  // ---- Engines: state, concurrency limit and health; every task is sent from here ----
 
   private final class Engine extends Loop.Part {
     final String id;
     EngineEntry entry; // as last listed
     boolean ready;
-    boolean gone; // or no longer used; forgotten once its forwards have ended
-    long keptUntil; // what it was sent while cold counts for a window
-    final List<Market> serves = new ArrayList<>(2); // whose tasks may use it
-    boolean standsIn; // for others of the subset: never while it is cold
-    int level; // of the managers one in 2 to this power uses it
+    boolean gone; // no longer listed or used; it is removed once its forwards have ended
+    long keptUntil; // the work sent to it while cold counts for a whole window
+    final List<Market> serves = new ArrayList<>(2);
+    boolean standsIn; // a substitute for others of the subset; it is not used while cold
+    int level; // one in 2^level managers uses the engine
     double cores = 1;
     double totalMemory;
     final ArrayList<Forward> out = new ArrayList<>();
-    double granted; // memory of our tasks there
+    double granted; // memory granted to this manager's tasks there
     final Room room = new Room();
-    double pace; // ln of how much slower than the fleet its answers are
+    double pace; // mean ln of its slowdown relative to the fleet
     long pacedAt = now;
-    double ours; // our part of the tasks that it reports to hold, smoothed
+    double ours; // moving average of this manager's part of the engine's tasks
     LoadReport report;
     long reportAt;
-    int threadsSince; // sent since that report
-    double othersHeld; // tasks that it reported, less ours then
-    double othersMemory; // what it reported granted, less what was ours then
+    int threadsSince;
+    double othersHeld; // the tasks in the last report, less this manager's at the time
+    double othersMemory; // the memory in the last report, less this manager's at the time
     long probeAt;
     int probesFailed;
     long sweptAt;
-    long signAt; // last sign of life, or when one was first owed
-    double owed; // how many signs usual run times led to expect since then
-    double gap = FIRST_GAP; // mean and deviation of what was owed at a sign
-    double gapSpread = FIRST_GAP;
-    double failing; // part of its answers that fail, the last ones counting most
-    boolean unreached; // the last try: then the fleet is no excuse
+    long signAt; // the last sign of life, or the first send to the idle engine since then
+    double owed; // the number of signs of life expected since then by usual run times
+    double gap = FIRST_GAP; // mean of that number at the time of a sign
+    double gapSpread = FIRST_GAP; // mean deviation of that number
+    double failing; // moving average of the fraction of failed answers
+    boolean unreached; // at the last attempt; excludes the engine even if most are suspected
     long unreachedAt;
     boolean suspect;
     long trialAt;
     long trialGap;
-    long ticketUntil; // a cold engine's, for this window
-    double ticketDrawn;
-    final Recent coldSends = new Recent(); // work
-    final LinkedHashSet<Long> warm = new LinkedHashSet<>(); // data sets read last, oldest first
+    long ticketUntil; // the end of the window for which the random number below holds
+    double ticketDrawn; // decides whether this manager may exceed its even share of cold work
+    final Recent coldSends = new Recent(); // work sent while cold, in nanoseconds
+    final LinkedHashSet<Long> warm = new LinkedHashSet<>(); // data sets last read, oldest first
 
     Engine(String id) {
       super(loop);
@@ -938,7 +1011,8 @@
     }
 
     private void listed(EngineEntry told) {
-      gate.put(gate::survey); // behind each: one a list would come ahead of some
+      // Posted after each entry: one message for a whole list would precede some of its entries.
+      gate.put(gate::survey);
       boolean used = told != null && subset.uses(told);
       ready = used && told.state() == EngineEntry.State.READY;
       boolean leaves = told != null && !used && !gone && set.cold() != null;
@@ -948,7 +1022,8 @@
       if (told == null) {
         return;
       }
-      engines.putIfAbsent(id, this); // a sweep may have forgotten it since it was named at the door
+      // A sweep may have removed the engine since the event arrived.
+      engines.putIfAbsent(id, this);
       markets.values().stream().filter(market -> market.group.uses(told)).forEach(serves::add);
       standsIn = subset.standsIn(told);
       level = subset.level(told);
@@ -958,7 +1033,7 @@
       cores = figures != null && figures.cores() > 0 ? figures.cores() : Math.max(1, told.size());
       totalMemory = figures == null ? 0 : figures.memoryMb();
       if (fresh) {
-        // A new process: nothing learned of the old one holds.
+        // A new process: nothing learned about the old one applies.
         warm.clear();
         suspect = unreached = false;
         report = null;
@@ -968,7 +1043,7 @@
       }
     }
 
-    // -- May it be sent to? --
+    // -- Eligibility --
 
     boolean usable() {
       return ready && !unreached && (!suspect || gate.mostSuspect);
@@ -982,7 +1057,10 @@
       return Decide.this.warmth(coldSince());
     }
 
-    /** Rule 4: an even part of what a cold engine may get; where that holds no task, a draw. */
+    /**
+     * Rule 4: tells whether the task is within this manager's even share of what a cold engine may
+     * get, or a random draw admits it where the share is too small for it.
+     */
     private boolean coldAllows(Task task) {
       if (warmth() >= 1 || standsIn) {
         return warmth() >= 1;
@@ -992,7 +1070,10 @@
       return sent + task.cost <= evenPart() || sent == 0 && ticket(task) > 0;
     }
 
-    /** Ours for sure; half is left to tickets where it would not hold a usual task. */
+    /**
+     * Returns the work that this manager may always send. Where it is less than a usual task, half
+     * of it is left to random draws.
+     */
     private double evenPart() {
       double part = coldBudget() / coldUsers();
       return gate.meanCost > part ? part / 2 : part;
@@ -1003,18 +1084,25 @@
     }
 
     /**
-     * And those that may use it, by chance, older lists and positions that are unknown or doubled.
+     * Returns an upper bound on the managers that use the engine, as their number varies by chance,
+     * with outdated lists, and with indexes that are unknown or held by two managers.
      */
     double coldUsers() {
       return Math.min(siblings, users() + COLD_DEVIATIONS * Math.sqrt(users()));
     }
 
+    /**
+     * Returns when the engine started; an unreachable one counts as restarted, as lists arrive
+     * late.
+     */
     private long coldSince() {
       return Math.max(entry.startedAt(), unreachedAt);
-    } // as lists are late
+    }
 
     /**
-     * Grows over a window where the engine is older than we are: our earlier life may have sent.
+     * Returns the work that all managers together may send to the cold engine within a window. It
+     * grows over the first window where the engine is older than this process, because an earlier
+     * process of this manager may have sent tasks to it.
      */
     private double coldBudget() {
       long window = set.cold().window();
@@ -1022,13 +1110,17 @@
       return COLD_PART * set.cold().multiple() * warmth() * cores * window * known;
     }
 
-    /** The chance that a task gets in when our part does not hold it; 0 where the draw failed. */
+    /**
+     * Returns the probability that a task which exceeds the even share is admitted; 0 where this
+     * window's draw failed.
+     */
     private double ticket(Task task) {
       if (now >= ticketUntil) {
         ticketUntil = now + set.cold().window();
         ticketDrawn = chance.nextDouble();
       }
-      // Of all: what the even parts leave and the rule's room for chance, at most what it can do.
+      // For all managers: what the even shares leave, plus the tolerated excess, and at most what
+      // the engine can execute.
       double chances = COLD_CHANCE * (Math.sqrt(coldBudget() * gate.meanCost) + gate.meanCost);
       double all = coldBudget() - evenPart() * coldUsers() + chances;
       double deviations = COLD_DEVIATIONS * Math.sqrt(task.cost) / 2;
@@ -1039,7 +1131,8 @@
     }
 
     /**
-     * Every rule on sending, in one place; rule 3 (drains) without its grace, as the list is late.
+     * Checks every rule on sending. Rule 3 (draining engines) is applied without its grace period,
+     * as lists arrive late.
      */
     private boolean rulesAllow(Task task) {
       return ready
@@ -1052,7 +1145,7 @@
               || task.line.line.peek() == task && (task.forwards > 0 || gate.open(task.line)));
     }
 
-    /** Rules, health and room together. */
+    /** Tells whether rules, health and free capacity permit sending the task here. */
     boolean fits(Task task) {
       if (!rulesAllow(task) || !task.out.isEmpty() && task.out.get(0).engine == this) {
         return false;
@@ -1061,14 +1154,16 @@
     }
 
     /**
-     * This manager's part of the engine: an even one, or more where it is seen to hold mostly ours.
+     * Returns this manager's part of the engine: an even one, or more where its tasks are seen to
+     * make up more of the load.
      */
     private double share() {
       return Math.max(1 / users(), ours);
     }
 
     /**
-     * The room in threads: its own, or the market's where our part of an engine holds no thread.
+     * Checks the engine's concurrency limit, or the pool's where this manager's part of an engine is
+     * less than one thread.
      */
     private boolean threadsFit(Task task) {
       Market market = task.row.market;
@@ -1077,20 +1172,21 @@
           : room.fits(task.grade, cores * share() * warmth());
     }
 
-    /** One more of our tasks here, or one less. */
+    /** Adds the threads and memory of a task; negative values remove them. */
     private void count(int threads, double memory) {
       room.threads += threads;
       granted += memory;
       for (Market market : markets.values()) {
-        boolean counts = usable() && serves.contains(market); // what is stuck takes none elsewhere
+        // Tasks on an unusable engine take no capacity of the pool.
+        boolean counts = usable() && serves.contains(market);
         market.threads += counts ? threads : 0;
         market.granted += counts ? memory : 0;
       }
     }
 
     /**
-     * The room in memory always binds: past it an engine spills, waits or pages, and tells too
-     * late.
+     * Checks the memory limit. It always applies: beyond it an engine spills, waits or pages, and
+     * its reports come too late.
      */
     private boolean memoryFits(Task task) {
       Market market = task.row.market;
@@ -1104,7 +1200,7 @@
       return out.isEmpty() && (!told && let || market.threads == 0);
     }
 
-    /** What a task is to be granted here; where grants are not heeded, what it will take. */
+    /** Returns the memory to grant, or, where engines ignore grants, the memory it will use. */
     private double grant(Task task) {
       double memory = task.offer.memoryMb() * (task.row.memoryBias + task.row.memoryScatter);
       double most =
@@ -1113,8 +1209,8 @@
     }
 
     /**
-     * More for tasks that earn much for their work, and for loads, as others wait for what they
-     * hold.
+     * Returns the priority. It is higher for tasks that earn much for their work, and for bulk
+     * loads, as other tasks wait for the data sets that they hold.
      */
     private int priority(Task task) {
       double above = task.lnWorth - gate.worthMean;
@@ -1124,8 +1220,9 @@
 
     private void send(Task task) {
       if (task.over) {
+        // The client left, or the task was answered, after it had been dispatched.
         return;
-      } // its client left, or it was answered, behind its turn
+      }
       if (!fits(task)) {
         gate.put(() -> gate.back(task));
         return;
@@ -1144,8 +1241,8 @@
       signAt = out.isEmpty() ? now : signAt;
       sweptAt = out.isEmpty() ? now : sweptAt;
       out.add(forward);
-      // Not by a note: its end, or the next of its key, may be in the same batch and must find it
-      // out.
+      // Recorded here and not by a message: its end, or the next task of its key, may be in the
+      // same batch and must find the forward open.
       task.out.add(forward);
       if (task.line != null) {
         task.line.out++;
@@ -1162,12 +1259,13 @@
       if (warm.size() > WARM_SETS) {
         warm.remove(warm.iterator().next());
       }
-      trialGap = Math.min(LONGEST_TRIAL_GAP, trialGap * 2); // both are read only under suspicion
+      // Both values are read only while the engine is suspected.
+      trialGap = Math.min(LONGEST_TRIAL_GAP, trialGap * 2);
       trialAt = now + trialGap;
       gate.put(() -> gate.sent(task));
     }
 
-    // -- What it says --
+    // -- Outcomes and reports --
 
     private void ended(
         Forward forward,
@@ -1185,7 +1283,8 @@
         handled(forward, cost, memoryMb);
         forward.task.failedOn.forEach(engine -> engine.put(engine::failed));
       } else if (outcome == Outcome.ERROR && forward.task.harmless()) {
-        forward.task.failedOn.add(this); // a bad task fails anywhere: no news of this engine yet
+        // The task itself may be faulty and fail on every engine.
+        forward.task.failedOn.add(this);
       } else if (outcome == Outcome.ERROR
           || outcome == Outcome.UNREACHED
           || outcome == Outcome.RESET) {
@@ -1202,7 +1301,7 @@
       gate.put(() -> gate.ended(forward, outcome, over));
     }
 
-    /** An engine that fails fast looks idle, and would draw ever more tasks. */
+    /** Counts a failed answer; an engine that fails fast looks idle and would attract more tasks. */
     private void failed() {
       failing = mean(failing, 1, 4 * LEARN);
       if (!suspect && failing > failingLimit()) {
@@ -1239,7 +1338,7 @@
       row.market.answered(task.grade, above, busy, row.market.able * MOST_THREADS_PER_CORE);
     }
 
-    /** How much slower than the fleet; a sample counts the more the rarer they come. */
+    /** Updates the slowdown relative to the fleet; a sample counts more where they are rare. */
     private void paced(Task task, double ratio) {
       double weight = clamp((now - pacedAt) / (double) PACE_LASTS, 2 * LEARN, 0.5);
       pace = Double.isNaN(task.row.usual) ? pace : mean(pace, ratio - task.row.usual, weight);
@@ -1261,7 +1360,7 @@
       othersHeld = Math.max(0, told.held() - out.size());
       othersMemory = Math.max(0, told.memoryGranted() * totalMemory - granted);
       if (told.coresBusy() < BUSY && told.held() >= 0) {
-        // While cores idle, all that others are not seen to hold is free for us.
+        // While cores are idle, whatever others do not use is available to this manager.
         double free = 1 - othersHeld / (cores * warmth() * THREADS_PER_CORE);
         ours = mean(ours, Math.max(0, free), 2 * LEARN);
       } else if (told.held() >= 4) {
@@ -1281,7 +1380,7 @@
       }
     }
 
-    // -- Health: how unusual is the present silence, given the gaps seen before? --
+    // -- Health: the probability of the present silence, given the earlier ones --
 
     private void sign() {
       gapSpread = mean(gapSpread, Math.abs(owed - gap), LEARN);
@@ -1293,7 +1392,7 @@
       if (suspect && probesFailed < 2 && failing <= failingLimit()) {
         suspect = false;
         gate.survey();
-        act.log("engine " + id + " answers again: back in the draw");
+        act.log("engine " + id + " answers again and receives tasks");
       }
     }
 
@@ -1317,7 +1416,10 @@
       }
     }
 
-    /** Against the fleet: where all fail alike, leaving the one that failed last helps nobody. */
+    /**
+     * Returns the limit relative to the fleet's mean: where all engines fail alike, excluding one of
+     * them does not help.
+     */
     private double failingLimit() {
       return FAILING
           + engines.values().stream()
@@ -1335,12 +1437,12 @@
       gate.survey();
       trialGap = FIRST_TRIAL;
       trialAt = now + trialGap;
-      act.log("engine " + id + " suspected: " + why + "; no more tasks but trials");
+      act.log("engine " + id + " suspected: " + why + "; it receives trial tasks only");
     }
 
-    // -- The draw's figures --
+    // -- Figures for the choice of an engine --
 
-    /** When our first task there should end, by the mean run of its grade. */
+    /** Returns the time until the first open forward should end, by the mean run of its class. */
     double leastRemaining() {
       return out.stream()
           .mapToDouble(
@@ -1356,7 +1458,10 @@
           .orElse(Double.MAX_VALUE);
     }
 
-    /** Load a core: reported use, else tasks held, else our threads; plus our sends since. */
+    /**
+     * Returns the load per core: the reported utilization and tasks, or else this manager's threads;
+     * plus the threads sent since the report.
+     */
     double load(double average) {
       double able = cores * warmth();
       if (!gate.reports || !heard()) {
@@ -1368,6 +1473,7 @@
           : report.coresBusy() + (Double.isNaN(held) ? 0 : held) + threadsSince / able;
     }
 
+    /** Returns the weight of this engine in the random choice for the task. */
     double weight(Task task, double average) {
       double trust = heard() ? Math.exp((reportAt - now) * (1 / share() - 1) / REPORT_FADES) : 1;
       double load = IDLE + average + (load(average) - average) * trust;
@@ -1375,7 +1481,8 @@
       boolean read = warm.contains(task.offer.dataSet());
       weight *= read ? Math.exp(WARM * clamp(gate.cold - gate.warm, 0, 0.5)) : 1;
       if (warmth() < 1 && task.cost > evenPart()) {
-        weight /= Math.max(ticket(task), 1e-9); // as often in all as if it needed no ticket
+        // Compensates for the draw: the engine is chosen as often as without one.
+        weight /= Math.max(ticket(task), 1e-9);
       }
       weight *= levers.placesPriced() && !entry.place().equals(set.place()) ? FAR : 1;
       boolean stands = task.grade.load() || task.grade.waitsForLoads();
--- a/src/main/java/tansytrack/adapter/Adapter.java
+++ b/src/main/java/tansytrack/adapter/Adapter.java
@@ -24,8 +24,8 @@
 import tansytrack.settings.Unusable;
 
 /**
- * The bench's wire on one side, the module's interface on the other; each instance is a module of
- * its own.
+ * Connects decision modules to the simulator: reads its events line by line, calls the module of the
+ * manager that each event is for, and writes the actions as lines of the reply.
  */
 public final class Adapter {
 
@@ -43,7 +43,7 @@
   private long lineNumber;
   private boolean failed;
 
-  /** An adapter over the decisions of this program. */
+  /** Creates an adapter whose managers use {@link Decide}. */
   public Adapter(InputStream in, OutputStream out, PrintStream err) {
     this(in, out, err, Decide::new);
   }
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Serves until the input ends: 0, or 2 after a line that does not follow the wire. */
+  /** Serves until the input ends and returns the exit code: 0, or 2 after a malformed line. */
   public int run() throws IOException {
     try {
       while (nextLine()) {
@@ -137,7 +137,7 @@
     }
   }
 
-  /** The instance that an event is for; it may act in this batch. */
+  /** Returns the instance that an event is for and marks it to decide in this batch. */
   private Instance told() {
     String name = in.text("manager_id");
     Instance to = instances.get(name);
@@ -148,7 +148,7 @@
     return to;
   }
 
-  /** A failure inside the decisions is said once, and ends the day. */
+  /** Runs a call of a module. Its first failure is reported; after that no module is called. */
   private void guarded(Instance instance, Runnable call) {
     if (failed) {
       return;
@@ -313,7 +313,7 @@
     };
   }
 
-  /** One workload manager: its module, and its actions as lines of the reply. */
+  /** One workload manager: its module, and the actions that it writes to the reply. */
   private final class Instance implements Actions {
     final String name;
     Decisions module;
@@ -327,7 +327,7 @@
       return reply.append(word).append(' ').append(name).append(' ');
     }
 
-    /** Nanoseconds as milliseconds, to the microsecond; cut, never rounded up. */
+    /** Writes nanoseconds as milliseconds with three decimals, rounded towards zero. */
     private void time(long nanos) {
       long micros = nanos / 1000;
       long part = Math.abs(micros % 1000);
--- a/src/main/java/tansytrack/adapter/Fields.java
+++ b/src/main/java/tansytrack/adapter/Fields.java
@@ -5,10 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import tansytrack.settings.Unusable;
 
-/** Reads lines as bytes and takes their fields one after the other; '-' is an absent value. */
+/** Reads the space-separated fields of lines, one after the other; '-' is an absent value. */
 final class Fields {
 
-  /** A line that does not follow the wire. */
+  /** Thrown when a line does not follow the protocol. */
   static final class Malformed extends Unusable {
     private static final long serialVersionUID = 1L;
 
@@ -31,7 +31,7 @@
     this.in = in;
   }
 
-  /** Moves to the next line; false at the end of input. */
+  /** Moves to the next line; returns false at the end of the input. */
   boolean next() throws IOException {
     length = 0;
     at = 0;
@@ -55,14 +55,17 @@
     }
   }
 
+  /** Tells whether the line is empty. */
   boolean blank() {
     return length == 0;
   }
 
+  /** Returns the line for an error message, cut to 200 bytes. */
   String whole() {
     return new String(line, 0, Math.min(length, 200), StandardCharsets.UTF_8);
   }
 
+  /** Moves to the next field, or fails with the name of the missing one. */
   private void take(String what) {
     if (at >= length) {
       throw new Malformed("no " + what);
@@ -78,21 +81,24 @@
     return (end - start == 1 && line[start] == '-') || end == start;
   }
 
+  /** Tells whether the line has another field. */
   boolean more() {
     return at < length;
   }
 
-  /** A field that may be absent: null then. */
+  /** Returns the next field, or null where absent. */
   String textOrNull(String what) {
     take(what);
     return absent() ? null : new String(line, start, end - start, StandardCharsets.UTF_8);
   }
 
+  /** Returns the next field, or an empty string where absent. */
   String textOrEmpty(String what) {
     String value = textOrNull(what);
     return value == null ? "" : value;
   }
 
+  /** Returns the next field, which must be present. */
   String text(String what) {
     String value = textOrNull(what);
     if (value == null) {
@@ -101,24 +107,25 @@
     return value;
   }
 
-  /** Milliseconds to nanoseconds, digit by digit; 0 where absent. */
+  /** Returns a time in milliseconds as nanoseconds, converted exactly; 0 where absent. */
   long time(String what) {
     take(what);
     return absent() ? 0 : fixed(what, 6);
   }
 
-  /** A whole number, or the given value where absent. */
+  /** Returns an integer, or the given value where absent. */
   long integer(String what, long otherwise) {
     take(what);
     return absent() ? otherwise : fixed(what, 0);
   }
 
-  /** A number; 0 where absent. */
+  /** Returns a number; 0 where absent. */
   double number(String what) {
     take(what);
     return absent() ? 0 : fixed(what, 9) / 1e9;
   }
 
+  /** Parses a number as a fixed-point value with the given number of decimals. */
   private long fixed(String what, int places) {
     return fixed(what, places, start, end);
   }
@@ -167,8 +174,8 @@
   }
 
   /**
-   * Comma-separated numbers into the row, NaN where absent; returns how many there were, 0 for an
-   * absent row.
+   * Reads comma-separated numbers into the array, NaN where absent. Returns how many were read, or 0
+   * for an absent field.
    */
   int row(String what, double[] into) {
     take(what);
--- a/src/main/java/tansytrack/api/Actions.java
+++ b/src/main/java/tansytrack/api/Actions.java
@@ -1,23 +1,32 @@
 package tansytrack.api;
 
 /**
- * What a workload manager can do. Times in nanoseconds; a time-out or pause of 0 means none stated.
+ * The actions that a decision module can take. Times are in nanoseconds; a timeout or delay of 0
+ * means that none is stated.
  */
 public interface Actions {
 
+  /** Sends the task to an engine. */
   void forward(String task, String engine, long timeOut);
 
+  /** Ends the task without a result; the client may retry it after the delay. */
   void bounce(String task, long pause);
 
+  /** Ends the task with an error: an engine may have executed it, and a retry may not be safe. */
   void abort(String task);
 
+  /** Sets the memory grant and the priority with which the task's next forward is sent. */
   void provide(String task, long memoryMb, int priority);
 
+  /** Asks an engine for its health and load. */
   void probe(String engine);
 
+  /** Cancels the forward of the task that has the given index. */
   void cancel(String task, int index);
 
+  /** Schedules one wake-up after the given time; it comes with the same token. */
   void wake(long in, String token);
 
+  /** Writes a line to the log. */
   void log(String text);
 }
--- a/src/main/java/tansytrack/api/Decisions.java
+++ b/src/main/java/tansytrack/api/Decisions.java
@@ -3,34 +3,40 @@
 import java.util.List;
 
 /**
- * What a workload manager hears. Calls carry the present time in nanoseconds and only take notes;
- * decide() acts on them, once after each batch of calls, through {@link Actions}.
+ * Receives the events of a workload manager and decides on them. Each call carries the present time
+ * in nanoseconds and only queues the event; {@link #decide} acts on the events, once after each
+ * batch of calls, through {@link Actions}.
  */
 public interface Decisions {
 
+  /** What an engine reports about a running forward. */
   enum Progress {
+    /** The fraction of the work that is done. */
     SHARE_DONE,
+    /** The forward spills to disk. */
     SPILLS,
+    /** The forward makes no progress, as it waits for memory or a bulk load. */
     WAITS
   }
 
-  /** Engines listed: the whole list when complete, else only what changed. */
+  /** An engine list has arrived: the whole list if complete, or else the changed entries only. */
   void engines(long now, boolean complete, List<EngineEntry> entries);
 
+  /** A client has submitted a task. */
   void task(long now, TaskOffer offer);
 
-  /** May new tasks come in? Where not, each is bounced; those taken before go on. */
+  /** Opens or closes admission. While closed, new tasks are rejected; accepted ones continue. */
   void admit(long now, boolean open);
 
   /**
-   * So many managers share the engines from now on, this one among them; before that the number in
-   * the settings holds.
+   * The number of managers that share the engines has changed; it includes this manager. Until the
+   * first call the number in the settings holds.
    */
   void siblings(long now, int count);
 
   /**
-   * A forward ended. Over: the task needs no answer any more. Cost and memory are 0 where they are
-   * not told.
+   * A forward has ended. If {@code over} is set, the task needs no answer any more. Cost and memory
+   * are 0 where they were not reported.
    */
   void outcome(
       long now,
@@ -44,19 +50,24 @@
       double memoryMb,
       LoadReport report);
 
+  /** A probe has ended; the report is null where the engine sent none. */
   void probed(long now, String engine, Outcome outcome, LoadReport report);
 
+  /** An engine has reported the progress of a forward. */
   void progress(long now, String task, int index, String engine, Progress what, double amount);
 
+  /** A scheduled wake-up is due. */
   void woken(long now, String token);
 
+  /** The client has disconnected or cancelled the task. */
   void abandoned(long now, String task);
 
-  /** The manager is to end: an answer given after that time is lost. Tasks may still come. */
+  /** The manager shuts down: answers after the given time are lost. Tasks may still arrive. */
   void stopping(long now, long until);
 
+  /** Acts on all events since the last call. */
   void decide(long now);
 
-  /** The engines listed, as the module sees them at that time; changes nothing. */
+  /** Returns the status of the listed engines in use at the given time; changes nothing. */
   List<EngineView> view(long now);
 }
--- a/src/main/java/tansytrack/api/EngineEntry.java
+++ b/src/main/java/tansytrack/api/EngineEntry.java
@@ -1,9 +1,13 @@
 package tansytrack.api;
 
-/** One engine as the list names it; startedAt 0 means long past. */
+/**
+ * An entry of the engine list. The size counts as the number of cores where the settings tell none
+ * for the type; a start time of 0 means long ago.
+ */
 public record EngineEntry(
     String id, double size, String place, String kind, int cell, State state, long startedAt) {
 
+  /** The state of an engine in the list. */
   public enum State {
     READY,
     DRAINING,
--- a/src/main/java/tansytrack/api/EngineView.java
+++ b/src/main/java/tansytrack/api/EngineView.java
@@ -1,7 +1,7 @@
 package tansytrack.api;
 
 /**
- * An engine as the module sees it: forwards out, the age of its last report (-1: none), and whether
- * it gets no tasks.
+ * The status of an engine as the decision module sees it: its open forwards, the age of its last
+ * load report (-1 where there is none), and whether it is excluded from new tasks.
  */
 public record EngineView(String id, int forwards, long reportAge, boolean excluded) {}
--- a/src/main/java/tansytrack/api/Grade.java
+++ b/src/main/java/tansytrack/api/Grade.java
@@ -3,7 +3,8 @@
 import java.util.Set;
 
 /**
- * One service grade as the start-up settings give it; an empty set of places or kinds means any.
+ * A query class as the settings define it. An empty set of zones or engine types allows any. Times
+ * are in nanoseconds.
  */
 public record Grade(
     String name,
@@ -22,16 +23,17 @@
     boolean load,
     boolean waitsForLoads) {
 
-  /** May a task of this grade run again? */
+  /** Whether a task of the class may be executed more than once. */
   public enum Repeat {
+    /** Repeated execution is harmless. */
     HARMLESS,
+    /** Engines drop a repetition within the deduplication window. */
     STAMPED,
+    /** The task must not be sent again once an engine may have executed it. */
     ONE_SHOT
   }
 
-  /**
-   * Which engines drop the repeats of a stamped task: all, those of one place, those of one cell.
-   */
+  /** The engines among which repetitions are dropped: all, those of one zone or of one cell. */
   public enum Scope {
     ALL,
     PLACE,
--- a/src/main/java/tansytrack/api/LoadReport.java
+++ b/src/main/java/tansytrack/api/LoadReport.java
@@ -1,5 +1,5 @@
 package tansytrack.api;
 
-/** An engine's word on its load; NaN where a figure was not told. */
+/** The load that an engine reported; NaN where a figure was not reported. */
 public record LoadReport(
     double coresBusy, double held, double waiting, double memoryGranted, double disksBusy) {}
--- a/src/main/java/tansytrack/api/TaskOffer.java
+++ b/src/main/java/tansytrack/api/TaskOffer.java
@@ -1,8 +1,8 @@
 package tansytrack.api;
 
 /**
- * A task as it comes in; grade and tenant by name, empty where absent; key null, cost 0 and data
- * set -1 likewise.
+ * A submitted task. The query class and tenant are names, empty where absent; an absent key is
+ * null, an absent cost is 0, and an absent data set is -1. Times are in nanoseconds.
  */
 public record TaskOffer(
     String id,
--- a/src/main/java/tansytrack/parts/EngineList.java
+++ b/src/main/java/tansytrack/parts/EngineList.java
@@ -7,13 +7,16 @@
 import java.util.function.Predicate;
 import tansytrack.api.EngineEntry;
 
-/** The engines listed, without those that are gone, by id: a reference for each and no more. */
+/**
+ * The listed engines without those that are gone, sorted by id. It holds one reference per engine,
+ * as lists can have many thousands of entries.
+ */
 public final class EngineList {
 
   private final ArrayList<EngineEntry> entries = new ArrayList<>();
   private final List<Count> counts = new ArrayList<>();
 
-  /** How many are listed of some kind. */
+  /** Counts the listed engines that match a predicate. */
   public static final class Count {
     private final Predicate<EngineEntry> counted;
     private int now;
@@ -22,30 +25,30 @@
       this.counted = counted;
     }
 
-    /** The number at present. */
+    /** Returns the present number. */
     public int now() {
       return now;
     }
   }
 
-  /** Counts those from now on; to be asked for while nothing is listed. */
+  /** Adds a counter of matching engines; must be called while the list is empty. */
   public Count count(Predicate<EngineEntry> counted) {
     counts.add(new Count(counted));
     return counts.get(counts.size() - 1);
   }
 
-  /** All entries by id, as a view that cannot be changed. */
+  /** Returns all entries, sorted by id, as an unmodifiable view. */
   public List<EngineEntry> all() {
     return Collections.unmodifiableList(entries);
   }
 
-  /** The entry of that id, or null. */
+  /** Returns the entry with that id, or null. */
   public EngineEntry find(String id) {
     int at = indexOf(id);
     return at >= 0 ? entries.get(at) : null;
   }
 
-  /** The whole list: by id, each once. */
+  /** Replaces the whole list by entries that are sorted by id and unique. */
   public void set(Collection<EngineEntry> all) {
     entries.clear();
     entries.addAll(all);
@@ -55,7 +58,7 @@
     entries.forEach(entry -> count(entry, 1));
   }
 
-  /** One change. */
+  /** Adds, replaces or, if it is gone, removes one entry. */
   public void put(EngineEntry entry) {
     int at = indexOf(entry.id());
     if (at >= 0) {
@@ -73,7 +76,7 @@
     }
   }
 
-  /** Its index, or under 0 where it is not listed: the index that it would take, as -index - 1. */
+  /** Returns the index of the id, or -(insertion point) - 1 where it is not listed. */
   private int indexOf(String id) {
     int from = 0;
     int to = entries.size() - 1;
--- a/src/main/java/tansytrack/parts/KeyLine.java
+++ b/src/main/java/tansytrack/parts/KeyLine.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * The tasks of one key, in the order taken; how many forwards of theirs are out, and until when the
- * key rests.
+ * The queue of the tasks of one key, in the order accepted, with the number of their open forwards
+ * and the end of the key's cooldown.
  */
 public final class KeyLine<T> {
 
@@ -13,7 +13,7 @@
   public int out;
   public long restsUntil;
 
-  /** The tasks of one key, in the order in which they came. */
+  /** Creates an empty queue for the key. */
   public KeyLine(long key) {
     this.key = key;
   }
--- a/src/main/java/tansytrack/parts/Loop.java
+++ b/src/main/java/tansytrack/parts/Loop.java
@@ -2,20 +2,18 @@
 
 import java.util.ArrayDeque;
 
-/**
- * Parts that talk only by putting notes into inboxes, and the one loop that empties them, in turn.
- */
+/** A single-threaded event loop that delivers messages to the inboxes of actors in turn. */
 public final class Loop {
 
   private final ArrayDeque<Part> ready = new ArrayDeque<>();
 
-  /** A note in an inbox: what the part that takes it is to do. */
+  /** A message in an inbox: the work that its actor is to do. */
   public interface Note {
-    /** Carries the note out; called on the loop. */
+    /** Does the work; called on the loop. */
     void take();
   }
 
-  /** A part with its inbox: notes are put by anybody on the loop and taken in its turn. */
+  /** An actor with an inbox; actors communicate by messages only. */
   public abstract static class Part {
     private final Loop loop;
     private final ArrayDeque<Note> inbox = new ArrayDeque<>();
@@ -24,7 +22,7 @@
       this.loop = loop;
     }
 
-    /** Puts a note into the inbox; it is taken when the loop comes to this part. */
+    /** Adds a message to the inbox; it is handled in this actor's turn. */
     public final void put(Note note) {
       inbox.add(note);
       if (inbox.size() == 1) {
@@ -33,7 +31,7 @@
     }
   }
 
-  /** Takes one note of each part in turn until none is left. */
+  /** Handles one message of each actor in turn until none is left. */
   public void empty() {
     while (!ready.isEmpty()) {
       Part part = ready.poll();
--- a/src/main/java/tansytrack/parts/Num.java
+++ b/src/main/java/tansytrack/parts/Num.java
@@ -1,21 +1,21 @@
 package tansytrack.parts;
 
-/** Arithmetic that several parts share. */
+/** Shared arithmetic functions. */
 public final class Num {
 
   private Num() {}
 
-  /** A running mean after one more sample; NaN until the first. */
+  /** Returns the exponential moving average after one more sample; NaN stands for no sample yet. */
   public static double mean(double old, double sample, double weight) {
     return Double.isNaN(old) ? sample : old + weight * (sample - old);
   }
 
-  /** The value, or the nearer bound where it lies outside. */
+  /** Returns the value, or the nearer bound if it lies outside. */
   public static double clamp(double value, double least, double most) {
     return Math.max(least, Math.min(most, value));
   }
 
-  /** The index that a point between 0 and 1 falls on when each takes room by its weight. */
+  /** Returns the index that a point in [0, 1) selects, with probabilities by weight. */
   public static int pick(double[] weights, double point) {
     double total = 0;
     for (double weight : weights) {
--- a/src/main/java/tansytrack/parts/Recent.java
+++ b/src/main/java/tansytrack/parts/Recent.java
@@ -2,29 +2,29 @@
 
 import java.util.ArrayDeque;
 
-/** What happened of late: times and amounts, forgotten from the oldest on. */
+/** A sliding window of events, each with its time and an amount. */
 public final class Recent {
 
   private final ArrayDeque<long[]> happened = new ArrayDeque<>();
 
-  /** Adds something that happened, with its amount. */
+  /** Adds an event with its amount. */
   public void add(long at, long amount) {
     happened.add(new long[] {at, amount});
   }
 
-  /** Forgets what happened before that time. */
+  /** Removes the events before that time. */
   public void forget(long before) {
     while (!happened.isEmpty() && happened.peek()[0] < before) {
       happened.poll();
     }
   }
 
-  /** How many happened within the window. */
+  /** Returns the number of events in the window. */
   public int count() {
     return happened.size();
   }
 
-  /** The sum of the amounts within the window. */
+  /** Returns the sum of the amounts in the window. */
   public long sum() {
     long sum = 0;
     for (long[] one : happened) {
--- a/src/main/java/tansytrack/parts/StableHash.java
+++ b/src/main/java/tansytrack/parts/StableHash.java
@@ -1,6 +1,6 @@
 package tansytrack.parts;
 
-/** 64-bit hashes that are the same in every process and version. */
+/** 64-bit hash functions whose values are the same in every process and version. */
 public final class StableHash {
 
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -9,7 +9,7 @@
 
   private StableHash() {}
 
-  /** FNV-1a over the characters. */
+  /** Returns the FNV-1a hash of the characters. */
   public static long of(String text) {
     long hash = FNV_OFFSET;
     for (int i = 0; i < text.length(); i++) {
@@ -18,12 +18,12 @@
     return hash;
   }
 
-  /** A hash with two numbers. */
+  /** Combines a hash with two numbers. */
   public static long of(long hash, long first, int second) {
     return mix(hash + mix(first * GOLDEN_GAMMA + second));
   }
 
-  /** The finalizer of SplitMix64: every bit of the result depends on all bits. */
+  /** Applies the finalizer of SplitMix64: every bit of the result depends on all bits. */
   public static long mix(long bits) {
     long once = (bits ^ bits >>> 30) * 0xbf58476d1ce4e5b9L;
     long twice = (once ^ once >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/tansytrack/parts/Tenant.java
+++ b/src/main/java/tansytrack/parts/Tenant.java
@@ -2,14 +2,16 @@
 
 import java.util.ArrayList;
 
-/** One tenant's queue and where it stands in the turns. */
+/** The queue of one tenant, with its state in the smooth weighted round-robin. */
 public final class Tenant<T> {
 
   public final double weight;
-  public double current; // smooth weighted round-robin
-  public final ArrayList<T> waiters = new ArrayList<>(); // least time left first
+  public double current;
 
-  /** A tenant without waiters; its weight is its part of the turns. */
+  /** The queued tasks, earliest deadline first. */
+  public final ArrayList<T> waiters = new ArrayList<>();
+
+  /** Creates an empty queue; the weight is the tenant's share of the turns. */
   public Tenant(double weight) {
     this.weight = weight;
   }
--- a/src/main/java/tansytrack/settings/Config.java
+++ b/src/main/java/tansytrack/settings/Config.java
@@ -6,7 +6,7 @@
 import tansytrack.api.LoadReport;
 import tansytrack.api.Settings;
 
-/** All that a workload manager is told when it starts; times in nanoseconds. */
+/** The configuration of a workload manager; times are in nanoseconds. */
 public record Config(
     String name,
     String listen,
@@ -23,8 +23,8 @@
       Map.of("util", "cpu_share", "inflight", "busy_reqs", "queue", "pending");
 
   /**
-   * From the parsed JSON of the configuration; the settings in it become the pairs that the bench
-   * would send.
+   * Reads the configuration from its parsed JSON. The settings in it are flattened to the pairs of
+   * path and value that the simulator would send.
    */
   public static Config of(Object json) {
     Map<?, ?> all = map(json, "the configuration");
@@ -55,31 +55,35 @@
         ((Number) sockets).intValue());
   }
 
-  /** How long a connection to an engine may take to come up. */
+  /** Returns the timeout for opening a connection to an engine. */
   public long connectTime() {
     return settings.levers().connectTime();
   }
 
-  /** The same without the engines: thousands of them take megabytes, and are needed once. */
+  /**
+   * Returns the same configuration without the list of engines: it can take megabytes and is needed
+   * only once.
+   */
   public Config withoutKnown() {
     return moved(listen, channel, null);
   }
 
-  /** The same manager elsewhere, with other engines. */
+  /** Returns the same configuration with other addresses and engines. */
   public Config moved(String otherListen, String otherChannel, Object otherKnown) {
     return new Config(
         name, otherListen, otherChannel, otherKnown, settings, columns, idleTime, mostDescriptors);
   }
 
   /**
-   * What differs in another one that a running manager cannot take over, by name; empty: nothing.
+   * Returns the names of the fields that differ in the other configuration and that a running
+   * manager cannot reload, separated by commas; empty if there are none.
    */
   public String fixedDifference(Config other) {
     List<String> differ = new ArrayList<>();
     if (!listen.equals(other.listen)) {
       differ.add("listen");
     }
-    // The seed is new with each start, so it says nothing of the settings.
+    // The seed is new with each start and is no difference of the settings.
     if (!settings.equals(other.settings.withSeed(settings.seed()))
         || idleTime != other.idleTime
         || !columns.equals(other.columns)) {
@@ -128,13 +132,13 @@
     return value == null ? "-" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
-  /** The place of a reported figure among the columns, or -1. */
+  /** Returns the index of a reported figure among the columns, or -1. */
   public int column(String name) {
     int at = columns.indexOf(name);
     return at >= 0 ? at : columns.indexOf(OTHER_NAMES.getOrDefault(name, name));
   }
 
-  /** A report from the figures of all columns. */
+  /** Builds a load report from the figures of all columns. */
   public LoadReport report(double[] figures) {
     double[] all = new double[REPORTED.size()];
     for (int i = 0; i < all.length; i++) {
--- a/src/main/java/tansytrack/settings/Pairs.java
+++ b/src/main/java/tansytrack/settings/Pairs.java
@@ -10,16 +10,19 @@
 import tansytrack.api.Settings;
 
 /**
- * The start-up settings of one workload manager, from path=value pairs; unknown paths are skipped.
+ * Parses the start-up settings of a workload manager from pairs of path and value; unknown paths are
+ * ignored.
  */
 public final class Pairs {
 
-  private static final long CONNECT_TIME =
-      1_000_000_000L; // where none is set: far more than a round trip
-  private static final double MOST = 1e12; // of any figure: times in nanoseconds stay in range
+  // Used where the settings tell no timeout; it is much longer than a round trip.
+  private static final long CONNECT_TIME = 1_000_000_000L;
+  // The exclusive upper bound of every number; times in nanoseconds stay within a long.
+  private static final double MOST = 1e12;
 
   private final Map<String, String> pairs = new HashMap<>();
 
+  /** Adds a pair of the form path=value. */
   public void put(String pair) {
     int cut = pair.indexOf('=');
     if (cut < 1) {
@@ -32,10 +35,12 @@
     pairs.put(path, value);
   }
 
+  /** Returns the names of the columns of a load report. */
   public List<String> columns() {
     return list("reporting.columns");
   }
 
+  /** Builds the settings from all pairs; rejects numbers that are malformed or out of range. */
   public Settings settings(long seed) {
     List<Grade> grades = new ArrayList<>();
     List<String> threads = list("extra.threads_by_class");
--- a/src/main/java/tansytrack/settings/Unusable.java
+++ b/src/main/java/tansytrack/settings/Unusable.java
@@ -1,9 +1,10 @@
 package tansytrack.settings;
 
-/** What was given cannot be used; the message says where and why. */
+/** Thrown when a configuration, file or input line is invalid; the message says where and why. */
 public class Unusable extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
+  /** Creates an exception; the message names the invalid part and the reason. */
   public Unusable(String what) {
     super(what);
   }
