--- a/src/jmh/java/tansytrack/jmh/DecideBenchmark.java
+++ b/src/jmh/java/tansytrack/jmh/DecideBenchmark.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The decision module alone, in a JVM with the compiler, collector and heap of a running manager:
- * what a task costs with its outcome, and what a sweep costs.
+ * Measures the decision module alone, in a JVM with the compiler, collector and heap of a running
+ * manager: the time of one task with its outcome, and the time of one sweep.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -28,38 +28,38 @@
     jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx64m"})
 public class DecideBenchmark {
 
-  /** Engines listed. */
+  /** The number of listed engines. */
   @Param({"20", "100", "400", "1600", "6200"})
   public int engines;
 
-  /** Managers that share them. */
+  /** The number of managers that share the engines. */
   @Param({"1", "5200"})
   public int managers;
 
-  /** Tasks that wait for the one engine that they may go to. */
+  /** The number of tasks that wait for the only engine allowed for them. */
   @Param("0")
   public int waiting;
 
-  /** Tenants that they and all others belong to, in turn. */
+  /** The number of tenants; tasks are assigned to them in turn. */
   @Param("3")
   public int tenants;
 
   private DecideWorkload workload;
 
-  /** A new module before each iteration: the same state, however many operations went before. */
+  /** Creates a new module before each iteration, so that each one starts in the same state. */
   @Setup(Level.Iteration)
   public void start() {
     workload = new DecideWorkload(engines, managers, tenants);
     workload.fill(waiting);
   }
 
-  /** A task is taken, decided on and sent; its outcome comes and is decided on. */
+  /** Submits a task, decides, reports its outcome and decides again. */
   @Benchmark
   public void taskWithOutcome() {
     workload.taskWithOutcome();
   }
 
-  /** One sweep, with what it decides. */
+  /** Runs one sweep with its decisions. */
   @Benchmark
   public void sweep() {
     workload.sweep();
--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -16,17 +16,18 @@
 import tansytrack.wire.Junk;
 
 /**
- * One decision module before engines that end each task at once, on virtual time. Plain tasks may
- * go to any engine; scarce ones only to the one engine of a kind of its own, so that they wait
- * there.
+ * One decision module with engines that end each task at once, on virtual time. Plain tasks may go
+ * to any engine; scarce tasks may go only to the one engine of its type, so that they queue for it.
  */
 final class DecideWorkload implements Actions {
 
   private static final long MS = 1_000_000L;
-  private static final long TASK_GAP = 370_000L; // virtual time between tasks: 2,700 a second
+  // 2,700 tasks per second of virtual time.
+  private static final long TASK_GAP = 370_000L;
   private static final long SWEEP_GAP = 50 * MS;
-  private static final long LEFT = 3000 * MS; // of a plain task, to its cut-off
-  private static final long LEFT_SCARCE = 60_000 * MS; // these must not end their wait
+  private static final long LEFT = 3000 * MS;
+  // Scarce tasks must stay in the queue for the whole benchmark.
+  private static final long LEFT_SCARCE = 60_000 * MS;
   private static final long COST = MS;
   private static final int MOST_FILL = 10_000;
   private static final LoadReport IDLE =
@@ -49,7 +50,7 @@
   private final int tenants;
   private long now = 100_000 * MS;
   private long number;
-  private String sentTo; // the engine of the last forward, until it is taken
+  private String sentTo; // the engine of the last forward, or null
   private int refused;
 
   DecideWorkload(int engines, int managers, int tenants) {
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Offers scarce tasks until so many wait. */
+  /** Submits scarce tasks until the given number of them wait. */
   void fill(int waiting) {
     int wait = 0;
     for (int i = 0; wait < waiting && i < MOST_FILL; i++) {
--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -251,8 +251,8 @@
       }
       boolean hopeless = what == Progress.WAITS || told && run - age > HOPELESS * task.usualRun();
       if (levers.cancel() && hopeless) {
-        // The forward waits for a bulk load or for memory, or the engine is overloaded. Where the
-        // forward cannot be cancelled, a second one goes to another engine.
+        // The forward waits for a bulk load or for memory, or the engine is overloaded. Where
+        // forwards cannot be cancelled, a second one would only add to the overload.
         gate.put(() -> gate.rescue(forward));
       }
     }
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -19,25 +19,25 @@
 import tansytrack.lab.world.Weather;
 
 /**
- * Managers whose number changes, with links between them that break, and engines that start cold:
- * real decisions, virtual time.
+ * Decision modules on virtual time, with a changing number of managers, broken links between them
+ * and engines that start cold.
  */
 class ColdFleetTest {
 
   private static final int MEMBERS = 12;
   private static final int ENGINES = 4;
-  private static final long COST = 250; // ms of work of a task
-  private static final long STEP = 50; // ms
+  private static final long COST = 250;
+  private static final long STEP = 50;
   private static final Settings.ColdRule COLD =
       new Settings.ColdRule(0.3, 10_000 * MS, 2, 1000 * MS);
 
-  /** One manager in one of its lives. */
+  /** One process of a manager, from its start to its end. */
   private static final class Life {
     final long id;
     final Manager manager = new Manager();
     final Reckoning reckoning = new Reckoning(MEMBERS - 1, 10_000 * MS);
-    final long began; // on the world's clock
-    final ArrayDeque<String[]> out = new ArrayDeque<>(); // task, engine and when it ends
+    final long began; // in ms of virtual time
+    final ArrayDeque<String[]> out = new ArrayDeque<>(); // id and end time of each open task
     int seen;
     int tasks;
 
@@ -51,11 +51,11 @@
   }
 
   private final Map<String, Life> lives = new HashMap<>();
-  private final long[] startedAt = new long[ENGINES]; // ms on the world's clock; 0: long ago
+  private final long[] startedAt = new long[ENGINES]; // ms of virtual time; 0 means long ago
   private final List<ArrayDeque<Long>> sends = new ArrayList<>();
   private int falls;
-  private int most; // tasks to a cold engine within the window
-  private int fewest = Integer.MAX_VALUE; // managers that one reckoned by
+  private int most; // the most tasks sent to a cold engine within the window
+  private int fewest = Integer.MAX_VALUE; // the lowest number of managers that one assumed
 
   private EngineEntry entry(int engine, Life life) {
     long start = startedAt[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAt[engine] - life.began);
@@ -123,7 +123,7 @@
     long now = world.now() / MS;
     Life life = lives.get(node.name());
     if (life == null || life.id != node.fleet().self().life()) {
-      // Its clock is at its first step by the end of this turn.
+      // The manager's clock reaches its first step at the end of this call.
       life = new Life(node.fleet().self().life(), now - STEP, chance.nextLong());
       lives.put(node.name(), life);
       EngineEntry[] all = new EngineEntry[ENGINES];
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Counts it, and whether the engine falls by it: N tasks are allowed in the window, and 3 roots
-   * of N and 3 more.
+   * Records a forward, and whether it overloads the engine: in a window, N tasks are allowed, plus 3
+   * square roots of N and 3 tasks.
    */
   private void sent(int engine, long now) {
     ArrayDeque<Long> window = sends.get(engine);
@@ -179,8 +179,8 @@
   }
 
   /**
-   * Fifty schedules: links all cut, places cut off, managers killed, ended and started again,
-   * engines started cold.
+   * Runs fifty random schedules in which links or zones are cut off, managers are killed, shut down
+   * and restarted, and engines start cold.
    */
   @Test
   void noColdEngineIsPushedOverWhileTheNumberOfManagersChanges() {
@@ -191,7 +191,7 @@
     assertThat(most).isGreaterThan(10);
   }
 
-  /** What the reckoning guards against: managers that deal the budget among those whom they see. */
+  /** The failure guarded against: managers that divide the budget by the managers they can reach. */
   @Test
   void managersThatReckonByWhomTheySeePushColdEnginesOver() {
     for (long seed = 1; seed <= 20; seed++) {
--- a/src/test/java/tansytrack/DecideSubsetTest.java
+++ b/src/test/java/tansytrack/DecideSubsetTest.java
@@ -18,7 +18,7 @@
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
 
-/** The module with lists of engines under the bound of a subset and far above it. */
+/** The decision module with engine lists below the maximum subset size and far above it. */
 class DecideSubsetTest {
 
   private static final Settings.ColdRule COLD =
@@ -41,7 +41,7 @@
     return all;
   }
 
-  /** Tasks of all grades while engines answer, fail, fall silent, drain, start cold and go. */
+  /** Tasks of all classes, while engines answer, fail, fall silent, drain, start and leave. */
   private static Manager play(long seed, int engines, int position) {
     Manager manager = new Manager();
     manager.seed = seed;
@@ -90,8 +90,8 @@
   }
 
   /**
-   * The actions recorded before there were subsets; to be recorded anew with each intended change
-   * of a decision.
+   * Up to the maximum subset size the actions are those recorded before subsets existed. The hashes
+   * must be recorded anew with each intended change of a decision.
    */
   @ParameterizedTest(name = "seed {0}, {1} engines")
   @CsvSource({
@@ -143,7 +143,7 @@
     }
   }
 
-  /** What a decision goes over are the records and, if it were to hold it, the list. */
+  /** Guards against decisions whose cost grows with the length of the engine list. */
   @Test
   void withSixThousandEnginesADecisionSeesAtMostTwiceWhatItSeesWithAHundred() {
     Manager few = manager(5200, 1234).list(true, entries(100));
@@ -161,7 +161,7 @@
   @Test
   void gradesBoundToAKindHaveASubsetOfTheirOwn() {
     Manager manager = manager(200, 55);
-    EngineEntry[] all = entries(3000); // a third of them big: 1,000 for the grade 'bound'
+    EngineEntry[] all = entries(3000); // a third of them big: 1,000 for the class 'bound'
     manager.list(true, all);
     long big =
         manager.known().stream().filter(id -> Integer.parseInt(id.substring(7)) % 3 == 0).count();
@@ -170,7 +170,7 @@
     assertThat(manager.did("forward b").stream().map(line -> line.split(" ")[2]).distinct().count())
         .isBetween(50L, big);
     manager.takeAll(300, "s# short a mb=1 cost=1");
-    // Those that only the other grade has are none of this one's.
+    // The engines that are only in the other class's subset get none of these tasks.
     assertThat(manager.did("forward s").stream().map(line -> line.split(" ")[2]).distinct().count())
         .isLessThan(manager.known().size() - 20L);
   }
@@ -190,7 +190,7 @@
     assertThat(manager.known()).isEqualTo(known);
   }
 
-  /** The list grows over the bound while an attempt is out. */
+  /** The list grows beyond the maximum subset size while a forward is open. */
   @Test
   void anEngineThatLeftTheSubsetGetsNothingNewAndItsAttemptEndsAsBefore() {
     Manager manager = manager(200, 55).list(true, entries(100));
@@ -204,7 +204,7 @@
       manager.list(true, entries(listed));
     }
     manager.pass(100);
-    assertThat(manager.known()).as("kept for its attempt").contains(engine);
+    assertThat(manager.known()).as("kept for its open forward").contains(engine);
     long sent = manager.sentTo(engine);
     for (int i = 0; i < 40; i++) {
       int from = manager.did.size();
@@ -216,7 +216,7 @@
     assertThat(manager.did("forward l")).as("its key waits").isEmpty();
     manager.list(false, entry(number, EngineEntry.State.DRAINING, 0));
     manager.end("k", 0, Outcome.OK);
-    assertThat(manager.did("forward l")).as("its key goes on").hasSize(1);
+    assertThat(manager.did("forward l")).as("the next task of its key is sent").hasSize(1);
     assertThat(manager.did("forward l").get(0)).doesNotEndWith(engine);
     endAll(manager, 0);
     manager.pass(1100);
@@ -225,7 +225,7 @@
     assertThat(manager.known()).as("and back").hasSize(100).contains(engine);
   }
 
-  /** A stamped task's scope is that of its first engine, also when that has left the subset. */
+  /** A retry stays in the deduplication scope of the first engine, even outside the subset. */
   @Test
   void aRepeatKeepsToTheCellOfAnEngineThatLeftTheSubset() {
     Manager manager = manager(200, 55).list(true, entries(100));
@@ -261,7 +261,7 @@
     assertThat(manager.known()).isEqualTo(known);
   }
 
-  /** A part of the subset stops answering: others stand in, one a sweep; later they are let go. */
+  /** Part of the subset fails: substitutes are added one per sweep, and released after recovery. */
   @Test
   void suspectedEnginesAreStoodInForAtAPaceAndLetGo() {
     Manager manager = manager(500, 42).list(true, entries(3000));
@@ -279,15 +279,15 @@
       }
       before = after;
     }
-    assertThat(before - own.size()).isBetween(100, 219); // both grades' subsets
+    assertThat(before - own.size()).isBetween(100, 219); // the subsets of both classes
     List<String> standIns = manager.known().stream().filter(id -> !own.contains(id)).toList();
     manager.takeAll(400, "t# short a cost=1 mb=1");
     List<String> sentTo =
         manager.did("forward").stream().map(line -> line.split(" ")[2]).distinct().toList();
-    assertThat(ill).as("but one trial").allMatch(id -> manager.sentTo(id) <= 1);
+    assertThat(ill).as("at most one trial task").allMatch(id -> manager.sentTo(id) <= 1);
     assertThat(sentTo).containsAnyElementsOf(standIns);
     endAll(manager, 0);
-    // A new process each: nothing held against the old one holds.
+    // Each is a new process now: the suspicion of the old one does not apply.
     ill.forEach(
         id ->
             manager.list(
@@ -296,7 +296,7 @@
     assertThat(manager.known()).isEqualTo(own);
   }
 
-  /** Half of all engines are replaced within seconds: no cold one stands in. */
+  /** Three quarters of all engines are replaced at once: no cold one becomes a substitute. */
   @Test
   void aColdEngineDoesNotStandIn() {
     Manager manager = manager(500, 42);
@@ -313,7 +313,7 @@
     List<String> standIns = manager.known().stream().filter(id -> !own.contains(id)).toList();
     assertThat(standIns).hasSizeGreaterThan(10);
     assertThat(standIns).allMatch(id -> Integer.parseInt(id.substring(7)) % 4 == 0);
-    // One that grew cold since gets nothing.
+    // A substitute that restarts, and so is cold, gets nothing.
     String restarted = standIns.get(0);
     long sent = manager.sentTo(restarted);
     manager.list(
@@ -332,7 +332,7 @@
     assertThat(manager.known()).as("all warm").isEqualTo(own);
   }
 
-  /** Out of a subset and back within the window: what was sent to it while cold still counts. */
+  /** An engine that leaves the subset and returns within the window keeps its cold work count. */
   @Test
   void whatAColdEngineWasSentOutlastsASubset() {
     Manager manager = manager(64, 3);
@@ -354,13 +354,13 @@
     manager.list(true, many).pass(150).list(true, few);
     fill(manager, "u", 100, 10);
     for (int i = 0; i < few.length; i++) {
-      // 0.9 of 2 x 0.3 x cores x 1 s among 64, in tasks of 10 ms.
+      // 0.9 of the budget 2 x 0.3 x cores x 1 s, shared by 64 managers, in tasks of 10 ms.
       double part = 0.9 * 2 * (0.3 + 0.7 * 0.03) * (i % 3 == 0 ? 8 : 4) * 1000 / 64 / 10;
       assertThat((double) manager.sentTo(id(i))).isLessThanOrEqualTo(part);
     }
   }
 
-  /** So many times 20 tasks of so many ms that end at once: until no cold engine takes more. */
+  /** Submits rounds of 20 tasks that end at once, until no cold engine takes any more. */
   private static void fill(Manager manager, String name, int rounds, long cost) {
     int ended = manager.did.size();
     for (int i = 0; i < rounds; i++) {
@@ -369,7 +369,7 @@
     }
   }
 
-  /** All forwards end well, from that action on, and those that follow on from it. */
+  /** Ends all forwards from the given action on successfully, including those that result. */
   private static int endAll(Manager manager, int from) {
     for (; from < manager.did.size(); from++) {
       if (manager.did.get(from).startsWith("forward")) {
@@ -379,18 +379,18 @@
     return from;
   }
 
-  /** How the managers of a fleet are mistaken. */
+  /** What the managers of a fleet know wrongly. */
   private enum Mistake {
     NONE,
-    FEWER, // half of them reckon with three quarters of the managers
-    DOUBLED, // a quarter has the position of another one
-    UNKNOWN, // none is told its position
-    SHORTER // half of them are told of a list that is a tenth shorter
+    FEWER, // half of them count only three quarters of the managers
+    DOUBLED, // a quarter has the index of another manager
+    UNKNOWN, // no manager knows its index
+    SHORTER // half of them have a list that is a tenth shorter
   }
 
   /**
-   * The cold budget of a fleet with subsets: of all managers together no cold engine gets more than
-   * the rule allows, 2 roots and 2.
+   * In a fleet with subsets, no cold engine gets more from all managers together than the limit of N
+   * tasks, plus 2 square roots of N and 2 tasks.
    */
   @ParameterizedTest(name = "{0}, work of {1} ms")
   @CsvSource({
@@ -421,7 +421,7 @@
         int listed = mistake == Mistake.SHORTER && i % 2 == 0 ? engines * 9 / 10 : engines;
         EngineEntry[] all = new EngineEntry[listed];
         for (int engine = 0; engine < listed; engine++) {
-          // The cold ones alone are ready, so that all tasks are for them.
+          // Only the cold engines are ready, so that they get all tasks.
           EngineEntry.State state =
               engine < 40 ? EngineEntry.State.READY : EngineEntry.State.DRAINING;
           all[engine] = Manager.engine(id(engine), "small", 0, state, 101_000);
@@ -436,6 +436,6 @@
     }
     double budget = 2 * 0.3 * 4 * 1000 / cost;
     assertThat((double) most).isLessThanOrEqualTo(budget + 2 * Math.sqrt(budget) + 2);
-    assertThat(most).as("and they are used").isGreaterThan(2);
+    assertThat(most).as("cold engines are used").isGreaterThan(2);
   }
 }
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -14,10 +14,10 @@
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
 
-/** The mechanism, and each defence with the failure that it answers. */
+/** The decisions, and each protective mechanism with the failure that it guards against. */
 class DecideTest {
 
-  /** An engine with 8 threads of ours out, which is its first bound: what comes next waits. */
+  /** One engine with 8 open forwards, which is its initial limit: further tasks wait. */
   private static Manager full() {
     return new Manager().list(true, small("e")).takeAll(8, "x# short a left=19000");
   }
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Guards against a deployment that names no tenants and so gets no queue: tasks are told apart by
-   * time left alone.
+   * Guards against a deployment without named tenants that gets no queue: its tasks share one queue
+   * in the order of their deadlines.
    */
   @Test
   void withoutTenantsAllShareOneQueue() {
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Guards against a room that stays at one thread: slow answers say nothing of a crowd that is not
-   * there.
+   * Guards against a concurrency limit that stays at one thread: slow answers are no sign of overload
+   * while few tasks run.
    */
   @Test
   void slowAnswersLeaveAThreadForEachCore() {
@@ -75,7 +75,7 @@
     for (int i = 0; i < 8; i++) {
       manager.end("x" + i, 0, Outcome.OK);
     }
-    // Shares of 0.75 and 0.25; the room grows with each fast answer, so more than eight may leave.
+    // Shares of 0.75 and 0.25; the limit grows with each fast answer, so more than 8 may be sent.
     List<String> sent = manager.did("forward").subList(8, 16);
     assertThat(sent.stream().filter(line -> line.contains(" a"))).hasSize(6);
   }
@@ -89,7 +89,7 @@
 
   @Test
   void aWaitBeyondTheBudgetIsRefusedAtOnce() {
-    // A usual run of four seconds was learned; the nine sent now end no sooner.
+    // The learned run time is four seconds; the nine tasks sent now take as long.
     Manager manager = new Manager().list(true, small("e")).take("p short a cost=4000").decide();
     manager.pass(4000).end("p", 0, Outcome.OK).takeAll(9, "x# short a left=19000");
     assertThat(manager.take("t short a left=5000").decide().did("bounce"))
@@ -122,7 +122,7 @@
     manager.probed("f", Outcome.OK, report(0.1, 1, Double.NaN));
     manager.takeAll(8, "t# short a");
     assertThat(manager.sentTo("f")).isGreaterThanOrEqualTo(6);
-    assertThat(manager.sentTo("g")).as("unheard: average").isLessThanOrEqualTo(2);
+    assertThat(manager.sentTo("g")).as("no report: counts as average").isLessThanOrEqualTo(2);
     Manager unheard = new Manager().list(true, small("e"), big("g"));
     unheard.takeAll(12, "t# short a");
     assertThat(unheard.sentTo("e")).isBetween(1L, 7L);
@@ -132,7 +132,7 @@
   @ParameterizedTest(name = "{0} managers, report {1} ms old")
   @CsvSource({"1, 0, 5, 8", "1, 1000, 5, 8", "50, 0, 5, 8", "50, 1000, 0, 6"})
   void anOldReportFadesWhereOthersSendToo(int siblings, long age, int least, int most) {
-    // Guards against many managers that crowd onto the engine which was idle some time ago.
+    // Guards against many managers that all send to the engine which was idle some time ago.
     int sent = 0;
     for (int seed = 0; seed < 8; seed++) {
       Manager manager = new Manager();
@@ -151,7 +151,7 @@
       name = "{0} managers, a task every {1} ms: {2} to {3} probes of 10 engines in 10 s")
   @CsvSource({"1, 5, 0, 20", "1, 500, 10, 50", "100, 500, 0, 10"})
   void probesAskOnlyWhatAnswersDoNotTell(int siblings, long gap, int least, int most) {
-    // Guards against probes that cost more than they tell: many managers, each with few tasks.
+    // Guards against probes that cost more than they tell, with many managers and few tasks each.
     Manager manager = new Manager();
     manager.probes = true;
     manager.siblings = siblings;
@@ -167,7 +167,7 @@
   @ParameterizedTest(name = "warm sets run in {0} ms, others in 100")
   @CsvSource({"25, 0.75, 1.0", "100, 0.1, 0.45"})
   void whatWarmDataSetsSaveIsLearned(int warm, double least, double most) {
-    // Guards against chasing warm data sets where engines gain nothing from them.
+    // Guards against preferring warm data sets where engines gain nothing from them.
     Manager manager = new Manager().list(true, small("e"), small("f"));
     java.util.Map<String, List<Integer>> read =
         java.util.Map.of("e", new java.util.LinkedList<>(), "f", new java.util.LinkedList<>());
@@ -188,7 +188,7 @@
 
   @Test
   void memoryThatDoesNotFitIsWaitedFor() {
-    // Guards against grants past an engine's memory, which make all its tasks spill or page.
+    // Guards against grants beyond an engine's memory, which make all its tasks spill or page.
     Manager manager = new Manager().list(true, small("e")).takeAll(4, "t# short a mb=300");
     assertThat(manager.did("forward")).hasSize(2);
     assertThat(manager.end("t0", 0, Outcome.OK).did("forward")).hasSize(3);
@@ -196,7 +196,7 @@
 
   @Test
   void theShareOfAnEngineIsLearned() {
-    // Guards against an even share where nearly all traffic comes to this manager.
+    // Guards against using only an even share where nearly all traffic comes to this manager.
     Manager manager = new Manager();
     manager.siblings = 4;
     manager.list(true, small("e"));
@@ -213,8 +213,8 @@
   @ParameterizedTest(name = "{0} managers: {1} of 12 go")
   @CsvSource({"1, 12", "8, 4", "100, 1"})
   void aRoomThatHoldsNoTaskIsThatOfAll(int siblings, int most) {
-    // Guards against a floor of one task an engine and manager, which is far more than the engines
-    // hold.
+    // Guards against a minimum of one task per engine and manager, which is far more than the
+    // engines hold.
     Manager manager = new Manager();
     manager.siblings = siblings;
     manager
@@ -226,8 +226,7 @@
   @ParameterizedTest(name = "tasks of {0} MB: {1} of 4 go")
   @CsvSource({"160, 2", "80, 4"})
   void theMemoryOfTheMarketBindsAllButSmallTasks(int mb, int most) {
-    // Guards against one task an engine from each of many managers, at twice the memory that there
-    // is.
+    // Guards against one task per engine from each of many managers, at twice the available memory.
     Manager manager = new Manager();
     manager.siblings = 9;
     manager
@@ -238,7 +237,7 @@
 
   @Test
   void whileTasksWaitTheHeavyOnesAreRefused() {
-    // Guards against a few heavy tasks that take the room of many.
+    // Guards against a few expensive tasks that take the capacity of many.
     Manager manager = full().takeAll(10, "w# short a left=19000").pass(3000);
     manager.take("heavy short b cost=20000").take("light short b cost=50").decide();
     assertThat(manager.did("bounce")).containsExactly("bounce heavy");
@@ -246,7 +245,7 @@
 
   @Test
   void aWaitForSomeEnginesPricesOnlyThose() {
-    // Guards against refusing what fits elsewhere while one kind of machine is out.
+    // Guards against rejecting what fits elsewhere while one type of engine is missing.
     Manager manager =
         new Manager().list(true, small("e")).takeAll(10, "w# bound a left=20000").pass(3000);
     manager.take("t short b cost=20000").decide();
@@ -263,10 +262,10 @@
     return manager;
   }
 
-  @ParameterizedTest(name = "second copies {0}")
+  @ParameterizedTest(name = "hedging {0}")
   @CsvSource({"false", "true"})
   void aSilentEngineIsLeftAndItsTasksRescued(boolean copies) {
-    // Guards against hangs, vanished engines and cut links.
+    // Guards against engines that hang or vanish, and against broken links.
     Manager manager = answering(copies).takeAll(6, "t# short a");
     List<String> stuck =
         manager.did("forward t").stream().filter(line -> line.endsWith(" e")).toList();
@@ -285,12 +284,12 @@
     assertThat(manager.sentTo("e") - before).as("but one trial").isLessThanOrEqualTo(1);
   }
 
-  @ParameterizedTest(name = "cancels {0}, second copies {1}: forwards {2}, cancels {3}")
+  @ParameterizedTest(name = "cancellation {0}, hedging {1}: forwards {2}, cancels {3}")
   @CsvSource({"true, true, 2, 0", "true, false, 1, 1", "false, true, 1, 0"})
   void aForwardThatStandsStillMayRunElsewhere(
       boolean cancels, boolean copies, int forwards, int cancelled) {
-    // Guards against tasks stuck behind a load; a copy of what cannot be taken back would feed a
-    // crowd.
+    // Guards against tasks that wait behind a bulk load. Where a forward cannot be cancelled, a
+    // second one would only add to the overload.
     Manager manager = new Manager();
     manager.cancels = cancels;
     manager.copies = copies;
@@ -299,12 +298,12 @@
     assertThat(manager.did("cancel t")).hasSize(cancelled);
   }
 
-  @ParameterizedTest(name = "second copies {0}, {1} done after 1 s: forwards {2}, cancels {3}")
+  @ParameterizedTest(name = "hedging {0}, {1} done after 1 s: forwards {2}, cancels {3}")
   @CsvSource({"true, 0.9, 1, 0", "true, 0.05, 2, 0", "false, 0.05, 1, 1", "true, 0, 1, 0"})
   void aForwardFarFromItsEndIsTakenElsewhere(
       boolean copies, double done, int forwards, int cancelled) {
-    // Guards against jammed engines, bad plans and starved priorities: notes tell of them long
-    // before answers.
+    // Guards against overloaded engines, bad plans and starved priorities: progress reports tell of
+    // them long before answers.
     Manager manager =
         answering(copies).take("t short a cost=500").decide().pass(1000).tells("t", done);
     assertThat(manager.did("forward t ")).hasSize(forwards);
@@ -320,7 +319,7 @@
 
   @Test
   void anEngineThatFailsFastIsLeft() {
-    // Guards against a black hole: fast errors make an engine look idle.
+    // Guards against an engine that attracts tasks because its fast errors make it look idle.
     Manager manager = answering(false);
     long before = manager.sentTo("e");
     for (int i = 0; i < 60; i++) {
@@ -331,8 +330,8 @@
     assertThat(manager.sentTo("e") - before).isBetween(1L, 4L);
   }
 
-  /** Guards against engines left because of tasks that fail wherever they run. */
-  @ParameterizedTest(name = "handled in the end: {0}")
+  /** Guards against excluding engines because of tasks that fail wherever they run. */
+  @ParameterizedTest(name = "succeeds on another engine: {0}")
   @CsvSource({"false", "true"})
   void errorsCountAgainstAnEngineOnceTheTaskIsHandledElsewhere(boolean handled) {
     Manager manager = answering(false);
@@ -349,8 +348,8 @@
         .isEqualTo(handled);
   }
 
-  /** Guards against a key whose turns all go to tasks that cannot end in time any more. */
-  @ParameterizedTest(name = "{0} ms left, where a usual run takes 1800: bounced {1}")
+  /** Guards against a key that is used up by tasks which can no longer end in time. */
+  @ParameterizedTest(name = "{0} ms left, where a usual run takes 1800: rejected {1}")
   @CsvSource({"3000, false", "2500, true"})
   void aTaskBehindAKeyGoesBackWhenAUsualRunPassesItsCutOff(long left, boolean bounced) {
     Manager manager = new Manager().list(true, small("e"));
@@ -369,9 +368,8 @@
 
   @Test
   void anEngineNotReachedIsColdWhenItIsBack() {
-    // Guards against the flood that fells an engine which restarted before any list told; and
-    // against sending to
-    // dead engines because all are.
+    // Guards against overloading an engine that restarted before a list shows it, and against
+    // sending to dead engines because all engines are suspected.
     Manager manager = new Manager();
     manager.cold = new Settings.ColdRule(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
     manager.list(true, small("e")).take("t short a").decide().end("t", 0, Outcome.UNREACHED);
@@ -406,8 +404,8 @@
   }
 
   /**
-   * Guards against answers that SIGKILL cuts off: all are given before, and what cannot end by then
-   * goes at once.
+   * Guards against answers that are lost when SIGKILL ends the process: all are given before, and
+   * tasks that cannot end by then are answered at once.
    */
   @ParameterizedTest(name = "{0} costing {1} ms, after {2} ms of 3000: {3}")
   @CsvSource({
@@ -447,7 +445,7 @@
   }
 
   /**
-   * Guards against a market that keeps the room of an engine's old listing until the next sweep.
+   * Guards against a pool that keeps the capacity of an engine's old listing until the next sweep.
    */
   @Test
   void theMarketKnowsAListingAtOnce() {
--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -22,9 +22,7 @@
 import tansytrack.parts.EngineList;
 import tansytrack.policy.EngineSubset;
 
-/**
- * Which engines a manager uses, without the module around it: evenness, churn, levels, stand-ins.
- */
+/** The selection of engines on its own: evenness, churn, levels and substitutes. */
 class EngineSubsetTest {
 
   private static boolean any(EngineEntry entry) {
@@ -100,7 +98,7 @@
     return users;
   }
 
-  /** Pairs of a manager and an engine that are in one of the fleets only. */
+  /** Counts the pairs of a manager and an engine that are in only one of the fleets. */
   private static int changed(List<Set<String>> before, List<Set<String>> after) {
     int changed = 0;
     for (int i = 0; i < Math.max(before.size(), after.size()); i++) {
@@ -147,7 +145,7 @@
             used -> assertThat((double) used.size()).isCloseTo(usual, within(5 * deviation)));
   }
 
-  /** The target's size: each manager spreads the same work evenly over what it uses. */
+  /** At the target size; each manager spreads the same work evenly over the engines it uses. */
   @Test
   void workIsEvenOverSixThousandEnginesBehindFiveThousandManagers() {
     int managers = 5200;
@@ -226,12 +224,12 @@
     assertThat(selection.used()).hasSizeGreaterThan(90);
   }
 
-  /** By the lowest level of the groups that it is in; by its own depth where it only stands in. */
+  /** The lowest level of the engine's groups; for a substitute the highest level that fits. */
   @Test
   void theLevelOfAnEngineTellsHowManyManagersUseIt() {
     Selection selection = new Selection(800, 5);
     EngineSubset.Group big = selection.subset.group(entry -> entry.kind().equals("big"));
-    selection.set(engines(4000)); // 400 big ones: level 2; all: level 5
+    selection.set(engines(4000)); // 400 big engines are at level 2, all at level 5
     for (EngineEntry entry : selection.usedEntries()) {
       assertThat(selection.subset.level(entry)).isEqualTo(entry.kind().equals("big") ? 2 : 5);
       assertThat(big.uses(entry)).isEqualTo(entry.kind().equals("big"));
@@ -282,7 +280,7 @@
     selection.set(engines(1000));
     List<EngineEntry> used = selection.usedEntries();
     assertThat(used.stream().filter(selection.group::uses)).hasSize(100);
-    assertThat(used).hasSizeBetween(200, 250); // and a subset of those that no task may use
+    assertThat(used).hasSizeBetween(200, 250); // with a subset of those that no task may use
   }
 
   @Test
@@ -298,9 +296,9 @@
     assertThat(users).satisfies(all -> assertThat(IntStream.of(all)).allMatch(n -> n < 50 + 36));
   }
 
-  // ---- Stand-ins ----
+  // ---- Substitutes ----
 
-  /** Sweeps with all healthy but those; gives back how many moved in one sweep at most. */
+  /** Sweeps with the given engines unhealthy; returns the most changes in one sweep. */
   private static int sweep(Selection selection, int sweeps, Predicate<EngineEntry> ill) {
     int most = 0;
     for (int i = 0; i < sweeps; i++) {
@@ -320,7 +318,7 @@
   @Test
   void anIllSubsetIsRefilledOneASweepUntilMostAreWellAndLetGoOfAgain() {
     Selection selection = new Selection(500, 123);
-    selection.set(engines(3000)); // 94 usual; 1 in 4 is well
+    selection.set(engines(3000)); // a subset of about 94; 1 in 4 is healthy
     Set<String> own = selection.used();
     assertThat(sweep(selection, 10, EngineSubsetTest::odd)).isEqualTo(1);
     assertThat(selection.used()).hasSize(own.size() + 10);
@@ -343,7 +341,7 @@
     selection.set(engines(3000));
     List<EngineEntry> own = selection.usedEntries();
     Set<String> ill =
-        own.stream().skip(57).map(EngineEntry::id).collect(Collectors.toSet()); // 57 of 94 well
+        own.stream().skip(57).map(EngineEntry::id).collect(Collectors.toSet()); // 57 of 94 are healthy
     assertThat(sweep(selection, 50, entry -> ill.contains(entry.id()))).isZero();
   }
 
@@ -369,7 +367,7 @@
     assertThat(takenByPartner).doesNotContainAnyElementsOf(taken);
   }
 
-  /** Half of all engines fall ill: what is left is not stormed. */
+  /** Most engines become unhealthy: managers spread their substitutes over the healthy ones. */
   @Test
   void standInsAreSpreadOverAllThatAreWell() {
     Map<String, Integer> taken = new TreeMap<>();
@@ -384,7 +382,7 @@
           .forEach(id -> taken.merge(id, 1, Integer::sum));
     }
     int sum = taken.values().stream().mapToInt(Integer::intValue).sum();
-    double mean = sum / 200.0; // 200 are well
+    double mean = sum / 200.0; // 200 are healthy
     assertThat(taken.values()).allMatch(count -> count < mean + 5 * Math.sqrt(mean));
   }
 
--- a/src/test/java/tansytrack/Manager.java
+++ b/src/test/java/tansytrack/Manager.java
@@ -14,7 +14,7 @@
 import tansytrack.api.Settings;
 import tansytrack.api.TaskOffer;
 
-/** One workload manager under test: plain settings, a clock, and what the module did. */
+/** One workload manager under test, with simple settings, a clock and a record of its actions. */
 final class Manager implements Actions {
 
   static final long MS = 1_000_000L;
@@ -26,7 +26,7 @@
   boolean copies;
   boolean probes;
   long connectTime;
-  boolean tenants = true; // does the deployment name any?
+  boolean tenants = true; // whether the settings name tenants
   Settings.ColdRule cold;
   Settings.RationRule ration;
   final List<String> did = new ArrayList<>();
@@ -34,7 +34,7 @@
   final List<String> provided = new ArrayList<>();
   private Decide module;
   private long now = 100_000 * MS;
-  private long due; // the next sweep
+  private long due; // the time of the next sweep
 
   static Grade grade(
       String name, Grade.Repeat repeat, Grade.Scope scope, boolean inOrder, String... kinds) {
@@ -124,7 +124,8 @@
   }
 
   /**
-   * Takes a task: "id grade tenant", and then any of key=, cost=, left= (milliseconds), mb=, set=.
+   * Submits a task: "id class tenant", followed by any of key=, cost= and left= (the time to the
+   * deadline, both in milliseconds), mb= and set=.
    */
   Manager take(String words) {
     String[] word = words.split(" ");
@@ -170,7 +171,7 @@
     return decide();
   }
 
-  /** The forward of that task that has the given index ends on the engine it was sent to. */
+  /** Ends the task's forward with the given index on the engine to which it was sent. */
   Manager end(String task, int index, Outcome outcome) {
     return end(task, index, outcome, null);
   }
@@ -187,12 +188,12 @@
     return decide();
   }
 
-  /** The first forward of that task is said to stand still. */
+  /** Reports that the task's first forward makes no progress. */
   Manager waits(String task) {
     return note(task, Decisions.Progress.WAITS, 2);
   }
 
-  /** Or to have done a share of its work. */
+  /** Reports that the task's first forward has done a fraction of its work. */
   Manager tells(String task, double share) {
     return note(task, Decisions.Progress.SHARE_DONE, share);
   }
@@ -203,7 +204,7 @@
     return decide();
   }
 
-  /** In one batch: a sweep, the end of a probe, a listing and a task. */
+  /** Reports in one batch a sweep, the end of a probe, a changed entry and a task. */
   Manager atOnce(EngineEntry entry, String task) {
     module().woken(now, "sweep");
     module().probed(now, entry.id(), Outcome.OK, null);
@@ -211,7 +212,7 @@
     return take(task).decide();
   }
 
-  /** It is told to end; answers count for so many milliseconds more. */
+  /** Opens or closes admission. */
   Manager admit(boolean open) {
     module().admit(now, open);
     return this;
@@ -226,6 +227,7 @@
     return now;
   }
 
+  /** Announces a shutdown: answers are delivered for the given number of milliseconds. */
   Manager stop(long ms) {
     module().stopping(now, now + ms * MS);
     return decide();
@@ -235,13 +237,13 @@
     return leaves(task).decide();
   }
 
-  /** Its client leaves, and more news comes in the same batch. */
+  /** Reports that the client left; further events follow in the same batch. */
   Manager leaves(String task) {
     module().abandoned(now, task);
     return this;
   }
 
-  /** So many probes of it have ended, in the same batch as what follows. */
+  /** Ends several probes of the engine; further events follow in the same batch. */
   Manager probes(String engine, int count) {
     for (int i = 0; i < count; i++) {
       module().probed(now, engine, Outcome.FULL, null);
@@ -254,7 +256,7 @@
     return decide();
   }
 
-  /** Lets time pass, with the module's sweeps. */
+  /** Advances the clock and runs the module's sweeps. */
   Manager pass(long ms) {
     long end = now + ms * MS;
     while (due <= end) {
@@ -266,12 +268,12 @@
     return this;
   }
 
-  /** Ids of the engines that it has records of. */
+  /** Returns the ids of the engines that the module has records of. */
   List<String> known() {
     return module().view(now).stream().map(EngineView::id).toList();
   }
 
-  /** Everything done so far that begins with the words. */
+  /** Returns the actions so far that begin with the given words. */
   List<String> did(String words) {
     return did.stream().filter(line -> line.startsWith(words)).toList();
   }
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -18,7 +18,7 @@
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
 
-/** Each rule: a case that would break it, and what is done instead. */
+/** For each rule, cases that would break it, and the actions taken instead. */
 class RulesTest {
 
   private static Arguments rule(String name, Consumer<Manager> play, String... expected) {
@@ -28,11 +28,11 @@
   static Stream<Arguments> rules() {
     return Stream.of(
         rule(
-            "1 time already up: answered at once",
+            "1 deadline passed on arrival: answered at once",
             m -> m.list(true, small("e")).take("t short a left=10").decide(),
             "bounce t"),
         rule(
-            "1 time-out at the cut-off: answered at once",
+            "1 timeout at the deadline: answered at once",
             m ->
                 m.list(true, small("e"))
                     .take("t short a left=2000")
@@ -42,7 +42,7 @@
             "forward t e",
             "bounce t"),
         rule(
-            "1 sweeps are rarer where tasks are rare, yet in time",
+            "1 sweeps are rarer where tasks are rare, but still in time",
             m ->
                 m.list(true)
                     .take("x short -")
@@ -58,7 +58,7 @@
             "bounce y",
             "bounce t"),
         rule(
-            "1 no engine: held for its budget, then bounced",
+            "1 no engine: queued for its wait budget, then rejected",
             m -> m.list(true).take("t short a left=1000").decide().pass(225),
             "bounce t"),
         rule(
@@ -73,7 +73,7 @@
             "forward t e",
             "cancel t 0"),
         rule(
-            "1 nothing for a task whose client left between its turn and its send",
+            "1 nothing for a task whose client left between dispatch and send",
             m ->
                 m.list(true, small("e"))
                     .probes("e", 9)
@@ -82,7 +82,7 @@
                     .decide()
                     .pass(2000)),
         rule(
-            "1 an outcome said twice counts once",
+            "1 an outcome that is reported twice counts once",
             m ->
                 m.list(true, small("e"))
                     .take("t short a")
@@ -91,7 +91,7 @@
                     .end("t", 0, Outcome.OK),
             "forward t e"),
         rule(
-            "2 one-shot that may have run: aborted",
+            "2 not retryable and maybe executed: aborted",
             m ->
                 m.list(true, small("e"), small("f"))
                     .take("t once a")
@@ -101,12 +101,12 @@
                     .removeIf(d -> d.startsWith("forw")),
             "abort t"),
         rule(
-            "2 one-shot surely not run: sent again",
+            "2 not retryable and not executed: sent again",
             m -> m.list(true, small("e")).take("t once a").decide().end("t", 0, Outcome.FULL),
             "forward t e",
             "forward t e"),
         rule(
-            "2 stamped past its window: not sent again, bounced",
+            "2 deduplicated, after its window: not sent again, rejected",
             m ->
                 m.list(true, small("e"))
                     .take("t stamp a")
@@ -117,7 +117,7 @@
             "forward t e",
             "bounce t"),
         rule(
-            "2 stamped within it: sent again",
+            "2 deduplicated, within its window: sent again",
             m ->
                 m.list(true, small("e"))
                     .take("t stamp a")
@@ -127,7 +127,7 @@
             "forward t e",
             "forward t e"),
         rule(
-            "2 stamped near its end: a connection that comes up late would carry it past that",
+            "2 deduplicated, near the end: a slow connection would send it after the window",
             m -> {
               m.connectTime = 250 * MS;
               m.list(true, small("e"))
@@ -140,7 +140,7 @@
             "forward t e",
             "bounce t"),
         rule(
-            "2 stamped: the window runs from the first forward, also while that is still out",
+            "2 deduplicated: the window starts with the first forward, even while it is open",
             m -> {
               m.copies = true;
               m.list(true, small("e"), small("f")).take("t stamp a").decide().pass(3000).waits("t");
@@ -149,7 +149,7 @@
             "forward t f",
             "forward t e"),
         rule(
-            "2 stamped for one cell: never to another, and aborted",
+            "2 deduplicated in one cell: never sent to another, and aborted",
             m ->
                 m.list(true, small("e"))
                     .take("t cell a")
@@ -181,7 +181,7 @@
                     .decide(),
             "forward t e"),
         rule(
-            "3 replaced under a new id with a forward out: what it still says counts",
+            "3 replaced under a new id with an open forward: its outcome still counts",
             m ->
                 m.list(true, small("e"))
                     .take("t once a")
@@ -207,7 +207,7 @@
             "forward v e",
             "forward u e"),
         rule(
-            "5 after a time-out the key rests",
+            "5 a timeout starts the cooldown of the key",
             m ->
                 m.list(true, small("e"))
                     .take("t once a key=1")
@@ -218,7 +218,7 @@
             "forward t e",
             "abort t"),
         rule(
-            "5 and then goes on",
+            "5 after the cooldown the next task is sent",
             m ->
                 m.list(true, small("e"))
                     .take("t once a key=1")
@@ -230,7 +230,7 @@
             "abort t",
             "forward u e"),
         rule(
-            "5 a key whose line was dropped in the same batch",
+            "5 a key whose queue was removed in the same batch",
             m ->
                 m.list(true, small("e"))
                     .take("t once a key=1")
@@ -254,11 +254,11 @@
             "cancel t 0",
             "forward u e"),
         rule(
-            "6 bound to a kind that is gone: never elsewhere",
+            "6 restricted to a type that is gone: never sent elsewhere",
             m -> m.list(true, small("e")).take("t bound a left=1000").decide().pass(300),
             "bounce t"),
         rule(
-            "6 bound: also at a further forward",
+            "6 restricted to a type: also for a retry",
             m ->
                 m.list(true, small("e"), big("g"))
                     .take("t bound a")
@@ -267,7 +267,7 @@
             "forward t g",
             "forward t g"),
         rule(
-            "7 the ration holds for every further forward",
+            "7 the retry budget applies to every retry",
             m -> {
               m.ration = new Settings.RationRule(1, 0, 5000 * MS);
               m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
@@ -278,7 +278,7 @@
             "forward t e",
             "bounce u"),
         rule(
-            "7 and counts a share of the tasks taken",
+            "7 the retry budget grows with the tasks accepted",
             m -> {
               m.ration = new Settings.RationRule(0, 0.5, 5000 * MS);
               m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
@@ -289,7 +289,7 @@
             "forward t e",
             "bounce u"),
         rule(
-            "at most so many forwards",
+            "no more than the maximum of forwards",
             m ->
                 m.list(true, small("e"))
                     .take("t short a")
@@ -302,7 +302,7 @@
             "forward t e",
             "bounce t"),
         rule(
-            "unknown grade", m -> m.list(true, small("e")).take("t other a").decide(), "bounce t"));
+            "unknown query class", m -> m.list(true, small("e")).take("t other a").decide(), "bounce t"));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -314,8 +314,8 @@
   }
 
   static Stream<Arguments> coldCases() {
-    // 4 cores, of which 0.3 work at the start: 0.9 of 2 x 1.2 core-seconds a second, by even
-    // shares, 0.3 each.
+    // 4 cores with a start capacity of 0.3: the budget is 0.9 of 2 x 1.2 core-seconds per second,
+    // divided evenly among the managers; each task costs 0.3 core-seconds.
     return Stream.of(
         arguments(1, 0L, 7L),
         arguments(2, 0L, 3L),
@@ -336,8 +336,8 @@
   }
 
   /**
-   * Guards against a cold engine that gets from a restarted manager what its earlier life gave in
-   * the same window.
+   * Guards against a restarted manager that sends a cold engine what its earlier process already sent
+   * in the same window.
    */
   @ParameterizedTest(
       name = "4 cold: {0} ms after the manager's start, engine started {1} ms before it: {2} sent")
@@ -354,8 +354,8 @@
   }
 
   /**
-   * So many managers, each with the seed behind the one before it, are told of an engine that has
-   * just started.
+   * Returns how many tasks several managers with consecutive seeds send to an engine that has just
+   * started.
    */
   private static int sentByAll(int siblings, long seed, int tasks, long cost) {
     int sent = 0;
@@ -373,8 +373,8 @@
   }
 
   /**
-   * The fleet's budget of N calls, and beyond it 2 roots of N and 2, with few managers and with
-   * many.
+   * With few or many managers, a cold engine gets at most the budget of N tasks plus 2 square roots
+   * of N and 2 tasks.
    */
   @ParameterizedTest(name = "4 cold: {0} managers, work of {1} ms")
   @CsvSource({"2, 100", "2, 300", "30, 100", "30, 300", "30, 900", "200, 300"})
@@ -391,8 +391,8 @@
   @ParameterizedTest(name = "4 cold: {0} managers together, {1} s after the start")
   @CsvSource({"50, 0", "200, 0", "200, 9"})
   void allManagersTogetherKeepAColdEngineUp(int siblings, long age) {
-    // Guards against a cold engine left idle since an even part holds no task, and against all
-    // sending one.
+    // Guards against a cold engine left idle because an even share holds no task, and against one
+    // task from every manager.
     int sent = 0;
     for (int i = 0; i < siblings; i++) {
       Manager manager = new Manager();
@@ -410,13 +410,13 @@
   }
 
   /**
-   * Guards against a cold engine left half idle by tickets that are dealt as if the rule had no
-   * room for chance.
+   * Guards against a cold engine left half idle because the random draws ignore the excess that the
+   * limit tolerates.
    */
   @org.junit.jupiter.api.Test
   void ticketsBringAColdEngineWhatItCanDoAndNeverWhatItFallsBy() {
-    // 1.2 core-seconds at the start; the rule allows 2.4, 8 tasks of 0.3, and 2 roots of 8 and 2
-    // more for chance.
+    // The capacity at the start is 1.2 core-seconds. The limit is 2.4, which is 8 tasks of 0.3,
+    // plus 2 square roots of 8 and 2 tasks.
     int rounds = 40;
     double all = 0;
     for (int round = 0; round < rounds; round++) {
