--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -340,8 +340,8 @@
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000));
     List<EngineEntry> own = selection.usedEntries();
-    Set<String> ill =
-        own.stream().skip(57).map(EngineEntry::id).collect(Collectors.toSet()); // 57 of 94 are healthy
+    // 57 of 94 are healthy.
+    Set<String> ill = own.stream().skip(57).map(EngineEntry::id).collect(Collectors.toSet());
     assertThat(sweep(selection, 50, entry -> ill.contains(entry.id()))).isZero();
   }
 
