--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -1291,7 +1291,7 @@
         unreached |= outcome == Outcome.UNREACHED;
         unreachedAt = outcome == Outcome.UNREACHED ? now : unreachedAt;
         if (unreached) {
-          suspect("unreached");
+          suspect("unreachable");
         }
         failed();
       } else if (outcome == Outcome.FULL || outcome == Outcome.TIME_OUT) {
