--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -996,7 +996,7 @@
     long trialAt;
     long trialGap;
     long ticketUntil; // the end of the window for which the random number below holds
-    double ticketDrawn; // decides whether this manager may exceed its even share of cold work
+    double ticketDrawn; // a random number that decides on a permit beyond the even share
     final Recent coldSends = new Recent(); // work sent while cold, in nanoseconds
     final LinkedHashSet<Long> warm = new LinkedHashSet<>(); // data sets last read, oldest first
 
@@ -1059,7 +1059,7 @@
 
     /**
      * Rule 4: tells whether the task is within this manager's even share of what a cold engine may
-     * get, or a random draw admits it where the share is too small for it.
+     * get, or, where the share is too small for it, whether a random cold-start permit admits it.
      */
     private boolean coldAllows(Task task) {
       if (warmth() >= 1 || standsIn) {
@@ -1071,8 +1071,8 @@
     }
 
     /**
-     * Returns the work that this manager may always send. Where it is less than a usual task, half
-     * of it is left to random draws.
+     * Returns the work that this manager may always send. Where the share is less than a usual
+     * task, half of it is left to cold-start permits.
      */
     private double evenPart() {
       double part = coldBudget() / coldUsers();
@@ -1111,8 +1111,8 @@
     }
 
     /**
-     * Returns the probability that a task which exceeds the even share is admitted; 0 where this
-     * window's draw failed.
+     * Returns the probability of a cold-start permit for a task that exceeds the even share; 0
+     * where the random draw of this window gave none.
      */
     private double ticket(Task task) {
       if (now >= ticketUntil) {
@@ -1481,7 +1481,7 @@
       boolean read = warm.contains(task.offer.dataSet());
       weight *= read ? Math.exp(WARM * clamp(gate.cold - gate.warm, 0, 0.5)) : 1;
       if (warmth() < 1 && task.cost > evenPart()) {
-        // Compensates for the draw: the engine is chosen as often as without one.
+        // Compensates for the permit: the engine is chosen as often as if none were needed.
         weight /= Math.max(ticket(task), 1e-9);
       }
       weight *= levers.placesPriced() && !entry.place().equals(set.place()) ? FAR : 1;
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -410,8 +410,8 @@
   }
 
   /**
-   * Guards against a cold engine left half idle because the random draws ignore the excess that the
-   * limit tolerates.
+   * Guards against a cold engine left half idle because cold-start permits ignore the excess that
+   * the limit tolerates.
    */
   @org.junit.jupiter.api.Test
   void ticketsBringAColdEngineWhatItCanDoAndNeverWhatItFallsBy() {
