--- a/src/main/java/tansytrack/service/Installed.java
+++ b/src/main/java/tansytrack/service/Installed.java
@@ -80,7 +80,7 @@
    * Of the settings, alike for all managers that were told the same, in whatever order their sets
    * stand.
    */
-  private static String digest(Config config) {
+  static String digest(Config config) {
     try {
       byte[] all =
           MessageDigest.getInstance("SHA-256")
