--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -10,10 +10,10 @@
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
-import tansytrack.api.TaskOffer;
-import tansytrack.settings.Config;
+import tansytrack.api.TaskRequest;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One decision module with engines that end each task at once, on virtual time. Plain tasks may go
@@ -60,10 +60,10 @@
     for (int i = 0; i < engines; i++) {
       list.add(entry(i));
     }
-    module.engines(now, true, list);
+    module.onEngineList(now, true, list);
     module.decide(now);
     for (EngineEntry engine : list) {
-      module.probed(now, engine.id(), Outcome.OK, IDLE);
+      module.onProbeEnd(now, engine.id(), Outcome.OK, IDLE);
     }
     module.decide(now);
     sweep();
@@ -87,8 +87,8 @@
     }
     String text = String.format(Locale.ROOT, CONFIGURATION, managers, named);
     try {
-      return Config.of(Json.read(text.getBytes(StandardCharsets.UTF_8))).settings();
-    } catch (Junk e) {
+      return ManagerConfig.fromJson(Json.parse(text.getBytes(StandardCharsets.UTF_8))).settings();
+    } catch (ProtocolException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -110,7 +110,7 @@
   private String offer(String grade, long left) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.task(now, new TaskOffer(id, grade, tenant, null, now + left, COST, 1, -1));
+    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, COST, 1, -1));
     return id;
   }
 
@@ -122,13 +122,13 @@
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
     }
-    module.outcome(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
+    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
     module.decide(now);
   }
 
   void sweep() {
     now += SWEEP_GAP;
-    module.woken(now, "sweep");
+    module.onWakeUp(now, "sweep");
     module.decide(now);
   }
 
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public void bounce(String task, long pause) {
+  public void reject(String task, long pause) {
     refused++;
   }
 
@@ -148,7 +148,7 @@
   }
 
   @Override
-  public void provide(String task, long memoryMb, int priority) {}
+  public void assignResources(String task, long memoryMb, int priority) {}
 
   @Override
   public void probe(String engine) {}
@@ -157,7 +157,7 @@
   public void cancel(String task, int index) {}
 
   @Override
-  public void wake(long in, String token) {}
+  public void scheduleWakeUp(long in, String token) {}
 
   @Override
   public void log(String text) {}
--- a/src/main/java/tansytrack/adapter/Fields.java
+++ b/src/main/java/tansytrack/adapter/Fields.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /** Reads the space-separated fields of lines, one after the other; '-' is an absent value. */
 final class Fields {
 
   /** Thrown when a line does not follow the protocol. */
-  static final class Malformed extends Unusable {
+  static final class Malformed extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
     Malformed(String what) {
@@ -174,8 +174,8 @@
   }
 
   /**
-   * Reads comma-separated numbers into the array, NaN where absent. Returns how many were read, or 0
-   * for an absent field.
+   * Reads comma-separated numbers into the array, NaN where absent. Returns how many were read, or
+   * 0 for an absent field.
    */
   int row(String what, double[] into) {
     take(what);
--- a/src/main/java/tansytrack/api/Actions.java
+++ b/src/main/java/tansytrack/api/Actions.java
@@ -10,13 +10,13 @@
   void forward(String task, String engine, long timeOut);
 
   /** Ends the task without a result; the client may retry it after the delay. */
-  void bounce(String task, long pause);
+  void reject(String task, long pause);
 
   /** Ends the task with an error: an engine may have executed it, and a retry may not be safe. */
   void abort(String task);
 
   /** Sets the memory grant and the priority with which the task's next forward is sent. */
-  void provide(String task, long memoryMb, int priority);
+  void assignResources(String task, long memoryMb, int priority);
 
   /** Asks an engine for its health and load. */
   void probe(String engine);
@@ -25,7 +25,7 @@
   void cancel(String task, int index);
 
   /** Schedules one wake-up after the given time; it comes with the same token. */
-  void wake(long in, String token);
+  void scheduleWakeUp(long in, String token);
 
   /** Writes a line to the log. */
   void log(String text);
--- a/src/main/java/tansytrack/api/Decisions.java
+++ b/src/main/java/tansytrack/api/DecisionModule.java
@@ -7,38 +7,38 @@
  * in nanoseconds and only queues the event; {@link #decide} acts on the events, once after each
  * batch of calls, through {@link Actions}.
  */
-public interface Decisions {
+public interface DecisionModule {
 
   /** What an engine reports about a running forward. */
   enum Progress {
     /** The fraction of the work that is done. */
-    SHARE_DONE,
+    FRACTION_DONE,
     /** The forward spills to disk. */
-    SPILLS,
+    SPILLING,
     /** The forward makes no progress, as it waits for memory or a bulk load. */
-    WAITS
+    WAITING
   }
 
   /** An engine list has arrived: the whole list if complete, or else the changed entries only. */
-  void engines(long now, boolean complete, List<EngineEntry> entries);
+  void onEngineList(long now, boolean complete, List<EngineEntry> entries);
 
   /** A client has submitted a task. */
-  void task(long now, TaskOffer offer);
+  void onTask(long now, TaskRequest offer);
 
   /** Opens or closes admission. While closed, new tasks are rejected; accepted ones continue. */
-  void admit(long now, boolean open);
+  void onAdmissionChange(long now, boolean open);
 
   /**
    * The number of managers that share the engines has changed; it includes this manager. Until the
    * first call the number in the settings holds.
    */
-  void siblings(long now, int count);
+  void onManagerCount(long now, int count);
 
   /**
    * A forward has ended. If {@code over} is set, the task needs no answer any more. Cost and memory
    * are 0 where they were not reported.
    */
-  void outcome(
+  void onForwardEnd(
       long now,
       String task,
       int index,
@@ -51,23 +51,23 @@
       LoadReport report);
 
   /** A probe has ended; the report is null where the engine sent none. */
-  void probed(long now, String engine, Outcome outcome, LoadReport report);
+  void onProbeEnd(long now, String engine, Outcome outcome, LoadReport report);
 
   /** An engine has reported the progress of a forward. */
-  void progress(long now, String task, int index, String engine, Progress what, double amount);
+  void onProgress(long now, String task, int index, String engine, Progress what, double amount);
 
   /** A scheduled wake-up is due. */
-  void woken(long now, String token);
+  void onWakeUp(long now, String token);
 
   /** The client has disconnected or cancelled the task. */
-  void abandoned(long now, String task);
+  void onClientLeft(long now, String task);
 
   /** The manager shuts down: answers after the given time are lost. Tasks may still arrive. */
-  void stopping(long now, long until);
+  void onShutdown(long now, long until);
 
   /** Acts on all events since the last call. */
   void decide(long now);
 
   /** Returns the status of the listed engines in use at the given time; changes nothing. */
-  List<EngineView> view(long now);
+  List<EngineStatus> engineStatuses(long now);
 }
--- a/src/main/java/tansytrack/api/EngineEntry.java
+++ b/src/main/java/tansytrack/api/EngineEntry.java
@@ -5,7 +5,7 @@
  * for the type; a start time of 0 means long ago.
  */
 public record EngineEntry(
-    String id, double size, String place, String kind, int cell, State state, long startedAt) {
+    String id, double size, String zone, String type, int cell, State state, long startedAtNanos) {
 
   /** The state of an engine in the list. */
   public enum State {
--- a/src/main/java/tansytrack/api/Grade.java
+++ b/src/main/java/tansytrack/api/QueryClass.java
@@ -6,37 +6,37 @@
  * A query class as the settings define it. An empty set of zones or engine types allows any. Times
  * are in nanoseconds.
  */
-public record Grade(
+public record QueryClass(
     String name,
-    Repeat repeat,
-    Scope scope,
-    long repeatWindow,
-    long promisedTime,
-    double stretch,
-    long cutOff,
+    RetrySafety retrySafety,
+    DeduplicationScope deduplicationScope,
+    long deduplicationWindowNanos,
+    long latencyObjectiveNanos,
+    double targetStretch,
+    long deadlineNanos,
     double earnings,
     double lateEarnings,
-    boolean inOrder,
-    Set<String> places,
-    Set<String> kinds,
+    boolean serializedByKey,
+    Set<String> allowedZones,
+    Set<String> allowedEngineTypes,
     int threads,
-    boolean load,
-    boolean waitsForLoads) {
+    boolean bulkLoad,
+    boolean waitsForBulkLoads) {
 
   /** Whether a task of the class may be executed more than once. */
-  public enum Repeat {
+  public enum RetrySafety {
     /** Repeated execution is harmless. */
-    HARMLESS,
+    IDEMPOTENT,
     /** Engines drop a repetition within the deduplication window. */
-    STAMPED,
+    DEDUPLICATED,
     /** The task must not be sent again once an engine may have executed it. */
-    ONE_SHOT
+    NON_IDEMPOTENT
   }
 
   /** The engines among which repetitions are dropped: all, those of one zone or of one cell. */
-  public enum Scope {
+  public enum DeduplicationScope {
     ALL,
-    PLACE,
+    ZONE,
     CELL
   }
 }
--- a/src/main/java/tansytrack/parts/EngineList.java
+++ b/src/main/java/tansytrack/util/EngineList.java
@@ -1,4 +1,4 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,26 +14,26 @@
 public final class EngineList {
 
   private final ArrayList<EngineEntry> entries = new ArrayList<>();
-  private final List<Count> counts = new ArrayList<>();
+  private final List<EngineCounter> counts = new ArrayList<>();
 
   /** Counts the listed engines that match a predicate. */
-  public static final class Count {
+  public static final class EngineCounter {
     private final Predicate<EngineEntry> counted;
-    private int now;
+    private int value;
 
-    private Count(Predicate<EngineEntry> counted) {
+    private EngineCounter(Predicate<EngineEntry> counted) {
       this.counted = counted;
     }
 
     /** Returns the present number. */
-    public int now() {
-      return now;
+    public int value() {
+      return value;
     }
   }
 
   /** Adds a counter of matching engines; must be called while the list is empty. */
-  public Count count(Predicate<EngineEntry> counted) {
-    counts.add(new Count(counted));
+  public EngineCounter count(Predicate<EngineEntry> counted) {
+    counts.add(new EngineCounter(counted));
     return counts.get(counts.size() - 1);
   }
 
@@ -49,12 +49,12 @@
   }
 
   /** Replaces the whole list by entries that are sorted by id and unique. */
-  public void set(Collection<EngineEntry> all) {
+  public void replaceAll(Collection<EngineEntry> all) {
     entries.clear();
     entries.addAll(all);
     entries.removeIf(entry -> entry.state() == EngineEntry.State.GONE);
     entries.trimToSize();
-    counts.forEach(count -> count.now = 0);
+    counts.forEach(count -> count.value = 0);
     entries.forEach(entry -> count(entry, 1));
   }
 
@@ -71,8 +71,8 @@
   }
 
   private void count(EngineEntry entry, int one) {
-    for (Count count : counts) {
-      count.now += count.counted.test(entry) ? one : 0;
+    for (EngineCounter count : counts) {
+      count.value += count.counted.test(entry) ? one : 0;
     }
   }
 
--- a/src/main/java/tansytrack/parts/Loop.java
+++ b/src/main/java/tansytrack/util/EventLoop.java
@@ -1,29 +1,29 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
 /** A single-threaded event loop that delivers messages to the inboxes of actors in turn. */
-public final class Loop {
+public final class EventLoop {
 
-  private final ArrayDeque<Part> ready = new ArrayDeque<>();
+  private final ArrayDeque<Actor> ready = new ArrayDeque<>();
 
   /** A message in an inbox: the work that its actor is to do. */
-  public interface Note {
+  public interface Message {
     /** Does the work; called on the loop. */
-    void take();
+    void handle();
   }
 
   /** An actor with an inbox; actors communicate by messages only. */
-  public abstract static class Part {
-    private final Loop loop;
-    private final ArrayDeque<Note> inbox = new ArrayDeque<>();
+  public abstract static class Actor {
+    private final EventLoop loop;
+    private final ArrayDeque<Message> inbox = new ArrayDeque<>();
 
-    protected Part(Loop loop) {
+    protected Actor(EventLoop loop) {
       this.loop = loop;
     }
 
     /** Adds a message to the inbox; it is handled in this actor's turn. */
-    public final void put(Note note) {
+    public final void post(Message note) {
       inbox.add(note);
       if (inbox.size() == 1) {
         loop.ready.add(this);
@@ -32,10 +32,10 @@
   }
 
   /** Handles one message of each actor in turn until none is left. */
-  public void empty() {
+  public void runUntilIdle() {
     while (!ready.isEmpty()) {
-      Part part = ready.poll();
-      part.inbox.peek().take();
+      Actor part = ready.poll();
+      part.inbox.peek().handle();
       part.inbox.poll();
       if (!part.inbox.isEmpty()) {
         ready.add(part);
--- a/src/main/java/tansytrack/parts/KeyLine.java
+++ b/src/main/java/tansytrack/util/KeyQueue.java
@@ -1,4 +1,4 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
@@ -6,15 +6,15 @@
  * The queue of the tasks of one key, in the order accepted, with the number of their open forwards
  * and the end of the key's cooldown.
  */
-public final class KeyLine<T> {
+public final class KeyQueue<T> {
 
   public final long key;
-  public final ArrayDeque<T> line = new ArrayDeque<>();
-  public int out;
-  public long restsUntil;
+  public final ArrayDeque<T> tasks = new ArrayDeque<>();
+  public int openForwards;
+  public long cooldownUntilNanos;
 
   /** Creates an empty queue for the key. */
-  public KeyLine(long key) {
+  public KeyQueue(long key) {
     this.key = key;
   }
 }
--- a/src/main/java/tansytrack/parts/Num.java
+++ b/src/main/java/tansytrack/util/MathUtil.java
@@ -1,12 +1,12 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 /** Shared arithmetic functions. */
-public final class Num {
+public final class MathUtil {
 
-  private Num() {}
+  private MathUtil() {}
 
   /** Returns the exponential moving average after one more sample; NaN stands for no sample yet. */
-  public static double mean(double old, double sample, double weight) {
+  public static double movingAverage(double old, double sample, double weight) {
     return Double.isNaN(old) ? sample : old + weight * (sample - old);
   }
 
@@ -16,7 +16,7 @@
   }
 
   /** Returns the index that a point in [0, 1) selects, with probabilities by weight. */
-  public static int pick(double[] weights, double point) {
+  public static int pickWeighted(double[] weights, double point) {
     double total = 0;
     for (double weight : weights) {
       total += weight;
--- a/src/main/java/tansytrack/parts/Recent.java
+++ b/src/main/java/tansytrack/util/SlidingWindow.java
@@ -1,9 +1,9 @@
-package tansytrack.parts;
+package tansytrack.util;
 
 import java.util.ArrayDeque;
 
 /** A sliding window of events, each with its time and an amount. */
-public final class Recent {
+public final class SlidingWindow {
 
   private final ArrayDeque<long[]> happened = new ArrayDeque<>();
 
@@ -13,7 +13,7 @@
   }
 
   /** Removes the events before that time. */
-  public void forget(long before) {
+  public void evictBefore(long before) {
     while (!happened.isEmpty() && happened.peek()[0] < before) {
       happened.poll();
     }
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Guards against a concurrency limit that stays at one thread: slow answers are no sign of overload
-   * while few tasks run.
+   * Guards against a concurrency limit that stays at one thread: slow answers are no sign of
+   * overload while few tasks run.
    */
   @Test
   void slowAnswersLeaveAThreadForEachCore() {
@@ -371,7 +371,7 @@
     // Guards against overloading an engine that restarted before a list shows it, and against
     // sending to dead engines because all engines are suspected.
     Manager manager = new Manager();
-    manager.cold = new Settings.ColdRule(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
+    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
     manager.list(true, small("e")).take("t short a").decide().end("t", 0, Outcome.UNREACHED);
     assertThat(manager.takeAll(4, "u# short a").did("forward u")).isEmpty();
     manager.pass(1050).end("t", 1, Outcome.OK).takeAll(30, "w# stamp b cost=900");
--- a/src/test/java/tansytrack/service/SettingsDigestTest.java
+++ b/src/test/java/tansytrack/service/SettingsDigestTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import tansytrack.settings.Config;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
 
 /**
@@ -44,12 +44,13 @@
       """;
 
   private static String digest(byte[] json) throws Exception {
-    return Installed.digest(Config.of(Json.read(json)));
+    return OperatorFeatures.digest(ManagerConfig.fromJson(Json.parse(json)));
   }
 
   @Test
   void theDigestOfTheExampleConfigurationIsStable() throws Exception {
-    assertThat(digest(Files.readAllBytes(Path.of("deploy/example.json")))).isEqualTo("d035bfc79081");
+    assertThat(digest(Files.readAllBytes(Path.of("deploy/example.json"))))
+        .isEqualTo("d035bfc79081");
   }
 
   @Test
