--- a/src/main/java/tansytrack/api/Settings.java
+++ b/src/main/java/tansytrack/api/Settings.java
@@ -10,17 +10,17 @@
  */
 public record Settings(
     long seed,
-    int managerCount,
-    int managerIndex,
-    String zone,
-    List<QueryClass> queryClasses,
+    @DigestName("siblings") int managerCount,
+    @DigestName("position") int managerIndex,
+    @DigestName("place") String zone,
+    @DigestName("grades") List<QueryClass> queryClasses,
     List<Tenant> tenants,
-    Map<String, EngineType> engineTypes,
-    Capabilities capabilities,
-    long drainGraceNanos,
-    ColdStartLimit coldStartLimit,
-    long keyCooldownNanos,
-    RetryBudget retryBudget) {
+    @DigestName("kinds") Map<String, EngineType> engineTypes,
+    @DigestName("levers") Capabilities capabilities,
+    @DigestName("drainGrace") long drainGraceNanos,
+    @DigestName("cold") ColdStartLimit coldStartLimit,
+    @DigestName("keyRest") long keyCooldownNanos,
+    @DigestName("ration") RetryBudget retryBudget) {
 
   /** The manager index where the settings tell none. */
   public static final int UNKNOWN_INDEX = -1;
@@ -43,7 +43,7 @@
   }
 
   /** A tenant: its share of the turns in the queues, and its quota of tasks per second. */
-  public record Tenant(String name, double share, double tasksPerSecond) {}
+  public record Tenant(String name, double share, @DigestName("perSecond") double tasksPerSecond) {}
 
   /** The cores and memory of an engine type; 0 where unknown. */
   public record EngineType(int cores, double memoryMb) {}
@@ -53,19 +53,19 @@
    * honour. The maximum grant is a fraction of an engine's memory.
    */
   public record Capabilities(
-      boolean probing,
-      boolean cancellation,
-      boolean hedging,
-      boolean retryAfter,
-      long maxRetryAfterNanos,
-      int maxForwards,
-      boolean memoryGrants,
-      double maxGrantFraction,
+      @DigestName("probe") boolean probing,
+      @DigestName("cancel") boolean cancellation,
+      @DigestName("secondCopies") boolean hedging,
+      @DigestName("comeBack") boolean retryAfter,
+      @DigestName("longestComeBack") long maxRetryAfterNanos,
+      @DigestName("mostForwards") int maxForwards,
+      @DigestName("grants") boolean memoryGrants,
+      @DigestName("grantCap") double maxGrantFraction,
       boolean priorities,
-      boolean reportsCost,
-      long progressIntervalNanos,
-      boolean crossZonePriced,
-      long connectTimeoutNanos) {}
+      @DigestName("tellsCost") boolean reportsCost,
+      @DigestName("progressEvery") long progressIntervalNanos,
+      @DigestName("placesPriced") boolean crossZonePriced,
+      @DigestName("connectTime") long connectTimeoutNanos) {}
 
   /**
    * The limit on work for engines that have just started: within any window, a cold engine must not
@@ -73,11 +73,17 @@
    * from the start fraction to the full one during the warm-up time.
    */
   public record ColdStartLimit(
-      double startCapacityFraction, long warmUpNanos, double overloadFactor, long windowNanos) {}
+      @DigestName("startCapacity") double startCapacityFraction,
+      @DigestName("warmAfter") long warmUpNanos,
+      @DigestName("multiple") double overloadFactor,
+      @DigestName("window") long windowNanos) {}
 
   /**
    * The limit on retries: in any window, at most the reserve plus the ratio times the tasks
    * accepted in it.
    */
-  public record RetryBudget(int spareAttempts, double extraPerRequest, long windowNanos) {}
+  public record RetryBudget(
+      @DigestName("spare") int spareAttempts,
+      @DigestName("share") double extraPerRequest,
+      @DigestName("window") long windowNanos) {}
 }
--- a/src/main/java/tansytrack/service/OperatorFeatures.java
+++ b/src/main/java/tansytrack/service/OperatorFeatures.java
@@ -1,6 +1,7 @@
 package tansytrack.service;
 
 import java.io.IOException;
+import java.lang.reflect.AnnotatedElement;
 import java.lang.reflect.RecordComponent;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -12,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tansytrack.api.DigestName;
 import tansytrack.fleet.udp.UdpMembership;
 import tansytrack.ledger.disk.LedgerRecorder;
 import tansytrack.log.Event;
@@ -99,7 +101,7 @@
     List<String> parts = new ArrayList<>();
     if (value instanceof Record) {
       for (RecordComponent one : value.getClass().getRecordComponents()) {
-        parts.add(one.getName() + '=' + plain(one.getAccessor().invoke(value)));
+        parts.add(digestName(one, one.getName()) + '=' + plain(one.getAccessor().invoke(value)));
       }
     } else if (value instanceof Map<?, ?> map) {
       for (Map.Entry<?, ?> one : map.entrySet()) {
@@ -113,12 +115,20 @@
       if (value instanceof Set) {
         Collections.sort(parts);
       }
+    } else if (value instanceof Enum<?> one) {
+      return digestName(one.getDeclaringClass().getField(one.name()), one.name());
     } else {
       return String.valueOf(value);
     }
     return parts.toString();
   }
 
+  /** Returns the name under which a component or constant enters the digest. */
+  private static String digestName(AnnotatedElement element, String name) {
+    DigestName outer = element.getAnnotation(DigestName.class);
+    return outer == null ? name : outer.value();
+  }
+
   /** Reads it and says what is on; opens nothing. */
   static String summary(String file) {
     OperatorFile all = OperatorFile.read(file);
