--- a/src/jmh/java/tansytrack/jmh/DecideBenchmark.java
+++ b/src/jmh/java/tansytrack/jmh/DecideBenchmark.java
@@ -50,7 +50,7 @@
   @Setup(Level.Iteration)
   public void start() {
     workload = new DecideWorkload(engines, managers, tenants);
-    workload.fill(waiting);
+    workload.fillQueue(waiting);
   }
 
   /** Submits a task, decides, reports its outcome and decides again. */
--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -21,15 +21,15 @@
  */
 final class DecideWorkload implements Actions {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
   // 2,700 tasks per second of virtual time.
-  private static final long TASK_GAP = 370_000L;
-  private static final long SWEEP_GAP = 50 * MS;
-  private static final long LEFT = 3000 * MS;
+  private static final long TASK_INTERVAL_NANOS = 370_000L;
+  private static final long SWEEP_INTERVAL_NANOS = 50 * NANOS_PER_MS;
+  private static final long PLAIN_TIME_LEFT_NANOS = 3000 * NANOS_PER_MS;
   // Scarce tasks must stay in the queue for the whole benchmark.
-  private static final long LEFT_SCARCE = 60_000 * MS;
-  private static final long COST = MS;
-  private static final int MOST_FILL = 10_000;
+  private static final long SCARCE_TIME_LEFT_NANOS = 60_000 * NANOS_PER_MS;
+  private static final long TASK_COST_NANOS = NANOS_PER_MS;
+  private static final int MAX_FILL_TASKS = 10_000;
   private static final LoadReport IDLE =
       new LoadReport(Double.NaN, 0, Double.NaN, Double.NaN, Double.NaN);
   private static final String CONFIGURATION =
@@ -48,10 +48,10 @@
 
   private final Decide module;
   private final int tenants;
-  private long now = 100_000 * MS;
+  private long now = 100_000 * NANOS_PER_MS;
   private long number;
   private String sentTo; // the engine of the last forward, or null
-  private int refused;
+  private int rejected;
 
   DecideWorkload(int engines, int managers, int tenants) {
     this.tenants = tenants;
@@ -94,40 +94,40 @@
   }
 
   /** Submits scarce tasks until the given number of them wait. */
-  void fill(int waiting) {
+  void fillQueue(int waiting) {
     int wait = 0;
-    for (int i = 0; wait < waiting && i < MOST_FILL; i++) {
+    for (int i = 0; wait < waiting && i < MAX_FILL_TASKS; i++) {
       sentTo = null;
-      offer("scarce", LEFT_SCARCE);
+      offer("scarce", SCARCE_TIME_LEFT_NANOS);
       module.decide(now);
       wait += sentTo == null ? 1 : 0;
     }
-    if (wait < waiting || refused > 0) {
-      throw new IllegalStateException(wait + " of " + waiting + " wait, " + refused + " refused");
+    if (wait < waiting || rejected > 0) {
+      throw new IllegalStateException(wait + " of " + waiting + " wait, " + rejected + " refused");
     }
   }
 
   private String offer(String grade, long left) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, COST, 1, -1));
+    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, TASK_COST_NANOS, 1, -1));
     return id;
   }
 
   void taskWithOutcome() {
-    now += TASK_GAP;
+    now += TASK_INTERVAL_NANOS;
     sentTo = null;
-    String id = offer("plain", LEFT);
+    String id = offer("plain", PLAIN_TIME_LEFT_NANOS);
     module.decide(now);
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
     }
-    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
+    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, NANOS_PER_MS, true, TASK_COST_NANOS, 1, IDLE);
     module.decide(now);
   }
 
   void sweep() {
-    now += SWEEP_GAP;
+    now += SWEEP_INTERVAL_NANOS;
     module.onWakeUp(now, "sweep");
     module.decide(now);
   }
@@ -139,12 +139,12 @@
 
   @Override
   public void reject(String task, long pause) {
-    refused++;
+    rejected++;
   }
 
   @Override
   public void abort(String task) {
-    refused++;
+    rejected++;
   }
 
   @Override
--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -198,7 +198,7 @@
     } else {
       Task task = new Task(offer, row);
       tasks.put(task.id, task);
-      dispatcher.post(() -> dispatcher.taken(task));
+      dispatcher.post(() -> dispatcher.onTask(task));
     }
   }
 
@@ -576,7 +576,7 @@
 
   private final class Dispatcher extends EventLoop.Actor {
     final Map<Long, KeyQueue<Task>> keyQueues = new TreeMap<>();
-    final SlidingWindow taken =
+    final SlidingWindow recentTasks =
         new SlidingWindow(); // tasks within the window of the retry budget (rule 7)
     final SlidingWindow recentRetries = new SlidingWindow(); // retries within that window
     double warmLogRatio; // mean ln of run time over the usual one, with a warm data set
@@ -617,8 +617,8 @@
               engines.size() * meanTaskInterval * Math.sqrt(managerCount));
     }
 
-    private void taken(Task task) {
-      taken.add(now, 1);
+    private void onTask(Task task) {
+      recentTasks.add(now, 1);
       meanTaskInterval =
           movingAverage(
               meanTaskInterval, Math.min(now - lastTaskAt, 1000 * NANOS_PER_MS), SMOOTHING_FACTOR);
@@ -753,7 +753,7 @@
       mostSuspected =
           engines.values().stream()
                   .filter(engine -> engine.ready)
-                  .mapToDouble(engine -> engine.suspect ? engine.cores : -engine.cores)
+                  .mapToDouble(engine -> engine.suspected ? engine.cores : -engine.cores)
                   .sum()
               > 0;
       pools.values().forEach(EnginePool::updateCapacity);
@@ -926,7 +926,7 @@
       Settings.RetryBudget rule = settings.retryBudget();
       return rule == null
           || recentRetries.count() + 1
-              <= rule.spareAttempts() + rule.extraPerRequest() * taken.count();
+              <= rule.spareAttempts() + rule.extraPerRequest() * recentTasks.count();
     }
 
     /**
@@ -962,7 +962,7 @@
       updatePrices();
       long window = settings.retryBudget() == null ? 0 : settings.retryBudget().windowNanos();
       // Tasks are removed early rather than late, so that the budget is never overestimated.
-      taken.evictBefore(now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1);
+      recentTasks.evictBefore(now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1);
       recentRetries.evictBefore(now - window);
       tenantQueues.values().stream()
           .flatMap(tenant -> tenant.waiters.stream())
@@ -1053,7 +1053,7 @@
     double failureRate; // moving average of the fraction of failed answers
     boolean unreachable; // at the last attempt; excludes the engine even if most are suspected
     long unreachableAt;
-    boolean suspect;
+    boolean suspected;
     long nextTrialAt;
     long trialInterval;
     long coldPermitUntil; // the end of the window for which the random number below holds
@@ -1098,7 +1098,7 @@
       if (fresh) {
         // A new process: nothing learned about the old one applies.
         warmDataSets.clear();
-        suspect = unreachable = false;
+        suspected = unreachable = false;
         report = null;
         logSlowdown = limit.logSlowdown = failureRate = 0;
         limit.pressureUntil = unreachableAt = failedProbes = 0;
@@ -1109,11 +1109,11 @@
     // -- Eligibility --
 
     boolean usable() {
-      return ready && !unreachable && (!suspect || dispatcher.mostSuspected);
+      return ready && !unreachable && (!suspected || dispatcher.mostSuspected);
     }
 
     boolean healthy() {
-      return ready && !unreachable && !suspect && capacityFraction() >= 1;
+      return ready && !unreachable && !suspected && capacityFraction() >= 1;
     }
 
     private double capacityFraction() {
@@ -1397,7 +1397,7 @@
      */
     private void onFailure() {
       failureRate = movingAverage(failureRate, 1, 4 * SMOOTHING_FACTOR);
-      if (!suspect && failureRate > failureRateLimit()) {
+      if (!suspected && failureRate > failureRateLimit()) {
         suspect("its answers fail");
       }
     }
@@ -1516,8 +1516,8 @@
       lastSignAt = now;
       unreachable = false;
       nextTrialAt = Math.min(nextTrialAt, now + MIN_SILENCE_NANOS);
-      if (suspect && failedProbes < 2 && failureRate <= failureRateLimit()) {
-        suspect = false;
+      if (suspected && failedProbes < 2 && failureRate <= failureRateLimit()) {
+        suspected = false;
         dispatcher.updateCapacity();
         actions.log("engine " + id + " answers again and receives tasks");
       }
@@ -1543,10 +1543,10 @@
           expectedSigns
               / (Math.max(meanExpectedSigns, INITIAL_EXPECTED_SIGNS) + expectedSignsDeviation)
               / Math.log(10);
-      if (!suspect && silence > MIN_SILENCE_NANOS && unusual > SUSPICION_THRESHOLD) {
+      if (!suspected && silence > MIN_SILENCE_NANOS && unusual > SUSPICION_THRESHOLD) {
         suspect("silent for " + silence / NANOS_PER_MS + " ms");
       }
-      if (suspect && !dispatcher.mostSuspected) {
+      if (suspected && !dispatcher.mostSuspected) {
         openForwards.stream()
             .filter(forward -> now - forward.sentAt > MIN_SILENCE_NANOS)
             .forEach(forward -> dispatcher.post(() -> dispatcher.retryStalled(forward)));
@@ -1567,10 +1567,10 @@
     }
 
     private void suspect(String why) {
-      if (suspect) {
+      if (suspected) {
         return;
       }
-      suspect = true;
+      suspected = true;
       dispatcher.updateCapacity();
       trialInterval = INITIAL_TRIAL_INTERVAL_NANOS;
       nextTrialAt = now + trialInterval;
--- a/src/main/java/tansytrack/adapter/Fields.java
+++ b/src/main/java/tansytrack/adapter/FieldReader.java
@@ -6,45 +6,45 @@
 import tansytrack.settings.InvalidInputException;
 
 /** Reads the space-separated fields of lines, one after the other; '-' is an absent value. */
-final class Fields {
+final class FieldReader {
 
   /** Thrown when a line does not follow the protocol. */
-  static final class Malformed extends InvalidInputException {
+  static final class MalformedLineException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String what) {
+    MalformedLineException(String what) {
       super(what);
     }
   }
 
   private final InputStream in;
-  private final byte[] chunk = new byte[1 << 16];
-  private int chunkAt;
-  private int chunkEnd;
+  private final byte[] buffer = new byte[1 << 16];
+  private int bufferPosition;
+  private int bufferEnd;
   private byte[] line = new byte[1024];
   private int length;
-  private int at;
-  private int start;
-  private int end;
+  private int position;
+  private int fieldStart;
+  private int fieldEnd;
 
-  Fields(InputStream in) {
+  FieldReader(InputStream in) {
     this.in = in;
   }
 
   /** Moves to the next line; returns false at the end of the input. */
-  boolean next() throws IOException {
+  boolean nextLine() throws IOException {
     length = 0;
-    at = 0;
+    position = 0;
     while (true) {
-      if (chunkAt == chunkEnd) {
-        chunkEnd = in.read(chunk, 0, chunk.length);
-        chunkAt = 0;
-        if (chunkEnd <= 0) {
-          chunkEnd = 0;
+      if (bufferPosition == bufferEnd) {
+        bufferEnd = in.read(buffer, 0, buffer.length);
+        bufferPosition = 0;
+        if (bufferEnd <= 0) {
+          bufferEnd = 0;
           return length > 0;
         }
       }
-      byte sign = chunk[chunkAt++];
+      byte sign = buffer[bufferPosition++];
       if (sign == '\n') {
         return true;
       }
@@ -56,40 +56,40 @@
   }
 
   /** Tells whether the line is empty. */
-  boolean blank() {
+  boolean isBlank() {
     return length == 0;
   }
 
   /** Returns the line for an error message, cut to 200 bytes. */
-  String whole() {
+  String excerpt() {
     return new String(line, 0, Math.min(length, 200), StandardCharsets.UTF_8);
   }
 
   /** Moves to the next field, or fails with the name of the missing one. */
-  private void take(String what) {
-    if (at >= length) {
-      throw new Malformed("no " + what);
+  private void nextField(String what) {
+    if (position >= length) {
+      throw new MalformedLineException("no " + what);
     }
-    start = at;
-    while (at < length && line[at] != ' ') {
-      at++;
+    fieldStart = position;
+    while (position < length && line[position] != ' ') {
+      position++;
     }
-    end = at++;
+    fieldEnd = position++;
   }
 
-  private boolean absent() {
-    return (end - start == 1 && line[start] == '-') || end == start;
+  private boolean isAbsent() {
+    return (fieldEnd - fieldStart == 1 && line[fieldStart] == '-') || fieldEnd == fieldStart;
   }
 
   /** Tells whether the line has another field. */
-  boolean more() {
-    return at < length;
+  boolean hasMore() {
+    return position < length;
   }
 
   /** Returns the next field, or null where absent. */
   String textOrNull(String what) {
-    take(what);
-    return absent() ? null : new String(line, start, end - start, StandardCharsets.UTF_8);
+    nextField(what);
+    return isAbsent() ? null : new String(line, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
   }
 
   /** Returns the next field, or an empty string where absent. */
@@ -102,35 +102,35 @@
   String text(String what) {
     String value = textOrNull(what);
     if (value == null) {
-      throw new Malformed(what + " is absent");
+      throw new MalformedLineException(what + " is absent");
     }
     return value;
   }
 
   /** Returns a time in milliseconds as nanoseconds, converted exactly; 0 where absent. */
-  long time(String what) {
-    take(what);
-    return absent() ? 0 : fixed(what, 6);
+  long timeNanos(String what) {
+    nextField(what);
+    return isAbsent() ? 0 : fixedPoint(what, 6);
   }
 
   /** Returns an integer, or the given value where absent. */
   long integer(String what, long otherwise) {
-    take(what);
-    return absent() ? otherwise : fixed(what, 0);
+    nextField(what);
+    return isAbsent() ? otherwise : fixedPoint(what, 0);
   }
 
   /** Returns a number; 0 where absent. */
   double number(String what) {
-    take(what);
-    return absent() ? 0 : fixed(what, 9) / 1e9;
+    nextField(what);
+    return isAbsent() ? 0 : fixedPoint(what, 9) / 1e9;
   }
 
   /** Parses a number as a fixed-point value with the given number of decimals. */
-  private long fixed(String what, int places) {
-    return fixed(what, places, start, end);
+  private long fixedPoint(String what, int places) {
+    return fixedPoint(what, places, fieldStart, fieldEnd);
   }
 
-  private long fixed(String what, int places, int from, int to) {
+  private long fixedPoint(String what, int places, int from, int to) {
     int next = from;
     boolean minus = next < to && line[next] == '-';
     next += minus ? 1 : 0;
@@ -145,7 +145,7 @@
         digits = true;
         if (after < places) {
           if (value > (Long.MAX_VALUE - 9) / 10) {
-            throw new Malformed(what + " is too large");
+            throw new MalformedLineException(what + " is too large");
           }
           value = value * 10 + (sign - '0');
           after += after >= 0 ? 1 : 0;
@@ -155,7 +155,7 @@
       }
     }
     if (!digits) {
-      throw new Malformed(what + " is not a number");
+      throw new MalformedLineException(what + " is not a number");
     }
     for (int k = Math.max(after, 0); k < places; k++) {
       value = Math.multiplyExact(value, 10L);
@@ -169,7 +169,7 @@
           Double.parseDouble(new String(line, from, to - from, StandardCharsets.UTF_8))
               * Math.pow(10, places));
     } catch (NumberFormatException e) {
-      throw new Malformed(what + " is not a number");
+      throw new MalformedLineException(what + " is not a number");
     }
   }
 
@@ -177,18 +177,18 @@
    * Reads comma-separated numbers into the array, NaN where absent. Returns how many were read, or
    * 0 for an absent field.
    */
-  int row(String what, double[] into) {
-    take(what);
-    if (absent()) {
+  int numbers(String what, double[] into) {
+    nextField(what);
+    if (isAbsent()) {
       return 0;
     }
     int count = 0;
-    int from = start;
-    for (int i = start; i <= end; i++) {
-      if (i == end || line[i] == ',') {
+    int from = fieldStart;
+    for (int i = fieldStart; i <= fieldEnd; i++) {
+      if (i == fieldEnd || line[i] == ',') {
         boolean none = i == from || (i - from == 1 && line[from] == '-');
         if (count < into.length) {
-          into[count++] = none ? Double.NaN : fixed(what, 9, from, i) / 1e9;
+          into[count++] = none ? Double.NaN : fixedPoint(what, 9, from, i) / 1e9;
         }
         from = i + 1;
       }
--- a/src/main/java/tansytrack/adapter/SimulatorAdapter.java
+++ b/src/main/java/tansytrack/adapter/SimulatorAdapter.java
@@ -29,17 +29,17 @@
  */
 public final class SimulatorAdapter {
 
-  private static final int LISTS = 16;
+  private static final int MAX_LISTS = 16;
 
-  private final Fields in;
+  private final FieldReader fields;
   private final OutputStream out;
   private final PrintStream err;
-  private final BiFunction<Settings, Actions, DecisionModule> start;
+  private final BiFunction<Settings, Actions, DecisionModule> moduleFactory;
   private final StringBuilder reply = new StringBuilder();
   private final Map<String, Instance> instances = new HashMap<>();
-  private final List<List<EngineEntry>> lists = new ArrayList<>();
-  private final Set<Instance> touched = new LinkedHashSet<>();
-  private final double[] row = new double[16];
+  private final List<List<EngineEntry>> engineLists = new ArrayList<>();
+  private final Set<Instance> pendingInstances = new LinkedHashSet<>();
+  private final double[] reportFigures = new double[16];
   private long lineNumber;
   private boolean failed;
 
@@ -53,12 +53,12 @@
       OutputStream out,
       PrintStream err,
       BiFunction<Settings, Actions, DecisionModule> start) {
-    this.start = start;
-    this.in = new Fields(in);
+    this.moduleFactory = start;
+    this.fields = new FieldReader(in);
     this.out = out;
     this.err = err;
-    for (int i = 0; i < LISTS; i++) {
-      lists.add(List.of());
+    for (int i = 0; i < MAX_LISTS; i++) {
+      engineLists.add(List.of());
     }
   }
 
@@ -66,90 +66,90 @@
   public int run() throws IOException {
     try {
       while (nextLine()) {
-        if (!in.blank()) {
-          batch();
+        if (!fields.isBlank()) {
+          processBatch();
         }
       }
       return 0;
     } catch (InvalidInputException | ArithmeticException e) {
       err.println(
-          "tansytrack: line " + lineNumber + ": " + e.getMessage() + " in '" + in.whole() + "'");
+          "tansytrack: line " + lineNumber + ": " + e.getMessage() + " in '" + fields.excerpt() + "'");
       return 2;
     }
   }
 
   private boolean nextLine() throws IOException {
     lineNumber++;
-    return in.next();
+    return fields.nextLine();
   }
 
-  private void batch() throws IOException {
-    String word = in.text("message");
+  private void processBatch() throws IOException {
+    String word = fields.text("message");
     if (!word.equals("BATCH")) {
-      throw new Fields.Malformed("expected BATCH, not " + word);
+      throw new FieldReader.MalformedLineException("expected BATCH, not " + word);
     }
-    long now = in.time("clock");
+    long now = fields.timeNanos("clock");
     reply.setLength(0);
     while (true) {
       if (!nextLine()) {
-        throw new Fields.Malformed("input ended inside a batch");
+        throw new FieldReader.MalformedLineException("input ended inside a batch");
       }
-      if (in.blank()) {
+      if (fields.isBlank()) {
         continue;
       }
-      String event = in.text("message");
+      String event = fields.text("message");
       if (event.equals("OVER_TO_YOU")) {
         break;
       }
-      event(now, event);
+      processEvent(now, event);
     }
-    for (Instance instance : touched) {
-      guarded(instance, () -> instance.module.decide(now));
+    for (Instance instance : pendingInstances) {
+      callModule(instance, () -> instance.module.decide(now));
     }
-    touched.clear();
+    pendingInstances.clear();
     reply.append("FINISHED\n");
     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
 
-  private void event(long now, String event) throws IOException {
+  private void processEvent(long now, String event) throws IOException {
     switch (event) {
-      case "REGISTER" -> register();
-      case "ATTACH" -> attach();
-      case "EXIT" -> touched.remove(instances.remove(in.text("manager_id")));
-      case "BACKENDS_CHANGED" -> changed(now, told());
-      case "INCOMING" -> incoming(now, told());
-      case "RESOLVED" -> resolved(now, told());
-      case "SAMPLED" -> sampled(now, told());
-      case "SIGNAL" -> signal(now, told());
+      case "REGISTER" -> registerList();
+      case "ATTACH" -> attachManager();
+      case "EXIT" -> pendingInstances.remove(instances.remove(fields.text("manager_id")));
+      case "BACKENDS_CHANGED" -> onEngineList(now, receiver());
+      case "INCOMING" -> onTask(now, receiver());
+      case "RESOLVED" -> onForwardEnd(now, receiver());
+      case "SAMPLED" -> onProbeEnd(now, receiver());
+      case "SIGNAL" -> onProgress(now, receiver());
       case "WAKEUP" -> {
-        Instance to = told();
-        String token = in.text("nonce");
-        guarded(to, () -> to.module.onWakeUp(now, token));
+        Instance to = receiver();
+        String token = fields.text("nonce");
+        callModule(to, () -> to.module.onWakeUp(now, token));
       }
       case "ABANDONED" -> {
-        Instance to = told();
-        String task = in.text("op_id");
-        guarded(to, () -> to.module.onClientLeft(now, task));
+        Instance to = receiver();
+        String task = fields.text("op_id");
+        callModule(to, () -> to.module.onClientLeft(now, task));
       }
-      case "INBOX", "ACK_FIRST" -> told();
-      default -> throw new Fields.Malformed("unknown event " + event);
+      case "INBOX", "ACK_FIRST" -> receiver();
+      default -> throw new FieldReader.MalformedLineException("unknown event " + event);
     }
   }
 
   /** Returns the instance that an event is for and marks it to decide in this batch. */
-  private Instance told() {
-    String name = in.text("manager_id");
+  private Instance receiver() {
+    String name = fields.text("manager_id");
     Instance to = instances.get(name);
     if (to == null) {
-      throw new Fields.Malformed("no instance " + name);
+      throw new FieldReader.MalformedLineException("no instance " + name);
     }
-    touched.add(to);
+    pendingInstances.add(to);
     return to;
   }
 
   /** Runs a call of a module. Its first failure is reported; after that no module is called. */
-  private void guarded(Instance instance, Runnable call) {
+  private void callModule(Instance instance, Runnable call) {
     if (failed) {
       return;
     }
@@ -169,121 +169,121 @@
   }
 
   private int slot() {
-    long slot = in.integer("slot", -1);
-    if (slot < 0 || slot >= LISTS) {
-      throw new Fields.Malformed("slot out of range");
+    long slot = fields.integer("slot", -1);
+    if (slot < 0 || slot >= MAX_LISTS) {
+      throw new FieldReader.MalformedLineException("slot out of range");
     }
     return (int) slot;
   }
 
-  private void register() throws IOException {
+  private void registerList() throws IOException {
     int slot = slot();
-    long count = in.integer("members", 0);
+    long count = fields.integer("members", 0);
     List<EngineEntry> entries = new ArrayList<>();
     for (long i = 0; i < count; i++) {
-      if (!nextLine() || !in.text("entry").equals("M")) {
-        throw new Fields.Malformed("expected an M line");
+      if (!nextLine() || !fields.text("entry").equals("M")) {
+        throw new FieldReader.MalformedLineException("expected an M line");
       }
-      double size = in.number("scale");
-      String place = in.textOrEmpty("locality");
+      double size = fields.number("scale");
+      String place = fields.textOrEmpty("locality");
       EngineEntry.State state =
-          switch ((int) in.integer("availability", -1)) {
+          switch ((int) fields.integer("availability", -1)) {
             case 0 -> EngineEntry.State.GONE;
             case 1 -> EngineEntry.State.READY;
             case 2 -> EngineEntry.State.DRAINING;
-            default -> throw new Fields.Malformed("unknown availability");
+            default -> throw new FieldReader.MalformedLineException("unknown availability");
           };
-      String id = in.text("engine");
-      String kind = in.textOrEmpty("shape");
-      long startedAt = in.time("up_since_ms");
-      int cell = in.more() ? (int) in.integer("pack", 0) : 0;
+      String id = fields.text("engine");
+      String kind = fields.textOrEmpty("shape");
+      long startedAt = fields.timeNanos("up_since_ms");
+      int cell = fields.hasMore() ? (int) fields.integer("pack", 0) : 0;
       entries.add(new EngineEntry(id, size, place, kind, cell, state, startedAt));
     }
-    lists.set(slot, entries);
+    engineLists.set(slot, entries);
   }
 
-  private void attach() {
-    Instance instance = new Instance(in.text("manager_id"));
-    long seed = in.integer("init_seed", 0);
+  private void attachManager() {
+    Instance instance = new Instance(fields.text("manager_id"));
+    long seed = fields.integer("init_seed", 0);
     SettingsParser boot = new SettingsParser();
-    while (in.more()) {
-      boot.put(in.text("pair"));
+    while (fields.hasMore()) {
+      boot.put(fields.text("pair"));
     }
-    instance.columns = boot.reportColumns();
-    touched.remove(instances.put(instance.name, instance));
-    touched.add(instance);
+    instance.reportColumns = boot.reportColumns();
+    pendingInstances.remove(instances.put(instance.name, instance));
+    pendingInstances.add(instance);
     Settings settings = boot.toSettings(seed);
-    guarded(instance, () -> instance.module = start.apply(settings, instance));
+    callModule(instance, () -> instance.module = moduleFactory.apply(settings, instance));
   }
 
-  private void changed(long now, Instance to) {
-    in.integer("rev", 0);
-    int kind = (int) in.integer("kind", -1);
+  private void onEngineList(long now, Instance to) {
+    fields.integer("rev", 0);
+    int kind = (int) fields.integer("kind", -1);
     if (kind < 0 || kind > 3) {
-      throw new Fields.Malformed("unknown kind of list");
+      throw new FieldReader.MalformedLineException("unknown kind of list");
     }
     if (kind == 3) {
       return;
     }
-    List<EngineEntry> entries = lists.get(slot());
-    guarded(to, () -> to.module.onEngineList(now, kind != 0, entries));
+    List<EngineEntry> entries = engineLists.get(slot());
+    callModule(to, () -> to.module.onEngineList(now, kind != 0, entries));
   }
 
-  private void incoming(long now, Instance to) {
-    String id = in.text("op_id");
-    String grade = in.textOrEmpty("tier_class");
-    String tenant = in.textOrEmpty("party");
-    long key = in.integer("relation", -1);
-    long until = in.time("valid_until_ms");
-    long cost = in.time("est_cost_ms");
-    double memory = in.number("want_mb");
-    long set = in.integer("source_set", -1);
-    in.integer("attrs", 0);
+  private void onTask(long now, Instance to) {
+    String id = fields.text("op_id");
+    String grade = fields.textOrEmpty("tier_class");
+    String tenant = fields.textOrEmpty("party");
+    long key = fields.integer("relation", -1);
+    long until = fields.timeNanos("valid_until_ms");
+    long cost = fields.timeNanos("est_cost_ms");
+    double memory = fields.number("want_mb");
+    long set = fields.integer("source_set", -1);
+    fields.integer("attrs", 0);
     TaskRequest offer =
         new TaskRequest(id, grade, tenant, key < 0 ? null : key, until, cost, memory, set);
-    guarded(to, () -> to.module.onTask(now, offer));
+    callModule(to, () -> to.module.onTask(now, offer));
   }
 
-  private void resolved(long now, Instance to) {
-    String task = in.text("op_id");
-    long told = in.integer("true_cost", 0);
-    String engine = in.text("engine");
-    long lag = in.time("lag_ms");
-    boolean over = in.integer("terminal", 0) == 1;
-    Outcome outcome = outcome(in.text("state_code"));
-    int index = (int) in.integer("trial", 0);
+  private void onForwardEnd(long now, Instance to) {
+    String task = fields.text("op_id");
+    long told = fields.integer("true_cost", 0);
+    String engine = fields.text("engine");
+    long lag = fields.timeNanos("lag_ms");
+    boolean over = fields.integer("terminal", 0) == 1;
+    Outcome outcome = outcome(fields.text("state_code"));
+    int index = (int) fields.integer("trial", 0);
     LoadReport report = report(to);
     long cost = (told >> 12) * 1_000_000L;
     double memory = (told & 4095) * 4.0;
-    guarded(
+    callModule(
         to,
         () ->
             to.module.onForwardEnd(
                 now, task, index, engine, outcome, lag, over, cost, memory, report));
   }
 
-  private void sampled(long now, Instance to) {
-    String engine = in.text("engine");
-    Outcome outcome = outcome(in.text("state_code"));
-    in.time("lag_ms");
+  private void onProbeEnd(long now, Instance to) {
+    String engine = fields.text("engine");
+    Outcome outcome = outcome(fields.text("state_code"));
+    fields.timeNanos("lag_ms");
     LoadReport report = report(to);
-    guarded(to, () -> to.module.onProbeEnd(now, engine, outcome, report));
+    callModule(to, () -> to.module.onProbeEnd(now, engine, outcome, report));
   }
 
-  private void signal(long now, Instance to) {
-    String task = in.text("op_id");
-    int index = (int) in.integer("trial", 0);
-    String engine = in.text("engine");
-    int what = (int) in.integer("what", 0);
-    double amount = in.number("amount");
+  private void onProgress(long now, Instance to) {
+    String task = fields.text("op_id");
+    int index = (int) fields.integer("trial", 0);
+    String engine = fields.text("engine");
+    int what = (int) fields.integer("what", 0);
+    double amount = fields.number("amount");
     if (what >= 1 && what <= 3) {
       DecisionModule.Progress progress = DecisionModule.Progress.values()[what - 1];
-      guarded(to, () -> to.module.onProgress(now, task, index, engine, progress, amount));
+      callModule(to, () -> to.module.onProgress(now, task, index, engine, progress, amount));
     }
   }
 
   private LoadReport report(Instance to) {
-    int count = in.more() ? in.row("health_info", row) : 0;
+    int count = fields.hasMore() ? fields.numbers("health_info", reportFigures) : 0;
     if (count == 0) {
       return null;
     }
@@ -296,8 +296,8 @@
   }
 
   private double column(Instance to, String name, int count) {
-    int at = to.columns.indexOf(name);
-    return at < 0 || at >= count ? Double.NaN : row[at];
+    int at = to.reportColumns.indexOf(name);
+    return at < 0 || at >= count ? Double.NaN : reportFigures[at];
   }
 
   private static Outcome outcome(String code) {
@@ -310,7 +310,7 @@
       case "ABORTED" -> Outcome.RESET;
       case "CANCELLED" -> Outcome.CANCELLED;
       case "TOO_LATE" -> Outcome.NEVER_SENT;
-      default -> throw new Fields.Malformed("unknown outcome " + code);
+      default -> throw new FieldReader.MalformedLineException("unknown outcome " + code);
     };
   }
 
@@ -318,18 +318,18 @@
   private final class Instance implements Actions {
     final String name;
     DecisionModule module;
-    List<String> columns = List.of();
+    List<String> reportColumns = List.of();
 
     Instance(String name) {
       this.name = name;
     }
 
-    private StringBuilder say(String word) {
+    private StringBuilder appendAction(String word) {
       return reply.append(word).append(' ').append(name).append(' ');
     }
 
     /** Writes nanoseconds as milliseconds with three decimals, rounded towards zero. */
-    private void time(long nanos) {
+    private void appendMillis(long nanos) {
       long micros = nanos / 1000;
       long part = Math.abs(micros % 1000);
       reply
@@ -342,26 +342,26 @@
 
     @Override
     public void forward(String task, String engine, long timeOut) {
-      say("FORWARD").append(task).append(' ').append(engine).append(' ');
-      time(timeOut);
+      appendAction("FORWARD").append(task).append(' ').append(engine).append(' ');
+      appendMillis(timeOut);
       reply.append('\n');
     }
 
     @Override
     public void reject(String task, long pause) {
-      say("BOUNCE").append(task).append(' ');
-      time(pause);
+      appendAction("BOUNCE").append(task).append(' ');
+      appendMillis(pause);
       reply.append('\n');
     }
 
     @Override
     public void abort(String task) {
-      say("FINISH_ERROR").append(task).append('\n');
+      appendAction("FINISH_ERROR").append(task).append('\n');
     }
 
     @Override
     public void assignResources(String task, long memoryMb, int priority) {
-      say("PROVIDE")
+      appendAction("PROVIDE")
           .append(task)
           .append(' ')
           .append(memoryMb)
@@ -372,24 +372,24 @@
 
     @Override
     public void probe(String engine) {
-      say("HEALTH_CHECK").append(engine).append('\n');
+      appendAction("HEALTH_CHECK").append(engine).append('\n');
     }
 
     @Override
     public void cancel(String task, int index) {
-      say("CANCEL").append(task).append(' ').append(index).append('\n');
+      appendAction("CANCEL").append(task).append(' ').append(index).append('\n');
     }
 
     @Override
     public void scheduleWakeUp(long in, String token) {
-      say("DEFER");
-      time(in);
+      appendAction("DEFER");
+      appendMillis(in);
       reply.append(' ').append(token).append('\n');
     }
 
     @Override
     public void log(String text) {
-      say("RECORD").append(text).append('\n');
+      appendAction("RECORD").append(text).append('\n');
     }
   }
 }
--- a/src/main/java/tansytrack/settings/ManagerConfig.java
+++ b/src/main/java/tansytrack/settings/ManagerConfig.java
@@ -17,9 +17,9 @@
     long idleTimeoutNanos,
     int maxDescriptors) {
 
-  private static final List<String> REPORTED =
+  private static final List<String> REPORT_FIGURES =
       List.of("cpu_share", "busy_reqs", "pending", "x0", "x1");
-  private static final Map<String, String> OTHER_NAMES =
+  private static final Map<String, String> COLUMN_ALIASES =
       Map.of("util", "cpu_share", "inflight", "busy_reqs", "queue", "pending");
 
   /**
@@ -27,16 +27,16 @@
    * path and value that the simulator would send.
    */
   public static ManagerConfig fromJson(Object json) {
-    Map<?, ?> all = map(json, "the configuration");
+    Map<?, ?> all = requireObject(json, "the configuration");
     SettingsParser pairs = new SettingsParser();
-    flatten("", map(all.get("settings"), "settings"), pairs);
+    flatten("", requireObject(all.get("settings"), "settings"), pairs);
     long seed;
     try {
-      seed = Long.parseUnsignedLong(text(all, "seed"), 16);
+      seed = Long.parseUnsignedLong(requireString(all, "seed"), 16);
     } catch (NumberFormatException e) {
       throw new InvalidInputException("seed is not a hex number");
     }
-    Object sockets = map(all.get("limits"), "limits").get("sockets");
+    Object sockets = requireObject(all.get("limits"), "limits").get("sockets");
     if (!(sockets instanceof Number)) {
       throw new InvalidInputException("limits.sockets is not a number");
     }
@@ -45,13 +45,13 @@
       throw new InvalidInputException("settings.grades is empty");
     }
     return new ManagerConfig(
-        text(all, "name"),
-        text(all, "listen"),
-        text(all, "channel"),
+        requireString(all, "name"),
+        requireString(all, "listen"),
+        requireString(all, "channel"),
         all.get("known"),
         settings,
         pairs.reportColumns(),
-        pairs.time("policy_limits.conn_idle_ms"),
+        pairs.timeNanos("policy_limits.conn_idle_ms"),
         ((Number) sockets).intValue());
   }
 
@@ -99,14 +99,14 @@
     return String.join(", ", differ);
   }
 
-  private static Map<?, ?> map(Object value, String what) {
+  private static Map<?, ?> requireObject(Object value, String what) {
     if (value instanceof Map) {
       return (Map<?, ?>) value;
     }
     throw new InvalidInputException(what + " is not an object");
   }
 
-  private static String text(Map<?, ?> from, String name) {
+  private static String requireString(Map<?, ?> from, String name) {
     if (from.get(name) instanceof String) {
       return (String) from.get(name);
     }
@@ -114,10 +114,10 @@
   }
 
   private static void flatten(String path, Map<?, ?> object, SettingsParser into) {
-    object.forEach((name, value) -> put(path + name, value, into));
+    object.forEach((name, value) -> putValue(path + name, value, into));
   }
 
-  private static void put(String path, Object value, SettingsParser into) {
+  private static void putValue(String path, Object value, SettingsParser into) {
     if (value instanceof Map) {
       flatten(path + '.', (Map<?, ?>) value, into);
     } else if (value instanceof List) {
@@ -125,31 +125,31 @@
       if (list.stream().anyMatch(Map.class::isInstance)) {
         into.put(path + ".count", Integer.toString(list.size()));
         for (int i = 0; i < list.size(); i++) {
-          put(path + '.' + i, list.get(i), into);
+          putValue(path + '.' + i, list.get(i), into);
         }
       } else {
-        into.put(path, String.join(",", list.stream().map(ManagerConfig::plain).toList()));
+        into.put(path, String.join(",", list.stream().map(ManagerConfig::plainText).toList()));
       }
     } else if (value != null) {
-      into.put(path, plain(value));
+      into.put(path, plainText(value));
     }
   }
 
-  private static String plain(Object value) {
+  private static String plainText(Object value) {
     return value == null ? "-" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
   /** Returns the index of a reported figure among the columns, or -1. */
   public int columnIndex(String name) {
     int at = reportColumns.indexOf(name);
-    return at >= 0 ? at : reportColumns.indexOf(OTHER_NAMES.getOrDefault(name, name));
+    return at >= 0 ? at : reportColumns.indexOf(COLUMN_ALIASES.getOrDefault(name, name));
   }
 
   /** Builds a load report from the figures of all columns. */
   public LoadReport toLoadReport(double[] figures) {
-    double[] all = new double[REPORTED.size()];
+    double[] all = new double[REPORT_FIGURES.size()];
     for (int i = 0; i < all.length; i++) {
-      int at = columnIndex(REPORTED.get(i));
+      int at = columnIndex(REPORT_FIGURES.get(i));
       all[i] = at < 0 ? Double.NaN : figures[at];
     }
     return new LoadReport(all[0], all[1], all[2], all[3], all[4]);
--- a/src/main/java/tansytrack/settings/SettingsParser.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -16,9 +16,9 @@
 public final class SettingsParser {
 
   // Used where the settings tell no timeout; it is much longer than a round trip.
-  private static final long CONNECT_TIME = 1_000_000_000L;
+  private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
   // The exclusive upper bound of every number; times in nanoseconds stay within a long.
-  private static final double MOST = 1e12;
+  private static final double NUMBER_LIMIT = 1e12;
 
   private final Map<String, String> pairs = new HashMap<>();
 
@@ -51,12 +51,12 @@
       grades.add(
           new QueryClass(
               pairs.getOrDefault(g + "name", "?"),
-              repeat(pairs.get(g + "repeat")),
-              scope(pairs.get(g + "key_scope")),
-              time(g + "window_ms"),
-              time(g + "objective_ms"),
+              retrySafety(pairs.get(g + "repeat")),
+              deduplicationScope(pairs.get(g + "key_scope")),
+              timeNanos(g + "window_ms"),
+              timeNanos(g + "objective_ms"),
               number(g + "aim_stretch", 0),
-              time(g + "deadline_ms"),
+              timeNanos(g + "deadline_ms"),
               number(g + "worth", 0),
               number(g + "late_worth", 0),
               flag(g + "serial_by_key"),
@@ -86,36 +86,36 @@
               i < cores.size() ? (int) parse("extra.cpu_of_kind", cores.get(i)) : 0,
               i < memory.size() ? parse("extra.memory_by_kind_mb", memory.get(i)) : 0));
     }
-    long connectTime = time("policy_limits.connect_timeout_ms");
+    long connectTime = timeNanos("policy_limits.connect_timeout_ms");
     Settings.Capabilities levers =
         new Settings.Capabilities(
             flag("policy_limits.may_probe"),
             flag("policy_limits.cancel"),
             flag("policy_limits.parallel_tries"),
             flag("policy_limits.retry_after"),
-            time("policy_limits.max_retry_after_ms"),
+            timeNanos("policy_limits.max_retry_after_ms"),
             (int) number("policy_limits.max_attempts", 1),
             flag("extra.memory_heeded"),
             number("extra.grant_cap", 0),
             flag("extra.ranks_heeded"),
             flag("extra.tells_cost"),
-            time("extra.progress_ms"),
+            timeNanos("extra.progress_ms"),
             number("prices.cross_zone", 0) > 0,
-            connectTime > 0 ? connectTime : CONNECT_TIME);
+            connectTime > 0 ? connectTime : DEFAULT_CONNECT_TIMEOUT_NANOS);
     Settings.ColdStartLimit cold =
         pairs.containsKey("rules.overload_factor")
             ? new Settings.ColdStartLimit(
                 number("rules.start_capacity", 1),
-                time("rules.ramp_time_ms"),
+                timeNanos("rules.ramp_time_ms"),
                 number("rules.overload_factor", 0),
-                time("rules.fall_ms"))
+                timeNanos("rules.fall_ms"))
             : null;
     Settings.RetryBudget ration =
         pairs.containsKey("rules.look_back_ms")
             ? new Settings.RetryBudget(
                 (int) number("rules.spare_attempts", 0),
                 number("rules.extra_per_request", 0),
-                time("rules.look_back_ms"))
+                timeNanos("rules.look_back_ms"))
             : null;
     return new Settings(
         seed,
@@ -126,13 +126,13 @@
         tenants,
         kinds,
         levers,
-        time("rules.drain_grace_ms"),
+        timeNanos("rules.drain_grace_ms"),
         cold,
-        time("rules.turn_gap_ms"),
+        timeNanos("rules.turn_gap_ms"),
         ration);
   }
 
-  private static QueryClass.RetrySafety repeat(String word) {
+  private static QueryClass.RetrySafety retrySafety(String word) {
     if ("idempotent".equals(word)) {
       return QueryClass.RetrySafety.IDEMPOTENT;
     }
@@ -141,7 +141,7 @@
         : QueryClass.RetrySafety.NON_IDEMPOTENT;
   }
 
-  private static QueryClass.DeduplicationScope scope(String word) {
+  private static QueryClass.DeduplicationScope deduplicationScope(String word) {
     if ("all".equals(word)) {
       return QueryClass.DeduplicationScope.ALL;
     }
@@ -160,7 +160,7 @@
     return value == null || value.isEmpty() || value.equals("-") ? otherwise : parse(path, value);
   }
 
-  long time(String path) {
+  long timeNanos(String path) {
     return Math.round(number(path, 0) * 1e6);
   }
 
@@ -171,7 +171,7 @@
     } catch (NumberFormatException e) {
       number = -1;
     }
-    if (number >= 0 && number < MOST) {
+    if (number >= 0 && number < NUMBER_LIMIT) {
       return number;
     }
     throw new InvalidInputException(
--- a/src/main/java/tansytrack/util/SlidingWindow.java
+++ b/src/main/java/tansytrack/util/SlidingWindow.java
@@ -5,29 +5,29 @@
 /** A sliding window of events, each with its time and an amount. */
 public final class SlidingWindow {
 
-  private final ArrayDeque<long[]> happened = new ArrayDeque<>();
+  private final ArrayDeque<long[]> events = new ArrayDeque<>();
 
   /** Adds an event with its amount. */
   public void add(long at, long amount) {
-    happened.add(new long[] {at, amount});
+    events.add(new long[] {at, amount});
   }
 
   /** Removes the events before that time. */
   public void evictBefore(long before) {
-    while (!happened.isEmpty() && happened.peek()[0] < before) {
-      happened.poll();
+    while (!events.isEmpty() && events.peek()[0] < before) {
+      events.poll();
     }
   }
 
   /** Returns the number of events in the window. */
   public int count() {
-    return happened.size();
+    return events.size();
   }
 
   /** Returns the sum of the amounts in the window. */
   public long sum() {
     long sum = 0;
-    for (long[] one : happened) {
+    for (long[] one : events) {
       sum += one[1];
     }
     return sum;
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -1,7 +1,7 @@
 package tansytrack;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tansytrack.Manager.MS;
+import static tansytrack.ManagerHarness.NANOS_PER_MS;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,40 +26,40 @@
 
   private static final int MEMBERS = 12;
   private static final int ENGINES = 4;
-  private static final long COST = 250;
-  private static final long STEP = 50;
+  private static final long TASK_COST_MS = 250;
+  private static final long STEP_MS = 50;
   private static final Settings.ColdStartLimit COLD =
-      new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+      new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
 
   /** One process of a manager, from its start to its end. */
-  private static final class Life {
+  private static final class Process {
     final long id;
-    final Manager manager = new Manager();
-    final BudgetDivisor reckoning = new BudgetDivisor(MEMBERS - 1, 10_000 * MS);
-    final long began; // in ms of virtual time
-    final ArrayDeque<String[]> out = new ArrayDeque<>(); // id and end time of each open task
-    int seen;
+    final ManagerHarness manager = new ManagerHarness();
+    final BudgetDivisor reckoning = new BudgetDivisor(MEMBERS - 1, 10_000 * NANOS_PER_MS);
+    final long startedAtMs; // in ms of virtual time
+    final ArrayDeque<String[]> openTasks = new ArrayDeque<>(); // id and end time of each open task
+    int seenActions;
     int tasks;
 
-    Life(long id, long began, long seed) {
+    Process(long id, long began, long seed) {
       this.id = id;
-      this.began = began;
+      this.startedAtMs = began;
       manager.seed = seed;
-      manager.siblings = MEMBERS;
-      manager.cold = COLD;
+      manager.managerCount = MEMBERS;
+      manager.coldStartLimit = COLD;
     }
   }
 
-  private final Map<String, Life> lives = new HashMap<>();
-  private final long[] startedAt = new long[ENGINES]; // ms of virtual time; 0 means long ago
+  private final Map<String, Process> processes = new HashMap<>();
+  private final long[] startedAtMs = new long[ENGINES]; // ms of virtual time; 0 means long ago
   private final List<ArrayDeque<Long>> sends = new ArrayList<>();
-  private int falls;
+  private int overloads;
   private int most; // the most tasks sent to a cold engine within the window
   private int fewest = Integer.MAX_VALUE; // the lowest number of managers that one assumed
 
-  private EngineEntry entry(int engine, Life life) {
-    long start = startedAt[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAt[engine] - life.began);
-    return Manager.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
+  private EngineEntry entry(int engine, Process life) {
+    long start = startedAtMs[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAtMs[engine] - life.startedAtMs);
+    return ManagerHarness.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
   }
 
   private void play(long seed, boolean byView) {
@@ -70,21 +70,21 @@
             seed,
             LinkConditions.GOOD.withLoss(0.1));
     SplittableRandom chance = new SplittableRandom(seed);
-    lives.clear();
+    processes.clear();
     sends.clear();
     for (int i = 0; i < ENGINES; i++) {
-      startedAt[i] = 0;
+      startedAtMs[i] = 0;
       sends.add(new ArrayDeque<>());
     }
     long from = world.now();
     int cut = chance.nextInt(3);
     world.schedule(
-        from + 1000 * MS,
+        from + 1000 * NANOS_PER_MS,
         () -> world.partition((a, b) -> cut == 0 || cut == 1 && !a.zone().equals(b.zone())));
     for (int i = 0; i < 3; i++) {
       String address = "m" + chance.nextInt(MEMBERS);
       world.schedule(
-          from + chance.nextLong(8000 * MS),
+          from + chance.nextLong(8000 * NANOS_PER_MS),
           () -> {
             if (world.node(address).running() && chance.nextBoolean()) {
               world.shutDown(address);
@@ -93,7 +93,7 @@
             }
           });
       world.schedule(
-          from + (9000 + chance.nextLong(12_000)) * MS,
+          from + (9000 + chance.nextLong(12_000)) * NANOS_PER_MS,
           () -> {
             if (!world.node(address).running()) {
               world.start(address);
@@ -103,41 +103,41 @@
     for (int engine = 0; engine < ENGINES; engine++) {
       int which = engine;
       world.schedule(
-          from + (6000 + chance.nextLong(14_000)) * MS,
+          from + (6000 + chance.nextLong(14_000)) * NANOS_PER_MS,
           () -> {
-            startedAt[which] = world.now() / MS;
+            startedAtMs[which] = world.now() / NANOS_PER_MS;
             sends.get(which).clear();
-            lives.values().forEach(life -> life.manager.list(false, entry(which, life)));
+            processes.values().forEach(life -> life.manager.listEngines(false, entry(which, life)));
           });
     }
-    for (long at = from; at < from + 25_000 * MS; at += STEP * MS) {
+    for (long at = from; at < from + 25_000 * NANOS_PER_MS; at += STEP_MS * NANOS_PER_MS) {
       world.runUntil(at);
       for (MembershipSimulation.Node node : world.nodes()) {
         if (node.running()) {
-          turn(world, node, byView, chance);
+          step(world, node, byView, chance);
         } else {
-          lives.remove(node.name());
+          processes.remove(node.name());
         }
       }
     }
   }
 
-  private void turn(
+  private void step(
       MembershipSimulation world,
       MembershipSimulation.Node node,
       boolean byView,
       SplittableRandom chance) {
-    long now = world.now() / MS;
-    Life life = lives.get(node.name());
+    long now = world.now() / NANOS_PER_MS;
+    Process life = processes.get(node.name());
     if (life == null || life.id != node.membership().self().instanceId()) {
       // The manager's clock reaches its first step at the end of this call.
-      life = new Life(node.membership().self().instanceId(), now - STEP, chance.nextLong());
-      lives.put(node.name(), life);
+      life = new Process(node.membership().self().instanceId(), now - STEP_MS, chance.nextLong());
+      processes.put(node.name(), life);
       EngineEntry[] all = new EngineEntry[ENGINES];
       for (int i = 0; i < ENGINES; i++) {
         all[i] = entry(i, life);
       }
-      life.manager.list(true, all);
+      life.manager.listEngines(true, all);
     }
     node.membership().others().forEach(life.reckoning::memberChanged);
     int by =
@@ -145,18 +145,18 @@
             ? node.membership().view().liveMembers()
             : life.reckoning.update(world.now(), node.membership().view().liveMembers());
     fewest = Math.min(fewest, by);
-    life.manager.siblings(by).pass(STEP);
-    while (!life.out.isEmpty() && Long.parseLong(life.out.peek()[1]) <= now) {
-      life.manager.end(life.out.poll()[0], 0, Outcome.OK);
+    life.manager.setManagerCount(by).advance(STEP_MS);
+    while (!life.openTasks.isEmpty() && Long.parseLong(life.openTasks.peek()[1]) <= now) {
+      life.manager.endForward(life.openTasks.poll()[0], 0, Outcome.OK);
     }
     for (int i = chance.nextInt(4); i > 0; i--) {
-      life.manager.take("t" + life.tasks++ + " short a cost=" + COST).decide();
+      life.manager.submit("t" + life.tasks++ + " short a cost=" + TASK_COST_MS).decide();
     }
-    for (; life.seen < life.manager.did.size(); life.seen++) {
-      String[] done = life.manager.did.get(life.seen).split(" ");
+    for (; life.seenActions < life.manager.actions.size(); life.seenActions++) {
+      String[] done = life.manager.actions.get(life.seenActions).split(" ");
       if (done[0].equals("forward")) {
-        life.out.add(new String[] {done[1], Long.toString(now + COST)});
-        sent(Integer.parseInt(done[2].substring(1)), now);
+        life.openTasks.add(new String[] {done[1], Long.toString(now + TASK_COST_MS)});
+        recordForward(Integer.parseInt(done[2].substring(1)), now);
       }
     }
   }
@@ -165,14 +165,14 @@
    * Records a forward, and whether it overloads the engine: in a window, N tasks are allowed, plus
    * 3 square roots of N and 3 tasks.
    */
-  private void sent(int engine, long now) {
+  private void recordForward(int engine, long now) {
     ArrayDeque<Long> window = sends.get(engine);
     window.add(now);
-    while (window.peek() <= now - COLD.windowNanos() / MS) {
+    while (window.peek() <= now - COLD.windowNanos() / NANOS_PER_MS) {
       window.poll();
     }
     double age =
-        startedAt[engine] == 0 ? 1 : (now - startedAt[engine]) * MS / (double) COLD.warmUpNanos();
+        startedAtMs[engine] == 0 ? 1 : (now - startedAtMs[engine]) * NANOS_PER_MS / (double) COLD.warmUpNanos();
     if (age < 1) {
       most = Math.max(most, window.size());
       double allowed =
@@ -180,8 +180,8 @@
               * (COLD.startCapacityFraction() + (1 - COLD.startCapacityFraction()) * age)
               * 4
               * 1000
-              / COST;
-      falls += window.size() > allowed + 3 * Math.sqrt(allowed) + 3 ? 1 : 0;
+              / TASK_COST_MS;
+      overloads += window.size() > allowed + 3 * Math.sqrt(allowed) + 3 ? 1 : 0;
     }
   }
 
@@ -190,10 +190,10 @@
    * and restarted, and engines start cold.
    */
   @Test
-  void noColdEngineIsPushedOverWhileTheNumberOfManagersChanges() {
+  void coldEnginesAreNotOverloadedWhileTheManagerCountChanges() {
     for (long seed = 1; seed <= 50; seed++) {
       play(seed, false);
-      assertThat(falls).as("seed %d, at most %d", seed, most).isZero();
+      assertThat(overloads).as("seed %d, at most %d", seed, most).isZero();
     }
     assertThat(most).isGreaterThan(10);
   }
@@ -202,11 +202,11 @@
    * The failure guarded against: managers that divide the budget by the managers they can reach.
    */
   @Test
-  void managersThatReckonByWhomTheySeePushColdEnginesOver() {
+  void countingOnlyReachableManagersOverloadsColdEngines() {
     for (long seed = 1; seed <= 20; seed++) {
       play(seed, true);
     }
-    assertThat(falls).isPositive();
+    assertThat(overloads).isPositive();
     assertThat(fewest).isEqualTo(1);
   }
 }
--- a/src/test/java/tansytrack/DecideSubsetTest.java
+++ b/src/test/java/tansytrack/DecideSubsetTest.java
@@ -1,7 +1,7 @@
 package tansytrack;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tansytrack.Manager.MS;
+import static tansytrack.ManagerHarness.NANOS_PER_MS;
 
 import java.util.AbstractList;
 import java.util.ArrayDeque;
@@ -22,14 +22,14 @@
 class DecideSubsetTest {
 
   private static final Settings.ColdStartLimit COLD =
-      new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+      new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
 
   private static String id(int engine) {
     return String.format("engine-%04d", engine);
   }
 
   private static EngineEntry entry(int engine, EngineEntry.State state, long startedAt) {
-    return Manager.engine(
+    return ManagerHarness.engine(
         id(engine), engine % 3 == 0 ? "big" : "small", engine % 7, state, startedAt);
   }
 
@@ -42,40 +42,40 @@
   }
 
   /** Tasks of all classes, while engines answer, fail, fall silent, drain, start and leave. */
-  private static Manager play(long seed, int engines, int position) {
-    Manager manager = new Manager();
+  private static ManagerHarness play(long seed, int engines, int position) {
+    ManagerHarness manager = new ManagerHarness();
     manager.seed = seed;
-    manager.siblings = 40;
-    manager.position = position;
-    manager.probes = true;
-    manager.cold = COLD;
+    manager.managerCount = 40;
+    manager.managerIndex = position;
+    manager.probing = true;
+    manager.coldStartLimit = COLD;
     SplittableRandom chance = new SplittableRandom(seed);
-    manager.list(true, entries(engines));
+    manager.listEngines(true, entries(engines));
     ArrayDeque<String> open = new ArrayDeque<>();
     String[] grades = {"short", "stamp", "cell", "once", "load", "bound"};
     int seen = 0;
     for (int step = 0; step < 400; step++) {
-      manager.pass(10);
+      manager.advance(10);
       int engine = chance.nextInt(engines);
       if (step % 20 == 0) {
         EngineEntry.State state = EngineEntry.State.values()[chance.nextInt(3)];
-        manager.list(false, entry(engine, state, 100_000 + step * 10L));
+        manager.listEngines(false, entry(engine, state, 100_000 + step * 10L));
       }
       if (step == 120 || step == 160) {
-        manager.list(true, entries(engines * 2 / 3)).pass(30);
+        manager.listEngines(true, entries(engines * 2 / 3)).advance(30);
       }
       if (step == 125 || step == 250) {
-        manager.list(true, entries(engines));
+        manager.listEngines(true, entries(engines));
       }
       for (int i = chance.nextInt(4); i > 0; i--) {
         String key = chance.nextInt(4) == 0 ? " key=" + chance.nextInt(5) : "";
         String grade = grades[chance.nextInt(grades.length)];
-        manager.take("t" + step + "." + i + " " + grade + (i % 2 == 0 ? " a" : " b") + key);
+        manager.submit("t" + step + "." + i + " " + grade + (i % 2 == 0 ? " a" : " b") + key);
       }
       manager.decide();
-      for (; seen < manager.did.size(); seen++) {
-        if (manager.did.get(seen).startsWith("forward ")) {
-          open.add(manager.did.get(seen).split(" ")[1]);
+      for (; seen < manager.actions.size(); seen++) {
+        if (manager.actions.get(seen).startsWith("forward ")) {
+          open.add(manager.actions.get(seen).split(" ")[1]);
         }
       }
       while (open.size() > 12) {
@@ -83,7 +83,7 @@
         Outcome outcome = Outcome.values()[chance.nextInt(5) > 0 ? 0 : chance.nextInt(8)];
         LoadReport report =
             chance.nextBoolean() ? null : new LoadReport(chance.nextDouble(), 3, 0, 0.4, 0);
-        manager.end(task, 0, outcome, report);
+        manager.endForward(task, 0, outcome, report);
       }
     }
     return manager;
@@ -101,33 +101,33 @@
     "4, 20, -2083710384",
     "5, 128, -143667793"
   })
-  void upToTheBoundAllActionsAreAsBefore(long seed, int engines, int recorded) {
-    Manager manager = play(seed, engines, 3);
-    assertThat(manager.did.hashCode()).as("%d actions", manager.did.size()).isEqualTo(recorded);
+  void actionsMatchTheRecordingUpToTheMaximumSize(long seed, int engines, int recorded) {
+    ManagerHarness manager = play(seed, engines, 3);
+    assertThat(manager.actions.hashCode()).as("%d actions", manager.actions.size()).isEqualTo(recorded);
   }
 
   @ParameterizedTest(name = "{0} engines")
   @ValueSource(ints = {20, 100, 128})
-  void upToTheBoundAPositionChangesNothing(int engines) {
-    List<String> did = play(9, engines, 0).did;
-    assertThat(play(9, engines, 17).did).isEqualTo(did);
-    assertThat(play(9, engines, Settings.UNKNOWN_INDEX).did).isEqualTo(did);
+  void managerIndexChangesNothingUpToTheMaximumSize(int engines) {
+    List<String> did = play(9, engines, 0).actions;
+    assertThat(play(9, engines, 17).actions).isEqualTo(did);
+    assertThat(play(9, engines, Settings.UNKNOWN_INDEX).actions).isEqualTo(did);
   }
 
-  private static Manager manager(int siblings, int position) {
-    Manager manager = new Manager();
-    manager.siblings = siblings;
-    manager.position = position;
+  private static ManagerHarness manager(int siblings, int position) {
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = siblings;
+    manager.managerIndex = position;
     manager.seed = 1000L + position;
     return manager;
   }
 
   /** A list that counts how often its entries are read. */
-  private static final class Counted extends AbstractList<EngineEntry> {
+  private static final class ReadCountingList extends AbstractList<EngineEntry> {
     final EngineEntry[] all;
     int reads;
 
-    Counted(EngineEntry... all) {
+    ReadCountingList(EngineEntry... all) {
       this.all = all;
     }
 
@@ -145,134 +145,134 @@
 
   /** Guards against decisions whose cost grows with the length of the engine list. */
   @Test
-  void withSixThousandEnginesADecisionSeesAtMostTwiceWhatItSeesWithAHundred() {
-    Manager few = manager(5200, 1234).list(true, entries(100));
-    Counted list = new Counted(entries(6200));
-    Manager many = manager(5200, 1234).list(true, list);
+  void decisionCostDoesNotGrowWithTheList() {
+    ManagerHarness few = manager(5200, 1234).listEngines(true, entries(100));
+    ReadCountingList list = new ReadCountingList(entries(6200));
+    ManagerHarness many = manager(5200, 1234).listEngines(true, list);
     int reads = list.reads;
-    many.takeAll(50, "t# short a").pass(1000);
-    assertThat(few.known()).hasSize(100);
-    assertThat(many.known()).hasSizeBetween(50, 200);
+    many.submitAll(50, "t# short a").advance(1000);
+    assertThat(few.knownEngines()).hasSize(100);
+    assertThat(many.knownEngines()).hasSizeBetween(50, 200);
     assertThat(list.reads).isEqualTo(reads);
-    assertThat(many.did("forward")).hasSizeGreaterThan(8);
-    assertThat(many.did("forward")).allMatch(line -> many.known().contains(line.split(" ")[2]));
+    assertThat(many.actionsWith("forward")).hasSizeGreaterThan(8);
+    assertThat(many.actionsWith("forward")).allMatch(line -> many.knownEngines().contains(line.split(" ")[2]));
   }
 
   @Test
-  void gradesBoundToAKindHaveASubsetOfTheirOwn() {
-    Manager manager = manager(200, 55);
+  void classesBoundToATypeHaveTheirOwnSubset() {
+    ManagerHarness manager = manager(200, 55);
     EngineEntry[] all = entries(3000); // a third of them big: 1,000 for the class 'bound'
-    manager.list(true, all);
+    manager.listEngines(true, all);
     long big =
-        manager.known().stream().filter(id -> Integer.parseInt(id.substring(7)) % 3 == 0).count();
+        manager.knownEngines().stream().filter(id -> Integer.parseInt(id.substring(7)) % 3 == 0).count();
     assertThat(big).isBetween(64L, 190L);
-    manager.takeAll(300, "b# bound a mb=1 cost=1");
-    assertThat(manager.did("forward b").stream().map(line -> line.split(" ")[2]).distinct().count())
+    manager.submitAll(300, "b# bound a mb=1 cost=1");
+    assertThat(manager.actionsWith("forward b").stream().map(line -> line.split(" ")[2]).distinct().count())
         .isBetween(50L, big);
-    manager.takeAll(300, "s# short a mb=1 cost=1");
+    manager.submitAll(300, "s# short a mb=1 cost=1");
     // The engines that are only in the other class's subset get none of these tasks.
-    assertThat(manager.did("forward s").stream().map(line -> line.split(" ")[2]).distinct().count())
-        .isLessThan(manager.known().size() - 20L);
+    assertThat(manager.actionsWith("forward s").stream().map(line -> line.split(" ")[2]).distinct().count())
+        .isLessThan(manager.knownEngines().size() - 20L);
   }
 
   @Test
-  void anEngineOutsideTheSubsetIsNotHeardOf() {
-    Manager manager = manager(200, 55).list(true, entries(1000));
-    List<String> known = manager.known();
+  void changesOutsideTheSubsetAreIgnored() {
+    ManagerHarness manager = manager(200, 55).listEngines(true, entries(1000));
+    List<String> known = manager.knownEngines();
     int outside = 0;
     while (known.contains(id(outside))) {
       outside++;
     }
     manager
-        .list(false, entry(outside, EngineEntry.State.DRAINING, 0))
-        .list(false, entry(outside, EngineEntry.State.READY, 100_000))
-        .probed(id(outside), Outcome.UNREACHED, null);
-    assertThat(manager.known()).isEqualTo(known);
+        .listEngines(false, entry(outside, EngineEntry.State.DRAINING, 0))
+        .listEngines(false, entry(outside, EngineEntry.State.READY, 100_000))
+        .endProbe(id(outside), Outcome.UNREACHED, null);
+    assertThat(manager.knownEngines()).isEqualTo(known);
   }
 
   /** The list grows beyond the maximum subset size while a forward is open. */
   @Test
-  void anEngineThatLeftTheSubsetGetsNothingNewAndItsAttemptEndsAsBefore() {
-    Manager manager = manager(200, 55).list(true, entries(100));
-    manager.take("k once a key=1").take("l once a key=1").decide();
-    manager.takeAll(20, "t# short a");
-    String engine = manager.did("forward k").get(0).split(" ")[2];
+  void engineThatLeftTheSubsetOnlyEndsItsOpenForwards() {
+    ManagerHarness manager = manager(200, 55).listEngines(true, entries(100));
+    manager.submit("k once a key=1").submit("l once a key=1").decide();
+    manager.submitAll(20, "t# short a");
+    String engine = manager.actionsWith("forward k").get(0).split(" ")[2];
     int number = Integer.parseInt(engine.substring(7));
     int listed = 100;
     while (listed < 6200) {
       listed *= 2;
-      manager.list(true, entries(listed));
+      manager.listEngines(true, entries(listed));
     }
-    manager.pass(100);
-    assertThat(manager.known()).as("kept for its open forward").contains(engine);
+    manager.advance(100);
+    assertThat(manager.knownEngines()).as("kept for its open forward").contains(engine);
     long sent = manager.sentTo(engine);
     for (int i = 0; i < 40; i++) {
-      int from = manager.did.size();
-      manager.takeAll(2, "u" + i + ".# short a cost=1").pass(30);
+      int from = manager.actions.size();
+      manager.submitAll(2, "u" + i + ".# short a cost=1").advance(30);
       endAll(manager, from);
     }
-    assertThat(manager.did("forward u")).hasSize(80);
+    assertThat(manager.actionsWith("forward u")).hasSize(80);
     assertThat(manager.sentTo(engine)).isEqualTo(sent);
-    assertThat(manager.did("forward l")).as("its key waits").isEmpty();
-    manager.list(false, entry(number, EngineEntry.State.DRAINING, 0));
-    manager.end("k", 0, Outcome.OK);
-    assertThat(manager.did("forward l")).as("the next task of its key is sent").hasSize(1);
-    assertThat(manager.did("forward l").get(0)).doesNotEndWith(engine);
+    assertThat(manager.actionsWith("forward l")).as("its key waits").isEmpty();
+    manager.listEngines(false, entry(number, EngineEntry.State.DRAINING, 0));
+    manager.endForward("k", 0, Outcome.OK);
+    assertThat(manager.actionsWith("forward l")).as("the next task of its key is sent").hasSize(1);
+    assertThat(manager.actionsWith("forward l").get(0)).doesNotEndWith(engine);
     endAll(manager, 0);
-    manager.pass(1100);
-    assertThat(manager.known()).doesNotContain(engine);
-    manager.list(true, entries(100)).pass(50);
-    assertThat(manager.known()).as("and back").hasSize(100).contains(engine);
+    manager.advance(1100);
+    assertThat(manager.knownEngines()).doesNotContain(engine);
+    manager.listEngines(true, entries(100)).advance(50);
+    assertThat(manager.knownEngines()).as("and back").hasSize(100).contains(engine);
   }
 
   /** A retry stays in the deduplication scope of the first engine, even outside the subset. */
   @Test
-  void aRepeatKeepsToTheCellOfAnEngineThatLeftTheSubset() {
-    Manager manager = manager(200, 55).list(true, entries(100));
-    manager.take("t cell a").decide();
-    int first = Integer.parseInt(manager.did("forward t").get(0).split(" ")[2].substring(7));
-    manager.list(true, entries(6200)).end("t", 0, Outcome.ERROR);
-    List<String> sent = manager.did("forward t");
+  void retryStaysInTheCellOfAnEngineThatLeftTheSubset() {
+    ManagerHarness manager = manager(200, 55).listEngines(true, entries(100));
+    manager.submit("t cell a").decide();
+    int first = Integer.parseInt(manager.actionsWith("forward t").get(0).split(" ")[2].substring(7));
+    manager.listEngines(true, entries(6200)).endForward("t", 0, Outcome.ERROR);
+    List<String> sent = manager.actionsWith("forward t");
     assertThat(sent).hasSize(2);
     assertThat(Integer.parseInt(sent.get(1).split(" ")[2].substring(7)) % 7).isEqualTo(first % 7);
-    assertThat(manager.known()).contains(sent.get(1).split(" ")[2]);
+    assertThat(manager.knownEngines()).contains(sent.get(1).split(" ")[2]);
   }
 
   @Test
-  void anEmptyListAMuchTooShortOneAndBack() {
-    Manager manager = manager(5200, 77).list(true, entries(6200));
-    List<String> known = manager.known();
-    manager.list(true).pass(100).take("t short a").decide();
-    assertThat(manager.known()).isEmpty();
-    manager.list(true, entries(40));
-    assertThat(manager.known()).hasSize(40);
-    assertThat(manager.did("forward t")).hasSize(1);
-    manager.end("t", 0, Outcome.OK).list(true, entries(6200)).pass(100);
-    assertThat(manager.known()).isEqualTo(known);
+  void emptyOrShortListIsFollowedAndReverted() {
+    ManagerHarness manager = manager(5200, 77).listEngines(true, entries(6200));
+    List<String> known = manager.knownEngines();
+    manager.listEngines(true).advance(100).submit("t short a").decide();
+    assertThat(manager.knownEngines()).isEmpty();
+    manager.listEngines(true, entries(40));
+    assertThat(manager.knownEngines()).hasSize(40);
+    assertThat(manager.actionsWith("forward t")).hasSize(1);
+    manager.endForward("t", 0, Outcome.OK).listEngines(true, entries(6200)).advance(100);
+    assertThat(manager.knownEngines()).isEqualTo(known);
   }
 
   @Test
-  void moreAndFewerManagersMoveTheLevel() {
-    Manager manager = manager(5200, 77).list(true, entries(6200));
-    List<String> known = manager.known();
-    manager.siblings(100).decide();
-    assertThat(manager.known()).hasSizeGreaterThan(600).containsAll(known);
-    manager.siblings(5200).decide().pass(100);
-    assertThat(manager.known()).isEqualTo(known);
+  void managerCountChangesTheLevel() {
+    ManagerHarness manager = manager(5200, 77).listEngines(true, entries(6200));
+    List<String> known = manager.knownEngines();
+    manager.setManagerCount(100).decide();
+    assertThat(manager.knownEngines()).hasSizeGreaterThan(600).containsAll(known);
+    manager.setManagerCount(5200).decide().advance(100);
+    assertThat(manager.knownEngines()).isEqualTo(known);
   }
 
   /** Part of the subset fails: substitutes are added one per sweep, and released after recovery. */
   @Test
-  void suspectedEnginesAreStoodInForAtAPaceAndLetGo() {
-    Manager manager = manager(500, 42).list(true, entries(3000));
-    List<String> own = manager.known();
+  void substitutesAreAddedGraduallyAndReleased() {
+    ManagerHarness manager = manager(500, 42).listEngines(true, entries(3000));
+    List<String> own = manager.knownEngines();
     List<String> ill = own.subList(0, own.size() * 3 / 4);
-    ill.forEach(id -> manager.probed(id, Outcome.UNREACHED, null));
-    ill.forEach(id -> manager.probed(id, Outcome.UNREACHED, null));
-    int before = manager.known().size();
+    ill.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
+    ill.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
+    int before = manager.knownEngines().size();
     while (true) {
-      manager.pass(50); // a sweep, where tasks are rare
-      int after = manager.known().size();
+      manager.advance(50); // a sweep, where tasks are rare
+      int after = manager.knownEngines().size();
       assertThat(after - before).isBetween(0, 2);
       if (after == before) {
         break;
@@ -280,78 +280,78 @@
       before = after;
     }
     assertThat(before - own.size()).isBetween(100, 219); // the subsets of both classes
-    List<String> standIns = manager.known().stream().filter(id -> !own.contains(id)).toList();
-    manager.takeAll(400, "t# short a cost=1 mb=1");
+    List<String> standIns = manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
+    manager.submitAll(400, "t# short a cost=1 mb=1");
     List<String> sentTo =
-        manager.did("forward").stream().map(line -> line.split(" ")[2]).distinct().toList();
+        manager.actionsWith("forward").stream().map(line -> line.split(" ")[2]).distinct().toList();
     assertThat(ill).as("at most one trial task").allMatch(id -> manager.sentTo(id) <= 1);
     assertThat(sentTo).containsAnyElementsOf(standIns);
     endAll(manager, 0);
     // Each is a new process now: the suspicion of the old one does not apply.
     ill.forEach(
         id ->
-            manager.list(
+            manager.listEngines(
                 false, entry(Integer.parseInt(id.substring(7)), EngineEntry.State.READY, 1)));
-    manager.pass(5000);
-    assertThat(manager.known()).isEqualTo(own);
+    manager.advance(5000);
+    assertThat(manager.knownEngines()).isEqualTo(own);
   }
 
   /** Three quarters of all engines are replaced at once: no cold one becomes a substitute. */
   @Test
-  void aColdEngineDoesNotStandIn() {
-    Manager manager = manager(500, 42);
-    manager.cold = COLD;
-    manager.list(true, entries(3000));
-    List<String> own = manager.known();
+  void coldEngineIsNoSubstitute() {
+    ManagerHarness manager = manager(500, 42);
+    manager.coldStartLimit = COLD;
+    manager.listEngines(true, entries(3000));
+    List<String> own = manager.knownEngines();
     EngineEntry[] half = entries(3000);
     for (int i = 0; i < half.length; i++) {
       if (i % 4 != 0) {
         half[i] = entry(i, EngineEntry.State.READY, 100_000);
       }
     }
-    manager.list(true, half).pass(4000);
-    List<String> standIns = manager.known().stream().filter(id -> !own.contains(id)).toList();
+    manager.listEngines(true, half).advance(4000);
+    List<String> standIns = manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
     assertThat(standIns).hasSizeGreaterThan(10);
     assertThat(standIns).allMatch(id -> Integer.parseInt(id.substring(7)) % 4 == 0);
     // A substitute that restarts, and so is cold, gets nothing.
     String restarted = standIns.get(0);
     long sent = manager.sentTo(restarted);
-    manager.list(
+    manager.listEngines(
         false,
         entry(
-            Integer.parseInt(restarted.substring(7)), EngineEntry.State.READY, manager.now() / MS));
+            Integer.parseInt(restarted.substring(7)), EngineEntry.State.READY, manager.now() / NANOS_PER_MS));
     for (int i = 0; i < 20; i++) {
-      int from = manager.did.size();
-      manager.takeAll(40, "t" + i + ".# short a cost=1 mb=1 left=400").pass(50);
+      int from = manager.actions.size();
+      manager.submitAll(40, "t" + i + ".# short a cost=1 mb=1 left=400").advance(50);
       endAll(manager, from);
     }
-    assertThat(manager.did("forward")).hasSizeGreaterThan(100);
+    assertThat(manager.actionsWith("forward")).hasSizeGreaterThan(100);
     assertThat(manager.sentTo(restarted)).isEqualTo(sent);
     endAll(manager, 0);
-    manager.pass(20_000);
-    assertThat(manager.known()).as("all warm").isEqualTo(own);
+    manager.advance(20_000);
+    assertThat(manager.knownEngines()).as("all warm").isEqualTo(own);
   }
 
   /** An engine that leaves the subset and returns within the window keeps its cold work count. */
   @Test
-  void whatAColdEngineWasSentOutlastsASubset() {
-    Manager manager = manager(64, 3);
-    manager.cold = COLD;
-    manager.list(true).pass(1000);
+  void coldWorkCountSurvivesLeavingTheSubset() {
+    ManagerHarness manager = manager(64, 3);
+    manager.coldStartLimit = COLD;
+    manager.listEngines(true).advance(1000);
     EngineEntry[] few = entries(100);
     EngineEntry[] many = entries(6200);
     for (int i = 0; i < few.length; i++) {
       few[i] = entry(i, EngineEntry.State.READY, 101_000);
       many[i] = few[i];
     }
-    manager.list(true, few);
+    manager.listEngines(true, few);
     fill(manager, "t", 100, 10);
-    manager.pass(150);
+    manager.advance(150);
     Map<String, Long> sent = new TreeMap<>();
-    manager.known().forEach(id -> sent.put(id, manager.sentTo(id)));
+    manager.knownEngines().forEach(id -> sent.put(id, manager.sentTo(id)));
     assertThat(sent).hasSize(100);
     assertThat(sent.values()).allMatch(count -> count >= 2);
-    manager.list(true, many).pass(150).list(true, few);
+    manager.listEngines(true, many).advance(150).listEngines(true, few);
     fill(manager, "u", 100, 10);
     for (int i = 0; i < few.length; i++) {
       // 0.9 of the budget 2 x 0.3 x cores x 1 s, shared by 64 managers, in tasks of 10 ms.
@@ -361,31 +361,31 @@
   }
 
   /** Submits rounds of 20 tasks that end at once, until no cold engine takes any more. */
-  private static void fill(Manager manager, String name, int rounds, long cost) {
-    int ended = manager.did.size();
+  private static void fill(ManagerHarness manager, String name, int rounds, long cost) {
+    int ended = manager.actions.size();
     for (int i = 0; i < rounds; i++) {
-      manager.takeAll(20, name + i + ".# short a mb=1 left=400 cost=" + cost);
+      manager.submitAll(20, name + i + ".# short a mb=1 left=400 cost=" + cost);
       ended = endAll(manager, ended);
     }
   }
 
   /** Ends all forwards from the given action on successfully, including those that result. */
-  private static int endAll(Manager manager, int from) {
-    for (; from < manager.did.size(); from++) {
-      if (manager.did.get(from).startsWith("forward")) {
-        manager.end(manager.did.get(from).split(" ")[1], 0, Outcome.OK);
+  private static int endAll(ManagerHarness manager, int from) {
+    for (; from < manager.actions.size(); from++) {
+      if (manager.actions.get(from).startsWith("forward")) {
+        manager.endForward(manager.actions.get(from).split(" ")[1], 0, Outcome.OK);
       }
     }
     return from;
   }
 
   /** What the managers of a fleet know wrongly. */
-  private enum Mistake {
+  private enum Misconfiguration {
     NONE,
-    FEWER, // half of them count only three quarters of the managers
-    DOUBLED, // a quarter has the index of another manager
-    UNKNOWN, // no manager knows its index
-    SHORTER // half of them have a list that is a tenth shorter
+    LOW_MANAGER_COUNT, // half of them count only three quarters of the managers
+    DUPLICATE_INDEX, // a quarter has the index of another manager
+    UNKNOWN_INDEX, // no manager knows its index
+    SHORT_LIST // half of them have a list that is a tenth shorter
   }
 
   /**
@@ -396,39 +396,39 @@
   @CsvSource({
     "NONE, 100",
     "NONE, 300",
-    "FEWER, 100",
-    "FEWER, 300",
-    "DOUBLED, 100",
-    "DOUBLED, 300",
-    "UNKNOWN, 100",
-    "UNKNOWN, 300",
-    "SHORTER, 100",
-    "SHORTER, 300"
+    "LOW_MANAGER_COUNT, 100",
+    "LOW_MANAGER_COUNT, 300",
+    "DUPLICATE_INDEX, 100",
+    "DUPLICATE_INDEX, 300",
+    "UNKNOWN_INDEX, 100",
+    "UNKNOWN_INDEX, 300",
+    "SHORT_LIST, 100",
+    "SHORT_LIST, 300"
   })
-  void theColdBudgetHoldsInTheSumOverTheManagersThatUseAnEngine(Mistake mistake, long cost) {
+  void coldStartLimitHoldsInTheSumOverManagers(Misconfiguration mistake, long cost) {
     int managers = 64;
     int engines = 300;
     long most = 0;
     for (int round = 0; round < 4; round++) {
       Map<String, Long> sent = new TreeMap<>();
       for (int i = 0; i < managers; i++) {
-        Manager manager = manager(managers, i);
+        ManagerHarness manager = manager(managers, i);
         manager.seed = 10_000L * round + i;
-        manager.cold = COLD;
-        manager.siblings = mistake == Mistake.FEWER && i % 2 == 0 ? managers * 3 / 4 : managers;
-        manager.position = mistake == Mistake.DOUBLED && i % 4 == 1 ? i - 1 : i;
-        manager.position = mistake == Mistake.UNKNOWN ? Settings.UNKNOWN_INDEX : manager.position;
-        int listed = mistake == Mistake.SHORTER && i % 2 == 0 ? engines * 9 / 10 : engines;
+        manager.coldStartLimit = COLD;
+        manager.managerCount = mistake == Misconfiguration.LOW_MANAGER_COUNT && i % 2 == 0 ? managers * 3 / 4 : managers;
+        manager.managerIndex = mistake == Misconfiguration.DUPLICATE_INDEX && i % 4 == 1 ? i - 1 : i;
+        manager.managerIndex = mistake == Misconfiguration.UNKNOWN_INDEX ? Settings.UNKNOWN_INDEX : manager.managerIndex;
+        int listed = mistake == Misconfiguration.SHORT_LIST && i % 2 == 0 ? engines * 9 / 10 : engines;
         EngineEntry[] all = new EngineEntry[listed];
         for (int engine = 0; engine < listed; engine++) {
           // Only the cold engines are ready, so that they get all tasks.
           EngineEntry.State state =
               engine < 40 ? EngineEntry.State.READY : EngineEntry.State.DRAINING;
-          all[engine] = Manager.engine(id(engine), "small", 0, state, 101_000);
+          all[engine] = ManagerHarness.engine(id(engine), "small", 0, state, 101_000);
         }
-        manager.list(true).pass(1000).list(true, all);
+        manager.listEngines(true).advance(1000).listEngines(true, all);
         fill(manager, "t", 10, cost);
-        manager.did("forward").forEach(line -> sent.merge(line.split(" ")[2], 1L, Long::sum));
+        manager.actionsWith("forward").forEach(line -> sent.merge(line.split(" ")[2], 1L, Long::sum));
       }
       for (int engine = 0; engine < 40; engine++) {
         most = Math.max(most, sent.getOrDefault(id(engine), 0L));
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -1,9 +1,9 @@
 package tansytrack;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tansytrack.Manager.big;
-import static tansytrack.Manager.engine;
-import static tansytrack.Manager.small;
+import static tansytrack.ManagerHarness.big;
+import static tansytrack.ManagerHarness.engine;
+import static tansytrack.ManagerHarness.small;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,8 +18,8 @@
 class DecideTest {
 
   /** One engine with 8 open forwards, which is its initial limit: further tasks wait. */
-  private static Manager full() {
-    return new Manager().list(true, small("e")).takeAll(8, "x# short a left=19000");
+  private static ManagerHarness saturatedManager() {
+    return new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# short a left=19000");
   }
 
   private static LoadReport report(double used, double held, double memory) {
@@ -27,10 +27,10 @@
   }
 
   @Test
-  void leastTimeLeftLeavesFirst() {
-    Manager manager = full().take("late short a left=9000").take("soon short a left=4000").decide();
-    manager.end("x0", 0, Outcome.OK).end("x1", 0, Outcome.OK);
-    assertThat(manager.did("forward").subList(8, 10))
+  void earliestDeadlineIsSentFirst() {
+    ManagerHarness manager = saturatedManager().submit("late short a left=9000").submit("soon short a left=4000").decide();
+    manager.endForward("x0", 0, Outcome.OK).endForward("x1", 0, Outcome.OK);
+    assertThat(manager.actionsWith("forward").subList(8, 10))
         .containsExactly("forward soon e", "forward late e");
   }
 
@@ -40,12 +40,12 @@
    */
   @Test
   void withoutTenantsAllShareOneQueue() {
-    Manager manager = new Manager();
-    manager.tenants = false;
-    manager.list(true, small("e")).takeAll(8, "x# short - left=19000");
-    manager.take("late short - left=9000").take("soon short - left=4000").decide();
-    manager.end("x0", 0, Outcome.OK).end("x1", 0, Outcome.OK);
-    assertThat(manager.did("forward").subList(8, 10))
+    ManagerHarness manager = new ManagerHarness();
+    manager.hasTenants = false;
+    manager.listEngines(true, small("e")).submitAll(8, "x# short - left=19000");
+    manager.submit("late short - left=9000").submit("soon short - left=4000").decide();
+    manager.endForward("x0", 0, Outcome.OK).endForward("x1", 0, Outcome.OK);
+    assertThat(manager.actionsWith("forward").subList(8, 10))
         .containsExactly("forward soon e", "forward late e");
   }
 
@@ -54,95 +54,95 @@
    * overload while few tasks run.
    */
   @Test
-  void slowAnswersLeaveAThreadForEachCore() {
-    Manager manager =
-        new Manager()
-            .list(true, small("e"))
-            .take("f short a")
+  void slowAnswersStillAllowOneThreadPerCore() {
+    ManagerHarness manager =
+        new ManagerHarness()
+            .listEngines(true, small("e"))
+            .submit("f short a")
             .decide()
-            .pass(100)
-            .end("f", 0, Outcome.OK);
+            .advance(100)
+            .endForward("f", 0, Outcome.OK);
     for (int i = 0; i < 12; i++) {
-      manager.take("s" + i + " short a").decide().pass(1500).end("s" + i, 0, Outcome.OK);
+      manager.submit("s" + i + " short a").decide().advance(1500).endForward("s" + i, 0, Outcome.OK);
     }
-    assertThat(manager.takeAll(8, "t# short a").did("forward t")).hasSize(4);
+    assertThat(manager.submitAll(8, "t# short a").actionsWith("forward t")).hasSize(4);
   }
 
   @Test
-  void turnsGoByWeight() {
-    Manager manager = full();
-    manager.takeAll(8, "a# short a left=9000").takeAll(8, "b# short b left=9000");
+  void tenantsAreServedByWeight() {
+    ManagerHarness manager = saturatedManager();
+    manager.submitAll(8, "a# short a left=9000").submitAll(8, "b# short b left=9000");
     for (int i = 0; i < 8; i++) {
-      manager.end("x" + i, 0, Outcome.OK);
+      manager.endForward("x" + i, 0, Outcome.OK);
     }
     // Shares of 0.75 and 0.25; the limit grows with each fast answer, so more than 8 may be sent.
-    List<String> sent = manager.did("forward").subList(8, 16);
+    List<String> sent = manager.actionsWith("forward").subList(8, 16);
     assertThat(sent.stream().filter(line -> line.contains(" a"))).hasSize(6);
   }
 
   @ParameterizedTest(name = "{0} waiting")
   @CsvSource({"31, 0", "32, 0", "33, 1", "40, 8"})
-  void aTenantsQueueIsBounded(int waiting, int refused) {
-    Manager manager = full().takeAll(waiting, "w# short a left=15000");
-    assertThat(manager.did("bounce")).hasSize(refused);
+  void tenantQueueIsBounded(int waiting, int refused) {
+    ManagerHarness manager = saturatedManager().submitAll(waiting, "w# short a left=15000");
+    assertThat(manager.actionsWith("bounce")).hasSize(refused);
   }
 
   @Test
-  void aWaitBeyondTheBudgetIsRefusedAtOnce() {
+  void expectedWaitBeyondBudgetIsRejectedAtOnce() {
     // The learned run time is four seconds; the nine tasks sent now take as long.
-    Manager manager = new Manager().list(true, small("e")).take("p short a cost=4000").decide();
-    manager.pass(4000).end("p", 0, Outcome.OK).takeAll(9, "x# short a left=19000");
-    assertThat(manager.take("t short a left=5000").decide().did("bounce"))
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submit("p short a cost=4000").decide();
+    manager.advance(4000).endForward("p", 0, Outcome.OK).submitAll(9, "x# short a left=19000");
+    assertThat(manager.submit("t short a left=5000").decide().actionsWith("bounce"))
         .containsExactly("bounce t");
   }
 
   @Test
-  void aTaskOfNoTenantGoesAtOnceOrNotAtAll() {
-    assertThat(full().take("t short -").decide().did("bounce")).containsExactly("bounce t");
-    assertThat(new Manager().list(true, small("e")).take("t short -").decide().did)
+  void taskWithoutTenantIsSentAtOnceOrRejected() {
+    assertThat(saturatedManager().submit("t short -").decide().actionsWith("bounce")).containsExactly("bounce t");
+    assertThat(new ManagerHarness().listEngines(true, small("e")).submit("t short -").decide().actions)
         .containsExactly("forward t e");
   }
 
   @ParameterizedTest(name = "{0}: {1} more")
   @CsvSource({"FULL, 0", "TIME_OUT, 0", "OK, 4"})
-  void theRoomHalvesAndRises(Outcome outcome, int more) {
-    Manager manager = new Manager().list(true, small("e")).takeAll(8, "x# once a left=19000");
+  void concurrencyLimitHalvesAndRises(Outcome outcome, int more) {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# once a left=19000");
     manager
-        .takeAll(6, "w# stamp b left=15000")
-        .end("x0", 0, outcome)
-        .end("x1", 0, outcome)
-        .pass(25);
-    assertThat(manager.did("forward w")).hasSize(more);
+        .submitAll(6, "w# stamp b left=15000")
+        .endForward("x0", 0, outcome)
+        .endForward("x1", 0, outcome)
+        .advance(25);
+    assertThat(manager.actionsWith("forward w")).hasSize(more);
   }
 
   @Test
-  void theDrawFollowsReportsElseThreads() {
-    Manager manager = new Manager().list(true, small("e"), small("f"), small("g"));
-    manager.probed("e", Outcome.OK, report(0.9, 40, Double.NaN));
-    manager.probed("f", Outcome.OK, report(0.1, 1, Double.NaN));
-    manager.takeAll(8, "t# short a");
+  void choiceFollowsReportsOrElseThreads() {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"), small("g"));
+    manager.endProbe("e", Outcome.OK, report(0.9, 40, Double.NaN));
+    manager.endProbe("f", Outcome.OK, report(0.1, 1, Double.NaN));
+    manager.submitAll(8, "t# short a");
     assertThat(manager.sentTo("f")).isGreaterThanOrEqualTo(6);
     assertThat(manager.sentTo("g")).as("no report: counts as average").isLessThanOrEqualTo(2);
-    Manager unheard = new Manager().list(true, small("e"), big("g"));
-    unheard.takeAll(12, "t# short a");
+    ManagerHarness unheard = new ManagerHarness().listEngines(true, small("e"), big("g"));
+    unheard.submitAll(12, "t# short a");
     assertThat(unheard.sentTo("e")).isBetween(1L, 7L);
     assertThat(unheard.sentTo("g")).isGreaterThan(unheard.sentTo("e"));
   }
 
   @ParameterizedTest(name = "{0} managers, report {1} ms old")
   @CsvSource({"1, 0, 5, 8", "1, 1000, 5, 8", "50, 0, 5, 8", "50, 1000, 0, 6"})
-  void anOldReportFadesWhereOthersSendToo(int siblings, long age, int least, int most) {
+  void oldReportLosesWeightWhereOtherManagersSend(int siblings, long age, int least, int most) {
     // Guards against many managers that all send to the engine which was idle some time ago.
     int sent = 0;
     for (int seed = 0; seed < 8; seed++) {
-      Manager manager = new Manager();
+      ManagerHarness manager = new ManagerHarness();
       manager.seed = seed;
-      manager.siblings = siblings;
-      manager.list(true, small("e"), small("f"), small("g"));
-      manager.probed("e", Outcome.OK, report(Double.NaN, 8, Double.NaN));
-      manager.probed("f", Outcome.OK, report(Double.NaN, 0, Double.NaN));
-      manager.probed("g", Outcome.OK, report(Double.NaN, 8, Double.NaN));
-      sent += (int) manager.pass(age).take("t short a").decide().sentTo("f");
+      manager.managerCount = siblings;
+      manager.listEngines(true, small("e"), small("f"), small("g"));
+      manager.endProbe("e", Outcome.OK, report(Double.NaN, 8, Double.NaN));
+      manager.endProbe("f", Outcome.OK, report(Double.NaN, 0, Double.NaN));
+      manager.endProbe("g", Outcome.OK, report(Double.NaN, 8, Double.NaN));
+      sent += (int) manager.advance(age).submit("t short a").decide().sentTo("f");
     }
     assertThat(sent).isBetween(least, most);
   }
@@ -150,182 +150,182 @@
   @ParameterizedTest(
       name = "{0} managers, a task every {1} ms: {2} to {3} probes of 10 engines in 10 s")
   @CsvSource({"1, 5, 0, 20", "1, 500, 10, 50", "100, 500, 0, 10"})
-  void probesAskOnlyWhatAnswersDoNotTell(int siblings, long gap, int least, int most) {
+  void probesAreRareWhereAnswersTellEnough(int siblings, long gap, int least, int most) {
     // Guards against probes that cost more than they tell, with many managers and few tasks each.
-    Manager manager = new Manager();
-    manager.probes = true;
-    manager.siblings = siblings;
+    ManagerHarness manager = new ManagerHarness();
+    manager.probing = true;
+    manager.managerCount = siblings;
     for (int i = 0; i < 10; i++) {
-      manager.list(false, small("e" + i));
+      manager.listEngines(false, small("e" + i));
     }
     for (long at = 0; at < 10_000; at += gap) {
-      manager.take("t" + at + " short a").decide().end("t" + at, 0, Outcome.OK).pass(gap);
+      manager.submit("t" + at + " short a").decide().endForward("t" + at, 0, Outcome.OK).advance(gap);
     }
-    assertThat(manager.did("probe ").size()).isBetween(least, most);
+    assertThat(manager.actionsWith("probe ").size()).isBetween(least, most);
   }
 
   @ParameterizedTest(name = "warm sets run in {0} ms, others in 100")
   @CsvSource({"25, 0.75, 1.0", "100, 0.1, 0.45"})
-  void whatWarmDataSetsSaveIsLearned(int warm, double least, double most) {
+  void benefitOfWarmDataSetsIsLearned(int warm, double least, double most) {
     // Guards against preferring warm data sets where engines gain nothing from them.
-    Manager manager = new Manager().list(true, small("e"), small("f"));
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"));
     java.util.Map<String, List<Integer>> read =
         java.util.Map.of("e", new java.util.LinkedList<>(), "f", new java.util.LinkedList<>());
     int hits = 0;
     for (int i = 0; i < 1200; i++) {
-      manager.take("t" + i + " short a set=" + i % 8).decide();
-      List<Integer> sets = read.get(manager.did.get(manager.did.size() - 1).split(" ")[2]);
+      manager.submit("t" + i + " short a set=" + i % 8).decide();
+      List<Integer> sets = read.get(manager.actions.get(manager.actions.size() - 1).split(" ")[2]);
       boolean hit = sets.remove((Integer) (i % 8));
       sets.add(i % 8);
       if (sets.size() > 4) {
         sets.remove(0);
       }
       hits += hit && i >= 800 ? 1 : 0;
-      manager.pass(hit ? warm : 100).end("t" + i, 0, Outcome.OK);
+      manager.advance(hit ? warm : 100).endForward("t" + i, 0, Outcome.OK);
     }
     assertThat(hits / 400.0).isBetween(least, most);
   }
 
   @Test
-  void memoryThatDoesNotFitIsWaitedFor() {
+  void tasksWaitForMemory() {
     // Guards against grants beyond an engine's memory, which make all its tasks spill or page.
-    Manager manager = new Manager().list(true, small("e")).takeAll(4, "t# short a mb=300");
-    assertThat(manager.did("forward")).hasSize(2);
-    assertThat(manager.end("t0", 0, Outcome.OK).did("forward")).hasSize(3);
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submitAll(4, "t# short a mb=300");
+    assertThat(manager.actionsWith("forward")).hasSize(2);
+    assertThat(manager.endForward("t0", 0, Outcome.OK).actionsWith("forward")).hasSize(3);
   }
 
   @Test
-  void theShareOfAnEngineIsLearned() {
+  void shareOfAnEngineIsLearned() {
     // Guards against using only an even share where nearly all traffic comes to this manager.
-    Manager manager = new Manager();
-    manager.siblings = 4;
-    manager.list(true, small("e"));
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = 4;
+    manager.listEngines(true, small("e"));
     for (int i = 0; i < 60; i++) {
-      manager.take("p" + i + " short a").take("q" + i + " short a").decide();
-      manager.probed("e", Outcome.OK, report(Double.NaN, 4, Double.NaN));
-      manager.end("p" + i, 0, Outcome.OK).end("q" + i, 0, Outcome.OK);
+      manager.submit("p" + i + " short a").submit("q" + i + " short a").decide();
+      manager.endProbe("e", Outcome.OK, report(Double.NaN, 4, Double.NaN));
+      manager.endForward("p" + i, 0, Outcome.OK).endForward("q" + i, 0, Outcome.OK);
     }
-    int before = manager.did("forward").size();
-    manager.takeAll(12, "t# short a mb=90");
-    assertThat(manager.did("forward").size() - before).isEqualTo(4);
+    int before = manager.actionsWith("forward").size();
+    manager.submitAll(12, "t# short a mb=90");
+    assertThat(manager.actionsWith("forward").size() - before).isEqualTo(4);
   }
 
   @ParameterizedTest(name = "{0} managers: {1} of 12 go")
   @CsvSource({"1, 12", "8, 4", "100, 1"})
-  void aRoomThatHoldsNoTaskIsThatOfAll(int siblings, int most) {
+  void limitBelowOneTaskAppliesToTheWholePool(int siblings, int most) {
     // Guards against a minimum of one task per engine and manager, which is far more than the
     // engines hold.
-    Manager manager = new Manager();
-    manager.siblings = siblings;
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = siblings;
     manager
-        .list(true, small("e"), small("f"), small("g"), small("h"))
-        .takeAll(12, "t# short a mb=1");
-    assertThat(manager.did("forward")).hasSize(most);
+        .listEngines(true, small("e"), small("f"), small("g"), small("h"))
+        .submitAll(12, "t# short a mb=1");
+    assertThat(manager.actionsWith("forward")).hasSize(most);
   }
 
   @ParameterizedTest(name = "tasks of {0} MB: {1} of 4 go")
   @CsvSource({"160, 2", "80, 4"})
-  void theMemoryOfTheMarketBindsAllButSmallTasks(int mb, int most) {
+  void poolMemoryLimitsAllButSmallTasks(int mb, int most) {
     // Guards against one task per engine from each of many managers, at twice the available memory.
-    Manager manager = new Manager();
-    manager.siblings = 9;
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = 9;
     manager
-        .list(true, small("e"), small("f"), small("g"), small("h"))
-        .takeAll(4, "t# short a mb=" + mb);
-    assertThat(manager.did("forward")).hasSize(most);
+        .listEngines(true, small("e"), small("f"), small("g"), small("h"))
+        .submitAll(4, "t# short a mb=" + mb);
+    assertThat(manager.actionsWith("forward")).hasSize(most);
   }
 
   @Test
-  void whileTasksWaitTheHeavyOnesAreRefused() {
+  void expensiveTasksAreRejectedWhileTasksWait() {
     // Guards against a few expensive tasks that take the capacity of many.
-    Manager manager = full().takeAll(10, "w# short a left=19000").pass(3000);
-    manager.take("heavy short b cost=20000").take("light short b cost=50").decide();
-    assertThat(manager.did("bounce")).containsExactly("bounce heavy");
+    ManagerHarness manager = saturatedManager().submitAll(10, "w# short a left=19000").advance(3000);
+    manager.submit("heavy short b cost=20000").submit("light short b cost=50").decide();
+    assertThat(manager.actionsWith("bounce")).containsExactly("bounce heavy");
   }
 
   @Test
-  void aWaitForSomeEnginesPricesOnlyThose() {
+  void waitForOnePoolRaisesOnlyItsPrice() {
     // Guards against rejecting what fits elsewhere while one type of engine is missing.
-    Manager manager =
-        new Manager().list(true, small("e")).takeAll(10, "w# bound a left=20000").pass(3000);
-    manager.take("t short b cost=20000").decide();
-    assertThat(manager.did("forward")).containsExactly("forward t e");
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submitAll(10, "w# bound a left=20000").advance(3000);
+    manager.submit("t short b cost=20000").decide();
+    assertThat(manager.actionsWith("forward")).containsExactly("forward t e");
   }
 
-  private static Manager answering(boolean copies) {
-    Manager manager = new Manager();
-    manager.copies = copies;
-    manager.list(true, small("e"), small("f"), small("g"));
+  private static ManagerHarness managerWithHistory(boolean copies) {
+    ManagerHarness manager = new ManagerHarness();
+    manager.hedging = copies;
+    manager.listEngines(true, small("e"), small("f"), small("g"));
     for (int i = 0; i < 40; i++) {
-      manager.take("p" + i + " short a").decide().pass(50).end("p" + i, 0, Outcome.OK);
+      manager.submit("p" + i + " short a").decide().advance(50).endForward("p" + i, 0, Outcome.OK);
     }
     return manager;
   }
 
   @ParameterizedTest(name = "hedging {0}")
   @CsvSource({"false", "true"})
-  void aSilentEngineIsLeftAndItsTasksRescued(boolean copies) {
+  void silentEngineIsExcludedAndItsTasksRetried(boolean copies) {
     // Guards against engines that hang or vanish, and against broken links.
-    Manager manager = answering(copies).takeAll(6, "t# short a");
+    ManagerHarness manager = managerWithHistory(copies).submitAll(6, "t# short a");
     List<String> stuck =
-        manager.did("forward t").stream().filter(line -> line.endsWith(" e")).toList();
-    for (String line : manager.did("forward t")) {
+        manager.actionsWith("forward t").stream().filter(line -> line.endsWith(" e")).toList();
+    for (String line : manager.actionsWith("forward t")) {
       if (!line.endsWith(" e")) {
-        manager.end(line.split(" ")[1], 0, Outcome.OK);
+        manager.endForward(line.split(" ")[1], 0, Outcome.OK);
       }
     }
     assertThat(stuck).isNotEmpty();
-    manager.pass(900);
+    manager.advance(900);
     assertThat(manager.logs).anyMatch(line -> line.startsWith("engine e suspected: silent"));
-    assertThat(manager.did(copies ? "forward t" : "cancel t").size())
+    assertThat(manager.actionsWith(copies ? "forward t" : "cancel t").size())
         .isEqualTo((copies ? 6 : 0) + stuck.size());
     long before = manager.sentTo("e");
-    manager.takeAll(6, "u# short a");
+    manager.submitAll(6, "u# short a");
     assertThat(manager.sentTo("e") - before).as("but one trial").isLessThanOrEqualTo(1);
   }
 
   @ParameterizedTest(name = "cancellation {0}, hedging {1}: forwards {2}, cancels {3}")
   @CsvSource({"true, true, 2, 0", "true, false, 1, 1", "false, true, 1, 0"})
-  void aForwardThatStandsStillMayRunElsewhere(
+  void waitingForwardMayRunElsewhere(
       boolean cancels, boolean copies, int forwards, int cancelled) {
     // Guards against tasks that wait behind a bulk load. Where a forward cannot be cancelled, a
     // second one would only add to the overload.
-    Manager manager = new Manager();
-    manager.cancels = cancels;
-    manager.copies = copies;
-    manager.list(true, small("e"), small("f")).take("t short a").decide().waits("t");
-    assertThat(manager.did("forward t")).hasSize(forwards);
-    assertThat(manager.did("cancel t")).hasSize(cancelled);
+    ManagerHarness manager = new ManagerHarness();
+    manager.cancellation = cancels;
+    manager.hedging = copies;
+    manager.listEngines(true, small("e"), small("f")).submit("t short a").decide().reportWaiting("t");
+    assertThat(manager.actionsWith("forward t")).hasSize(forwards);
+    assertThat(manager.actionsWith("cancel t")).hasSize(cancelled);
   }
 
   @ParameterizedTest(name = "hedging {0}, {1} done after 1 s: forwards {2}, cancels {3}")
   @CsvSource({"true, 0.9, 1, 0", "true, 0.05, 2, 0", "false, 0.05, 1, 1", "true, 0, 1, 0"})
-  void aForwardFarFromItsEndIsTakenElsewhere(
+  void forwardFarFromItsEndIsRetriedElsewhere(
       boolean copies, double done, int forwards, int cancelled) {
     // Guards against overloaded engines, bad plans and starved priorities: progress reports tell of
     // them long before answers.
-    Manager manager =
-        answering(copies).take("t short a cost=500").decide().pass(1000).tells("t", done);
-    assertThat(manager.did("forward t ")).hasSize(forwards);
-    assertThat(manager.did("cancel t ")).hasSize(cancelled);
+    ManagerHarness manager =
+        managerWithHistory(copies).submit("t short a cost=500").decide().advance(1000).reportFractionDone("t", done);
+    assertThat(manager.actionsWith("forward t ")).hasSize(forwards);
+    assertThat(manager.actionsWith("cancel t ")).hasSize(cancelled);
   }
 
   @Test
-  void whenAllAreSilentNoneIsLeft() {
-    Manager manager = answering(false).takeAll(9, "t# short a").pass(3000);
-    manager.takeAll(9, "u# short a");
-    assertThat(manager.did("forward u")).hasSize(9);
+  void noEngineIsExcludedWhenAllAreSilent() {
+    ManagerHarness manager = managerWithHistory(false).submitAll(9, "t# short a").advance(3000);
+    manager.submitAll(9, "u# short a");
+    assertThat(manager.actionsWith("forward u")).hasSize(9);
   }
 
   @Test
-  void anEngineThatFailsFastIsLeft() {
+  void engineThatFailsFastIsExcluded() {
     // Guards against an engine that attracts tasks because its fast errors make it look idle.
-    Manager manager = answering(false);
+    ManagerHarness manager = managerWithHistory(false);
     long before = manager.sentTo("e");
     for (int i = 0; i < 60; i++) {
-      manager.take("t" + i + " stamp a").decide();
-      String line = manager.did("forward t" + i + " ").get(0);
-      manager.end("t" + i, 0, line.endsWith(" e") ? Outcome.ERROR : Outcome.OK);
+      manager.submit("t" + i + " stamp a").decide();
+      String line = manager.actionsWith("forward t" + i + " ").get(0);
+      manager.endForward("t" + i, 0, line.endsWith(" e") ? Outcome.ERROR : Outcome.OK);
     }
     assertThat(manager.sentTo("e") - before).isBetween(1L, 4L);
   }
@@ -333,16 +333,16 @@
   /** Guards against excluding engines because of tasks that fail wherever they run. */
   @ParameterizedTest(name = "succeeds on another engine: {0}")
   @CsvSource({"false", "true"})
-  void errorsCountAgainstAnEngineOnceTheTaskIsHandledElsewhere(boolean handled) {
-    Manager manager = answering(false);
-    manager.list(true, small("e"));
+  void errorsCountOnceTheTaskSucceedsElsewhere(boolean handled) {
+    ManagerHarness manager = managerWithHistory(false);
+    manager.listEngines(true, small("e"));
     for (int i = 0; i < 6; i++) {
       manager
-          .take("t" + i + " short a")
+          .submit("t" + i + " short a")
           .decide()
-          .end("t" + i, 0, Outcome.ERROR)
-          .end("t" + i, 1, Outcome.ERROR)
-          .end("t" + i, 2, handled && i > 3 ? Outcome.OK : Outcome.ERROR);
+          .endForward("t" + i, 0, Outcome.ERROR)
+          .endForward("t" + i, 1, Outcome.ERROR)
+          .endForward("t" + i, 2, handled && i > 3 ? Outcome.OK : Outcome.ERROR);
     }
     assertThat(manager.logs.stream().anyMatch(line -> line.contains("its answers fail")))
         .isEqualTo(handled);
@@ -351,56 +351,56 @@
   /** Guards against a key that is used up by tasks which can no longer end in time. */
   @ParameterizedTest(name = "{0} ms left, where a usual run takes 1800: rejected {1}")
   @CsvSource({"3000, false", "2500, true"})
-  void aTaskBehindAKeyGoesBackWhenAUsualRunPassesItsCutOff(long left, boolean bounced) {
-    Manager manager = new Manager().list(true, small("e"));
+  void taskQueuedByKeyIsRejectedWhenItCannotMeetItsDeadline(long left, boolean bounced) {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"));
     for (int i = 0; i < 100; i++) {
-      manager.take("p" + i + " once a key=" + i).decide().pass(150).end("p" + i, 0, Outcome.OK);
+      manager.submit("p" + i + " once a key=" + i).decide().advance(150).endForward("p" + i, 0, Outcome.OK);
     }
     manager
-        .take("t once a key=7")
-        .take("u once a key=7 cost=1200 left=" + left)
+        .submit("t once a key=7")
+        .submit("u once a key=7 cost=1200 left=" + left)
         .decide()
-        .pass(1000)
-        .end("t", 0, Outcome.OK);
-    assertThat(manager.did("forward u").isEmpty()).isEqualTo(bounced);
-    assertThat(manager.did("bounce u")).hasSize(bounced ? 1 : 0);
+        .advance(1000)
+        .endForward("t", 0, Outcome.OK);
+    assertThat(manager.actionsWith("forward u").isEmpty()).isEqualTo(bounced);
+    assertThat(manager.actionsWith("bounce u")).hasSize(bounced ? 1 : 0);
   }
 
   @Test
-  void anEngineNotReachedIsColdWhenItIsBack() {
+  void unreachableEngineIsColdWhenItReturns() {
     // Guards against overloading an engine that restarted before a list shows it, and against
     // sending to dead engines because all engines are suspected.
-    Manager manager = new Manager();
-    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * Manager.MS, 2, 1000 * Manager.MS);
-    manager.list(true, small("e")).take("t short a").decide().end("t", 0, Outcome.UNREACHED);
-    assertThat(manager.takeAll(4, "u# short a").did("forward u")).isEmpty();
-    manager.pass(1050).end("t", 1, Outcome.OK).takeAll(30, "w# stamp b cost=900");
-    assertThat(manager.did("forward w").size()).isBetween(1, 3);
+    ManagerHarness manager = new ManagerHarness();
+    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * ManagerHarness.NANOS_PER_MS, 2, 1000 * ManagerHarness.NANOS_PER_MS);
+    manager.listEngines(true, small("e")).submit("t short a").decide().endForward("t", 0, Outcome.UNREACHED);
+    assertThat(manager.submitAll(4, "u# short a").actionsWith("forward u")).isEmpty();
+    manager.advance(1050).endForward("t", 1, Outcome.OK).submitAll(30, "w# stamp b cost=900");
+    assertThat(manager.actionsWith("forward w").size()).isBetween(1, 3);
   }
 
   @Test
-  void aRestartedEngineStartsAnew() {
-    Manager manager = answering(false).take("t short a").decide();
-    String sick = manager.did("forward t ").get(0).split(" ")[2];
-    manager.end("t", 0, Outcome.UNREACHED);
+  void restartedEngineIsNoLongerSuspected() {
+    ManagerHarness manager = managerWithHistory(false).submit("t short a").decide();
+    String sick = manager.actionsWith("forward t ").get(0).split(" ")[2];
+    manager.endForward("t", 0, Outcome.UNREACHED);
     assertThat(manager.logs).anyMatch(line -> line.startsWith("engine " + sick + " suspected"));
     long before = manager.sentTo(sick);
-    manager.list(false, engine(sick, "small", 0, State.READY, 99_000)).takeAll(18, "u# short b");
+    manager.listEngines(false, engine(sick, "small", 0, State.READY, 99_000)).submitAll(18, "u# short b");
     assertThat(manager.sentTo(sick) - before).isGreaterThan(1);
   }
 
   @Test
-  void shortTasksAndLoadsComeFirstOnAnEngine() {
-    Manager manager = new Manager().list(true, small("e"), small("f"));
+  void shortTasksAndBulkLoadsGetHighPriority() {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"));
     manager
-        .takeAll(20, "w# short a cost=100")
-        .take("t short a cost=9000 mb=100")
-        .take("l load a cost=9000")
+        .submitAll(20, "w# short a cost=100")
+        .submit("t short a cost=9000 mb=100")
+        .submit("l load a cost=9000")
         .decide();
     for (int i = 0; i < 20; i++) {
-      manager.end("w" + i, 0, Outcome.OK);
+      manager.endForward("w" + i, 0, Outcome.OK);
     }
-    assertThat(manager.provided).contains("w1 13 3", "t 125 0", "l 13 2");
+    assertThat(manager.resources).contains("w1 13 3", "t 125 0", "l 13 2");
   }
 
   /**
@@ -418,12 +418,12 @@
     "stamp, 10, 2995, bounce t",
     "cell, 10, 2995, abort t"
   })
-  void whatIsOutWhenItEndsIsAnsweredBefore(String grade, long cost, long after, String answer) {
-    Manager manager =
-        new Manager().list(true, small("e")).take("t " + grade + " a cost=" + cost).decide();
-    manager.stop(3000).pass(after);
+  void openForwardsAreAnsweredBeforeShutdown(String grade, long cost, long after, String answer) {
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submit("t " + grade + " a cost=" + cost).decide();
+    manager.announceShutdown(3000).advance(after);
     assertThat(
-            manager.did.stream()
+            manager.actions.stream()
                 .filter(line -> !line.startsWith("forward") && !line.startsWith("cancel"))
                 .toList())
         .isEqualTo(answer.isEmpty() ? List.of() : List.of(answer));
@@ -431,38 +431,38 @@
 
   @ParameterizedTest(name = "costing {0} ms: {1}")
   @CsvSource({"10, forward t e", "9000, bounce t"})
-  void whatComesWhileItEndsIsServedIfItCanEndInTime(long cost, String then) {
-    Manager manager =
-        new Manager().list(true, small("e")).stop(3000).take("t short a cost=" + cost).decide();
-    assertThat(manager.did).containsExactly(then);
+  void tasksDuringShutdownAreServedIfTheyCanEndInTime(long cost, String then) {
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).announceShutdown(3000).submit("t short a cost=" + cost).decide();
+    assertThat(manager.actions).containsExactly(then);
   }
 
   @ParameterizedTest(name = "costing {0} ms: {1}")
   @CsvSource({"10, 0", "9000, 1"})
-  void whatWaitsWhenItEndsGoesAtOnceIfItCannotEndInTime(long cost, int bounced) {
-    Manager manager = full().take("t short a left=15000 cost=" + cost).decide().stop(3000).pass(60);
-    assertThat(manager.did("bounce t")).hasSize(bounced);
+  void queuedTasksThatCannotEndBeforeShutdownAreRejected(long cost, int bounced) {
+    ManagerHarness manager = saturatedManager().submit("t short a left=15000 cost=" + cost).decide().announceShutdown(3000).advance(60);
+    assertThat(manager.actionsWith("bounce t")).hasSize(bounced);
   }
 
   /**
    * Guards against a pool that keeps the capacity of an engine's old listing until the next sweep.
    */
   @Test
-  void theMarketKnowsAListingAtOnce() {
-    Manager manager = new Manager();
-    manager.siblings = 12;
-    manager.list(true, small("e")).take("x short a").decide().atOnce(big("e"), "t short a");
-    assertThat(manager.did("forward")).containsExactly("forward x e", "forward t e");
+  void poolUsesAChangedEntryAtOnce() {
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = 12;
+    manager.listEngines(true, small("e")).submit("x short a").decide().sweepListAndSubmit(big("e"), "t short a");
+    assertThat(manager.actionsWith("forward")).containsExactly("forward x e", "forward t e");
   }
 
   @Test
-  void whileNothingIsLetInWhatComesIsBouncedAndWhatCameGoesOn() {
-    Manager manager = new Manager().list(true, small("e")).take("in short a").decide();
-    manager.admit(false).take("out short a").decide();
-    assertThat(manager.did)
+  void closedAdmissionRejectsNewTasksOnly() {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submit("in short a").decide();
+    manager.setAdmission(false).submit("out short a").decide();
+    assertThat(manager.actions)
         .anyMatch(one -> one.startsWith("forward in"))
         .anyMatch(one -> one.startsWith("bounce out"));
-    manager.admit(true).take("again short a").decide();
-    assertThat(manager.did).noneMatch(one -> one.startsWith("bounce again"));
+    manager.setAdmission(true).submit("again short a").decide();
+    assertThat(manager.actions).noneMatch(one -> one.startsWith("bounce again"));
   }
 }
--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -25,7 +25,7 @@
 /** The selection of engines on its own: evenness, churn, levels and substitutes. */
 class EngineSubsetTest {
 
-  private static boolean any(EngineEntry entry) {
+  private static boolean anyEngine(EngineEntry entry) {
     return true;
   }
 
@@ -48,7 +48,7 @@
     }
 
     Selection(int managers, int position) {
-      this(managers, position, EngineSubsetTest::any, 1);
+      this(managers, position, EngineSubsetTest::anyEngine, 1);
     }
 
     boolean set(List<EngineEntry> entries) {
@@ -75,7 +75,7 @@
 
   private static EngineEntry engine(int number, EngineEntry.State state) {
     String kind = number % 10 == 0 ? "big" : "small";
-    return Manager.engine(String.format("engine-%05d", number), kind, 0, state, 0);
+    return ManagerHarness.engine(String.format("engine-%05d", number), kind, 0, state, 0);
   }
 
   private static List<EngineEntry> engines(int count) {
@@ -92,14 +92,14 @@
     return fleet;
   }
 
-  private static Map<String, Integer> users(List<Set<String>> fleet) {
+  private static Map<String, Integer> managersPerEngine(List<Set<String>> fleet) {
     Map<String, Integer> users = new TreeMap<>();
     fleet.forEach(used -> used.forEach(id -> users.merge(id, 1, Integer::sum)));
     return users;
   }
 
   /** Counts the pairs of a manager and an engine that are in only one of the fleets. */
-  private static int changed(List<Set<String>> before, List<Set<String>> after) {
+  private static int changedPairs(List<Set<String>> before, List<Set<String>> after) {
     int changed = 0;
     for (int i = 0; i < Math.max(before.size(), after.size()); i++) {
       Set<String> one = i < before.size() ? before.get(i) : Set.of();
@@ -112,7 +112,7 @@
 
   @ParameterizedTest(name = "{0} managers, {1} engines")
   @CsvSource({"1, 1", "1, 128", "40, 100", "5200, 128", "12, 0"})
-  void upToTheBoundEveryEngineIsUsed(int managers, int engines) {
+  void everyEngineIsUsedUpToTheMaximumSize(int managers, int engines) {
     for (int position : new int[] {0, managers / 2, managers - 1, 77_777, -1}) {
       Selection selection = new Selection(managers, position);
       selection.set(engines(engines));
@@ -131,9 +131,9 @@
     "1023, 4000, 5",
     "5200, 1000, 3"
   })
-  void anEngineHasTheSameNumberOfManagersOrOneMore(int managers, int engines, int level) {
+  void managersPerEngineDifferByAtMostOne(int managers, int engines, int level) {
     List<Set<String>> fleet = fleet(managers, engines(engines));
-    Map<String, Integer> users = users(fleet);
+    Map<String, Integer> users = managersPerEngine(fleet);
     assertThat(users).hasSize(engines);
     int fewest = managers >> level;
     int most = (managers + (1 << level) - 1) >> level;
@@ -147,7 +147,7 @@
 
   /** At the target size; each manager spreads the same work evenly over the engines it uses. */
   @Test
-  void workIsEvenOverSixThousandEnginesBehindFiveThousandManagers() {
+  void workIsEvenAtTheTargetSize() {
     int managers = 5200;
     int count = 6200;
     Map<String, Double> work = new TreeMap<>();
@@ -165,38 +165,38 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 7, 8, 15, 20, 31, 100})
-  void whereManagersAreFewNoEngineIsLeftToLessThanEight(int managers) {
-    Map<String, Integer> users = users(fleet(managers, engines(2000)));
+  void everyEngineHasAtLeastEightManagersWhereManagersAreFew(int managers) {
+    Map<String, Integer> users = managersPerEngine(fleet(managers, engines(2000)));
     assertThat(users).hasSize(2000);
     assertThat(users.values()).allMatch(count -> count >= Math.min(managers, 8));
   }
 
   @Test
-  void oneEngineMoreLessOrReplacedChangesItsOwnPairsOnly() {
+  void changedEngineChangesOnlyItsOwnPairs() {
     List<EngineEntry> engines = engines(700);
     List<Set<String>> before = fleet(100, engines);
     String left = engines.get(300).id();
     List<EngineEntry> fewer = new ArrayList<>(engines);
     fewer.remove(300);
     List<Set<String>> without = fleet(100, fewer);
-    assertThat(changed(before, without)).isEqualTo(users(before).get(left));
+    assertThat(changedPairs(before, without)).isEqualTo(managersPerEngine(before).get(left));
     fewer.add(engine(9000, EngineEntry.State.READY));
     List<Set<String>> replaced = fleet(100, fewer);
-    int came = users(replaced).get(engine(9000, EngineEntry.State.READY).id());
-    assertThat(changed(without, replaced)).isEqualTo(came);
-    assertThat(changed(before, replaced)).isEqualTo(users(before).get(left) + came);
+    int came = managersPerEngine(replaced).get(engine(9000, EngineEntry.State.READY).id());
+    assertThat(changedPairs(without, replaced)).isEqualTo(came);
+    assertThat(changedPairs(before, replaced)).isEqualTo(managersPerEngine(before).get(left) + came);
     assertThat(came).isBetween(12, 13);
   }
 
   @Test
-  void oneManagerMoreChangesItsOwnPairsOnly() {
+  void addedManagerChangesOnlyItsOwnPairs() {
     List<Set<String>> before = fleet(100, engines(700));
     List<Set<String>> after = fleet(101, engines(700));
-    assertThat(changed(before, after)).isEqualTo(after.get(100).size());
+    assertThat(changedPairs(before, after)).isEqualTo(after.get(100).size());
   }
 
   @Test
-  void theSubsetsOfTheNextLevelAreParts() {
+  void subsetsOfTheNextLevelAreContained() {
     List<Set<String>> lower = fleet(200, engines(256));
     List<Set<String>> higher = fleet(200, engines(257));
     for (int i = 0; i < 200; i++) {
@@ -204,12 +204,12 @@
       kept.removeIf(id -> id.equals(engine(256, EngineEntry.State.READY).id()));
       assertThat(lower.get(i)).containsAll(kept);
     }
-    assertThat(users(lower).values()).containsOnly(100);
-    assertThat(users(higher).values()).containsOnly(50);
+    assertThat(managersPerEngine(lower).values()).containsOnly(100);
+    assertThat(managersPerEngine(higher).values()).containsOnly(50);
   }
 
   @Test
-  void aListThatGoesToAndFroAcrossAStepMovesNothing() {
+  void smallChangesAroundALevelThresholdMoveNothing() {
     Selection selection = new Selection(200, 5);
     selection.set(engines(257));
     Set<String> used = selection.used();
@@ -226,7 +226,7 @@
 
   /** The lowest level of the engine's groups; for a substitute the highest level that fits. */
   @Test
-  void theLevelOfAnEngineTellsHowManyManagersUseIt() {
+  void levelTellsHowManyManagersUseAnEngine() {
     Selection selection = new Selection(800, 5);
     EngineSubset.EngineGroup big = selection.subset.group(entry -> entry.type().equals("big"));
     selection.set(engines(4000)); // 400 big engines are at level 2, all at level 5
@@ -242,7 +242,7 @@
   }
 
   @Test
-  void changesOneByOneAreTheSameAsAWholeList() {
+  void singleChangesEqualAWholeList() {
     SplittableRandom chance = new SplittableRandom(3);
     TreeMap<String, EngineEntry> told = new TreeMap<>();
     Selection byChange = new Selection(300, 11);
@@ -261,7 +261,7 @@
   }
 
   @Test
-  void anEmptyOrMuchTooShortListAndBackGivesTheSameSubset() {
+  void emptyOrShortListIsRevertedToTheSameSubset() {
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000));
     Set<String> used = selection.used();
@@ -274,7 +274,7 @@
   }
 
   @Test
-  void aGroupOfFewEnginesKeepsThemAll() {
+  void smallGroupUsesAllItsEngines() {
     Selection selection =
         new Selection(500, 123, entry -> entry.type().equals("big"), 1); // 100 of them
     selection.set(engines(1000));
@@ -284,10 +284,10 @@
   }
 
   @Test
-  void withoutAPositionManagersDifferByTheirSeed() {
+  void managersWithoutIndexDifferByTheirSeed() {
     int[] users = new int[640];
     for (int seed = 0; seed < 400; seed++) {
-      Selection selection = new Selection(400, Settings.UNKNOWN_INDEX, EngineSubsetTest::any, seed);
+      Selection selection = new Selection(400, Settings.UNKNOWN_INDEX, EngineSubsetTest::anyEngine, seed);
       selection.set(engines(640));
       for (String id : selection.used()) {
         users[Integer.parseInt(id.substring(7))]++;
@@ -306,37 +306,37 @@
       selection.group.adjustSubstitutes(
           selection.usedEntries().stream().filter(ill.negate()).toList(), ill.negate());
       Set<String> after = selection.used();
-      most = Math.max(most, changed(List.of(before), List.of(after)));
+      most = Math.max(most, changedPairs(List.of(before), List.of(after)));
     }
     return most;
   }
 
-  private static boolean odd(EngineEntry entry) {
+  private static boolean isUnhealthy(EngineEntry entry) {
     return Integer.parseInt(entry.id().substring(7)) % 4 != 0;
   }
 
   @Test
-  void anIllSubsetIsRefilledOneASweepUntilMostAreWellAndLetGoOfAgain() {
+  void unhealthySubsetIsRefilledGraduallyAndReleased() {
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000)); // a subset of about 94; 1 in 4 is healthy
     Set<String> own = selection.used();
-    assertThat(sweep(selection, 10, EngineSubsetTest::odd)).isEqualTo(1);
+    assertThat(sweep(selection, 10, EngineSubsetTest::isUnhealthy)).isEqualTo(1);
     assertThat(selection.used()).hasSize(own.size() + 10);
-    sweep(selection, 100, EngineSubsetTest::odd);
-    List<EngineEntry> well = selection.usedEntries().stream().filter(entry -> !odd(entry)).toList();
+    sweep(selection, 100, EngineSubsetTest::isUnhealthy);
+    List<EngineEntry> well = selection.usedEntries().stream().filter(entry -> !isUnhealthy(entry)).toList();
     double usual = 3000 / 32.0;
     int standIns = selection.used().size() - own.size();
     assertThat((double) well.size()).isGreaterThanOrEqualTo(0.55 * (usual + standIns));
     assertThat((double) well.size() - 1).isLessThan(0.55 * (usual + standIns - 1));
     assertThat(selection.used()).containsAll(own);
     assertThat(selection.usedEntries().stream().filter(entry -> !own.contains(entry.id())))
-        .allMatch(entry -> !odd(entry) && selection.subset.isSubstitute(entry));
+        .allMatch(entry -> !isUnhealthy(entry) && selection.subset.isSubstitute(entry));
     assertThat(sweep(selection, 100, entry -> false)).isEqualTo(1);
     assertThat(selection.used()).isEqualTo(own);
   }
 
   @Test
-  void whileOverHalfIsWellNothingMoves() {
+  void noSubstitutesWhileMoreThanHalfIsHealthy() {
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000));
     List<EngineEntry> own = selection.usedEntries();
@@ -346,7 +346,7 @@
   }
 
   @Test
-  void theLevelBelowStandsInFirstAndPartnersTakeNotTheSame() {
+  void substitutesComeFromTheLevelBelowAndDifferBetweenManagers() {
     Selection one = new Selection(500, 122);
     Selection partner = new Selection(500, 123);
     one.set(engines(3000));
@@ -369,14 +369,14 @@
 
   /** Most engines become unhealthy: managers spread their substitutes over the healthy ones. */
   @Test
-  void standInsAreSpreadOverAllThatAreWell() {
+  void substitutesAreSpreadOverHealthyEngines() {
     Map<String, Integer> taken = new TreeMap<>();
     int managers = 200;
     for (int position = 0; position < managers; position++) {
       Selection selection = new Selection(managers, position);
       selection.set(engines(800));
       Set<String> own = selection.used();
-      sweep(selection, 30, EngineSubsetTest::odd);
+      sweep(selection, 30, EngineSubsetTest::isUnhealthy);
       selection.used().stream()
           .filter(id -> !own.contains(id))
           .forEach(id -> taken.merge(id, 1, Integer::sum));
@@ -387,20 +387,20 @@
   }
 
   @Test
-  void nothingThatDrainsStandsIn() {
+  void drainingEnginesAreNoSubstitutes() {
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000));
     Set<String> own = selection.used();
     for (EngineEntry entry : selection.list.all().stream().toList()) {
       if (!own.contains(entry.id())) {
-        selection.put(Manager.engine(entry.id(), entry.type(), 0, EngineEntry.State.DRAINING, 0));
+        selection.put(ManagerHarness.engine(entry.id(), entry.type(), 0, EngineEntry.State.DRAINING, 0));
       }
     }
     assertThat(sweep(selection, 5, entry -> own.contains(entry.id()))).isZero();
   }
 
   @Test
-  void standInsThatTakeNothingAreBoundedByTheSubset() {
+  void numberOfSubstitutesIsBounded() {
     Selection selection = new Selection(500, 123);
     selection.set(engines(3000));
     int own = selection.used().size();
--- a/src/test/java/tansytrack/Manager.java
+++ b/src/test/java/tansytrack/ManagerHarness.java
@@ -15,28 +15,28 @@
 import tansytrack.api.TaskRequest;
 
 /** One workload manager under test, with simple settings, a clock and a record of its actions. */
-final class Manager implements Actions {
+final class ManagerHarness implements Actions {
 
-  static final long MS = 1_000_000L;
+  static final long NANOS_PER_MS = 1_000_000L;
 
-  int siblings = 1;
-  int position = Settings.UNKNOWN_INDEX;
+  int managerCount = 1;
+  int managerIndex = Settings.UNKNOWN_INDEX;
   long seed = 7;
-  boolean cancels = true;
-  boolean copies;
-  boolean probes;
-  long connectTime;
-  boolean tenants = true; // whether the settings name tenants
-  Settings.ColdStartLimit cold;
-  Settings.RetryBudget ration;
-  final List<String> did = new ArrayList<>();
+  boolean cancellation = true;
+  boolean hedging;
+  boolean probing;
+  long connectTimeoutNanos;
+  boolean hasTenants = true; // whether the settings name tenants
+  Settings.ColdStartLimit coldStartLimit;
+  Settings.RetryBudget retryBudget;
+  final List<String> actions = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
-  final List<String> provided = new ArrayList<>();
+  final List<String> resources = new ArrayList<>();
   private Decide module;
-  private long now = 100_000 * MS;
-  private long due; // the time of the next sweep
+  private long now = 100_000 * NANOS_PER_MS;
+  private long nextWakeUp; // the time of the next sweep
 
-  static QueryClass grade(
+  static QueryClass queryClass(
       String name,
       QueryClass.RetrySafety repeat,
       QueryClass.DeduplicationScope scope,
@@ -46,10 +46,10 @@
         name,
         repeat,
         scope,
-        5000 * MS,
-        1000 * MS,
+        5000 * NANOS_PER_MS,
+        1000 * NANOS_PER_MS,
         2,
-        20_000 * MS,
+        20_000 * NANOS_PER_MS,
         1,
         0.5,
         inOrder,
@@ -66,42 +66,42 @@
           new Decide(
               new Settings(
                   seed,
-                  siblings,
-                  position,
+                  managerCount,
+                  managerIndex,
                   "here",
                   List.of(
-                      grade(
+                      queryClass(
                           "short",
                           QueryClass.RetrySafety.IDEMPOTENT,
                           QueryClass.DeduplicationScope.ALL,
                           false),
-                      grade(
+                      queryClass(
                           "stamp",
                           QueryClass.RetrySafety.DEDUPLICATED,
                           QueryClass.DeduplicationScope.ALL,
                           false),
-                      grade(
+                      queryClass(
                           "cell",
                           QueryClass.RetrySafety.DEDUPLICATED,
                           QueryClass.DeduplicationScope.CELL,
                           false),
-                      grade(
+                      queryClass(
                           "once",
                           QueryClass.RetrySafety.NON_IDEMPOTENT,
                           QueryClass.DeduplicationScope.ALL,
                           true),
-                      grade(
+                      queryClass(
                           "load",
                           QueryClass.RetrySafety.IDEMPOTENT,
                           QueryClass.DeduplicationScope.ALL,
                           false),
-                      grade(
+                      queryClass(
                           "bound",
                           QueryClass.RetrySafety.IDEMPOTENT,
                           QueryClass.DeduplicationScope.ALL,
                           false,
                           "big")),
-                  tenants
+                  hasTenants
                       ? List.of(
                           new Settings.Tenant("a", 0.75, 100), new Settings.Tenant("b", 0.25, 100))
                       : List.of(),
@@ -111,11 +111,11 @@
                       "big",
                       new Settings.EngineType(8, 2000)),
                   new Settings.Capabilities(
-                      probes,
-                      cancels,
-                      copies,
+                      probing,
+                      cancellation,
+                      hedging,
                       true,
-                      500 * MS,
+                      500 * NANOS_PER_MS,
                       3,
                       true,
                       0.5,
@@ -123,11 +123,11 @@
                       true,
                       0,
                       false,
-                      connectTime),
-                  1000 * MS,
-                  cold,
-                  300 * MS,
-                  ration),
+                      connectTimeoutNanos),
+                  1000 * NANOS_PER_MS,
+                  coldStartLimit,
+                  300 * NANOS_PER_MS,
+                  retryBudget),
               this);
     }
     return module;
@@ -135,7 +135,7 @@
 
   static EngineEntry engine(
       String id, String kind, int cell, EngineEntry.State state, long startedAt) {
-    return new EngineEntry(id, 1, "here", kind, cell, state, startedAt * MS);
+    return new EngineEntry(id, 1, "here", kind, cell, state, startedAt * NANOS_PER_MS);
   }
 
   static EngineEntry small(String id) {
@@ -146,11 +146,11 @@
     return engine(id, "big", id.hashCode(), EngineEntry.State.READY, 0);
   }
 
-  Manager list(boolean complete, EngineEntry... entries) {
-    return list(complete, List.of(entries));
+  ManagerHarness listEngines(boolean complete, EngineEntry... entries) {
+    return listEngines(complete, List.of(entries));
   }
 
-  Manager list(boolean complete, List<EngineEntry> entries) {
+  ManagerHarness listEngines(boolean complete, List<EngineEntry> entries) {
     module().onEngineList(now, complete, entries);
     module().decide(now);
     return this;
@@ -160,7 +160,7 @@
    * Submits a task: "id class tenant", followed by any of key=, cost= and left= (the time to the
    * deadline, both in milliseconds), mb= and set=.
    */
-  Manager take(String words) {
+  ManagerHarness submit(String words) {
     String[] word = words.split(" ");
     Long key = null;
     long cost = 100;
@@ -185,33 +185,33 @@
                 word[1],
                 word[2].equals("-") ? "" : word[2],
                 key,
-                now + left * MS,
-                cost * MS,
+                now + left * NANOS_PER_MS,
+                cost * NANOS_PER_MS,
                 mb,
                 set));
     return this;
   }
 
-  Manager decide() {
+  ManagerHarness decide() {
     module().decide(now);
     return this;
   }
 
-  Manager takeAll(int count, String words) {
+  ManagerHarness submitAll(int count, String words) {
     for (int i = 0; i < count; i++) {
-      take(words.replace("#", "" + i));
+      submit(words.replace("#", "" + i));
     }
     return decide();
   }
 
   /** Ends the task's forward with the given index on the engine to which it was sent. */
-  Manager end(String task, int index, Outcome outcome) {
-    return end(task, index, outcome, null);
+  ManagerHarness endForward(String task, int index, Outcome outcome) {
+    return endForward(task, index, outcome, null);
   }
 
-  Manager end(String task, int index, Outcome outcome, LoadReport report) {
+  ManagerHarness endForward(String task, int index, Outcome outcome, LoadReport report) {
     String engine =
-        did.stream()
+        actions.stream()
             .filter(line -> line.startsWith("forward " + task + " "))
             .skip(index)
             .findFirst()
@@ -223,36 +223,36 @@
   }
 
   /** Reports that the task's first forward makes no progress. */
-  Manager waits(String task) {
-    return note(task, DecisionModule.Progress.WAITING, 2);
+  ManagerHarness reportWaiting(String task) {
+    return reportProgress(task, DecisionModule.Progress.WAITING, 2);
   }
 
   /** Reports that the task's first forward has done a fraction of its work. */
-  Manager tells(String task, double share) {
-    return note(task, DecisionModule.Progress.FRACTION_DONE, share);
+  ManagerHarness reportFractionDone(String task, double share) {
+    return reportProgress(task, DecisionModule.Progress.FRACTION_DONE, share);
   }
 
-  private Manager note(String task, DecisionModule.Progress what, double amount) {
-    String engine = did("forward " + task + " ").get(0).split(" ")[2];
+  private ManagerHarness reportProgress(String task, DecisionModule.Progress what, double amount) {
+    String engine = actionsWith("forward " + task + " ").get(0).split(" ")[2];
     module().onProgress(now, task, 0, engine, what, amount);
     return decide();
   }
 
   /** Reports in one batch a sweep, the end of a probe, a changed entry and a task. */
-  Manager atOnce(EngineEntry entry, String task) {
+  ManagerHarness sweepListAndSubmit(EngineEntry entry, String task) {
     module().onWakeUp(now, "sweep");
     module().onProbeEnd(now, entry.id(), Outcome.OK, null);
     module().onEngineList(now, false, List.of(entry));
-    return take(task).decide();
+    return submit(task).decide();
   }
 
   /** Opens or closes admission. */
-  Manager admit(boolean open) {
+  ManagerHarness setAdmission(boolean open) {
     module().onAdmissionChange(now, open);
     return this;
   }
 
-  Manager siblings(int count) {
+  ManagerHarness setManagerCount(int count) {
     module().onManagerCount(now, count);
     return this;
   }
@@ -262,39 +262,39 @@
   }
 
   /** Announces a shutdown: answers are delivered for the given number of milliseconds. */
-  Manager stop(long ms) {
-    module().onShutdown(now, now + ms * MS);
+  ManagerHarness announceShutdown(long ms) {
+    module().onShutdown(now, now + ms * NANOS_PER_MS);
     return decide();
   }
 
-  Manager leave(String task) {
-    return leaves(task).decide();
+  ManagerHarness clientLeaves(String task) {
+    return clientLeavesInBatch(task).decide();
   }
 
   /** Reports that the client left; further events follow in the same batch. */
-  Manager leaves(String task) {
+  ManagerHarness clientLeavesInBatch(String task) {
     module().onClientLeft(now, task);
     return this;
   }
 
   /** Ends several probes of the engine; further events follow in the same batch. */
-  Manager probes(String engine, int count) {
+  ManagerHarness endProbes(String engine, int count) {
     for (int i = 0; i < count; i++) {
       module().onProbeEnd(now, engine, Outcome.FULL, null);
     }
     return this;
   }
 
-  Manager probed(String engine, Outcome outcome, LoadReport report) {
+  ManagerHarness endProbe(String engine, Outcome outcome, LoadReport report) {
     module().onProbeEnd(now, engine, outcome, report);
     return decide();
   }
 
   /** Advances the clock and runs the module's sweeps. */
-  Manager pass(long ms) {
-    long end = now + ms * MS;
-    while (due <= end) {
-      now = due;
+  ManagerHarness advance(long ms) {
+    long end = now + ms * NANOS_PER_MS;
+    while (nextWakeUp <= end) {
+      now = nextWakeUp;
       module().onWakeUp(now, "sweep");
       module().decide(now);
     }
@@ -303,54 +303,54 @@
   }
 
   /** Returns the ids of the engines that the module has records of. */
-  List<String> known() {
+  List<String> knownEngines() {
     return module().engineStatuses(now).stream().map(EngineStatus::id).toList();
   }
 
   /** Returns the actions so far that begin with the given words. */
-  List<String> did(String words) {
-    return did.stream().filter(line -> line.startsWith(words)).toList();
+  List<String> actionsWith(String words) {
+    return actions.stream().filter(line -> line.startsWith(words)).toList();
   }
 
   long sentTo(String engine) {
-    return did.stream()
+    return actions.stream()
         .filter(line -> line.startsWith("forward") && line.endsWith(" " + engine))
         .count();
   }
 
   @Override
   public void forward(String task, String engine, long timeOut) {
-    did.add("forward " + task + " " + engine);
+    actions.add("forward " + task + " " + engine);
   }
 
   @Override
   public void reject(String task, long pause) {
-    did.add("bounce " + task);
+    actions.add("bounce " + task);
   }
 
   @Override
   public void abort(String task) {
-    did.add("abort " + task);
+    actions.add("abort " + task);
   }
 
   @Override
   public void assignResources(String task, long memoryMb, int priority) {
-    provided.add(task + " " + memoryMb + " " + priority);
+    resources.add(task + " " + memoryMb + " " + priority);
   }
 
   @Override
   public void probe(String engine) {
-    did.add("probe " + engine);
+    actions.add("probe " + engine);
   }
 
   @Override
   public void cancel(String task, int index) {
-    did.add("cancel " + task + " " + index);
+    actions.add("cancel " + task + " " + index);
   }
 
   @Override
   public void scheduleWakeUp(long in, String token) {
-    due = now + in;
+    nextWakeUp = now + in;
   }
 
   @Override
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
-import static tansytrack.Manager.MS;
-import static tansytrack.Manager.big;
-import static tansytrack.Manager.engine;
-import static tansytrack.Manager.small;
+import static tansytrack.ManagerHarness.NANOS_PER_MS;
+import static tansytrack.ManagerHarness.big;
+import static tansytrack.ManagerHarness.engine;
+import static tansytrack.ManagerHarness.small;
 
 import java.util.List;
 import java.util.function.Consumer;
@@ -21,7 +21,7 @@
 /** For each rule, cases that would break it, and the actions taken instead. */
 class RulesTest {
 
-  private static Arguments rule(String name, Consumer<Manager> play, String... expected) {
+  private static Arguments rule(String name, Consumer<ManagerHarness> play, String... expected) {
     return arguments(name, play, List.of(expected));
   }
 
@@ -29,249 +29,249 @@
     return Stream.of(
         rule(
             "1 deadline passed on arrival: answered at once",
-            m -> m.list(true, small("e")).take("t short a left=10").decide(),
+            m -> m.listEngines(true, small("e")).submit("t short a left=10").decide(),
             "bounce t"),
         rule(
             "1 timeout at the deadline: answered at once",
             m ->
-                m.list(true, small("e"))
-                    .take("t short a left=2000")
+                m.listEngines(true, small("e"))
+                    .submit("t short a left=2000")
                     .decide()
-                    .pass(2000)
-                    .end("t", 0, Outcome.TIME_OUT),
+                    .advance(2000)
+                    .endForward("t", 0, Outcome.TIME_OUT),
             "forward t e",
             "bounce t"),
         rule(
             "1 sweeps are rarer where tasks are rare, but still in time",
             m ->
-                m.list(true)
-                    .take("x short -")
+                m.listEngines(true)
+                    .submit("x short -")
                     .decide()
-                    .pass(900)
-                    .take("y short -")
+                    .advance(900)
+                    .submit("y short -")
                     .decide()
-                    .pass(25)
-                    .take("t short a left=76")
+                    .advance(25)
+                    .submit("t short a left=76")
                     .decide()
-                    .pass(75),
+                    .advance(75),
             "bounce x",
             "bounce y",
             "bounce t"),
         rule(
             "1 no engine: queued for its wait budget, then rejected",
-            m -> m.list(true).take("t short a left=1000").decide().pass(225),
+            m -> m.listEngines(true).submit("t short a left=1000").decide().advance(225),
             "bounce t"),
         rule(
             "1 nothing after the client left",
             m ->
-                m.list(true, small("e"))
-                    .take("t short a")
+                m.listEngines(true, small("e"))
+                    .submit("t short a")
                     .decide()
-                    .leave("t")
-                    .end("t", 0, Outcome.CANCELLED)
-                    .pass(2000),
+                    .clientLeaves("t")
+                    .endForward("t", 0, Outcome.CANCELLED)
+                    .advance(2000),
             "forward t e",
             "cancel t 0"),
         rule(
             "1 nothing for a task whose client left between dispatch and send",
             m ->
-                m.list(true, small("e"))
-                    .probes("e", 9)
-                    .take("t short -")
-                    .leaves("t")
+                m.listEngines(true, small("e"))
+                    .endProbes("e", 9)
+                    .submit("t short -")
+                    .clientLeavesInBatch("t")
                     .decide()
-                    .pass(2000)),
+                    .advance(2000)),
         rule(
             "1 an outcome that is reported twice counts once",
             m ->
-                m.list(true, small("e"))
-                    .take("t short a")
+                m.listEngines(true, small("e"))
+                    .submit("t short a")
                     .decide()
-                    .end("t", 0, Outcome.OK)
-                    .end("t", 0, Outcome.OK),
+                    .endForward("t", 0, Outcome.OK)
+                    .endForward("t", 0, Outcome.OK),
             "forward t e"),
         rule(
             "2 not retryable and maybe executed: aborted",
             m ->
-                m.list(true, small("e"), small("f"))
-                    .take("t once a")
+                m.listEngines(true, small("e"), small("f"))
+                    .submit("t once a")
                     .decide()
-                    .end("t", 0, Outcome.ERROR)
-                    .did
+                    .endForward("t", 0, Outcome.ERROR)
+                    .actions
                     .removeIf(d -> d.startsWith("forw")),
             "abort t"),
         rule(
             "2 not retryable and not executed: sent again",
-            m -> m.list(true, small("e")).take("t once a").decide().end("t", 0, Outcome.FULL),
+            m -> m.listEngines(true, small("e")).submit("t once a").decide().endForward("t", 0, Outcome.FULL),
             "forward t e",
             "forward t e"),
         rule(
             "2 deduplicated, after its window: not sent again, rejected",
             m ->
-                m.list(true, small("e"))
-                    .take("t stamp a")
+                m.listEngines(true, small("e"))
+                    .submit("t stamp a")
                     .decide()
-                    .pass(5000)
-                    .end("t", 0, Outcome.ERROR)
-                    .pass(4000),
+                    .advance(5000)
+                    .endForward("t", 0, Outcome.ERROR)
+                    .advance(4000),
             "forward t e",
             "bounce t"),
         rule(
             "2 deduplicated, within its window: sent again",
             m ->
-                m.list(true, small("e"))
-                    .take("t stamp a")
+                m.listEngines(true, small("e"))
+                    .submit("t stamp a")
                     .decide()
-                    .pass(1000)
-                    .end("t", 0, Outcome.ERROR),
+                    .advance(1000)
+                    .endForward("t", 0, Outcome.ERROR),
             "forward t e",
             "forward t e"),
         rule(
             "2 deduplicated, near the end: a slow connection would send it after the window",
             m -> {
-              m.connectTime = 250 * MS;
-              m.list(true, small("e"))
-                  .take("t stamp a")
+              m.connectTimeoutNanos = 250 * NANOS_PER_MS;
+              m.listEngines(true, small("e"))
+                  .submit("t stamp a")
                   .decide()
-                  .pass(4701)
-                  .end("t", 0, Outcome.ERROR)
-                  .pass(4000);
+                  .advance(4701)
+                  .endForward("t", 0, Outcome.ERROR)
+                  .advance(4000);
             },
             "forward t e",
             "bounce t"),
         rule(
             "2 deduplicated: the window starts with the first forward, even while it is open",
             m -> {
-              m.copies = true;
-              m.list(true, small("e"), small("f")).take("t stamp a").decide().pass(3000).waits("t");
-              m.end("t", 1, Outcome.ERROR).pass(2500).waits("t");
+              m.hedging = true;
+              m.listEngines(true, small("e"), small("f")).submit("t stamp a").decide().advance(3000).reportWaiting("t");
+              m.endForward("t", 1, Outcome.ERROR).advance(2500).reportWaiting("t");
             },
             "forward t f",
             "forward t e"),
         rule(
             "2 deduplicated in one cell: never sent to another, and aborted",
             m ->
-                m.list(true, small("e"))
-                    .take("t cell a")
+                m.listEngines(true, small("e"))
+                    .submit("t cell a")
                     .decide()
-                    .list(true, small("f"))
-                    .end("t", 0, Outcome.ERROR)
-                    .pass(5000),
+                    .listEngines(true, small("f"))
+                    .endForward("t", 0, Outcome.ERROR)
+                    .advance(5000),
             "forward t e",
             "abort t"),
         rule(
             "3 draining: nothing new",
             m ->
-                m.list(true, engine("e", "small", 0, State.DRAINING, 0))
-                    .take("t short a left=1000")
+                m.listEngines(true, engine("e", "small", 0, State.DRAINING, 0))
+                    .submit("t short a left=1000")
                     .decide()
-                    .pass(300),
+                    .advance(300),
             "bounce t"),
         rule(
             "3 no longer listed: nothing new",
-            m -> m.list(true, small("e")).list(true).take("t short a left=1000").decide().pass(300),
+            m -> m.listEngines(true, small("e")).listEngines(true).submit("t short a left=1000").decide().advance(300),
             "bounce t"),
         rule(
             "3 a change names only what changed",
             m ->
-                m.list(true, small("e"))
-                    .list(false, small("f"))
-                    .list(false, engine("f", "small", 0, State.GONE, 0))
-                    .take("t short a")
+                m.listEngines(true, small("e"))
+                    .listEngines(false, small("f"))
+                    .listEngines(false, engine("f", "small", 0, State.GONE, 0))
+                    .submit("t short a")
                     .decide(),
             "forward t e"),
         rule(
             "3 replaced under a new id with an open forward: its outcome still counts",
             m ->
-                m.list(true, small("e"))
-                    .take("t once a")
+                m.listEngines(true, small("e"))
+                    .submit("t once a")
                     .decide()
-                    .list(true, small("f"))
-                    .pass(200)
-                    .end("t", 0, Outcome.FULL)
-                    .pass(200)
-                    .list(true, small("f"))
-                    .end("t", 1, Outcome.OK),
+                    .listEngines(true, small("f"))
+                    .advance(200)
+                    .endForward("t", 0, Outcome.FULL)
+                    .advance(200)
+                    .listEngines(true, small("f"))
+                    .endForward("t", 1, Outcome.OK),
             "forward t e",
             "forward t f"),
         rule(
             "5 one key: one at a time, in order",
             m ->
-                m.list(true, small("e"))
-                    .take("t once a key=1 left=9000")
-                    .take("u once a key=1 left=5000")
-                    .take("v once a key=2")
+                m.listEngines(true, small("e"))
+                    .submit("t once a key=1 left=9000")
+                    .submit("u once a key=1 left=5000")
+                    .submit("v once a key=2")
                     .decide()
-                    .end("t", 0, Outcome.OK),
+                    .endForward("t", 0, Outcome.OK),
             "forward t e",
             "forward v e",
             "forward u e"),
         rule(
             "5 a timeout starts the cooldown of the key",
             m ->
-                m.list(true, small("e"))
-                    .take("t once a key=1")
-                    .take("u once a key=1")
+                m.listEngines(true, small("e"))
+                    .submit("t once a key=1")
+                    .submit("u once a key=1")
                     .decide()
-                    .end("t", 0, Outcome.TIME_OUT)
-                    .pass(325),
+                    .endForward("t", 0, Outcome.TIME_OUT)
+                    .advance(325),
             "forward t e",
             "abort t"),
         rule(
             "5 after the cooldown the next task is sent",
             m ->
-                m.list(true, small("e"))
-                    .take("t once a key=1")
-                    .take("u once a key=1")
+                m.listEngines(true, small("e"))
+                    .submit("t once a key=1")
+                    .submit("u once a key=1")
                     .decide()
-                    .end("t", 0, Outcome.TIME_OUT)
-                    .pass(375),
+                    .endForward("t", 0, Outcome.TIME_OUT)
+                    .advance(375),
             "forward t e",
             "abort t",
             "forward u e"),
         rule(
             "5 a key whose queue was removed in the same batch",
             m ->
-                m.list(true, small("e"))
-                    .take("t once a key=1")
+                m.listEngines(true, small("e"))
+                    .submit("t once a key=1")
                     .decide()
-                    .take("u once a key=1")
-                    .end("t", 0, Outcome.OK),
+                    .submit("u once a key=1")
+                    .endForward("t", 0, Outcome.OK),
             "forward t e",
             "forward u e"),
         rule(
             "5 a client leaves in the batch of its task: the next of its key waits for the forward",
             m ->
-                m.list(true, small("e"))
-                    .take("t once - key=1")
-                    .leaves("t")
-                    .take("u once - key=1")
+                m.listEngines(true, small("e"))
+                    .submit("t once - key=1")
+                    .clientLeavesInBatch("t")
+                    .submit("u once - key=1")
                     .decide()
-                    .pass(500)
-                    .end("t", 0, Outcome.CANCELLED)
-                    .pass(375),
+                    .advance(500)
+                    .endForward("t", 0, Outcome.CANCELLED)
+                    .advance(375),
             "forward t e",
             "cancel t 0",
             "forward u e"),
         rule(
             "6 restricted to a type that is gone: never sent elsewhere",
-            m -> m.list(true, small("e")).take("t bound a left=1000").decide().pass(300),
+            m -> m.listEngines(true, small("e")).submit("t bound a left=1000").decide().advance(300),
             "bounce t"),
         rule(
             "6 restricted to a type: also for a retry",
             m ->
-                m.list(true, small("e"), big("g"))
-                    .take("t bound a")
+                m.listEngines(true, small("e"), big("g"))
+                    .submit("t bound a")
                     .decide()
-                    .end("t", 0, Outcome.ERROR),
+                    .endForward("t", 0, Outcome.ERROR),
             "forward t g",
             "forward t g"),
         rule(
             "7 the retry budget applies to every retry",
             m -> {
-              m.ration = new Settings.RetryBudget(1, 0, 5000 * MS);
-              m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
-              m.end("t", 0, Outcome.ERROR).end("u", 0, Outcome.ERROR).pass(4000);
+              m.retryBudget = new Settings.RetryBudget(1, 0, 5000 * NANOS_PER_MS);
+              m.listEngines(true, small("e")).submit("t short a").submit("u short a left=15000").decide();
+              m.endForward("t", 0, Outcome.ERROR).endForward("u", 0, Outcome.ERROR).advance(4000);
             },
             "forward u e",
             "forward t e",
@@ -280,9 +280,9 @@
         rule(
             "7 the retry budget grows with the tasks accepted",
             m -> {
-              m.ration = new Settings.RetryBudget(0, 0.5, 5000 * MS);
-              m.list(true, small("e")).take("t short a").take("u short a left=15000").decide();
-              m.end("t", 0, Outcome.ERROR).end("u", 0, Outcome.ERROR).pass(4000);
+              m.retryBudget = new Settings.RetryBudget(0, 0.5, 5000 * NANOS_PER_MS);
+              m.listEngines(true, small("e")).submit("t short a").submit("u short a left=15000").decide();
+              m.endForward("t", 0, Outcome.ERROR).endForward("u", 0, Outcome.ERROR).advance(4000);
             },
             "forward u e",
             "forward t e",
@@ -291,28 +291,28 @@
         rule(
             "no more than the maximum of forwards",
             m ->
-                m.list(true, small("e"))
-                    .take("t short a")
+                m.listEngines(true, small("e"))
+                    .submit("t short a")
                     .decide()
-                    .end("t", 0, Outcome.ERROR)
-                    .end("t", 1, Outcome.ERROR)
-                    .end("t", 2, Outcome.ERROR),
+                    .endForward("t", 0, Outcome.ERROR)
+                    .endForward("t", 1, Outcome.ERROR)
+                    .endForward("t", 2, Outcome.ERROR),
             "forward t e",
             "forward t e",
             "forward t e",
             "bounce t"),
         rule(
             "unknown query class",
-            m -> m.list(true, small("e")).take("t other a").decide(),
+            m -> m.listEngines(true, small("e")).submit("t other a").decide(),
             "bounce t"));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("rules")
-  void keeps(String name, Consumer<Manager> play, List<String> expected) {
-    Manager manager = new Manager();
+  void followsRule(String name, Consumer<ManagerHarness> play, List<String> expected) {
+    ManagerHarness manager = new ManagerHarness();
     play.accept(manager);
-    assertThat(manager.did).as(name).containsExactlyElementsOf(expected);
+    assertThat(manager.actions).as(name).containsExactlyElementsOf(expected);
   }
 
   static Stream<Arguments> coldCases() {
@@ -328,12 +328,12 @@
 
   @ParameterizedTest(name = "4 cold: {0} managers, started {1} ms ago")
   @MethodSource("coldCases")
-  void coldEngineIsNotPushedOver(int siblings, long age, long most) {
-    Manager manager = new Manager();
-    manager.siblings = siblings;
-    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
-    manager.list(true).pass(1000).list(true, engine("e", "small", 0, State.READY, 101_000 - age));
-    manager.takeAll(30, "t# short a cost=300");
+  void coldEngineIsNotOverloaded(int siblings, long age, long most) {
+    ManagerHarness manager = new ManagerHarness();
+    manager.managerCount = siblings;
+    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
+    manager.listEngines(true).advance(1000).listEngines(true, engine("e", "small", 0, State.READY, 101_000 - age));
+    manager.submitAll(30, "t# short a cost=300");
     assertThat(manager.sentTo("e")).isEqualTo(most);
   }
 
@@ -344,14 +344,14 @@
   @ParameterizedTest(
       name = "4 cold: {0} ms after the manager's start, engine started {1} ms before it: {2} sent")
   @CsvSource({"0, 100, 0", "500, 100, 4", "1000, 100, 8", "0, -1, 7", "200, -100, 7"})
-  void aRestartedManagerLeavesRoomForWhatItsEarlierLifeSent(long since, long before, long most) {
-    Manager manager = new Manager();
-    manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+  void restartedManagerAllowsForWorkSentBeforeItsRestart(long since, long before, long most) {
+    ManagerHarness manager = new ManagerHarness();
+    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
     manager
-        .list(true)
-        .pass(since)
-        .list(true, engine("e", "small", 0, State.READY, 100_000 - before));
-    manager.takeAll(30, "t# short a cost=300");
+        .listEngines(true)
+        .advance(since)
+        .listEngines(true, engine("e", "small", 0, State.READY, 100_000 - before));
+    manager.submitAll(30, "t# short a cost=300");
     assertThat(manager.sentTo("e")).isEqualTo(most);
   }
 
@@ -362,13 +362,13 @@
   private static int sentByAll(int siblings, long seed, int tasks, long cost) {
     int sent = 0;
     for (int i = 0; i < siblings; i++) {
-      Manager manager = new Manager();
+      ManagerHarness manager = new ManagerHarness();
       manager.seed = seed + i;
-      manager.siblings = siblings;
-      manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+      manager.managerCount = siblings;
+      manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
-          .list(true, engine("e", "small", 0, State.READY, 100_000))
-          .takeAll(tasks, "t# short a cost=" + cost);
+          .listEngines(true, engine("e", "small", 0, State.READY, 100_000))
+          .submitAll(tasks, "t# short a cost=" + cost);
       sent += (int) manager.sentTo("e");
     }
     return sent;
@@ -380,7 +380,7 @@
    */
   @ParameterizedTest(name = "4 cold: {0} managers, work of {1} ms")
   @CsvSource({"2, 100", "2, 300", "30, 100", "30, 300", "30, 900", "200, 300"})
-  void beyondTheBudgetOfTheFleetIsOnlyChance(int siblings, long cost) {
+  void fleetExceedsTheBudgetOnlyByTheTolerance(int siblings, long cost) {
     double budget = 2 * 0.3 * 4 * 1000 / cost;
     for (int round = 0; round < 40; round++) {
       double sent = sentByAll(siblings, 1000L * round, 30, cost);
@@ -392,20 +392,20 @@
 
   @ParameterizedTest(name = "4 cold: {0} managers together, {1} s after the start")
   @CsvSource({"50, 0", "200, 0", "200, 9"})
-  void allManagersTogetherKeepAColdEngineUp(int siblings, long age) {
+  void allManagersTogetherUseAColdEngineWithinItsLimit(int siblings, long age) {
     // Guards against a cold engine left idle because an even share holds no task, and against one
     // task from every manager.
     int sent = 0;
     for (int i = 0; i < siblings; i++) {
-      Manager manager = new Manager();
+      ManagerHarness manager = new ManagerHarness();
       manager.seed = i;
-      manager.siblings = siblings;
-      manager.cold = new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+      manager.managerCount = siblings;
+      manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
-          .list(true)
-          .pass(1000)
-          .list(true, engine("e", "small", 0, State.READY, 101_000 - age * 1000))
-          .takeAll(3, "t# short a");
+          .listEngines(true)
+          .advance(1000)
+          .listEngines(true, engine("e", "small", 0, State.READY, 101_000 - age * 1000))
+          .submitAll(3, "t# short a");
       sent += (int) manager.sentTo("e");
     }
     assertThat(sent * 0.1).isBetween(0.3, 2 * (0.3 + 0.07 * age) * 4);
@@ -416,7 +416,7 @@
    * the limit tolerates.
    */
   @org.junit.jupiter.api.Test
-  void ticketsBringAColdEngineWhatItCanDoAndNeverWhatItFallsBy() {
+  void permitsGiveAColdEngineItsCapacityAndNoOverload() {
     // The capacity at the start is 1.2 core-seconds. The limit is 2.4, which is 8 tasks of 0.3,
     // plus 2 square roots of 8 and 2 tasks.
     int rounds = 40;
@@ -430,9 +430,9 @@
   }
 
   @org.junit.jupiter.api.Test
-  void afterARestartACachedListIsEnough() {
-    Manager manager = new Manager().list(true, small("e"), big("g"));
-    manager.takeAll(8, "t# short a");
-    assertThat(manager.did("forward")).hasSize(8);
+  void oneListIsEnoughToSendTasks() {
+    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), big("g"));
+    manager.submitAll(8, "t# short a");
+    assertThat(manager.actionsWith("forward")).hasSize(8);
   }
 }
--- a/src/test/java/tansytrack/adapter/AdapterTest.java
+++ b/src/test/java/tansytrack/adapter/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class AdapterTest {
+class SimulatorAdapterTest {
 
   private static final String ATTACH =
       "ATTACH manager-1 77 siblings=1 new.key=1 grades.count=1 grades.0.name=g"
@@ -51,7 +51,7 @@
         "peer | INBOX manager-1 2 aGkgNw== | FINISHED",
         "failed list | BACKENDS_CHANGED manager-1 2 3 - | FINISHED"
       })
-  void answers(String name, String event, String reply) throws IOException {
+  void writesActions(String name, String event, String reply) throws IOException {
     assertThat(run(batch(0, ATTACH + LISTED) + batch(100, event.isEmpty() ? "" : event + "\n")))
         .isZero();
     String said = out.toString(StandardCharsets.UTF_8);
@@ -72,7 +72,7 @@
         "WAKEUP",
         "BACKENDS_CHANGED manager-1 1 7 0"
       })
-  void aMalformedLineEndsItPlainly(String line) throws IOException {
+  void malformedLineEndsTheRunWithAMessage(String line) throws IOException {
     assertThat(run(batch(0, ATTACH + LISTED + line + "\n"))).isEqualTo(2);
     assertThat(err.toString(StandardCharsets.UTF_8).lines())
         .singleElement()
@@ -82,7 +82,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "EXIT manager-1\n"})
-  void anInstanceStartsAnewInOneBatch(String exit) throws IOException {
+  void instanceCanBeReplacedInOneBatch(String exit) throws IOException {
     String again = batch(5, exit + ATTACH + LISTED + TASK);
     assertThat(run(batch(0, ATTACH + LISTED + TASK) + again)).isZero();
     assertThat(
@@ -91,7 +91,7 @@
   }
 
   @org.junit.jupiter.api.Test
-  void aFailureInsideTheDecisionsIsSaidOnce() throws IOException {
+  void failureOfAModuleIsReportedOnce() throws IOException {
     byte[] in = batch(0, ATTACH + LISTED + TASK).getBytes(StandardCharsets.UTF_8);
     PrintStream said = new PrintStream(err, true, StandardCharsets.UTF_8);
     assertThat(
@@ -112,7 +112,7 @@
   }
 
   @org.junit.jupiter.api.Test
-  void aListNumberIsReadInTheOrderOfEvents() throws IOException {
+  void listSlotIsReadInTheOrderOfEvents() throws IOException {
     String reused = LISTED + "REGISTER 0 1\nM 1 z 0 engine-a k - 0\n" + TASK;
     assertThat(run(batch(0, ATTACH + reused))).isZero();
     assertThat(out.toString(StandardCharsets.UTF_8)).contains("FORWARD manager-1 rq_1 engine-a");
--- a/src/test/java/tansytrack/settings/PairsTest.java
+++ b/src/test/java/tansytrack/settings/SettingsParserTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.api.Settings;
 
-class PairsTest {
+class SettingsParserTest {
 
   private static Settings settings(String... all) {
     SettingsParser pairs = new SettingsParser();
@@ -20,17 +20,17 @@
 
   @ParameterizedTest
   @CsvSource({"siblings=4, -1", "position=0, 0", "position=3, 3", "position=-, -1"})
-  void thePositionIsUnknownWhereItIsNotTold(String pair, int position) {
+  void managerIndexIsUnknownWhereAbsent(String pair, int position) {
     assertThat(settings(pair).managerIndex()).isEqualTo(position);
   }
 
   @Test
-  void thePositionOutlastsANewSeed() {
+  void managerIndexIsKeptWithANewSeed() {
     assertThat(settings("position=3").withSeed(9).managerIndex()).isEqualTo(3);
   }
 
   @Test
-  void aPositionUnderZeroIsNamed() {
+  void negativeManagerIndexIsRejectedByName() {
     assertThatThrownBy(() -> settings("position=-2")).hasMessageContaining("settings.position");
   }
 }
