--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -148,16 +148,16 @@
     subset = new EngineSubset(settings, engineList);
     this.actions = actions;
     random = new SplittableRandom(settings.seed());
-    for (QueryClass grade : settings.queryClasses()) {
-      String bounds =
-          new TreeSet<>(grade.allowedZones()) + "/" + new TreeSet<>(grade.allowedEngineTypes());
+    for (QueryClass queryClass : settings.queryClasses()) {
+      String poolKey =
+          new TreeSet<>(queryClass.allowedZones()) + "/" + new TreeSet<>(queryClass.allowedEngineTypes());
       classStatistics.put(
-          grade.name(),
-          new ClassStatistics(grade, pools.computeIfAbsent(bounds, key -> new EnginePool(grade))));
+          queryClass.name(),
+          new ClassStatistics(queryClass, pools.computeIfAbsent(poolKey, key -> new EnginePool(queryClass))));
     }
     settings
         .tenants()
-        .forEach(of -> tenantQueues.put(of.name(), new TenantQueue<>(Math.max(of.share(), 0.001))));
+        .forEach(tenant -> tenantQueues.put(tenant.name(), new TenantQueue<>(Math.max(tenant.share(), 0.001))));
     if (tenantQueues.isEmpty()) {
       // The settings name no tenants: all tasks share one queue.
       tenantQueues.put("", new TenantQueue<>(1));
@@ -170,33 +170,33 @@
   public void onEngineList(long at, boolean complete, List<EngineEntry> entries) {
     now = at;
     firstListAt = firstListAt < 0 ? at : firstListAt;
-    Map<String, EngineEntry> named = new TreeMap<>();
-    entries.forEach(entry -> named.put(entry.id(), entry));
+    Map<String, EngineEntry> entriesById = new TreeMap<>();
+    entries.forEach(entry -> entriesById.put(entry.id(), entry));
     if (complete) {
-      engineList.replaceAll(named.values());
+      engineList.replaceAll(entriesById.values());
     } else {
-      named.values().forEach(engineList::put);
+      entriesById.values().forEach(engineList::put);
     }
-    boolean moved = subset.updateLevels(managerCount);
-    Stream.concat(entries.stream(), moved ? engineList.all().stream() : Stream.empty())
+    boolean subsetChanged = subset.updateLevels(managerCount);
+    Stream.concat(entries.stream(), subsetChanged ? engineList.all().stream() : Stream.empty())
         .filter(subset::uses)
         .forEach(entry -> engines.computeIfAbsent(entry.id(), Engine::new));
     engines.values().stream()
-        .filter(engine -> complete || moved || named.containsKey(engine.id))
+        .filter(engine -> complete || subsetChanged || entriesById.containsKey(engine.id))
         .forEach(
             engine ->
-                engine.postListing(named.getOrDefault(engine.id, engineList.find(engine.id))));
+                engine.postListing(entriesById.getOrDefault(engine.id, engineList.find(engine.id))));
   }
 
-  public void onTask(long at, TaskRequest offer) {
+  public void onTask(long at, TaskRequest request) {
     now = at;
-    ClassStatistics row = classStatistics.get(offer.queryClass());
-    if (row == null || admissionClosed) {
+    ClassStatistics statistics = classStatistics.get(request.queryClass());
+    if (statistics == null || admissionClosed) {
       actions.reject(
-          offer.id(),
-          row != null && capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0);
+          request.id(),
+          statistics != null && capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0);
     } else {
-      Task task = new Task(offer, row);
+      Task task = new Task(request, statistics);
       tasks.put(task.id, task);
       dispatcher.post(() -> dispatcher.onTask(task));
     }
@@ -237,30 +237,30 @@
 
   public void onProbeEnd(long at, String engine, Outcome outcome, LoadReport report) {
     now = at;
-    Engine from = engines.get(engine);
-    if (from != null) {
-      from.post(() -> from.onProbeEnd(outcome, report));
+    Engine probedEngine = engines.get(engine);
+    if (probedEngine != null) {
+      probedEngine.post(() -> probedEngine.onProbeEnd(outcome, report));
     }
   }
 
   public void onProgress(
-      long at, String id, int index, String engine, Progress what, double amount) {
+      long at, String id, int index, String engine, Progress progress, double amount) {
     now = at;
     Forward forward = findForward(engine, id, index);
     if (forward != null) {
       Task task = forward.task;
-      boolean told = what == Progress.FRACTION_DONE && amount > 0;
+      boolean hasFraction = progress == Progress.FRACTION_DONE && amount > 0;
       long age = Math.max(NANOS_PER_MS, now - forward.sentAt);
-      double run = age / clamp(amount, 0.001, 1);
+      double projectedRunTime = age / clamp(amount, 0.001, 1);
       forward.engine.post(forward.engine::onSignOfLife);
-      if (told) {
+      if (hasFraction) {
         forward.engine.post(
-            () -> forward.engine.updateSlowdown(task, Math.log(run / task.isolatedRunTime())));
+            () -> forward.engine.updateSlowdown(task, Math.log(projectedRunTime / task.isolatedRunTime())));
       }
-      boolean hopeless =
-          what == Progress.WAITING
-              || told && run - age > STALLED_RUN_FACTOR * task.expectedRunTime();
-      if (capabilities.cancellation() && hopeless) {
+      boolean stalled =
+          progress == Progress.WAITING
+              || hasFraction && projectedRunTime - age > STALLED_RUN_FACTOR * task.expectedRunTime();
+      if (capabilities.cancellation() && stalled) {
         // The forward waits for a bulk load or for memory, or the engine is overloaded. Where
         // forwards cannot be cancelled, a second one would only add to the overload.
         dispatcher.post(() -> dispatcher.retryStalled(forward));
@@ -272,8 +272,8 @@
     now = at;
     engines.values().stream()
         .filter(
-            one -> !one.openForwards.isEmpty() || capabilities.probing() && now >= one.nextProbeAt)
-        .forEach(one -> one.post(one::sweep));
+            engine -> !engine.openForwards.isEmpty() || capabilities.probing() && now >= engine.nextProbeAt)
+        .forEach(engine -> engine.post(engine::sweep));
     dispatcher.post(dispatcher::sweep);
     actions.scheduleWakeUp(dispatcher.sweepInterval(), token);
   }
@@ -293,22 +293,22 @@
 
   public List<EngineStatus> engineStatuses(long at) {
     return engines.values().stream()
-        .filter(one -> one.entry != null)
+        .filter(engine -> engine.entry != null)
         .map(
-            one ->
+            engine ->
                 new EngineStatus(
-                    one.id,
-                    one.openForwards.size(),
-                    one.report == null ? -1 : at - one.reportAt,
-                    !one.usable()))
+                    engine.id,
+                    engine.openForwards.size(),
+                    engine.report == null ? -1 : at - engine.reportAt,
+                    !engine.usable()))
         .toList();
   }
 
   private Forward findForward(String engine, String task, int index) {
-    Engine at = engines.get(engine);
-    return at == null
+    Engine found = engines.get(engine);
+    return found == null
         ? null
-        : at.openForwards.stream()
+        : found.openForwards.stream()
             .filter(forward -> forward.index == index && forward.task.id.equals(task))
             .findFirst()
             .orElse(null);
@@ -341,19 +341,19 @@
      * part are idle: otherwise, while work has a price, tasks with too low an estimate are
      * admitted, appear slow, and the limit never grows again.
      */
-    boolean allows(QueryClass grade, double able) {
-      boolean pressed =
-          logSlowdown > STRAINED_LOG_SLOWDOWN && usedThreads >= able || now < pressureUntil;
-      return !pressed && usedThreads < able * INITIAL_THREADS_PER_CORE
-          || usedThreads + grade.threads() <= Math.max(maxThreads, grade.threads());
+    boolean allows(QueryClass queryClass, double cores) {
+      boolean underPressure =
+          logSlowdown > STRAINED_LOG_SLOWDOWN && usedThreads >= cores || now < pressureUntil;
+      return !underPressure && usedThreads < cores * INITIAL_THREADS_PER_CORE
+          || usedThreads + queryClass.threads() <= Math.max(maxThreads, queryClass.threads());
     }
 
-    void onAnswer(QueryClass grade, double above, boolean busy, double most) {
-      logSlowdown = movingAverage(logSlowdown, above, 2 * SMOOTHING_FACTOR);
-      if (above > SEVERE_LOG_SLOWDOWN) {
+    void onAnswer(QueryClass queryClass, double slowdown, boolean busy, double limit) {
+      logSlowdown = movingAverage(logSlowdown, slowdown, 2 * SMOOTHING_FACTOR);
+      if (slowdown > SEVERE_LOG_SLOWDOWN) {
         halve();
-      } else if (above < STRAINED_LOG_SLOWDOWN && !busy) {
-        maxThreads = Math.min(maxThreads + grade.threads(), most);
+      } else if (slowdown < STRAINED_LOG_SLOWDOWN && !busy) {
+        maxThreads = Math.min(maxThreads + queryClass.threads(), limit);
       }
     }
 
@@ -383,13 +383,13 @@
     boolean limitedAsWhole; // this manager's part of an engine is less than one thread, on average
     double price; // of engine work, in earnings per nanosecond; 0 unless tasks wait
 
-    EnginePool(QueryClass grade) {
+    EnginePool(QueryClass queryClass) {
       group =
           subset.group(
               entry -> // rule 6: placement by zone and engine type
-              (grade.allowedZones().isEmpty() || grade.allowedZones().contains(entry.zone()))
-                      && (grade.allowedEngineTypes().isEmpty()
-                          || grade.allowedEngineTypes().contains(entry.type())));
+              (queryClass.allowedZones().isEmpty() || queryClass.allowedZones().contains(entry.zone()))
+                      && (queryClass.allowedEngineTypes().isEmpty()
+                          || queryClass.allowedEngineTypes().contains(entry.type())));
     }
 
     private void adjustSubstitutes() {
@@ -398,31 +398,31 @@
               .filter(engine -> engine.healthy() && engine.servedPools.contains(this))
               .map(engine -> engine.entry)
               .toList();
-      EngineEntry moved =
+      EngineEntry changed =
           group.adjustSubstitutes(
               healthy,
               entry ->
                   !engines.containsKey(entry.id())
                       && capacityFraction(entry.startedAtNanos()) >= 1);
-      if (moved != null) {
-        engines.computeIfAbsent(moved.id(), Engine::new).postListing(moved);
+      if (changed != null) {
+        engines.computeIfAbsent(changed.id(), Engine::new).postListing(changed);
       }
     }
 
     private void updateCapacity() {
-      double before = cores, parts = 0;
+      double previousCores = cores, surplusThreads = 0;
       cores = memoryMb = grantedMb = usedThreads = 0;
       for (Engine engine : engines.values()) {
         if (engine.usable() && engine.servedPools.contains(this)) {
           cores += engine.cores * engine.capacityFraction() * engine.share();
           memoryMb += engine.totalMemoryMb * engine.share();
           usedThreads += engine.limit.usedThreads;
-          parts += engine.cores * INITIAL_THREADS_PER_CORE * engine.share() - 1;
+          surplusThreads += engine.cores * INITIAL_THREADS_PER_CORE * engine.share() - 1;
           grantedMb += engine.grantedMb;
         }
       }
-      limitedAsWhole = parts < 0;
-      maxThreads = before == 0 ? cores * INITIAL_THREADS_PER_CORE : maxThreads * cores / before;
+      limitedAsWhole = surplusThreads < 0;
+      maxThreads = previousCores == 0 ? cores * INITIAL_THREADS_PER_CORE : maxThreads * cores / previousCores;
     }
   }
 
@@ -440,9 +440,9 @@
     double meanLogValue = Double.NaN; // mean ln of earnings per nanosecond of work
     boolean noCapacity; // a plain task of this class fitted no engine in the present turn
 
-    ClassStatistics(QueryClass grade, EnginePool market) {
-      this.queryClass = grade;
-      this.pool = market;
+    ClassStatistics(QueryClass queryClass, EnginePool pool) {
+      this.queryClass = queryClass;
+      this.pool = pool;
     }
   }
 
@@ -469,20 +469,20 @@
     Forward firstExecuted; // the earliest forward that an engine may have executed
     long cancelledForwards; // bit set of the indexes of cancelled forwards
 
-    Task(TaskRequest offer, ClassStatistics row) {
-      this.request = offer;
-      id = offer.id();
-      this.statistics = row;
-      queryClass = row.queryClass;
-      tenantQueue = tenantQueues.get(offer.tenant());
-      key = queryClass.serializedByKey() ? offer.key() : null;
-      deadline = offer.deadlineNanos();
-      double usual = Double.isNaN(row.meanCost) ? NANOS_PER_MS : row.meanCost;
+    Task(TaskRequest request, ClassStatistics statistics) {
+      this.request = request;
+      id = request.id();
+      this.statistics = statistics;
+      queryClass = statistics.queryClass;
+      tenantQueue = tenantQueues.get(request.tenant());
+      key = queryClass.serializedByKey() ? request.key() : null;
+      deadline = request.deadlineNanos();
+      double usualCost = Double.isNaN(statistics.meanCost) ? NANOS_PER_MS : statistics.meanCost;
       cost =
           Math.max(
               NANOS_PER_MS,
-              offer.estimatedCostNanos() > 0 ? offer.estimatedCostNanos() * row.costBias : usual);
-      row.meanCost = movingAverage(row.meanCost, cost, SMOOTHING_FACTOR);
+              request.estimatedCostNanos() > 0 ? request.estimatedCostNanos() * statistics.costBias : usualCost);
+      statistics.meanCost = movingAverage(statistics.meanCost, cost, SMOOTHING_FACTOR);
       logValue = Math.log(Math.max(queryClass.earnings(), 1e-9) / cost);
     }
 
@@ -549,10 +549,10 @@
         return true;
       }
       // The request may leave this much later, while its connection is being opened.
-      long since =
+      long elapsed =
           now - first.sentAt + MAX_SWEEP_INTERVAL_NANOS + capabilities.connectTimeoutNanos();
       return queryClass.retrySafety() == QueryClass.RetrySafety.DEDUPLICATED
-          && since < queryClass.deduplicationWindowNanos()
+          && elapsed < queryClass.deduplicationWindowNanos()
           && switch (queryClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> first.engine.entry.zone().equals(engine.entry.zone());
@@ -644,8 +644,8 @@
       enqueue(task);
     }
 
-    boolean isKeyAvailable(KeyQueue<Task> line) {
-      return line.openForwards == 0 && now >= line.cooldownUntilNanos;
+    boolean isKeyAvailable(KeyQueue<Task> keyQueue) {
+      return keyQueue.openForwards == 0 && now >= keyQueue.cooldownUntilNanos;
     }
 
     /**
@@ -656,14 +656,14 @@
       task.waitsForKey = false;
       task.enqueuedAt = now;
       task.queueDeadline = now + task.queueWaitBudget();
-      int depth = task.tenantQueue == null ? 0 : task.tenantQueue.waiters.size();
-      boolean cheap = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
-      boolean full = !canBeSent(task);
-      if (cheap && (full || !task.statistics.pool.limitedAsWhole)
-          || full
+      int tenantQueued = task.tenantQueue == null ? 0 : task.tenantQueue.waiters.size();
+      boolean belowPrice = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
+      boolean noCapacity = !canBeSent(task);
+      if (belowPrice && (noCapacity || !task.statistics.pool.limitedAsWhole)
+          || noCapacity
               && (task.tenantQueue == null
                   || queuedTasks >= MAX_QUEUED_TOTAL
-                  || depth >= MAX_QUEUED_PER_TENANT
+                  || tenantQueued >= MAX_QUEUED_PER_TENANT
                   || expectedWait(task) > task.queueWaitBudget())) {
         giveUp(task);
       } else if (task.tenantQueue == null) {
@@ -684,8 +684,8 @@
       task.queued = false;
     }
 
-    private int queuePosition(ArrayList<Task> waiters, Task task) {
-      return (int) waiters.stream().filter(waiter -> waiter.deadline <= task.deadline).count();
+    private int queuePosition(ArrayList<Task> queue, Task task) {
+      return (int) queue.stream().filter(queued -> queued.deadline <= task.deadline).count();
     }
 
     /**
@@ -693,25 +693,25 @@
      * plus the shortest remaining mean run time of any open forward on an engine of the pool.
      */
     private double expectedWait(Task task) {
-      double weights = 0;
-      for (TenantQueue<Task> tenant : tenantQueues.values()) {
-        weights += tenant.waiters.isEmpty() && tenant != task.tenantQueue ? 0 : tenant.weight;
+      double totalWeight = 0;
+      for (TenantQueue<Task> queue : tenantQueues.values()) {
+        totalWeight += queue.waiters.isEmpty() && queue != task.tenantQueue ? 0 : queue.weight;
       }
-      double ahead =
-          queuePosition(task.tenantQueue.waiters, task) * weights / task.tenantQueue.weight;
-      double least =
+      double tasksAhead =
+          queuePosition(task.tenantQueue.waiters, task) * totalWeight / task.tenantQueue.weight;
+      double minRemaining =
           engines.values().stream()
               .filter(engine -> engine.ready && engine.servedPools.contains(task.statistics.pool))
               .mapToDouble(Engine::minRemainingTime)
               .min()
               .orElse(Double.MAX_VALUE);
-      return Math.min(queuedTasks, ahead) * meanSendInterval
-          + (least == Double.MAX_VALUE ? 0 : least);
+      return Math.min(queuedTasks, tasksAhead) * meanSendInterval
+          + (minRemaining == Double.MAX_VALUE ? 0 : minRemaining);
     }
 
     private boolean canBeSent(Task task) {
-      EnginePool market = task.statistics.pool;
-      return (!market.limitedAsWhole || market.allows(task.queryClass, market.cores))
+      EnginePool pool = task.statistics.pool;
+      return (!pool.limitedAsWhole || pool.allows(task.queryClass, pool.cores))
           && engines.values().stream().anyMatch(engine -> engine.canTake(task));
     }
 
@@ -720,23 +720,23 @@
      * can be sent.
      */
     private void dispatchNext() {
-      classStatistics.values().forEach(row -> row.noCapacity = false);
-      Task chosen = null;
-      TenantQueue<Task> best = null;
-      double total = 0;
-      for (TenantQueue<Task> tenant : tenantQueues.values()) {
-        Task next = nextSendable(tenant.waiters);
-        tenant.currentWeight += next != null ? tenant.weight : 0;
-        total += next != null ? tenant.weight : 0;
-        if (next != null && (best == null || tenant.currentWeight > best.currentWeight)) {
-          best = tenant;
-          chosen = next;
+      classStatistics.values().forEach(statistics -> statistics.noCapacity = false);
+      Task selected = null;
+      TenantQueue<Task> selectedQueue = null;
+      double totalWeight = 0;
+      for (TenantQueue<Task> queue : tenantQueues.values()) {
+        Task next = nextSendable(queue.waiters);
+        queue.currentWeight += next != null ? queue.weight : 0;
+        totalWeight += next != null ? queue.weight : 0;
+        if (next != null && (selectedQueue == null || queue.currentWeight > selectedQueue.currentWeight)) {
+          selectedQueue = queue;
+          selected = next;
         }
       }
-      if (best != null) {
-        best.currentWeight -= total;
-        removeFromQueue(chosen);
-        route(chosen);
+      if (selectedQueue != null) {
+        selectedQueue.currentWeight -= totalWeight;
+        removeFromQueue(selected);
+        route(selected);
       }
     }
 
@@ -763,26 +763,26 @@
      * Returns the queued task with the earliest deadline that can be sent, or null. A task that can
      * be sent to no engine does not block those behind it.
      */
-    private Task nextSendable(ArrayList<Task> waiters) {
-      for (int i = 0; i < waiters.size(); i++) {
-        Task task = waiters.get(i);
-        boolean plain = task.forwardsSent == 0 && task.keyQueue == null;
+    private Task nextSendable(ArrayList<Task> queue) {
+      for (int i = 0; i < queue.size(); i++) {
+        Task task = queue.get(i);
+        boolean unconstrained = task.forwardsSent == 0 && task.keyQueue == null;
         // Where a plain task of the class cannot be sent, no other task of the class can.
         if (!task.statistics.noCapacity) {
           if (canBeSent(task)) {
             return task;
           }
-          task.statistics.noCapacity |= plain;
+          task.statistics.noCapacity |= unconstrained;
         }
       }
       return null;
     }
 
     private void onSent(Task task) {
-      double wait = Math.min(now - lastSentAt, 1000 * NANOS_PER_MS);
+      double interval = Math.min(now - lastSentAt, 1000 * NANOS_PER_MS);
       meanSendInterval =
           queuedTasks > 0 || now > task.enqueuedAt
-              ? movingAverage(meanSendInterval, wait, SMOOTHING_FACTOR)
+              ? movingAverage(meanSendInterval, interval, SMOOTHING_FACTOR)
               : meanSendInterval;
       lastSentAt = now;
       if (task.tenantQueue != null) {
@@ -851,11 +851,11 @@
      * Rule 5: enqueues the next task of a key once the one before has ended and the key's cooldown
      * is over.
      */
-    private void releaseKey(KeyQueue<Task> line) {
-      Task head = line.tasks.peek();
-      if (isKeyAvailable(line) && head == null) {
-        keyQueues.remove(line.key);
-      } else if (isKeyAvailable(line) && head.waitsForKey) {
+    private void releaseKey(KeyQueue<Task> keyQueue) {
+      Task head = keyQueue.tasks.peek();
+      if (isKeyAvailable(keyQueue) && head == null) {
+        keyQueues.remove(keyQueue.key);
+      } else if (isKeyAvailable(keyQueue) && head.waitsForKey) {
         enqueue(head);
       }
     }
@@ -888,12 +888,12 @@
 
     /** All forwards failed: enqueues the task again where the rules allow, or else answers it. */
     private void retryOrAnswer(Task task) {
-      boolean left = task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
-      boolean may =
-          left
+      boolean attemptsLeft = task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
+      boolean retry =
+          attemptsLeft
               && (task.firstExecuted == null
                   || task.queryClass.retrySafety() != QueryClass.RetrySafety.NON_IDEMPOTENT);
-      if (may) {
+      if (retry) {
         enqueue(task);
       } else {
         rejectOrAbort(task);
@@ -923,10 +923,10 @@
 
     /** Rule 7: tells whether one more retry is within the retry budget. */
     boolean retryBudgetAllows() {
-      Settings.RetryBudget rule = settings.retryBudget();
-      return rule == null
+      Settings.RetryBudget budget = settings.retryBudget();
+      return budget == null
           || recentRetries.count() + 1
-              <= rule.spareAttempts() + rule.extraPerRequest() * recentTasks.count();
+              <= budget.spareAttempts() + budget.extraPerRequest() * recentTasks.count();
     }
 
     /**
@@ -934,29 +934,29 @@
      * the price are rejected early, so that expensive ones do not take all capacity.
      */
     private void updatePrices() {
-      double usual = Math.exp(meanLogValue);
-      double fall =
+      double usualValue = Math.exp(meanLogValue);
+      double decay =
           Math.pow(PRICE_DECAY_PER_SWEEP, (now - lastSweepAt) / (double) MIN_SWEEP_INTERVAL_NANOS);
       lastSweepAt = now;
-      for (EnginePool market : pools.values()) {
+      for (EnginePool pool : pools.values()) {
         // The largest fraction of a queue wait budget that any queued task has used.
-        double spent =
+        double budgetUsed =
             tenantQueues.values().stream()
-                .flatMap(tenant -> tenant.waiters.stream())
-                .filter(task -> task.statistics.pool == market)
+                .flatMap(queue -> queue.waiters.stream())
+                .filter(task -> task.statistics.pool == pool)
                 .mapToDouble(Task::budgetUsed)
                 .max()
                 .orElse(0);
-        double wanted = spent > 0 ? usual * Math.pow(MIN_PRICE_FRACTION, 1 - spent) : 0;
-        market.price = Math.max(wanted, market.price * fall);
-        market.price = market.price < usual * MIN_PRICE_FRACTION ? 0 : market.price;
+        double newPrice = budgetUsed > 0 ? usualValue * Math.pow(MIN_PRICE_FRACTION, 1 - budgetUsed) : 0;
+        pool.price = Math.max(newPrice, pool.price * decay);
+        pool.price = pool.price < usualValue * MIN_PRICE_FRACTION ? 0 : pool.price;
       }
     }
 
     private void sweep() {
       engines
           .values()
-          .removeIf(one -> one.unused && one.openForwards.isEmpty() && now >= one.retainedUntil);
+          .removeIf(engine -> engine.unused && engine.openForwards.isEmpty() && now >= engine.retainedUntil);
       updateCapacity();
       pools.values().forEach(EnginePool::adjustSubstitutes);
       updatePrices();
@@ -965,18 +965,18 @@
       recentTasks.evictBefore(now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1);
       recentRetries.evictBefore(now - window);
       tenantQueues.values().stream()
-          .flatMap(tenant -> tenant.waiters.stream())
+          .flatMap(queue -> queue.waiters.stream())
           .filter(task -> now >= task.queueDeadline)
           .toList()
           .forEach(this::giveUp);
-      for (KeyQueue<Task> line : new ArrayList<>(keyQueues.values())) {
-        for (Task task : new ArrayList<>(line.tasks)) {
+      for (KeyQueue<Task> keyQueue : new ArrayList<>(keyQueues.values())) {
+        for (Task task : new ArrayList<>(keyQueue.tasks)) {
           double needed = Math.max(DEADLINE_MARGIN_NANOS, task.expectedRunTime());
           if (task.waitsForKey && task.deadline - now <= needed) {
             rejectOrAbort(task);
           }
         }
-        releaseKey(line);
+        releaseKey(keyQueue);
       }
       if (shutdownAt < Long.MAX_VALUE) {
         new ArrayList<>(tasks.values())
@@ -1002,21 +1002,21 @@
             .mapToDouble(engine -> engine.load(1))
             .average()
             .orElse(1);
-    List<Engine> fitting =
+    List<Engine> candidates =
         engines.values().stream().filter(engine -> engine.canTake(task)).toList();
     double[] weights =
-        fitting.stream().mapToDouble(engine -> engine.weight(task, average)).toArray();
-    return fitting.get(pickWeighted(weights, random.nextDouble()));
+        candidates.stream().mapToDouble(engine -> engine.weight(task, average)).toArray();
+    return candidates.get(pickWeighted(weights, random.nextDouble()));
   }
 
   /** Returns the fraction of its capacity that an engine started at that time has by now. */
-  private double capacityFraction(long start) {
-    Settings.ColdStartLimit rule = settings.coldStartLimit();
-    if (rule == null || start <= 0 || now - start >= rule.warmUpNanos()) {
+  private double capacityFraction(long startedAt) {
+    Settings.ColdStartLimit limit = settings.coldStartLimit();
+    if (limit == null || startedAt <= 0 || now - startedAt >= limit.warmUpNanos()) {
       return 1;
     }
-    double age = Math.max(0, now - start) / (double) rule.warmUpNanos();
-    return rule.startCapacityFraction() + (1 - rule.startCapacityFraction()) * age;
+    double age = Math.max(0, now - startedAt) / (double) limit.warmUpNanos();
+    return limit.startCapacityFraction() + (1 - limit.startCapacityFraction()) * age;
   }
 
   // ---- Engines: state, concurrency limit and health; every task is sent from here ----
@@ -1069,33 +1069,33 @@
       nextProbeAt = now + (long) (random.nextDouble() * dispatcher.probeInterval());
     }
 
-    private void postListing(EngineEntry told) {
-      post(() -> onListing(told));
+    private void postListing(EngineEntry listing) {
+      post(() -> onListing(listing));
     }
 
-    private void onListing(EngineEntry told) {
+    private void onListing(EngineEntry listing) {
       // Posted after each entry: one message for a whole list would precede some of its entries.
       dispatcher.post(dispatcher::updateCapacity);
-      boolean used = told != null && subset.uses(told);
-      ready = used && told.state() == EngineEntry.State.READY;
-      boolean leaves = told != null && !used && !unused && settings.coldStartLimit() != null;
-      retainedUntil = leaves ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
-      unused = !used || told.state() == EngineEntry.State.GONE;
+      boolean isUsed = listing != null && subset.uses(listing);
+      ready = isUsed && listing.state() == EngineEntry.State.READY;
+      boolean leavesSubset = listing != null && !isUsed && !unused && settings.coldStartLimit() != null;
+      retainedUntil = leavesSubset ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
+      unused = !isUsed || listing.state() == EngineEntry.State.GONE;
       servedPools.clear();
-      if (told == null) {
+      if (listing == null) {
         return;
       }
       // A sweep may have removed the engine since the event arrived.
       engines.putIfAbsent(id, this);
-      pools.values().stream().filter(market -> market.group.uses(told)).forEach(servedPools::add);
-      isSubstitute = subset.isSubstitute(told);
-      subsetLevel = subset.level(told);
-      boolean fresh = entry == null || told.startedAtNanos() > entry.startedAtNanos();
-      entry = told;
-      Settings.EngineType figures = settings.engineTypes().get(told.type());
-      cores = figures != null && figures.cores() > 0 ? figures.cores() : Math.max(1, told.size());
-      totalMemoryMb = figures == null ? 0 : figures.memoryMb();
-      if (fresh) {
+      pools.values().stream().filter(pool -> pool.group.uses(listing)).forEach(servedPools::add);
+      isSubstitute = subset.isSubstitute(listing);
+      subsetLevel = subset.level(listing);
+      boolean restarted = entry == null || listing.startedAtNanos() > entry.startedAtNanos();
+      entry = listing;
+      Settings.EngineType type = settings.engineTypes().get(listing.type());
+      cores = type != null && type.cores() > 0 ? type.cores() : Math.max(1, listing.size());
+      totalMemoryMb = type == null ? 0 : type.memoryMb();
+      if (restarted) {
         // A new process: nothing learned about the old one applies.
         warmDataSets.clear();
         suspected = unreachable = false;
@@ -1129,8 +1129,8 @@
         return capacityFraction() >= 1;
       }
       recentColdWork.evictBefore(now - settings.coldStartLimit().windowNanos());
-      double sent = recentColdWork.sum();
-      return sent + task.cost <= evenColdShare() || sent == 0 && coldPermitChance(task) > 0;
+      double sentWork = recentColdWork.sum();
+      return sentWork + task.cost <= evenColdShare() || sentWork == 0 && coldPermitChance(task) > 0;
     }
 
     /**
@@ -1138,8 +1138,8 @@
      * task, half of it is left to cold-start permits.
      */
     private double evenColdShare() {
-      double part = coldBudget() / maxExpectedManagers();
-      return dispatcher.meanCost > part ? part / 2 : part;
+      double share = coldBudget() / maxExpectedManagers();
+      return dispatcher.meanCost > share ? share / 2 : share;
     }
 
     private double expectedManagers() {
@@ -1171,14 +1171,14 @@
      */
     private double coldBudget() {
       long window = settings.coldStartLimit().windowNanos();
-      double known =
+      double knownFraction =
           coldSince() >= firstListAt ? 1 : Math.min(1, (now - firstListAt) / (double) window);
       return COLD_BUDGET_FRACTION
           * settings.coldStartLimit().overloadFactor()
           * capacityFraction()
           * cores
           * window
-          * known;
+          * knownFraction;
     }
 
     /**
@@ -1192,16 +1192,16 @@
       }
       // For all managers: what the even shares leave, plus the tolerated excess, and at most what
       // the engine can execute.
-      double chances =
+      double tolerance =
           COLD_LIMIT_TOLERANCE
               * (Math.sqrt(coldBudget() * dispatcher.meanCost) + dispatcher.meanCost);
-      double all = coldBudget() - evenColdShare() * maxExpectedManagers() + chances;
+      double totalWork = coldBudget() - evenColdShare() * maxExpectedManagers() + tolerance;
       double deviations = COLD_SAFETY_DEVIATIONS * Math.sqrt(task.cost) / 2;
-      double mean = Math.sqrt(all + deviations * deviations) - deviations;
+      double mean = Math.sqrt(totalWork + deviations * deviations) - deviations;
       double work =
           Math.min(mean * mean, coldBudget() / settings.coldStartLimit().overloadFactor());
-      double part = work / (maxExpectedManagers() * task.cost);
-      return coldPermitDraw < part ? Math.min(1, part) : 0;
+      double probability = work / (maxExpectedManagers() * task.cost);
+      return coldPermitDraw < probability ? Math.min(1, probability) : 0;
     }
 
     /**
@@ -1244,21 +1244,21 @@
      * is less than one thread.
      */
     private boolean threadsFit(Task task) {
-      EnginePool market = task.statistics.pool;
-      return market.limitedAsWhole
-          ? now >= limit.pressureUntil && market.allows(task.queryClass, market.cores)
+      EnginePool pool = task.statistics.pool;
+      return pool.limitedAsWhole
+          ? now >= limit.pressureUntil && pool.allows(task.queryClass, pool.cores)
           : limit.allows(task.queryClass, cores * share() * capacityFraction());
     }
 
     /** Adds the threads and memory of a task; negative values remove them. */
-    private void addUsage(int threads, double memory) {
+    private void addUsage(int threads, double memoryMb) {
       limit.usedThreads += threads;
-      grantedMb += memory;
-      for (EnginePool market : pools.values()) {
+      grantedMb += memoryMb;
+      for (EnginePool pool : pools.values()) {
         // Tasks on an unusable engine take no capacity of the pool.
-        boolean counts = usable() && servedPools.contains(market);
-        market.usedThreads += counts ? threads : 0;
-        market.grantedMb += counts ? memory : 0;
+        boolean isCounted = usable() && servedPools.contains(pool);
+        pool.usedThreads += isCounted ? threads : 0;
+        pool.grantedMb += isCounted ? memoryMb : 0;
       }
     }
 
@@ -1267,32 +1267,32 @@
      * its reports come too late.
      */
     private boolean memoryFits(Task task) {
-      EnginePool market = task.statistics.pool;
-      boolean told =
+      EnginePool pool = task.statistics.pool;
+      boolean reported =
           hasFreshReport()
               && !Double.isNaN(report.grantedMemoryFraction())
-              && !market.limitedAsWhole;
-      double wanted = memoryGrantMb(task);
-      double most = told ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
-      if (totalMemoryMb <= 0 || grantedMb + wanted <= most) {
+              && !pool.limitedAsWhole;
+      double neededMb = memoryGrantMb(task);
+      double limitMb = reported ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
+      if (totalMemoryMb <= 0 || grantedMb + neededMb <= limitMb) {
         return true;
       }
-      boolean let =
-          market.grantedMb + wanted <= market.memoryMb
-              || wanted < SMALL_TASK_MEMORY_FRACTION * market.memoryMb;
-      return openForwards.isEmpty() && (!told && let || market.usedThreads == 0);
+      boolean fitsPool =
+          pool.grantedMb + neededMb <= pool.memoryMb
+              || neededMb < SMALL_TASK_MEMORY_FRACTION * pool.memoryMb;
+      return openForwards.isEmpty() && (!reported && fitsPool || pool.usedThreads == 0);
     }
 
     /** Returns the memory to grant, or, where engines ignore grants, the memory it will use. */
     private double memoryGrantMb(Task task) {
-      double memory =
+      double neededMb =
           task.request.estimatedMemoryMb()
               * (task.statistics.memoryBias + task.statistics.memoryMargin);
-      double most =
+      double maxMb =
           capabilities.maxGrantFraction() > 0 && totalMemoryMb > 0
               ? capabilities.maxGrantFraction() * totalMemoryMb
-              : memory;
-      return Math.min(memory, most);
+              : neededMb;
+      return Math.min(neededMb, maxMb);
     }
 
     /**
@@ -1300,13 +1300,13 @@
      * loads, as other tasks wait for the data sets that they hold.
      */
     private int priority(Task task) {
-      double above = task.logValue - dispatcher.meanLogValue;
-      int usual =
+      double logRelativeValue = task.logValue - dispatcher.meanLogValue;
+      int priority =
           3
               - (int)
                   clamp(
-                      Math.ceil((TOP_PRIORITY_LOG_VALUE - above) / PRIORITY_LOG_VALUE_STEP), 0, 3);
-      return task.queryClass.bulkLoad() ? Math.max(2, usual) : usual;
+                      Math.ceil((TOP_PRIORITY_LOG_VALUE - logRelativeValue) / PRIORITY_LOG_VALUE_STEP), 0, 3);
+      return task.queryClass.bulkLoad() ? Math.max(2, priority) : priority;
     }
 
     private void send(Task task) {
@@ -1318,16 +1318,16 @@
         dispatcher.post(() -> dispatcher.requeue(task));
         return;
       }
-      double memory = memoryGrantMb(task);
+      double memoryMb = memoryGrantMb(task);
       if (capabilities.memoryGrants() || capabilities.priorities()) {
         actions.assignResources(
             task.id,
-            capabilities.memoryGrants() ? (long) Math.ceil(memory) : 0,
+            capabilities.memoryGrants() ? (long) Math.ceil(memoryMb) : 0,
             capabilities.priorities() ? priority(task) : 1);
       }
       actions.forward(task.id, id, 0);
-      boolean read = warmDataSets.remove(task.request.dataSet());
-      Forward forward = new Forward(task, this, task.forwardsSent, now, memory, read);
+      boolean warmData = warmDataSets.remove(task.request.dataSet());
+      Forward forward = new Forward(task, this, task.forwardsSent, now, memoryMb, warmData);
       expectedSigns = openForwards.isEmpty() ? 0 : expectedSigns;
       lastSignAt = openForwards.isEmpty() ? now : lastSignAt;
       lastSweepAt = openForwards.isEmpty() ? now : lastSweepAt;
@@ -1341,7 +1341,7 @@
       if (task.forwardsSent++ > 0) {
         dispatcher.recentRetries.add(now, 1);
       }
-      addUsage(task.queryClass.threads(), memory);
+      addUsage(task.queryClass.threads(), memoryMb);
       threadsSentSinceReport += task.queryClass.threads();
       if (capacityFraction() < 1) {
         recentColdWork.add(now, (long) task.cost);
@@ -1364,10 +1364,10 @@
         boolean over,
         long cost,
         double memoryMb,
-        LoadReport told) {
+        LoadReport received) {
       openForwards.remove(forward);
       addUsage(-forward.task.queryClass.threads(), -forward.memoryMb);
-      onReport(told);
+      onReport(received);
       if (outcome == Outcome.OK) {
         failureRate = movingAverage(failureRate, 0, 4 * SMOOTHING_FACTOR);
         onSignOfLife();
@@ -1402,54 +1402,54 @@
       }
     }
 
-    private void onSuccess(Forward forward, long toldCost, double toldMemory) {
+    private void onSuccess(Forward forward, long reportedCost, double reportedMemoryMb) {
       Task task = forward.task;
-      ClassStatistics row = task.statistics;
-      if (toldCost > 0) {
-        row.costBias =
+      ClassStatistics statistics = task.statistics;
+      if (reportedCost > 0) {
+        statistics.costBias =
             clamp(
-                movingAverage(row.costBias, toldCost * row.costBias / task.cost, SMOOTHING_FACTOR),
+                movingAverage(statistics.costBias, reportedCost * statistics.costBias / task.cost, SMOOTHING_FACTOR),
                 0.2,
                 5);
       }
-      if (toldMemory > 0 && task.request.estimatedMemoryMb() > 0) {
-        double told = toldMemory / task.request.estimatedMemoryMb();
-        double off = Math.abs(told - row.memoryBias);
-        row.memoryMargin =
-            movingAverage(row.memoryMargin, GRANT_DEVIATIONS * off, SMOOTHING_FACTOR);
-        row.memoryBias = clamp(movingAverage(row.memoryBias, told, SMOOTHING_FACTOR), 0.2, 5);
+      if (reportedMemoryMb > 0 && task.request.estimatedMemoryMb() > 0) {
+        double memoryRatio = reportedMemoryMb / task.request.estimatedMemoryMb();
+        double deviation = Math.abs(memoryRatio - statistics.memoryBias);
+        statistics.memoryMargin =
+            movingAverage(statistics.memoryMargin, GRANT_DEVIATIONS * deviation, SMOOTHING_FACTOR);
+        statistics.memoryBias = clamp(movingAverage(statistics.memoryBias, memoryRatio, SMOOTHING_FACTOR), 0.2, 5);
       }
-      long run = Math.max(NANOS_PER_MS, now - forward.sentAt);
-      double alone =
-          toldCost > 0
-              ? Math.max(toldCost / task.queryClass.threads(), 5 * NANOS_PER_MS)
+      long runTime = Math.max(NANOS_PER_MS, now - forward.sentAt);
+      double isolatedRunTime =
+          reportedCost > 0
+              ? Math.max(reportedCost / task.queryClass.threads(), 5 * NANOS_PER_MS)
               : task.isolatedRunTime();
-      double ratio = Math.log(run / alone);
-      row.meanRunTime = movingAverage(row.meanRunTime, run, SMOOTHING_FACTOR);
-      row.logSlowdown = movingAverage(row.logSlowdown, ratio, SMOOTHING_FACTOR);
-      row.bestLogSlowdown =
-          Double.isNaN(row.bestLogSlowdown)
-              ? row.logSlowdown
-              : Math.min(row.bestLogSlowdown, row.logSlowdown);
-      double above = ratio - Math.max(0, row.bestLogSlowdown);
+      double logRatio = Math.log(runTime / isolatedRunTime);
+      statistics.meanRunTime = movingAverage(statistics.meanRunTime, runTime, SMOOTHING_FACTOR);
+      statistics.logSlowdown = movingAverage(statistics.logSlowdown, logRatio, SMOOTHING_FACTOR);
+      statistics.bestLogSlowdown =
+          Double.isNaN(statistics.bestLogSlowdown)
+              ? statistics.logSlowdown
+              : Math.min(statistics.bestLogSlowdown, statistics.logSlowdown);
+      double slowdown = logRatio - Math.max(0, statistics.bestLogSlowdown);
       dispatcher.warmLogRatio =
           movingAverage(
               dispatcher.warmLogRatio,
-              ratio - row.logSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? SMOOTHING_FACTOR / 5 : 0);
       dispatcher.coldLogRatio =
           movingAverage(
               dispatcher.coldLogRatio,
-              ratio - row.logSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? 0 : SMOOTHING_FACTOR / 5);
-      updateSlowdown(task, ratio);
+      updateSlowdown(task, logRatio);
       boolean busy = hasFreshReport() && report.cpuUtilization() >= BUSY_UTILIZATION;
-      limit.onAnswer(task.queryClass, above, busy, cores * MAX_THREADS_PER_CORE);
-      row.pool.onAnswer(task.queryClass, above, busy, row.pool.cores * MAX_THREADS_PER_CORE);
+      limit.onAnswer(task.queryClass, slowdown, busy, cores * MAX_THREADS_PER_CORE);
+      statistics.pool.onAnswer(task.queryClass, slowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
     }
 
     /** Updates the slowdown relative to the fleet; a sample counts more where they are rare. */
-    private void updateSlowdown(Task task, double ratio) {
+    private void updateSlowdown(Task task, double logRatio) {
       double weight =
           clamp(
               (now - slowdownUpdatedAt) / (double) SLOWDOWN_WINDOW_NANOS,
@@ -1458,7 +1458,7 @@
       logSlowdown =
           Double.isNaN(task.statistics.logSlowdown)
               ? logSlowdown
-              : movingAverage(logSlowdown, ratio - task.statistics.logSlowdown, weight);
+              : movingAverage(logSlowdown, logRatio - task.statistics.logSlowdown, weight);
       slowdownUpdatedAt = now;
     }
 
@@ -1466,38 +1466,38 @@
       return report != null && now - reportAt <= REPORT_MAX_AGE_NANOS;
     }
 
-    private void onReport(LoadReport told) {
-      if (told == null) {
+    private void onReport(LoadReport received) {
+      if (received == null) {
         return;
       }
       dispatcher.hasLoadReports |=
-          !Double.isNaN(told.cpuUtilization()) || !Double.isNaN(told.activeTasks());
-      report = told;
+          !Double.isNaN(received.cpuUtilization()) || !Double.isNaN(received.activeTasks());
+      report = received;
       reportAt = now;
       threadsSentSinceReport = 0;
-      otherTasks = Math.max(0, told.activeTasks() - openForwards.size());
-      otherMemoryMb = Math.max(0, told.grantedMemoryFraction() * totalMemoryMb - grantedMb);
-      if (told.cpuUtilization() < BUSY_UTILIZATION && told.activeTasks() >= 0) {
+      otherTasks = Math.max(0, received.activeTasks() - openForwards.size());
+      otherMemoryMb = Math.max(0, received.grantedMemoryFraction() * totalMemoryMb - grantedMb);
+      if (received.cpuUtilization() < BUSY_UTILIZATION && received.activeTasks() >= 0) {
         // While cores are idle, whatever others do not use is available to this manager.
-        double free = 1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
-        observedShare = movingAverage(observedShare, Math.max(0, free), 2 * SMOOTHING_FACTOR);
-      } else if (told.activeTasks() >= 4) {
+        double freeFraction = 1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
+        observedShare = movingAverage(observedShare, Math.max(0, freeFraction), 2 * SMOOTHING_FACTOR);
+      } else if (received.activeTasks() >= 4) {
         observedShare =
             movingAverage(
                 observedShare,
-                Math.min(1, openForwards.size() / told.activeTasks()),
+                Math.min(1, openForwards.size() / received.activeTasks()),
                 8 * SMOOTHING_FACTOR);
       }
-      if (told.cpuUtilization() >= SATURATED_UTILIZATION
-          || told.grantedMemoryFraction() >= SATURATED_UTILIZATION) {
+      if (received.cpuUtilization() >= SATURATED_UTILIZATION
+          || received.grantedMemoryFraction() >= SATURATED_UTILIZATION) {
         limit.pressureUntil = now + PRESSURE_DURATION_NANOS;
       }
     }
 
-    private void onProbeEnd(Outcome outcome, LoadReport told) {
+    private void onProbeEnd(Outcome outcome, LoadReport received) {
       if (outcome == Outcome.OK) {
         failedProbes = 0;
-        onReport(told);
+        onReport(received);
       } else if (outcome != Outcome.FULL && ++failedProbes >= 2) {
         suspect("probes unanswered");
       }
@@ -1539,11 +1539,11 @@
                       / forward.task.expectedRunTime());
       lastSweepAt = now;
       long silence = now - lastSignAt;
-      double unusual =
+      double suspicion =
           expectedSigns
               / (Math.max(meanExpectedSigns, INITIAL_EXPECTED_SIGNS) + expectedSignsDeviation)
               / Math.log(10);
-      if (!suspected && silence > MIN_SILENCE_NANOS && unusual > SUSPICION_THRESHOLD) {
+      if (!suspected && silence > MIN_SILENCE_NANOS && suspicion > SUSPICION_THRESHOLD) {
         suspect("silent for " + silence / NANOS_PER_MS + " ms");
       }
       if (suspected && !dispatcher.mostSuspected) {
@@ -1566,7 +1566,7 @@
               .orElse(0);
     }
 
-    private void suspect(String why) {
+    private void suspect(String reason) {
       if (suspected) {
         return;
       }
@@ -1574,7 +1574,7 @@
       dispatcher.updateCapacity();
       trialInterval = INITIAL_TRIAL_INTERVAL_NANOS;
       nextTrialAt = now + trialInterval;
-      actions.log("engine " + id + " suspected: " + why + "; it receives trial tasks only");
+      actions.log("engine " + id + " suspected: " + reason + "; it receives trial tasks only");
     }
 
     // -- Figures for the choice of an engine --
@@ -1600,16 +1600,16 @@
      * threads; plus the threads sent since the report.
      */
     double load(double average) {
-      double able = cores * capacityFraction();
+      double warmCores = cores * capacityFraction();
       if (!dispatcher.hasLoadReports || !hasFreshReport()) {
-        return (dispatcher.hasLoadReports ? average : 0) + limit.usedThreads / (able * share());
+        return (dispatcher.hasLoadReports ? average : 0) + limit.usedThreads / (warmCores * share());
       }
-      double held = (otherTasks + limit.usedThreads) / able;
+      double tasksPerCore = (otherTasks + limit.usedThreads) / warmCores;
       return Double.isNaN(report.cpuUtilization())
-          ? Double.isNaN(held) ? average : held
+          ? Double.isNaN(tasksPerCore) ? average : tasksPerCore
           : report.cpuUtilization()
-              + (Double.isNaN(held) ? 0 : held)
-              + threadsSentSinceReport / able;
+              + (Double.isNaN(tasksPerCore) ? 0 : tasksPerCore)
+              + threadsSentSinceReport / warmCores;
     }
 
     /** Returns the weight of this engine in the random choice for the task. */
@@ -1620,9 +1620,9 @@
               : 1;
       double load = IDLE_LOAD_PER_CORE + average + (load(average) - average) * trust;
       double weight = cores * capacityFraction() / (load * load * load) / Math.exp(2 * logSlowdown);
-      boolean read = warmDataSets.contains(task.request.dataSet());
+      boolean warmData = warmDataSets.contains(task.request.dataSet());
       weight *=
-          read
+          warmData
               ? Math.exp(
                   WARM_DATA_EXPONENT
                       * clamp(dispatcher.coldLogRatio - dispatcher.warmLogRatio, 0, 0.5))
@@ -1635,15 +1635,15 @@
           capabilities.crossZonePriced() && !entry.zone().equals(settings.zone())
               ? CROSS_ZONE_FACTOR
               : 1;
-      boolean stands = task.queryClass.bulkLoad() || task.queryClass.waitsForBulkLoads();
-      boolean held =
-          stands
+      boolean mayConflict = task.queryClass.bulkLoad() || task.queryClass.waitsForBulkLoads();
+      boolean conflicts =
+          mayConflict
               && openForwards.stream()
                   .anyMatch(
                       forward ->
                           forward.task.queryClass.bulkLoad()
                               && forward.task.request.dataSet() == task.request.dataSet());
-      weight *= held ? BULK_LOAD_CONFLICT_FACTOR : 1;
+      weight *= conflicts ? BULK_LOAD_CONFLICT_FACTOR : 1;
       return weight;
     }
   }
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -36,12 +36,12 @@
    * Creates the subset of one manager. Where the settings tell no manager index, one is derived
    * from the seed.
    */
-  public EngineSubset(Settings set, EngineList listed) {
-    this.engineList = listed;
+  public EngineSubset(Settings settings, EngineList engineList) {
+    this.engineList = engineList;
     managerIndex =
-        set.managerIndex() != Settings.UNKNOWN_INDEX
-            ? set.managerIndex()
-            : StableHash.mix(set.seed()) >>> 33;
+        settings.managerIndex() != Settings.UNKNOWN_INDEX
+            ? settings.managerIndex()
+            : StableHash.mix(settings.seed()) >>> 33;
     group(entry -> !anyGroup(group -> group != groups.get(0) && group.allowed.test(entry)));
   }
 
@@ -79,25 +79,25 @@
      * with the engines in use that are healthy and warm. Each manager has an order of its own, as
      * otherwise all managers would take the same substitutes.
      */
-    public EngineEntry adjustSubstitutes(List<EngineEntry> healthy, Predicate<EngineEntry> free) {
-      double usual = engineCounter.value() / (double) (1 << level);
-      if (healthy.stream().filter(one -> inSubset(one.id())).count()
-          >= RELEASE_ABOVE_FRACTION * usual) {
+    public EngineEntry adjustSubstitutes(List<EngineEntry> healthy, Predicate<EngineEntry> available) {
+      double usualSize = engineCounter.value() / (double) (1 << level);
+      if (healthy.stream().filter(engine -> inSubset(engine.id())).count()
+          >= RELEASE_ABOVE_FRACTION * usualSize) {
         String first = substitutes.stream().findFirst().orElse("");
         return substitutes.remove(first) ? engineList.find(first) : null;
       }
-      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usual + substitutes.size());
-      if (enough || substitutes.size() >= usual) {
+      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usualSize + substitutes.size());
+      if (enough || substitutes.size() >= usualSize) {
         return null;
       }
       EngineEntry next =
           engineList.all().stream()
               .filter(
-                  one ->
-                      allowed.test(one)
-                          && !uses(one)
-                          && one.state() == EngineEntry.State.READY
-                          && free.test(one))
+                  engine ->
+                      allowed.test(engine)
+                          && !uses(engine)
+                          && engine.state() == EngineEntry.State.READY
+                          && available.test(engine))
               .min(substituteOrder())
               .orElse(null);
       if (next != null) {
@@ -131,9 +131,9 @@
     return !anyGroup(group -> group.allowed.test(entry) && group.inSubset(entry.id()));
   }
 
-  private boolean anyGroup(Predicate<EngineGroup> such) {
+  private boolean anyGroup(Predicate<EngineGroup> predicate) {
     for (EngineGroup group : groups) {
-      if (such.test(group)) {
+      if (predicate.test(group)) {
         return true;
       }
     }
@@ -166,13 +166,13 @@
 
   /** Returns the highest level up to which the engine selects this manager from its block. */
   private int highestLevel(String id) {
-    long name = StableHash.of(id);
-    int k = 0;
-    while (k < MAX_LEVEL
-        && (managerIndex >> k & 1) == StableHash.of(name, managerIndex >> k + 1, k) >>> 63) {
-      k++;
+    long idHash = StableHash.of(id);
+    int level = 0;
+    while (level < MAX_LEVEL
+        && (managerIndex >> level & 1) == StableHash.of(idHash, managerIndex >> level + 1, level) >>> 63) {
+      level++;
     }
-    return k;
+    return level;
   }
 
   /** Orders substitutes: engines of the highest levels first, then by a hash with the index. */
--- a/src/main/java/tansytrack/settings/InvalidInputException.java
+++ b/src/main/java/tansytrack/settings/InvalidInputException.java
@@ -5,7 +5,7 @@
   private static final long serialVersionUID = 1L;
 
   /** Creates an exception; the message names the invalid part and the reason. */
-  public InvalidInputException(String what) {
-    super(what);
+  public InvalidInputException(String message) {
+    super(message);
   }
 }
--- a/src/main/java/tansytrack/settings/ManagerConfig.java
+++ b/src/main/java/tansytrack/settings/ManagerConfig.java
@@ -27,31 +27,31 @@
    * path and value that the simulator would send.
    */
   public static ManagerConfig fromJson(Object json) {
-    Map<?, ?> all = requireObject(json, "the configuration");
-    SettingsParser pairs = new SettingsParser();
-    flatten("", requireObject(all.get("settings"), "settings"), pairs);
+    Map<?, ?> fields = requireObject(json, "the configuration");
+    SettingsParser parser = new SettingsParser();
+    flatten("", requireObject(fields.get("settings"), "settings"), parser);
     long seed;
     try {
-      seed = Long.parseUnsignedLong(requireString(all, "seed"), 16);
+      seed = Long.parseUnsignedLong(requireString(fields, "seed"), 16);
     } catch (NumberFormatException e) {
       throw new InvalidInputException("seed is not a hex number");
     }
-    Object sockets = requireObject(all.get("limits"), "limits").get("sockets");
+    Object sockets = requireObject(fields.get("limits"), "limits").get("sockets");
     if (!(sockets instanceof Number)) {
       throw new InvalidInputException("limits.sockets is not a number");
     }
-    Settings settings = pairs.toSettings(seed);
+    Settings settings = parser.toSettings(seed);
     if (settings.queryClasses().isEmpty()) {
       throw new InvalidInputException("settings.grades is empty");
     }
     return new ManagerConfig(
-        requireString(all, "name"),
-        requireString(all, "listen"),
-        requireString(all, "channel"),
-        all.get("known"),
+        requireString(fields, "name"),
+        requireString(fields, "listen"),
+        requireString(fields, "channel"),
+        fields.get("known"),
         settings,
-        pairs.reportColumns(),
-        pairs.timeNanos("policy_limits.conn_idle_ms"),
+        parser.reportColumns(),
+        parser.timeNanos("policy_limits.conn_idle_ms"),
         ((Number) sockets).intValue());
   }
 
@@ -86,52 +86,52 @@
    * manager cannot reload, separated by commas; empty if there are none.
    */
   public String nonReloadableDifferences(ManagerConfig other) {
-    List<String> differ = new ArrayList<>();
+    List<String> differences = new ArrayList<>();
     if (!listenAddress.equals(other.listenAddress)) {
-      differ.add("listen");
+      differences.add("listen");
     }
     // The seed is new with each start and is no difference of the settings.
     if (!settings.equals(other.settings.withSeed(settings.seed()))
         || idleTimeoutNanos != other.idleTimeoutNanos
         || !reportColumns.equals(other.reportColumns)) {
-      differ.add("settings");
+      differences.add("settings");
     }
-    return String.join(", ", differ);
+    return String.join(", ", differences);
   }
 
-  private static Map<?, ?> requireObject(Object value, String what) {
+  private static Map<?, ?> requireObject(Object value, String name) {
     if (value instanceof Map) {
       return (Map<?, ?>) value;
     }
-    throw new InvalidInputException(what + " is not an object");
+    throw new InvalidInputException(name + " is not an object");
   }
 
-  private static String requireString(Map<?, ?> from, String name) {
-    if (from.get(name) instanceof String) {
-      return (String) from.get(name);
+  private static String requireString(Map<?, ?> fields, String name) {
+    if (fields.get(name) instanceof String) {
+      return (String) fields.get(name);
     }
     throw new InvalidInputException(name + " is not a string");
   }
 
-  private static void flatten(String path, Map<?, ?> object, SettingsParser into) {
-    object.forEach((name, value) -> putValue(path + name, value, into));
+  private static void flatten(String path, Map<?, ?> object, SettingsParser parser) {
+    object.forEach((name, value) -> putValue(path + name, value, parser));
   }
 
-  private static void putValue(String path, Object value, SettingsParser into) {
+  private static void putValue(String path, Object value, SettingsParser parser) {
     if (value instanceof Map) {
-      flatten(path + '.', (Map<?, ?>) value, into);
+      flatten(path + '.', (Map<?, ?>) value, parser);
     } else if (value instanceof List) {
       List<?> list = (List<?>) value;
       if (list.stream().anyMatch(Map.class::isInstance)) {
-        into.put(path + ".count", Integer.toString(list.size()));
+        parser.put(path + ".count", Integer.toString(list.size()));
         for (int i = 0; i < list.size(); i++) {
-          putValue(path + '.' + i, list.get(i), into);
+          putValue(path + '.' + i, list.get(i), parser);
         }
       } else {
-        into.put(path, String.join(",", list.stream().map(ManagerConfig::plainText).toList()));
+        parser.put(path, String.join(",", list.stream().map(ManagerConfig::plainText).toList()));
       }
     } else if (value != null) {
-      into.put(path, plainText(value));
+      parser.put(path, plainText(value));
     }
   }
 
@@ -141,17 +141,17 @@
 
   /** Returns the index of a reported figure among the columns, or -1. */
   public int columnIndex(String name) {
-    int at = reportColumns.indexOf(name);
-    return at >= 0 ? at : reportColumns.indexOf(COLUMN_ALIASES.getOrDefault(name, name));
+    int index = reportColumns.indexOf(name);
+    return index >= 0 ? index : reportColumns.indexOf(COLUMN_ALIASES.getOrDefault(name, name));
   }
 
   /** Builds a load report from the figures of all columns. */
   public LoadReport toLoadReport(double[] figures) {
-    double[] all = new double[REPORT_FIGURES.size()];
-    for (int i = 0; i < all.length; i++) {
-      int at = columnIndex(REPORT_FIGURES.get(i));
-      all[i] = at < 0 ? Double.NaN : figures[at];
+    double[] values = new double[REPORT_FIGURES.size()];
+    for (int i = 0; i < values.length; i++) {
+      int index = columnIndex(REPORT_FIGURES.get(i));
+      values[i] = index < 0 ? Double.NaN : figures[index];
     }
-    return new LoadReport(all[0], all[1], all[2], all[3], all[4]);
+    return new LoadReport(values[0], values[1], values[2], values[3], values[4]);
   }
 }
--- a/src/main/java/tansytrack/settings/SettingsParser.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -24,11 +24,11 @@
 
   /** Adds a pair of the form path=value. */
   public void put(String pair) {
-    int cut = pair.indexOf('=');
-    if (cut < 1) {
+    int separator = pair.indexOf('=');
+    if (separator < 1) {
       throw new InvalidInputException("pair without '='");
     }
-    pairs.put(pair.substring(0, cut), pair.substring(cut + 1));
+    pairs.put(pair.substring(0, separator), pair.substring(separator + 1));
   }
 
   void put(String path, String value) {
@@ -42,52 +42,52 @@
 
   /** Builds the settings from all pairs; rejects numbers that are malformed or out of range. */
   public Settings toSettings(long seed) {
-    List<QueryClass> grades = new ArrayList<>();
+    List<QueryClass> queryClasses = new ArrayList<>();
     List<String> threads = list("extra.threads_by_class");
-    List<String> loads = list("extra.is_load");
-    List<String> waits = list("extra.class_waits");
+    List<String> bulkLoads = list("extra.is_load");
+    List<String> waitsForBulkLoads = list("extra.class_waits");
     for (int i = 0; i < (int) number("grades.count", 0); i++) {
-      String g = "grades." + i + ".";
-      grades.add(
+      String prefix = "grades." + i + ".";
+      queryClasses.add(
           new QueryClass(
-              pairs.getOrDefault(g + "name", "?"),
-              retrySafety(pairs.get(g + "repeat")),
-              deduplicationScope(pairs.get(g + "key_scope")),
-              timeNanos(g + "window_ms"),
-              timeNanos(g + "objective_ms"),
-              number(g + "aim_stretch", 0),
-              timeNanos(g + "deadline_ms"),
-              number(g + "worth", 0),
-              number(g + "late_worth", 0),
-              flag(g + "serial_by_key"),
-              set(g + "allowed_in"),
-              set(g + "runs_on"),
+              pairs.getOrDefault(prefix + "name", "?"),
+              retrySafety(pairs.get(prefix + "repeat")),
+              deduplicationScope(pairs.get(prefix + "key_scope")),
+              timeNanos(prefix + "window_ms"),
+              timeNanos(prefix + "objective_ms"),
+              number(prefix + "aim_stretch", 0),
+              timeNanos(prefix + "deadline_ms"),
+              number(prefix + "worth", 0),
+              number(prefix + "late_worth", 0),
+              flag(prefix + "serial_by_key"),
+              set(prefix + "allowed_in"),
+              set(prefix + "runs_on"),
               i < threads.size() ? (int) parse("extra.threads_by_class", threads.get(i)) : 1,
-              i < loads.size() && loads.get(i).equals("true"),
-              i < waits.size() && waits.get(i).equals("true")));
+              i < bulkLoads.size() && bulkLoads.get(i).equals("true"),
+              i < waitsForBulkLoads.size() && waitsForBulkLoads.get(i).equals("true")));
     }
     List<Settings.Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < (int) number("tenants.count", 0); i++) {
-      String t = "tenants." + i + ".";
+      String prefix = "tenants." + i + ".";
       tenants.add(
           new Settings.Tenant(
-              pairs.getOrDefault(t + "name", "?"),
-              number(t + "portion", 0),
-              number(t + "quota_rps", 0)));
+              pairs.getOrDefault(prefix + "name", "?"),
+              number(prefix + "portion", 0),
+              number(prefix + "quota_rps", 0)));
     }
-    Map<String, Settings.EngineType> kinds = new HashMap<>();
-    List<String> names = list("skus");
+    Map<String, Settings.EngineType> engineTypes = new HashMap<>();
+    List<String> typeNames = list("skus");
     List<String> cores = list("extra.cpu_of_kind");
     List<String> memory = list("extra.memory_by_kind_mb");
-    for (int i = 0; i < names.size(); i++) {
-      kinds.put(
-          names.get(i),
+    for (int i = 0; i < typeNames.size(); i++) {
+      engineTypes.put(
+          typeNames.get(i),
           new Settings.EngineType(
               i < cores.size() ? (int) parse("extra.cpu_of_kind", cores.get(i)) : 0,
               i < memory.size() ? parse("extra.memory_by_kind_mb", memory.get(i)) : 0));
     }
-    long connectTime = timeNanos("policy_limits.connect_timeout_ms");
-    Settings.Capabilities levers =
+    long connectTimeoutNanos = timeNanos("policy_limits.connect_timeout_ms");
+    Settings.Capabilities capabilities =
         new Settings.Capabilities(
             flag("policy_limits.may_probe"),
             flag("policy_limits.cancel"),
@@ -101,8 +101,8 @@
             flag("extra.tells_cost"),
             timeNanos("extra.progress_ms"),
             number("prices.cross_zone", 0) > 0,
-            connectTime > 0 ? connectTime : DEFAULT_CONNECT_TIMEOUT_NANOS);
-    Settings.ColdStartLimit cold =
+            connectTimeoutNanos > 0 ? connectTimeoutNanos : DEFAULT_CONNECT_TIMEOUT_NANOS);
+    Settings.ColdStartLimit coldStartLimit =
         pairs.containsKey("rules.overload_factor")
             ? new Settings.ColdStartLimit(
                 number("rules.start_capacity", 1),
@@ -110,7 +110,7 @@
                 number("rules.overload_factor", 0),
                 timeNanos("rules.fall_ms"))
             : null;
-    Settings.RetryBudget ration =
+    Settings.RetryBudget retryBudget =
         pairs.containsKey("rules.look_back_ms")
             ? new Settings.RetryBudget(
                 (int) number("rules.spare_attempts", 0),
@@ -122,14 +122,14 @@
         Math.max(1, (int) number("siblings", 1)),
         (int) number("position", Settings.UNKNOWN_INDEX),
         pairs.getOrDefault("zone", ""),
-        grades,
+        queryClasses,
         tenants,
-        kinds,
-        levers,
+        engineTypes,
+        capabilities,
         timeNanos("rules.drain_grace_ms"),
-        cold,
+        coldStartLimit,
         timeNanos("rules.turn_gap_ms"),
-        ration);
+        retryBudget);
   }
 
   private static QueryClass.RetrySafety retrySafety(String word) {
@@ -155,9 +155,9 @@
     return "true".equals(value) || "1".equals(value);
   }
 
-  private double number(String path, double otherwise) {
+  private double number(String path, double defaultValue) {
     String value = pairs.get(path);
-    return value == null || value.isEmpty() || value.equals("-") ? otherwise : parse(path, value);
+    return value == null || value.isEmpty() || value.equals("-") ? defaultValue : parse(path, value);
   }
 
   long timeNanos(String path) {
--- a/src/main/java/tansytrack/util/EngineList.java
+++ b/src/main/java/tansytrack/util/EngineList.java
@@ -44,14 +44,14 @@
 
   /** Returns the entry with that id, or null. */
   public EngineEntry find(String id) {
-    int at = indexOf(id);
-    return at >= 0 ? entries.get(at) : null;
+    int index = indexOf(id);
+    return index >= 0 ? entries.get(index) : null;
   }
 
   /** Replaces the whole list by entries that are sorted by id and unique. */
-  public void replaceAll(Collection<EngineEntry> all) {
+  public void replaceAll(Collection<EngineEntry> sortedEntries) {
     entries.clear();
-    entries.addAll(all);
+    entries.addAll(sortedEntries);
     entries.removeIf(entry -> entry.state() == EngineEntry.State.GONE);
     entries.trimToSize();
     counts.forEach(count -> count.value = 0);
@@ -60,38 +60,38 @@
 
   /** Adds, replaces or, if it is gone, removes one entry. */
   public void put(EngineEntry entry) {
-    int at = indexOf(entry.id());
-    if (at >= 0) {
-      count(entries.remove(at), -1);
+    int index = indexOf(entry.id());
+    if (index >= 0) {
+      count(entries.remove(index), -1);
     }
     if (entry.state() != EngineEntry.State.GONE) {
-      entries.add(at >= 0 ? at : -at - 1, entry);
+      entries.add(index >= 0 ? index : -index - 1, entry);
       count(entry, 1);
     }
   }
 
-  private void count(EngineEntry entry, int one) {
+  private void count(EngineEntry entry, int delta) {
     for (EngineCounter count : counts) {
-      count.value += count.counted.test(entry) ? one : 0;
+      count.value += count.counted.test(entry) ? delta : 0;
     }
   }
 
   /** Returns the index of the id, or -(insertion point) - 1 where it is not listed. */
   private int indexOf(String id) {
-    int from = 0;
-    int to = entries.size() - 1;
-    while (from <= to) {
-      int middle = (from + to) >>> 1;
-      int order = entries.get(middle).id().compareTo(id);
-      if (order == 0) {
+    int low = 0;
+    int high = entries.size() - 1;
+    while (low <= high) {
+      int middle = (low + high) >>> 1;
+      int comparison = entries.get(middle).id().compareTo(id);
+      if (comparison == 0) {
         return middle;
       }
-      if (order < 0) {
-        from = middle + 1;
+      if (comparison < 0) {
+        low = middle + 1;
       } else {
-        to = middle - 1;
+        high = middle - 1;
       }
     }
-    return -from - 1;
+    return -low - 1;
   }
 }
--- a/src/main/java/tansytrack/util/MathUtil.java
+++ b/src/main/java/tansytrack/util/MathUtil.java
@@ -6,13 +6,13 @@
   private MathUtil() {}
 
   /** Returns the exponential moving average after one more sample; NaN stands for no sample yet. */
-  public static double movingAverage(double old, double sample, double weight) {
-    return Double.isNaN(old) ? sample : old + weight * (sample - old);
+  public static double movingAverage(double average, double sample, double weight) {
+    return Double.isNaN(average) ? sample : average + weight * (sample - average);
   }
 
   /** Returns the value, or the nearer bound if it lies outside. */
-  public static double clamp(double value, double least, double most) {
-    return Math.max(least, Math.min(most, value));
+  public static double clamp(double value, double min, double max) {
+    return Math.max(min, Math.min(max, value));
   }
 
   /** Returns the index that a point in [0, 1) selects, with probabilities by weight. */
@@ -21,11 +21,11 @@
     for (double weight : weights) {
       total += weight;
     }
-    double left = point * total;
-    int at = 0;
-    while (at < weights.length - 1 && left >= weights[at]) {
-      left -= weights[at++];
+    double remaining = point * total;
+    int index = 0;
+    while (index < weights.length - 1 && remaining >= weights[index]) {
+      remaining -= weights[index++];
     }
-    return at;
+    return index;
   }
 }
--- a/src/main/java/tansytrack/util/SlidingWindow.java
+++ b/src/main/java/tansytrack/util/SlidingWindow.java
@@ -8,13 +8,13 @@
   private final ArrayDeque<long[]> events = new ArrayDeque<>();
 
   /** Adds an event with its amount. */
-  public void add(long at, long amount) {
-    events.add(new long[] {at, amount});
+  public void add(long time, long amount) {
+    events.add(new long[] {time, amount});
   }
 
   /** Removes the events before that time. */
-  public void evictBefore(long before) {
-    while (!events.isEmpty() && events.peek()[0] < before) {
+  public void evictBefore(long time) {
+    while (!events.isEmpty() && events.peek()[0] < time) {
       events.poll();
     }
   }
@@ -27,8 +27,8 @@
   /** Returns the sum of the amounts in the window. */
   public long sum() {
     long sum = 0;
-    for (long[] one : events) {
-      sum += one[1];
+    for (long[] event : events) {
+      sum += event[1];
     }
     return sum;
   }
