--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -1,12 +1,35 @@
 package tansytrack;
 
-import static tansytrack.util.MathUtil.*;
-
-import java.util.*;
+import static tansytrack.util.MathUtil.clamp;
+import static tansytrack.util.MathUtil.movingAverage;
+import static tansytrack.util.MathUtil.pickWeighted;
+
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.stream.Stream;
-import tansytrack.api.*;
+import tansytrack.api.Actions;
+import tansytrack.api.DecisionModule;
+import tansytrack.api.EngineEntry;
+import tansytrack.api.EngineStatus;
+import tansytrack.api.LoadReport;
+import tansytrack.api.Outcome;
+import tansytrack.api.QueryClass;
+import tansytrack.api.Settings;
+import tansytrack.api.TaskRequest;
 import tansytrack.policy.EngineSubset;
-import tansytrack.util.*;
+import tansytrack.util.EngineList;
+import tansytrack.util.EventLoop;
+import tansytrack.util.KeyQueue;
+import tansytrack.util.SlidingWindow;
+import tansytrack.util.TenantQueue;
 
 /**
  * Makes every decision of a workload manager: admission, queueing, the choice of an engine,
@@ -70,7 +93,7 @@
   // The excess that the limit on cold engines tolerates: this many square roots of the number of
   // tasks, plus this many tasks.
   private static final double COLD_LIMIT_TOLERANCE = 2;
-  // A task that needs less than this fraction of our part of a pool's memory is admitted to an idle
+  // A task that needs less than this fraction of the manager's share of a pool's memory is admitted to an idle
   // engine even if the pool's memory is used up.
   private static final double SMALL_TASK_MEMORY_FRACTION = 0.25;
   // Natural logarithm of a task's value relative to the mean: the threshold of the top priority,
@@ -167,6 +190,7 @@
 
   // ---- Events: ids are resolved to objects, and each event is posted as a message ----
 
+  @Override
   public void onEngineList(long at, boolean complete, List<EngineEntry> entries) {
     now = at;
     firstListAt = firstListAt < 0 ? at : firstListAt;
@@ -188,6 +212,7 @@
                 engine.postListing(entriesById.getOrDefault(engine.id, engineList.find(engine.id))));
   }
 
+  @Override
   public void onTask(long at, TaskRequest request) {
     now = at;
     ClassStatistics statistics = classStatistics.get(request.queryClass());
@@ -202,11 +227,13 @@
     }
   }
 
+  @Override
   public void onAdmissionChange(long at, boolean open) {
     now = at;
     admissionClosed = !open;
   }
 
+  @Override
   public void onManagerCount(long at, int count) {
     now = at;
     managerCount = Math.max(1, count);
@@ -216,6 +243,7 @@
     }
   }
 
+  @Override
   public void onForwardEnd(
       long at,
       String id,
@@ -235,6 +263,7 @@
     }
   }
 
+  @Override
   public void onProbeEnd(long at, String engine, Outcome outcome, LoadReport report) {
     now = at;
     Engine probedEngine = engines.get(engine);
@@ -243,6 +272,7 @@
     }
   }
 
+  @Override
   public void onProgress(
       long at, String id, int index, String engine, Progress progress, double amount) {
     now = at;
@@ -268,6 +298,7 @@
     }
   }
 
+  @Override
   public void onWakeUp(long at, String token) {
     now = at;
     engines.values().stream()
@@ -278,6 +309,7 @@
     actions.scheduleWakeUp(dispatcher.sweepInterval(), token);
   }
 
+  @Override
   public void onClientLeft(long at, String id) {
     now = at;
     Task task = tasks.get(id);
@@ -286,11 +318,13 @@
     }
   }
 
+  @Override
   public void onShutdown(long at, long until) {
     now = at;
     dispatcher.post(() -> dispatcher.shutdownAt = until - DEADLINE_MARGIN_NANOS);
   }
 
+  @Override
   public List<EngineStatus> engineStatuses(long at) {
     return engines.values().stream()
         .filter(engine -> engine.entry != null)
@@ -318,6 +352,7 @@
    * Processes all events first, so that no task is dispatched that ends in the same batch; then
    * dispatches queued tasks.
    */
+  @Override
   public void decide(long at) {
     now = at;
     eventLoop.runUntilIdle();
@@ -338,7 +373,7 @@
     /**
      * Tells whether a task of the class may start. Without pressure, threads up to the initial
      * limit are always allowed. Slow answers are no sign of pressure while cores of this manager's
-     * part are idle: otherwise, while work has a price, tasks with too low an estimate are
+     * share are idle: otherwise, while work has a price, tasks with too low an estimate are
      * admitted, appear slow, and the limit never grows again.
      */
     boolean allows(QueryClass queryClass, double cores) {
@@ -365,7 +400,7 @@
       maxThreads = Math.max(maxThreads / 2, 1);
     }
 
-    void onRefusal() {
+    void onOverload() {
       pressureUntil = now + PRESSURE_DURATION_NANOS;
       halve();
     }
@@ -377,10 +412,10 @@
    */
   private final class EnginePool extends ConcurrencyLimit {
     final EngineSubset.EngineGroup group;
-    double cores; // this manager's part of the cores, in warm cores
-    double memoryMb; // this manager's part of the memory
+    double cores; // this manager's share of the cores, in warm cores
+    double memoryMb; // this manager's share of the memory
     double grantedMb; // memory granted to this manager's tasks
-    boolean limitedAsWhole; // this manager's part of an engine is less than one thread, on average
+    boolean limitedAsWhole; // this manager's share of an engine is less than one thread, on average
     double price; // of engine work, in earnings per nanosecond; 0 unless tasks wait
 
     EnginePool(QueryClass queryClass) {
@@ -438,7 +473,7 @@
     double logSlowdown = Double.NaN; // mean ln of run time over isolated run time, on all engines
     double bestLogSlowdown = Double.NaN; // the lowest value that this mean has had
     double meanLogValue = Double.NaN; // mean ln of earnings per nanosecond of work
-    boolean noCapacity; // a plain task of this class fitted no engine in the present turn
+    boolean noCapacity; // a plain task of this class fitted no engine in the present dispatch pass
 
     ClassStatistics(QueryClass queryClass, EnginePool pool) {
       this.queryClass = queryClass;
@@ -446,6 +481,7 @@
     }
   }
 
+  /** A task that has been accepted and not yet answered. */
   private final class Task {
     final String id;
     final ClassStatistics statistics;
@@ -569,11 +605,13 @@
     }
   }
 
+  /** One attempt to execute a task on an engine. */
   private record Forward(
       Task task, Engine engine, int index, long sentAt, double memoryMb, boolean warmData) {}
 
   // ---- The dispatcher: tenant queues, dispatching, final answers ----
 
+  /** The actor that queues tasks, dispatches them to engines and gives their final answers. */
   private final class Dispatcher extends EventLoop.Actor {
     final Map<Long, KeyQueue<Task>> keyQueues = new TreeMap<>();
     final SlidingWindow recentTasks =
@@ -1021,6 +1059,7 @@
 
   // ---- Engines: state, concurrency limit and health; every task is sent from here ----
 
+  /** The actor of one engine: it sends tasks there and tracks its load and health. */
   private final class Engine extends EventLoop.Actor {
     final String id;
     EngineEntry entry; // as last listed
@@ -1037,7 +1076,7 @@
     final ConcurrencyLimit limit = new ConcurrencyLimit();
     double logSlowdown; // mean ln of its slowdown relative to the fleet
     long slowdownUpdatedAt = now;
-    double observedShare; // moving average of this manager's part of the engine's tasks
+    double observedShare; // moving average of this manager's share of the engine's tasks
     LoadReport report;
     long reportAt;
     int threadsSentSinceReport;
@@ -1232,7 +1271,7 @@
     }
 
     /**
-     * Returns this manager's part of the engine: an even one, or more where its tasks are seen to
+     * Returns this manager's share of the engine: an even one, or more where its tasks are seen to
      * make up more of the load.
      */
     private double share() {
@@ -1240,7 +1279,7 @@
     }
 
     /**
-     * Checks the engine's concurrency limit, or the pool's where this manager's part of an engine
+     * Checks the engine's concurrency limit, or the pool's where this manager's share of an engine
      * is less than one thread.
      */
     private boolean threadsFit(Task task) {
@@ -1386,8 +1425,8 @@
         }
         onFailure();
       } else if (outcome == Outcome.FULL || outcome == Outcome.TIME_OUT) {
-        limit.onRefusal();
-        forward.task.statistics.pool.onRefusal();
+        limit.onOverload();
+        forward.task.statistics.pool.onOverload();
       }
       dispatcher.post(() -> dispatcher.onForwardEnd(forward, outcome, over));
     }
@@ -1579,7 +1618,9 @@
 
     // -- Figures for the choice of an engine --
 
-    /** Returns the time until the first open forward should end, by the mean run of its class. */
+    /**
+     * Returns the time until the first open forward should end, by the mean run time of its class.
+     */
     double minRemainingTime() {
       return openForwards.stream()
           .mapToDouble(
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -1,9 +1,15 @@
 package tansytrack.policy;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
 import java.util.function.Predicate;
-import tansytrack.api.*;
-import tansytrack.util.*;
+import tansytrack.api.EngineEntry;
+import tansytrack.api.Settings;
+import tansytrack.util.EngineList;
+import tansytrack.util.StableHash;
 
 /**
  * Selects which of the listed engines one manager uses, by deterministic subsetting. At level k the
@@ -67,11 +73,11 @@
     }
 
     private boolean updateLevel(int managers) {
-      int before = level;
-      int highest = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
-      level = Math.max(requiredLevel(engineCounter.value(), managers), Math.min(level, highest));
+      int previousLevel = level;
+      int levelWithHysteresis = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
+      level = Math.max(requiredLevel(engineCounter.value(), managers), Math.min(level, levelWithHysteresis));
       substitutes.removeIf(id -> inSubset(id) || engineList.find(id) == null);
-      return level != before;
+      return level != previousLevel;
     }
 
     /**
