--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -98,7 +98,7 @@
     int wait = 0;
     for (int i = 0; wait < waiting && i < MAX_FILL_TASKS; i++) {
       sentTo = null;
-      offer("scarce", SCARCE_TIME_LEFT_NANOS);
+      submit("scarce", SCARCE_TIME_LEFT_NANOS);
       module.decide(now);
       wait += sentTo == null ? 1 : 0;
     }
@@ -107,17 +107,17 @@
     }
   }
 
-  private String offer(String grade, long left) {
+  private String submit(String queryClass, long timeLeftNanos) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, TASK_COST_NANOS, 1, -1));
+    module.onTask(now, new TaskRequest(id, queryClass, tenant, null, now + timeLeftNanos, TASK_COST_NANOS, 1, -1));
     return id;
   }
 
   void taskWithOutcome() {
     now += TASK_INTERVAL_NANOS;
     sentTo = null;
-    String id = offer("plain", PLAIN_TIME_LEFT_NANOS);
+    String id = submit("plain", PLAIN_TIME_LEFT_NANOS);
     module.decide(now);
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -694,7 +694,7 @@
       task.waitsForKey = false;
       task.enqueuedAt = now;
       task.queueDeadline = now + task.queueWaitBudget();
-      int tenantQueued = task.tenantQueue == null ? 0 : task.tenantQueue.waiters.size();
+      int tenantQueued = task.tenantQueue == null ? 0 : task.tenantQueue.tasks.size();
       boolean belowPrice = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
       boolean noCapacity = !canBeSent(task);
       if (belowPrice && (noCapacity || !task.statistics.pool.limitedAsWhole)
@@ -712,13 +712,13 @@
     }
 
     private void addToQueue(Task task) {
-      task.tenantQueue.waiters.add(queuePosition(task.tenantQueue.waiters, task), task);
+      task.tenantQueue.tasks.add(queuePosition(task.tenantQueue.tasks, task), task);
       task.queued = true;
       queuedTasks++;
     }
 
     private void removeFromQueue(Task task) {
-      queuedTasks -= task.queued && task.tenantQueue.waiters.remove(task) ? 1 : 0;
+      queuedTasks -= task.queued && task.tenantQueue.tasks.remove(task) ? 1 : 0;
       task.queued = false;
     }
 
@@ -733,10 +733,10 @@
     private double expectedWait(Task task) {
       double totalWeight = 0;
       for (TenantQueue<Task> queue : tenantQueues.values()) {
-        totalWeight += queue.waiters.isEmpty() && queue != task.tenantQueue ? 0 : queue.weight;
+        totalWeight += queue.tasks.isEmpty() && queue != task.tenantQueue ? 0 : queue.weight;
       }
       double tasksAhead =
-          queuePosition(task.tenantQueue.waiters, task) * totalWeight / task.tenantQueue.weight;
+          queuePosition(task.tenantQueue.tasks, task) * totalWeight / task.tenantQueue.weight;
       double minRemaining =
           engines.values().stream()
               .filter(engine -> engine.ready && engine.servedPools.contains(task.statistics.pool))
@@ -763,7 +763,7 @@
       TenantQueue<Task> selectedQueue = null;
       double totalWeight = 0;
       for (TenantQueue<Task> queue : tenantQueues.values()) {
-        Task next = nextSendable(queue.waiters);
+        Task next = nextSendable(queue.tasks);
         queue.currentWeight += next != null ? queue.weight : 0;
         totalWeight += next != null ? queue.weight : 0;
         if (next != null && (selectedQueue == null || queue.currentWeight > selectedQueue.currentWeight)) {
@@ -980,7 +980,7 @@
         // The largest fraction of a queue wait budget that any queued task has used.
         double budgetUsed =
             tenantQueues.values().stream()
-                .flatMap(queue -> queue.waiters.stream())
+                .flatMap(queue -> queue.tasks.stream())
                 .filter(task -> task.statistics.pool == pool)
                 .mapToDouble(Task::budgetUsed)
                 .max()
@@ -1003,7 +1003,7 @@
       recentTasks.evictBefore(now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1);
       recentRetries.evictBefore(now - window);
       tenantQueues.values().stream()
-          .flatMap(queue -> queue.waiters.stream())
+          .flatMap(queue -> queue.tasks.stream())
           .filter(task -> now >= task.queueDeadline)
           .toList()
           .forEach(this::giveUp);
--- a/src/main/java/tansytrack/adapter/FieldReader.java
+++ b/src/main/java/tansytrack/adapter/FieldReader.java
@@ -12,8 +12,8 @@
   static final class MalformedLineException extends InvalidInputException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLineException(String what) {
-      super(what);
+    MalformedLineException(String message) {
+      super(message);
     }
   }
 
@@ -44,14 +44,14 @@
           return length > 0;
         }
       }
-      byte sign = buffer[bufferPosition++];
-      if (sign == '\n') {
+      byte character = buffer[bufferPosition++];
+      if (character == '\n') {
         return true;
       }
       if (length == line.length) {
         line = java.util.Arrays.copyOf(line, length * 2);
       }
-      line[length++] = sign;
+      line[length++] = character;
     }
   }
 
@@ -66,9 +66,9 @@
   }
 
   /** Moves to the next field, or fails with the name of the missing one. */
-  private void nextField(String what) {
+  private void nextField(String name) {
     if (position >= length) {
-      throw new MalformedLineException("no " + what);
+      throw new MalformedLineException("no " + name);
     }
     fieldStart = position;
     while (position < length && line[position] != ' ') {
@@ -87,89 +87,89 @@
   }
 
   /** Returns the next field, or null where absent. */
-  String textOrNull(String what) {
-    nextField(what);
+  String textOrNull(String name) {
+    nextField(name);
     return isAbsent() ? null : new String(line, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
   }
 
   /** Returns the next field, or an empty string where absent. */
-  String textOrEmpty(String what) {
-    String value = textOrNull(what);
+  String textOrEmpty(String name) {
+    String value = textOrNull(name);
     return value == null ? "" : value;
   }
 
   /** Returns the next field, which must be present. */
-  String text(String what) {
-    String value = textOrNull(what);
+  String text(String name) {
+    String value = textOrNull(name);
     if (value == null) {
-      throw new MalformedLineException(what + " is absent");
+      throw new MalformedLineException(name + " is absent");
     }
     return value;
   }
 
   /** Returns a time in milliseconds as nanoseconds, converted exactly; 0 where absent. */
-  long timeNanos(String what) {
-    nextField(what);
-    return isAbsent() ? 0 : fixedPoint(what, 6);
+  long timeNanos(String name) {
+    nextField(name);
+    return isAbsent() ? 0 : fixedPoint(name, 6);
   }
 
   /** Returns an integer, or the given value where absent. */
-  long integer(String what, long otherwise) {
-    nextField(what);
-    return isAbsent() ? otherwise : fixedPoint(what, 0);
+  long integer(String name, long defaultValue) {
+    nextField(name);
+    return isAbsent() ? defaultValue : fixedPoint(name, 0);
   }
 
   /** Returns a number; 0 where absent. */
-  double number(String what) {
-    nextField(what);
-    return isAbsent() ? 0 : fixedPoint(what, 9) / 1e9;
+  double number(String name) {
+    nextField(name);
+    return isAbsent() ? 0 : fixedPoint(name, 9) / 1e9;
   }
 
   /** Parses a number as a fixed-point value with the given number of decimals. */
-  private long fixedPoint(String what, int places) {
-    return fixedPoint(what, places, fieldStart, fieldEnd);
+  private long fixedPoint(String name, int decimals) {
+    return fixedPoint(name, decimals, fieldStart, fieldEnd);
   }
 
-  private long fixedPoint(String what, int places, int from, int to) {
+  private long fixedPoint(String name, int decimals, int from, int to) {
     int next = from;
-    boolean minus = next < to && line[next] == '-';
-    next += minus ? 1 : 0;
+    boolean negative = next < to && line[next] == '-';
+    next += negative ? 1 : 0;
     long value = 0;
-    int after = -1;
-    boolean digits = false;
+    int decimalsRead = -1;
+    boolean hasDigits = false;
     for (; next < to; next++) {
-      byte sign = line[next];
-      if (sign == '.' && after < 0) {
-        after = 0;
-      } else if (sign >= '0' && sign <= '9') {
-        digits = true;
-        if (after < places) {
+      byte character = line[next];
+      if (character == '.' && decimalsRead < 0) {
+        decimalsRead = 0;
+      } else if (character >= '0' && character <= '9') {
+        hasDigits = true;
+        if (decimalsRead < decimals) {
           if (value > (Long.MAX_VALUE - 9) / 10) {
-            throw new MalformedLineException(what + " is too large");
+            throw new MalformedLineException(name + " is too large");
           }
-          value = value * 10 + (sign - '0');
-          after += after >= 0 ? 1 : 0;
+          value = value * 10 + (character - '0');
+          decimalsRead += decimalsRead >= 0 ? 1 : 0;
         }
       } else {
-        return scientific(what, places, from, to);
+        return scientific(name, decimals, from, to);
       }
     }
-    if (!digits) {
-      throw new MalformedLineException(what + " is not a number");
+    if (!hasDigits) {
+      throw new MalformedLineException(name + " is not a number");
     }
-    for (int k = Math.max(after, 0); k < places; k++) {
+    for (int k = Math.max(decimalsRead, 0); k < decimals; k++) {
       value = Math.multiplyExact(value, 10L);
     }
-    return minus ? -value : value;
+    return negative ? -value : value;
   }
 
-  private long scientific(String what, int places, int from, int to) {
+  private long scientific(String name, int decimals, int from, int to) {
     try {
       return Math.round(
           Double.parseDouble(new String(line, from, to - from, StandardCharsets.UTF_8))
-              * Math.pow(10, places));
+              * Math.pow(10, decimals));
     } catch (NumberFormatException e) {
-      throw new MalformedLineException(what + " is not a number");
+      throw new MalformedLineException(name + " is not a number");
     }
   }
 
@@ -177,8 +177,8 @@
    * Reads comma-separated numbers into the array, NaN where absent. Returns how many were read, or
    * 0 for an absent field.
    */
-  int numbers(String what, double[] into) {
-    nextField(what);
+  int numbers(String name, double[] values) {
+    nextField(name);
     if (isAbsent()) {
       return 0;
     }
@@ -186,9 +186,9 @@
     int from = fieldStart;
     for (int i = fieldStart; i <= fieldEnd; i++) {
       if (i == fieldEnd || line[i] == ',') {
-        boolean none = i == from || (i - from == 1 && line[from] == '-');
-        if (count < into.length) {
-          into[count++] = none ? Double.NaN : fixedPoint(what, 9, from, i) / 1e9;
+        boolean absent = i == from || (i - from == 1 && line[from] == '-');
+        if (count < values.length) {
+          values[count++] = absent ? Double.NaN : fixedPoint(name, 9, from, i) / 1e9;
         }
         from = i + 1;
       }
--- a/src/main/java/tansytrack/adapter/SimulatorAdapter.java
+++ b/src/main/java/tansytrack/adapter/SimulatorAdapter.java
@@ -52,8 +52,8 @@
       InputStream in,
       OutputStream out,
       PrintStream err,
-      BiFunction<Settings, Actions, DecisionModule> start) {
-    this.moduleFactory = start;
+      BiFunction<Settings, Actions, DecisionModule> moduleFactory) {
+    this.moduleFactory = moduleFactory;
     this.fields = new FieldReader(in);
     this.out = out;
     this.err = err;
@@ -84,9 +84,9 @@
   }
 
   private void processBatch() throws IOException {
-    String word = fields.text("message");
-    if (!word.equals("BATCH")) {
-      throw new FieldReader.MalformedLineException("expected BATCH, not " + word);
+    String message = fields.text("message");
+    if (!message.equals("BATCH")) {
+      throw new FieldReader.MalformedLineException("expected BATCH, not " + message);
     }
     long now = fields.timeNanos("clock");
     reply.setLength(0);
@@ -123,14 +123,14 @@
       case "SAMPLED" -> onProbeEnd(now, receiver());
       case "SIGNAL" -> onProgress(now, receiver());
       case "WAKEUP" -> {
-        Instance to = receiver();
+        Instance instance = receiver();
         String token = fields.text("nonce");
-        callModule(to, () -> to.module.onWakeUp(now, token));
+        callModule(instance, () -> instance.module.onWakeUp(now, token));
       }
       case "ABANDONED" -> {
-        Instance to = receiver();
+        Instance instance = receiver();
         String task = fields.text("op_id");
-        callModule(to, () -> to.module.onClientLeft(now, task));
+        callModule(instance, () -> instance.module.onClientLeft(now, task));
       }
       case "INBOX", "ACK_FIRST" -> receiver();
       default -> throw new FieldReader.MalformedLineException("unknown event " + event);
@@ -140,12 +140,12 @@
   /** Returns the instance that an event is for and marks it to decide in this batch. */
   private Instance receiver() {
     String name = fields.text("manager_id");
-    Instance to = instances.get(name);
-    if (to == null) {
+    Instance instance = instances.get(name);
+    if (instance == null) {
       throw new FieldReader.MalformedLineException("no instance " + name);
     }
-    pendingInstances.add(to);
-    return to;
+    pendingInstances.add(instance);
+    return instance;
   }
 
   /** Runs a call of a module. Its first failure is reported; after that no module is called. */
@@ -158,12 +158,12 @@
     } catch (RuntimeException e) {
       failed = true;
       StackTraceElement[] trace = e.getStackTrace();
-      String what = e + (trace.length > 0 ? " at " + trace[0] : "");
+      String failure = e + (trace.length > 0 ? " at " + trace[0] : "");
       reply
           .append("DIE ")
           .append(instance.name)
           .append(' ')
-          .append(what.replace('\n', ' '))
+          .append(failure.replace('\n', ' '))
           .append('\n');
     }
   }
@@ -185,7 +185,7 @@
         throw new FieldReader.MalformedLineException("expected an M line");
       }
       double size = fields.number("scale");
-      String place = fields.textOrEmpty("locality");
+      String zone = fields.textOrEmpty("locality");
       EngineEntry.State state =
           switch ((int) fields.integer("availability", -1)) {
             case 0 -> EngineEntry.State.GONE;
@@ -194,10 +194,10 @@
             default -> throw new FieldReader.MalformedLineException("unknown availability");
           };
       String id = fields.text("engine");
-      String kind = fields.textOrEmpty("shape");
+      String type = fields.textOrEmpty("shape");
       long startedAt = fields.timeNanos("up_since_ms");
       int cell = fields.hasMore() ? (int) fields.integer("pack", 0) : 0;
-      entries.add(new EngineEntry(id, size, place, kind, cell, state, startedAt));
+      entries.add(new EngineEntry(id, size, zone, type, cell, state, startedAt));
     }
     engineLists.set(slot, entries);
   }
@@ -205,99 +205,99 @@
   private void attachManager() {
     Instance instance = new Instance(fields.text("manager_id"));
     long seed = fields.integer("init_seed", 0);
-    SettingsParser boot = new SettingsParser();
+    SettingsParser parser = new SettingsParser();
     while (fields.hasMore()) {
-      boot.put(fields.text("pair"));
+      parser.put(fields.text("pair"));
     }
-    instance.reportColumns = boot.reportColumns();
+    instance.reportColumns = parser.reportColumns();
     pendingInstances.remove(instances.put(instance.name, instance));
     pendingInstances.add(instance);
-    Settings settings = boot.toSettings(seed);
+    Settings settings = parser.toSettings(seed);
     callModule(instance, () -> instance.module = moduleFactory.apply(settings, instance));
   }
 
-  private void onEngineList(long now, Instance to) {
+  private void onEngineList(long now, Instance instance) {
     fields.integer("rev", 0);
-    int kind = (int) fields.integer("kind", -1);
-    if (kind < 0 || kind > 3) {
+    int listKind = (int) fields.integer("kind", -1);
+    if (listKind < 0 || listKind > 3) {
       throw new FieldReader.MalformedLineException("unknown kind of list");
     }
-    if (kind == 3) {
+    if (listKind == 3) {
       return;
     }
     List<EngineEntry> entries = engineLists.get(slot());
-    callModule(to, () -> to.module.onEngineList(now, kind != 0, entries));
+    callModule(instance, () -> instance.module.onEngineList(now, listKind != 0, entries));
   }
 
-  private void onTask(long now, Instance to) {
+  private void onTask(long now, Instance instance) {
     String id = fields.text("op_id");
-    String grade = fields.textOrEmpty("tier_class");
+    String queryClass = fields.textOrEmpty("tier_class");
     String tenant = fields.textOrEmpty("party");
     long key = fields.integer("relation", -1);
-    long until = fields.timeNanos("valid_until_ms");
+    long deadline = fields.timeNanos("valid_until_ms");
     long cost = fields.timeNanos("est_cost_ms");
-    double memory = fields.number("want_mb");
-    long set = fields.integer("source_set", -1);
+    double memoryMb = fields.number("want_mb");
+    long dataSet = fields.integer("source_set", -1);
     fields.integer("attrs", 0);
-    TaskRequest offer =
-        new TaskRequest(id, grade, tenant, key < 0 ? null : key, until, cost, memory, set);
-    callModule(to, () -> to.module.onTask(now, offer));
+    TaskRequest request =
+        new TaskRequest(id, queryClass, tenant, key < 0 ? null : key, deadline, cost, memoryMb, dataSet);
+    callModule(instance, () -> instance.module.onTask(now, request));
   }
 
-  private void onForwardEnd(long now, Instance to) {
+  private void onForwardEnd(long now, Instance instance) {
     String task = fields.text("op_id");
-    long told = fields.integer("true_cost", 0);
+    long costAndMemory = fields.integer("true_cost", 0);
     String engine = fields.text("engine");
     long lag = fields.timeNanos("lag_ms");
     boolean over = fields.integer("terminal", 0) == 1;
     Outcome outcome = outcome(fields.text("state_code"));
     int index = (int) fields.integer("trial", 0);
-    LoadReport report = report(to);
-    long cost = (told >> 12) * 1_000_000L;
-    double memory = (told & 4095) * 4.0;
+    LoadReport report = report(instance);
+    long cost = (costAndMemory >> 12) * 1_000_000L;
+    double memoryMb = (costAndMemory & 4095) * 4.0;
     callModule(
-        to,
+        instance,
         () ->
-            to.module.onForwardEnd(
-                now, task, index, engine, outcome, lag, over, cost, memory, report));
+            instance.module.onForwardEnd(
+                now, task, index, engine, outcome, lag, over, cost, memoryMb, report));
   }
 
-  private void onProbeEnd(long now, Instance to) {
+  private void onProbeEnd(long now, Instance instance) {
     String engine = fields.text("engine");
     Outcome outcome = outcome(fields.text("state_code"));
     fields.timeNanos("lag_ms");
-    LoadReport report = report(to);
-    callModule(to, () -> to.module.onProbeEnd(now, engine, outcome, report));
+    LoadReport report = report(instance);
+    callModule(instance, () -> instance.module.onProbeEnd(now, engine, outcome, report));
   }
 
-  private void onProgress(long now, Instance to) {
+  private void onProgress(long now, Instance instance) {
     String task = fields.text("op_id");
     int index = (int) fields.integer("trial", 0);
     String engine = fields.text("engine");
-    int what = (int) fields.integer("what", 0);
+    int progressCode = (int) fields.integer("what", 0);
     double amount = fields.number("amount");
-    if (what >= 1 && what <= 3) {
-      DecisionModule.Progress progress = DecisionModule.Progress.values()[what - 1];
-      callModule(to, () -> to.module.onProgress(now, task, index, engine, progress, amount));
+    if (progressCode >= 1 && progressCode <= 3) {
+      DecisionModule.Progress progress = DecisionModule.Progress.values()[progressCode - 1];
+      callModule(instance, () -> instance.module.onProgress(now, task, index, engine, progress, amount));
     }
   }
 
-  private LoadReport report(Instance to) {
+  private LoadReport report(Instance instance) {
     int count = fields.hasMore() ? fields.numbers("health_info", reportFigures) : 0;
     if (count == 0) {
       return null;
     }
     return new LoadReport(
-        column(to, "cpu_share", count),
-        column(to, "busy_reqs", count),
-        column(to, "pending", count),
-        column(to, "x0", count),
-        column(to, "x1", count));
+        column(instance, "cpu_share", count),
+        column(instance, "busy_reqs", count),
+        column(instance, "pending", count),
+        column(instance, "x0", count),
+        column(instance, "x1", count));
   }
 
-  private double column(Instance to, String name, int count) {
-    int at = to.reportColumns.indexOf(name);
-    return at < 0 || at >= count ? Double.NaN : reportFigures[at];
+  private double column(Instance instance, String name, int count) {
+    int index = instance.reportColumns.indexOf(name);
+    return index < 0 || index >= count ? Double.NaN : reportFigures[index];
   }
 
   private static Outcome outcome(String code) {
@@ -324,33 +324,33 @@
       this.name = name;
     }
 
-    private StringBuilder appendAction(String word) {
-      return reply.append(word).append(' ').append(name).append(' ');
+    private StringBuilder appendAction(String action) {
+      return reply.append(action).append(' ').append(name).append(' ');
     }
 
     /** Writes nanoseconds as milliseconds with three decimals, rounded towards zero. */
     private void appendMillis(long nanos) {
       long micros = nanos / 1000;
-      long part = Math.abs(micros % 1000);
+      long fraction = Math.abs(micros % 1000);
       reply
           .append(micros / 1000)
           .append('.')
-          .append((char) ('0' + part / 100))
-          .append((char) ('0' + part / 10 % 10))
-          .append((char) ('0' + part % 10));
+          .append((char) ('0' + fraction / 100))
+          .append((char) ('0' + fraction / 10 % 10))
+          .append((char) ('0' + fraction % 10));
     }
 
     @Override
-    public void forward(String task, String engine, long timeOut) {
+    public void forward(String task, String engine, long timeoutNanos) {
       appendAction("FORWARD").append(task).append(' ').append(engine).append(' ');
-      appendMillis(timeOut);
+      appendMillis(timeoutNanos);
       reply.append('\n');
     }
 
     @Override
-    public void reject(String task, long pause) {
+    public void reject(String task, long retryAfterNanos) {
       appendAction("BOUNCE").append(task).append(' ');
-      appendMillis(pause);
+      appendMillis(retryAfterNanos);
       reply.append('\n');
     }
 
@@ -381,9 +381,9 @@
     }
 
     @Override
-    public void scheduleWakeUp(long in, String token) {
+    public void scheduleWakeUp(long delayNanos, String token) {
       appendAction("DEFER");
-      appendMillis(in);
+      appendMillis(delayNanos);
       reply.append(' ').append(token).append('\n');
     }
 
--- a/src/main/java/tansytrack/api/Actions.java
+++ b/src/main/java/tansytrack/api/Actions.java
@@ -7,10 +7,10 @@
 public interface Actions {
 
   /** Sends the task to an engine. */
-  void forward(String task, String engine, long timeOut);
+  void forward(String task, String engine, long timeoutNanos);
 
   /** Ends the task without a result; the client may retry it after the delay. */
-  void reject(String task, long pause);
+  void reject(String task, long retryAfterNanos);
 
   /** Ends the task with an error: an engine may have executed it, and a retry may not be safe. */
   void abort(String task);
@@ -25,7 +25,7 @@
   void cancel(String task, int index);
 
   /** Schedules one wake-up after the given time; it comes with the same token. */
-  void scheduleWakeUp(long in, String token);
+  void scheduleWakeUp(long delayNanos, String token);
 
   /** Writes a line to the log. */
   void log(String text);
--- a/src/main/java/tansytrack/api/DecisionModule.java
+++ b/src/main/java/tansytrack/api/DecisionModule.java
@@ -23,7 +23,7 @@
   void onEngineList(long now, boolean complete, List<EngineEntry> entries);
 
   /** A client has submitted a task. */
-  void onTask(long now, TaskRequest offer);
+  void onTask(long now, TaskRequest request);
 
   /** Opens or closes admission. While closed, new tasks are rejected; accepted ones continue. */
   void onAdmissionChange(long now, boolean open);
@@ -54,7 +54,7 @@
   void onProbeEnd(long now, String engine, Outcome outcome, LoadReport report);
 
   /** An engine has reported the progress of a forward. */
-  void onProgress(long now, String task, int index, String engine, Progress what, double amount);
+  void onProgress(long now, String task, int index, String engine, Progress progress, double amount);
 
   /** A scheduled wake-up is due. */
   void onWakeUp(long now, String token);
--- a/src/main/java/tansytrack/api/Outcome.java
+++ b/src/main/java/tansytrack/api/Outcome.java
@@ -6,7 +6,7 @@
   OK,
   /** The engine answered with an error; it may have executed the task. */
   ERROR,
-  /** The engine refused the task for lack of capacity and did not execute it. */
+  /** The engine rejected the task for lack of capacity and did not execute it. */
   FULL,
   /** The deadline passed before an answer; the engine may have executed the task. */
   TIME_OUT,
--- a/src/main/java/tansytrack/api/Settings.java
+++ b/src/main/java/tansytrack/api/Settings.java
@@ -79,8 +79,8 @@
       @DigestName("window") long windowNanos) {}
 
   /**
-   * The limit on retries: in any window, at most the reserve plus the ratio times the tasks
-   * accepted in it.
+   * The limit on retries: in any window, at most the spare attempts plus the extra attempts per
+   * request times the tasks accepted in it.
    */
   public record RetryBudget(
       @DigestName("spare") int spareAttempts,
--- a/src/main/java/tansytrack/settings/SettingsParser.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -132,20 +132,20 @@
         retryBudget);
   }
 
-  private static QueryClass.RetrySafety retrySafety(String word) {
-    if ("idempotent".equals(word)) {
+  private static QueryClass.RetrySafety retrySafety(String value) {
+    if ("idempotent".equals(value)) {
       return QueryClass.RetrySafety.IDEMPOTENT;
     }
-    return "deduplicated".equals(word)
+    return "deduplicated".equals(value)
         ? QueryClass.RetrySafety.DEDUPLICATED
         : QueryClass.RetrySafety.NON_IDEMPOTENT;
   }
 
-  private static QueryClass.DeduplicationScope deduplicationScope(String word) {
-    if ("all".equals(word)) {
+  private static QueryClass.DeduplicationScope deduplicationScope(String value) {
+    if ("all".equals(value)) {
       return QueryClass.DeduplicationScope.ALL;
     }
-    return "zone".equals(word)
+    return "zone".equals(value)
         ? QueryClass.DeduplicationScope.ZONE
         : QueryClass.DeduplicationScope.CELL;
   }
--- a/src/main/java/tansytrack/util/EngineList.java
+++ b/src/main/java/tansytrack/util/EngineList.java
@@ -14,15 +14,15 @@
 public final class EngineList {
 
   private final ArrayList<EngineEntry> entries = new ArrayList<>();
-  private final List<EngineCounter> counts = new ArrayList<>();
+  private final List<EngineCounter> counters = new ArrayList<>();
 
   /** Counts the listed engines that match a predicate. */
   public static final class EngineCounter {
-    private final Predicate<EngineEntry> counted;
+    private final Predicate<EngineEntry> predicate;
     private int value;
 
-    private EngineCounter(Predicate<EngineEntry> counted) {
-      this.counted = counted;
+    private EngineCounter(Predicate<EngineEntry> predicate) {
+      this.predicate = predicate;
     }
 
     /** Returns the present number. */
@@ -32,9 +32,9 @@
   }
 
   /** Adds a counter of matching engines; must be called while the list is empty. */
-  public EngineCounter count(Predicate<EngineEntry> counted) {
-    counts.add(new EngineCounter(counted));
-    return counts.get(counts.size() - 1);
+  public EngineCounter count(Predicate<EngineEntry> predicate) {
+    counters.add(new EngineCounter(predicate));
+    return counters.get(counters.size() - 1);
   }
 
   /** Returns all entries, sorted by id, as an unmodifiable view. */
@@ -54,7 +54,7 @@
     entries.addAll(sortedEntries);
     entries.removeIf(entry -> entry.state() == EngineEntry.State.GONE);
     entries.trimToSize();
-    counts.forEach(count -> count.value = 0);
+    counters.forEach(count -> count.value = 0);
     entries.forEach(entry -> count(entry, 1));
   }
 
@@ -71,8 +71,8 @@
   }
 
   private void count(EngineEntry entry, int delta) {
-    for (EngineCounter count : counts) {
-      count.value += count.counted.test(entry) ? delta : 0;
+    for (EngineCounter count : counters) {
+      count.value += count.predicate.test(entry) ? delta : 0;
     }
   }
 
--- a/src/main/java/tansytrack/util/EventLoop.java
+++ b/src/main/java/tansytrack/util/EventLoop.java
@@ -23,8 +23,8 @@
     }
 
     /** Adds a message to the inbox; it is handled in this actor's turn. */
-    public final void post(Message note) {
-      inbox.add(note);
+    public final void post(Message message) {
+      inbox.add(message);
       if (inbox.size() == 1) {
         loop.ready.add(this);
       }
@@ -34,11 +34,11 @@
   /** Handles one message of each actor in turn until none is left. */
   public void runUntilIdle() {
     while (!ready.isEmpty()) {
-      Actor part = ready.poll();
-      part.inbox.peek().handle();
-      part.inbox.poll();
-      if (!part.inbox.isEmpty()) {
-        ready.add(part);
+      Actor actor = ready.poll();
+      actor.inbox.peek().handle();
+      actor.inbox.poll();
+      if (!actor.inbox.isEmpty()) {
+        ready.add(actor);
       }
     }
   }
--- a/src/main/java/tansytrack/util/TenantQueue.java
+++ b/src/main/java/tansytrack/util/TenantQueue.java
@@ -9,7 +9,7 @@
   public double currentWeight;
 
   /** The queued tasks, earliest deadline first. */
-  public final ArrayList<T> waiters = new ArrayList<>();
+  public final ArrayList<T> tasks = new ArrayList<>();
 
   /** Creates an empty queue; the weight is the tenant's share of the turns. */
   public TenantQueue(double weight) {
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -57,8 +57,8 @@
   private int most; // the most tasks sent to a cold engine within the window
   private int fewest = Integer.MAX_VALUE; // the lowest number of managers that one assumed
 
-  private EngineEntry entry(int engine, Process life) {
-    long start = startedAtMs[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAtMs[engine] - life.startedAtMs);
+  private EngineEntry entry(int engine, Process process) {
+    long start = startedAtMs[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAtMs[engine] - process.startedAtMs);
     return ManagerHarness.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
   }
 
--- a/src/test/java/tansytrack/DecideSubsetTest.java
+++ b/src/test/java/tansytrack/DecideSubsetTest.java
@@ -114,11 +114,11 @@
     assertThat(play(9, engines, Settings.UNKNOWN_INDEX).actions).isEqualTo(did);
   }
 
-  private static ManagerHarness manager(int siblings, int position) {
+  private static ManagerHarness manager(int managerCount, int managerIndex) {
     ManagerHarness manager = new ManagerHarness();
-    manager.managerCount = siblings;
-    manager.managerIndex = position;
-    manager.seed = 1000L + position;
+    manager.managerCount = managerCount;
+    manager.managerIndex = managerIndex;
+    manager.seed = 1000L + managerIndex;
     return manager;
   }
 
@@ -266,9 +266,9 @@
   void substitutesAreAddedGraduallyAndReleased() {
     ManagerHarness manager = manager(500, 42).listEngines(true, entries(3000));
     List<String> own = manager.knownEngines();
-    List<String> ill = own.subList(0, own.size() * 3 / 4);
-    ill.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
-    ill.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
+    List<String> unhealthy = own.subList(0, own.size() * 3 / 4);
+    unhealthy.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
+    unhealthy.forEach(id -> manager.endProbe(id, Outcome.UNREACHED, null));
     int before = manager.knownEngines().size();
     while (true) {
       manager.advance(50); // a sweep, where tasks are rare
@@ -284,11 +284,11 @@
     manager.submitAll(400, "t# short a cost=1 mb=1");
     List<String> sentTo =
         manager.actionsWith("forward").stream().map(line -> line.split(" ")[2]).distinct().toList();
-    assertThat(ill).as("at most one trial task").allMatch(id -> manager.sentTo(id) <= 1);
+    assertThat(unhealthy).as("at most one trial task").allMatch(id -> manager.sentTo(id) <= 1);
     assertThat(sentTo).containsAnyElementsOf(standIns);
     endAll(manager, 0);
     // Each is a new process now: the suspicion of the old one does not apply.
-    ill.forEach(
+    unhealthy.forEach(
         id ->
             manager.listEngines(
                 false, entry(Integer.parseInt(id.substring(7)), EngineEntry.State.READY, 1)));
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -22,8 +22,8 @@
     return new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# short a left=19000");
   }
 
-  private static LoadReport report(double used, double held, double memory) {
-    return new LoadReport(used, held, Double.NaN, memory, Double.NaN);
+  private static LoadReport report(double cpuUtilization, double activeTasks, double memory) {
+    return new LoadReport(cpuUtilization, activeTasks, Double.NaN, memory, Double.NaN);
   }
 
   @Test
@@ -131,37 +131,37 @@
 
   @ParameterizedTest(name = "{0} managers, report {1} ms old")
   @CsvSource({"1, 0, 5, 8", "1, 1000, 5, 8", "50, 0, 5, 8", "50, 1000, 0, 6"})
-  void oldReportLosesWeightWhereOtherManagersSend(int siblings, long age, int least, int most) {
+  void oldReportLosesWeightWhereOtherManagersSend(int managerCount, long age, int min, int max) {
     // Guards against many managers that all send to the engine which was idle some time ago.
     int sent = 0;
     for (int seed = 0; seed < 8; seed++) {
       ManagerHarness manager = new ManagerHarness();
       manager.seed = seed;
-      manager.managerCount = siblings;
+      manager.managerCount = managerCount;
       manager.listEngines(true, small("e"), small("f"), small("g"));
       manager.endProbe("e", Outcome.OK, report(Double.NaN, 8, Double.NaN));
       manager.endProbe("f", Outcome.OK, report(Double.NaN, 0, Double.NaN));
       manager.endProbe("g", Outcome.OK, report(Double.NaN, 8, Double.NaN));
       sent += (int) manager.advance(age).submit("t short a").decide().sentTo("f");
     }
-    assertThat(sent).isBetween(least, most);
+    assertThat(sent).isBetween(min, max);
   }
 
   @ParameterizedTest(
       name = "{0} managers, a task every {1} ms: {2} to {3} probes of 10 engines in 10 s")
   @CsvSource({"1, 5, 0, 20", "1, 500, 10, 50", "100, 500, 0, 10"})
-  void probesAreRareWhereAnswersTellEnough(int siblings, long gap, int least, int most) {
+  void probesAreRareWhereAnswersTellEnough(int managerCount, long taskInterval, int min, int max) {
     // Guards against probes that cost more than they tell, with many managers and few tasks each.
     ManagerHarness manager = new ManagerHarness();
     manager.probing = true;
-    manager.managerCount = siblings;
+    manager.managerCount = managerCount;
     for (int i = 0; i < 10; i++) {
       manager.listEngines(false, small("e" + i));
     }
-    for (long at = 0; at < 10_000; at += gap) {
-      manager.submit("t" + at + " short a").decide().endForward("t" + at, 0, Outcome.OK).advance(gap);
+    for (long at = 0; at < 10_000; at += taskInterval) {
+      manager.submit("t" + at + " short a").decide().endForward("t" + at, 0, Outcome.OK).advance(taskInterval);
     }
-    assertThat(manager.actionsWith("probe ").size()).isBetween(least, most);
+    assertThat(manager.actionsWith("probe ").size()).isBetween(min, max);
   }
 
   @ParameterizedTest(name = "warm sets run in {0} ms, others in 100")
@@ -212,15 +212,15 @@
 
   @ParameterizedTest(name = "{0} managers: {1} of 12 go")
   @CsvSource({"1, 12", "8, 4", "100, 1"})
-  void limitBelowOneTaskAppliesToTheWholePool(int siblings, int most) {
+  void limitBelowOneTaskAppliesToTheWholePool(int managerCount, int max) {
     // Guards against a minimum of one task per engine and manager, which is far more than the
     // engines hold.
     ManagerHarness manager = new ManagerHarness();
-    manager.managerCount = siblings;
+    manager.managerCount = managerCount;
     manager
         .listEngines(true, small("e"), small("f"), small("g"), small("h"))
         .submitAll(12, "t# short a mb=1");
-    assertThat(manager.actionsWith("forward")).hasSize(most);
+    assertThat(manager.actionsWith("forward")).hasSize(max);
   }
 
   @ParameterizedTest(name = "tasks of {0} MB: {1} of 4 go")
@@ -351,7 +351,7 @@
   /** Guards against a key that is used up by tasks which can no longer end in time. */
   @ParameterizedTest(name = "{0} ms left, where a usual run takes 1800: rejected {1}")
   @CsvSource({"3000, false", "2500, true"})
-  void taskQueuedByKeyIsRejectedWhenItCannotMeetItsDeadline(long left, boolean bounced) {
+  void taskQueuedByKeyIsRejectedWhenItCannotMeetItsDeadline(long left, boolean rejected) {
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"));
     for (int i = 0; i < 100; i++) {
       manager.submit("p" + i + " once a key=" + i).decide().advance(150).endForward("p" + i, 0, Outcome.OK);
@@ -362,8 +362,8 @@
         .decide()
         .advance(1000)
         .endForward("t", 0, Outcome.OK);
-    assertThat(manager.actionsWith("forward u").isEmpty()).isEqualTo(bounced);
-    assertThat(manager.actionsWith("bounce u")).hasSize(bounced ? 1 : 0);
+    assertThat(manager.actionsWith("forward u").isEmpty()).isEqualTo(rejected);
+    assertThat(manager.actionsWith("bounce u")).hasSize(rejected ? 1 : 0);
   }
 
   @Test
@@ -418,9 +418,9 @@
     "stamp, 10, 2995, bounce t",
     "cell, 10, 2995, abort t"
   })
-  void openForwardsAreAnsweredBeforeShutdown(String grade, long cost, long after, String answer) {
+  void openForwardsAreAnsweredBeforeShutdown(String queryClass, long cost, long after, String answer) {
     ManagerHarness manager =
-        new ManagerHarness().listEngines(true, small("e")).submit("t " + grade + " a cost=" + cost).decide();
+        new ManagerHarness().listEngines(true, small("e")).submit("t " + queryClass + " a cost=" + cost).decide();
     manager.announceShutdown(3000).advance(after);
     assertThat(
             manager.actions.stream()
@@ -439,9 +439,9 @@
 
   @ParameterizedTest(name = "costing {0} ms: {1}")
   @CsvSource({"10, 0", "9000, 1"})
-  void queuedTasksThatCannotEndBeforeShutdownAreRejected(long cost, int bounced) {
+  void queuedTasksThatCannotEndBeforeShutdownAreRejected(long cost, int rejected) {
     ManagerHarness manager = saturatedManager().submit("t short a left=15000 cost=" + cost).decide().announceShutdown(3000).advance(60);
-    assertThat(manager.actionsWith("bounce t")).hasSize(bounced);
+    assertThat(manager.actionsWith("bounce t")).hasSize(rejected);
   }
 
   /**
@@ -460,9 +460,9 @@
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submit("in short a").decide();
     manager.setAdmission(false).submit("out short a").decide();
     assertThat(manager.actions)
-        .anyMatch(one -> one.startsWith("forward in"))
-        .anyMatch(one -> one.startsWith("bounce out"));
+        .anyMatch(action -> action.startsWith("forward in"))
+        .anyMatch(action -> action.startsWith("bounce out"));
     manager.setAdmission(true).submit("again short a").decide();
-    assertThat(manager.actions).noneMatch(one -> one.startsWith("bounce again"));
+    assertThat(manager.actions).noneMatch(action -> action.startsWith("bounce again"));
   }
 }
--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -244,19 +244,19 @@
   @Test
   void singleChangesEqualAWholeList() {
     SplittableRandom chance = new SplittableRandom(3);
-    TreeMap<String, EngineEntry> told = new TreeMap<>();
+    TreeMap<String, EngineEntry> listed = new TreeMap<>();
     Selection byChange = new Selection(300, 11);
     for (int i = 0; i < 4000; i++) {
       EngineEntry.State state = EngineEntry.State.values()[chance.nextInt(3)];
       EngineEntry entry = engine(chance.nextInt(900), state);
-      told.put(entry.id(), entry);
-      told.values().removeIf(one -> one.state() == EngineEntry.State.GONE);
+      listed.put(entry.id(), entry);
+      listed.values().removeIf(changed -> changed.state() == EngineEntry.State.GONE);
       byChange.put(entry);
-      assertThat(byChange.list.all()).hasSize(told.size());
+      assertThat(byChange.list.all()).hasSize(listed.size());
     }
-    assertThat(byChange.list.all()).containsExactlyElementsOf(told.values());
+    assertThat(byChange.list.all()).containsExactlyElementsOf(listed.values());
     Selection whole = new Selection(300, 11);
-    whole.set(List.copyOf(told.values()));
+    whole.set(List.copyOf(listed.values()));
     assertThat(byChange.used()).isEqualTo(whole.used());
   }
 
@@ -299,12 +299,12 @@
   // ---- Substitutes ----
 
   /** Sweeps with the given engines unhealthy; returns the most changes in one sweep. */
-  private static int sweep(Selection selection, int sweeps, Predicate<EngineEntry> ill) {
+  private static int sweep(Selection selection, int sweeps, Predicate<EngineEntry> unhealthy) {
     int most = 0;
     for (int i = 0; i < sweeps; i++) {
       Set<String> before = selection.used();
       selection.group.adjustSubstitutes(
-          selection.usedEntries().stream().filter(ill.negate()).toList(), ill.negate());
+          selection.usedEntries().stream().filter(unhealthy.negate()).toList(), unhealthy.negate());
       Set<String> after = selection.used();
       most = Math.max(most, changedPairs(List.of(before), List.of(after)));
     }
--- a/src/test/java/tansytrack/ManagerHarness.java
+++ b/src/test/java/tansytrack/ManagerHarness.java
@@ -134,8 +134,8 @@
   }
 
   static EngineEntry engine(
-      String id, String kind, int cell, EngineEntry.State state, long startedAt) {
-    return new EngineEntry(id, 1, "here", kind, cell, state, startedAt * NANOS_PER_MS);
+      String id, String type, int cell, EngineEntry.State state, long startedAt) {
+    return new EngineEntry(id, 1, "here", type, cell, state, startedAt * NANOS_PER_MS);
   }
 
   static EngineEntry small(String id) {
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -91,7 +91,7 @@
                     .endForward("t", 0, Outcome.OK),
             "forward t e"),
         rule(
-            "2 not retryable and maybe executed: aborted",
+            "2 non-idempotent and maybe executed: aborted",
             m ->
                 m.listEngines(true, small("e"), small("f"))
                     .submit("t once a")
@@ -101,7 +101,7 @@
                     .removeIf(d -> d.startsWith("forw")),
             "abort t"),
         rule(
-            "2 not retryable and not executed: sent again",
+            "2 non-idempotent and not executed: sent again",
             m -> m.listEngines(true, small("e")).submit("t once a").decide().endForward("t", 0, Outcome.FULL),
             "forward t e",
             "forward t e"),
@@ -328,13 +328,13 @@
 
   @ParameterizedTest(name = "4 cold: {0} managers, started {1} ms ago")
   @MethodSource("coldCases")
-  void coldEngineIsNotOverloaded(int siblings, long age, long most) {
+  void coldEngineIsNotOverloaded(int managerCount, long age, long max) {
     ManagerHarness manager = new ManagerHarness();
-    manager.managerCount = siblings;
+    manager.managerCount = managerCount;
     manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
     manager.listEngines(true).advance(1000).listEngines(true, engine("e", "small", 0, State.READY, 101_000 - age));
     manager.submitAll(30, "t# short a cost=300");
-    assertThat(manager.sentTo("e")).isEqualTo(most);
+    assertThat(manager.sentTo("e")).isEqualTo(max);
   }
 
   /**
@@ -359,12 +359,12 @@
    * Returns how many tasks several managers with consecutive seeds send to an engine that has just
    * started.
    */
-  private static int sentByAll(int siblings, long seed, int tasks, long cost) {
+  private static int sentByAll(int managerCount, long seed, int tasks, long cost) {
     int sent = 0;
-    for (int i = 0; i < siblings; i++) {
+    for (int i = 0; i < managerCount; i++) {
       ManagerHarness manager = new ManagerHarness();
       manager.seed = seed + i;
-      manager.managerCount = siblings;
+      manager.managerCount = managerCount;
       manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
           .listEngines(true, engine("e", "small", 0, State.READY, 100_000))
@@ -380,10 +380,10 @@
    */
   @ParameterizedTest(name = "4 cold: {0} managers, work of {1} ms")
   @CsvSource({"2, 100", "2, 300", "30, 100", "30, 300", "30, 900", "200, 300"})
-  void fleetExceedsTheBudgetOnlyByTheTolerance(int siblings, long cost) {
+  void fleetExceedsTheBudgetOnlyByTheTolerance(int managerCount, long cost) {
     double budget = 2 * 0.3 * 4 * 1000 / cost;
     for (int round = 0; round < 40; round++) {
-      double sent = sentByAll(siblings, 1000L * round, 30, cost);
+      double sent = sentByAll(managerCount, 1000L * round, 30, cost);
       assertThat(sent)
           .as("round %s", round)
           .isLessThanOrEqualTo(budget + 2 * Math.sqrt(budget) + 2);
@@ -392,14 +392,14 @@
 
   @ParameterizedTest(name = "4 cold: {0} managers together, {1} s after the start")
   @CsvSource({"50, 0", "200, 0", "200, 9"})
-  void allManagersTogetherUseAColdEngineWithinItsLimit(int siblings, long age) {
+  void allManagersTogetherUseAColdEngineWithinItsLimit(int managerCount, long age) {
     // Guards against a cold engine left idle because an even share holds no task, and against one
     // task from every manager.
     int sent = 0;
-    for (int i = 0; i < siblings; i++) {
+    for (int i = 0; i < managerCount; i++) {
       ManagerHarness manager = new ManagerHarness();
       manager.seed = i;
-      manager.managerCount = siblings;
+      manager.managerCount = managerCount;
       manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
           .listEngines(true)
