--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -81,11 +81,15 @@
   }
 
   private static Settings settings(int managers, int tenants) {
-    StringBuilder named = new StringBuilder();
+    StringBuilder tenantList = new StringBuilder();
     for (int i = 0; i < tenants; i++) {
-      named.append(i == 0 ? "" : ",").append("{\"name\":\"t").append(i).append("\",\"portion\":1}");
+      tenantList
+          .append(i == 0 ? "" : ",")
+          .append("{\"name\":\"t")
+          .append(i)
+          .append("\",\"portion\":1}");
     }
-    String text = String.format(Locale.ROOT, CONFIGURATION, managers, named);
+    String text = String.format(Locale.ROOT, CONFIGURATION, managers, tenantList);
     try {
       return ManagerConfig.fromJson(Json.parse(text.getBytes(StandardCharsets.UTF_8))).settings();
     } catch (ProtocolException e) {
@@ -94,23 +98,26 @@
   }
 
   /** Submits scarce tasks until the given number of them wait. */
-  void fillQueue(int waiting) {
-    int wait = 0;
-    for (int i = 0; wait < waiting && i < MAX_FILL_TASKS; i++) {
+  void fillQueue(int target) {
+    int waiting = 0;
+    for (int i = 0; waiting < target && i < MAX_FILL_TASKS; i++) {
       sentTo = null;
       submit("scarce", SCARCE_TIME_LEFT_NANOS);
       module.decide(now);
-      wait += sentTo == null ? 1 : 0;
+      waiting += sentTo == null ? 1 : 0;
     }
-    if (wait < waiting || rejected > 0) {
-      throw new IllegalStateException(wait + " of " + waiting + " wait, " + rejected + " refused");
+    if (waiting < target || rejected > 0) {
+      throw new IllegalStateException(
+          waiting + " of " + target + " wait, " + rejected + " rejected");
     }
   }
 
   private String submit(String queryClass, long timeLeftNanos) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.onTask(now, new TaskRequest(id, queryClass, tenant, null, now + timeLeftNanos, TASK_COST_NANOS, 1, -1));
+    module.onTask(
+        now,
+        new TaskRequest(id, queryClass, tenant, null, now + timeLeftNanos, TASK_COST_NANOS, 1, -1));
     return id;
   }
 
@@ -122,7 +129,8 @@
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
     }
-    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, NANOS_PER_MS, true, TASK_COST_NANOS, 1, IDLE);
+    module.onForwardEnd(
+        now, id, 0, sentTo, Outcome.OK, NANOS_PER_MS, true, TASK_COST_NANOS, 1, IDLE);
     module.decide(now);
   }
 
--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -93,7 +93,8 @@
   // The excess that the limit on cold engines tolerates: this many square roots of the number of
   // tasks, plus this many tasks.
   private static final double COLD_LIMIT_TOLERANCE = 2;
-  // A task that needs less than this fraction of the manager's share of a pool's memory is admitted to an idle
+  // A task that needs less than this fraction of the manager's share of a pool's memory is admitted
+  // to an idle
   // engine even if the pool's memory is used up.
   private static final double SMALL_TASK_MEMORY_FRACTION = 0.25;
   // Natural logarithm of a task's value relative to the mean: the threshold of the top priority,
@@ -173,14 +174,20 @@
     random = new SplittableRandom(settings.seed());
     for (QueryClass queryClass : settings.queryClasses()) {
       String poolKey =
-          new TreeSet<>(queryClass.allowedZones()) + "/" + new TreeSet<>(queryClass.allowedEngineTypes());
+          new TreeSet<>(queryClass.allowedZones())
+              + "/"
+              + new TreeSet<>(queryClass.allowedEngineTypes());
       classStatistics.put(
           queryClass.name(),
-          new ClassStatistics(queryClass, pools.computeIfAbsent(poolKey, key -> new EnginePool(queryClass))));
+          new ClassStatistics(
+              queryClass, pools.computeIfAbsent(poolKey, key -> new EnginePool(queryClass))));
     }
     settings
         .tenants()
-        .forEach(tenant -> tenantQueues.put(tenant.name(), new TenantQueue<>(Math.max(tenant.share(), 0.001))));
+        .forEach(
+            tenant ->
+                tenantQueues.put(
+                    tenant.name(), new TenantQueue<>(Math.max(tenant.share(), 0.001))));
     if (tenantQueues.isEmpty()) {
       // The settings name no tenants: all tasks share one queue.
       tenantQueues.put("", new TenantQueue<>(1));
@@ -209,7 +216,8 @@
         .filter(engine -> complete || subsetChanged || entriesById.containsKey(engine.id))
         .forEach(
             engine ->
-                engine.postListing(entriesById.getOrDefault(engine.id, engineList.find(engine.id))));
+                engine.postListing(
+                    entriesById.getOrDefault(engine.id, engineList.find(engine.id))));
   }
 
   @Override
@@ -285,11 +293,14 @@
       forward.engine.post(forward.engine::onSignOfLife);
       if (hasFraction) {
         forward.engine.post(
-            () -> forward.engine.updateSlowdown(task, Math.log(projectedRunTime / task.isolatedRunTime())));
+            () ->
+                forward.engine.updateSlowdown(
+                    task, Math.log(projectedRunTime / task.isolatedRunTime())));
       }
       boolean stalled =
           progress == Progress.WAITING
-              || hasFraction && projectedRunTime - age > STALLED_RUN_FACTOR * task.expectedRunTime();
+              || hasFraction
+                  && projectedRunTime - age > STALLED_RUN_FACTOR * task.expectedRunTime();
       if (capabilities.cancellation() && stalled) {
         // The forward waits for a bulk load or for memory, or the engine is overloaded. Where
         // forwards cannot be cancelled, a second one would only add to the overload.
@@ -303,7 +314,9 @@
     now = at;
     engines.values().stream()
         .filter(
-            engine -> !engine.openForwards.isEmpty() || capabilities.probing() && now >= engine.nextProbeAt)
+            engine ->
+                !engine.openForwards.isEmpty()
+                    || capabilities.probing() && now >= engine.nextProbeAt)
         .forEach(engine -> engine.post(engine::sweep));
     dispatcher.post(dispatcher::sweep);
     actions.scheduleWakeUp(dispatcher.sweepInterval(), token);
@@ -422,7 +435,8 @@
       group =
           subset.group(
               entry -> // rule 6: placement by zone and engine type
-              (queryClass.allowedZones().isEmpty() || queryClass.allowedZones().contains(entry.zone()))
+              (queryClass.allowedZones().isEmpty()
+                          || queryClass.allowedZones().contains(entry.zone()))
                       && (queryClass.allowedEngineTypes().isEmpty()
                           || queryClass.allowedEngineTypes().contains(entry.type())));
     }
@@ -457,7 +471,10 @@
         }
       }
       limitedAsWhole = surplusThreads < 0;
-      maxThreads = previousCores == 0 ? cores * INITIAL_THREADS_PER_CORE : maxThreads * cores / previousCores;
+      maxThreads =
+          previousCores == 0
+              ? cores * INITIAL_THREADS_PER_CORE
+              : maxThreads * cores / previousCores;
     }
   }
 
@@ -517,7 +534,9 @@
       cost =
           Math.max(
               NANOS_PER_MS,
-              request.estimatedCostNanos() > 0 ? request.estimatedCostNanos() * statistics.costBias : usualCost);
+              request.estimatedCostNanos() > 0
+                  ? request.estimatedCostNanos() * statistics.costBias
+                  : usualCost);
       statistics.meanCost = movingAverage(statistics.meanCost, cost, SMOOTHING_FACTOR);
       logValue = Math.log(Math.max(queryClass.earnings(), 1e-9) / cost);
     }
@@ -766,7 +785,8 @@
         Task next = nextSendable(queue.tasks);
         queue.currentWeight += next != null ? queue.weight : 0;
         totalWeight += next != null ? queue.weight : 0;
-        if (next != null && (selectedQueue == null || queue.currentWeight > selectedQueue.currentWeight)) {
+        if (next != null
+            && (selectedQueue == null || queue.currentWeight > selectedQueue.currentWeight)) {
           selectedQueue = queue;
           selected = next;
         }
@@ -926,7 +946,8 @@
 
     /** All forwards failed: enqueues the task again where the rules allow, or else answers it. */
     private void retryOrAnswer(Task task) {
-      boolean attemptsLeft = task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
+      boolean attemptsLeft =
+          task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
       boolean retry =
           attemptsLeft
               && (task.firstExecuted == null
@@ -985,7 +1006,8 @@
                 .mapToDouble(Task::budgetUsed)
                 .max()
                 .orElse(0);
-        double newPrice = budgetUsed > 0 ? usualValue * Math.pow(MIN_PRICE_FRACTION, 1 - budgetUsed) : 0;
+        double newPrice =
+            budgetUsed > 0 ? usualValue * Math.pow(MIN_PRICE_FRACTION, 1 - budgetUsed) : 0;
         pool.price = Math.max(newPrice, pool.price * decay);
         pool.price = pool.price < usualValue * MIN_PRICE_FRACTION ? 0 : pool.price;
       }
@@ -994,7 +1016,9 @@
     private void sweep() {
       engines
           .values()
-          .removeIf(engine -> engine.unused && engine.openForwards.isEmpty() && now >= engine.retainedUntil);
+          .removeIf(
+              engine ->
+                  engine.unused && engine.openForwards.isEmpty() && now >= engine.retainedUntil);
       updateCapacity();
       pools.values().forEach(EnginePool::adjustSubstitutes);
       updatePrices();
@@ -1117,7 +1141,8 @@
       dispatcher.post(dispatcher::updateCapacity);
       boolean isUsed = listing != null && subset.uses(listing);
       ready = isUsed && listing.state() == EngineEntry.State.READY;
-      boolean leavesSubset = listing != null && !isUsed && !unused && settings.coldStartLimit() != null;
+      boolean leavesSubset =
+          listing != null && !isUsed && !unused && settings.coldStartLimit() != null;
       retainedUntil = leavesSubset ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
       unused = !isUsed || listing.state() == EngineEntry.State.GONE;
       servedPools.clear();
@@ -1308,9 +1333,7 @@
     private boolean memoryFits(Task task) {
       EnginePool pool = task.statistics.pool;
       boolean reported =
-          hasFreshReport()
-              && !Double.isNaN(report.grantedMemoryFraction())
-              && !pool.limitedAsWhole;
+          hasFreshReport() && !Double.isNaN(report.grantedMemoryFraction()) && !pool.limitedAsWhole;
       double neededMb = memoryGrantMb(task);
       double limitMb = reported ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
       if (totalMemoryMb <= 0 || grantedMb + neededMb <= limitMb) {
@@ -1344,7 +1367,10 @@
           3
               - (int)
                   clamp(
-                      Math.ceil((TOP_PRIORITY_LOG_VALUE - logRelativeValue) / PRIORITY_LOG_VALUE_STEP), 0, 3);
+                      Math.ceil(
+                          (TOP_PRIORITY_LOG_VALUE - logRelativeValue) / PRIORITY_LOG_VALUE_STEP),
+                      0,
+                      3);
       return task.queryClass.bulkLoad() ? Math.max(2, priority) : priority;
     }
 
@@ -1447,7 +1473,10 @@
       if (reportedCost > 0) {
         statistics.costBias =
             clamp(
-                movingAverage(statistics.costBias, reportedCost * statistics.costBias / task.cost, SMOOTHING_FACTOR),
+                movingAverage(
+                    statistics.costBias,
+                    reportedCost * statistics.costBias / task.cost,
+                    SMOOTHING_FACTOR),
                 0.2,
                 5);
       }
@@ -1456,7 +1485,8 @@
         double deviation = Math.abs(memoryRatio - statistics.memoryBias);
         statistics.memoryMargin =
             movingAverage(statistics.memoryMargin, GRANT_DEVIATIONS * deviation, SMOOTHING_FACTOR);
-        statistics.memoryBias = clamp(movingAverage(statistics.memoryBias, memoryRatio, SMOOTHING_FACTOR), 0.2, 5);
+        statistics.memoryBias =
+            clamp(movingAverage(statistics.memoryBias, memoryRatio, SMOOTHING_FACTOR), 0.2, 5);
       }
       long runTime = Math.max(NANOS_PER_MS, now - forward.sentAt);
       double isolatedRunTime =
@@ -1484,7 +1514,8 @@
       updateSlowdown(task, logRatio);
       boolean busy = hasFreshReport() && report.cpuUtilization() >= BUSY_UTILIZATION;
       limit.onAnswer(task.queryClass, slowdown, busy, cores * MAX_THREADS_PER_CORE);
-      statistics.pool.onAnswer(task.queryClass, slowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
+      statistics.pool.onAnswer(
+          task.queryClass, slowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
     }
 
     /** Updates the slowdown relative to the fleet; a sample counts more where they are rare. */
@@ -1518,8 +1549,10 @@
       otherMemoryMb = Math.max(0, received.grantedMemoryFraction() * totalMemoryMb - grantedMb);
       if (received.cpuUtilization() < BUSY_UTILIZATION && received.activeTasks() >= 0) {
         // While cores are idle, whatever others do not use is available to this manager.
-        double freeFraction = 1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
-        observedShare = movingAverage(observedShare, Math.max(0, freeFraction), 2 * SMOOTHING_FACTOR);
+        double freeFraction =
+            1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
+        observedShare =
+            movingAverage(observedShare, Math.max(0, freeFraction), 2 * SMOOTHING_FACTOR);
       } else if (received.activeTasks() >= 4) {
         observedShare =
             movingAverage(
@@ -1643,7 +1676,8 @@
     double load(double average) {
       double warmCores = cores * capacityFraction();
       if (!dispatcher.hasLoadReports || !hasFreshReport()) {
-        return (dispatcher.hasLoadReports ? average : 0) + limit.usedThreads / (warmCores * share());
+        return (dispatcher.hasLoadReports ? average : 0)
+            + limit.usedThreads / (warmCores * share());
       }
       double tasksPerCore = (otherTasks + limit.usedThreads) / warmCores;
       return Double.isNaN(report.cpuUtilization())
--- a/src/main/java/tansytrack/adapter/FieldReader.java
+++ b/src/main/java/tansytrack/adapter/FieldReader.java
@@ -89,7 +89,9 @@
   /** Returns the next field, or null where absent. */
   String textOrNull(String name) {
     nextField(name);
-    return isAbsent() ? null : new String(line, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
+    return isAbsent()
+        ? null
+        : new String(line, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
   }
 
   /** Returns the next field, or an empty string where absent. */
--- a/src/main/java/tansytrack/adapter/SimulatorAdapter.java
+++ b/src/main/java/tansytrack/adapter/SimulatorAdapter.java
@@ -73,7 +73,13 @@
       return 0;
     } catch (InvalidInputException | ArithmeticException e) {
       err.println(
-          "tansytrack: line " + lineNumber + ": " + e.getMessage() + " in '" + fields.excerpt() + "'");
+          "tansytrack: line "
+              + lineNumber
+              + ": "
+              + e.getMessage()
+              + " in '"
+              + fields.excerpt()
+              + "'");
       return 2;
     }
   }
@@ -240,7 +246,8 @@
     long dataSet = fields.integer("source_set", -1);
     fields.integer("attrs", 0);
     TaskRequest request =
-        new TaskRequest(id, queryClass, tenant, key < 0 ? null : key, deadline, cost, memoryMb, dataSet);
+        new TaskRequest(
+            id, queryClass, tenant, key < 0 ? null : key, deadline, cost, memoryMb, dataSet);
     callModule(instance, () -> instance.module.onTask(now, request));
   }
 
@@ -278,7 +285,8 @@
     double amount = fields.number("amount");
     if (progressCode >= 1 && progressCode <= 3) {
       DecisionModule.Progress progress = DecisionModule.Progress.values()[progressCode - 1];
-      callModule(instance, () -> instance.module.onProgress(now, task, index, engine, progress, amount));
+      callModule(
+          instance, () -> instance.module.onProgress(now, task, index, engine, progress, amount));
     }
   }
 
--- a/src/main/java/tansytrack/api/DecisionModule.java
+++ b/src/main/java/tansytrack/api/DecisionModule.java
@@ -54,7 +54,8 @@
   void onProbeEnd(long now, String engine, Outcome outcome, LoadReport report);
 
   /** An engine has reported the progress of a forward. */
-  void onProgress(long now, String task, int index, String engine, Progress progress, double amount);
+  void onProgress(
+      long now, String task, int index, String engine, Progress progress, double amount);
 
   /** A scheduled wake-up is due. */
   void onWakeUp(long now, String token);
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -75,7 +75,9 @@
     private boolean updateLevel(int managers) {
       int previousLevel = level;
       int levelWithHysteresis = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
-      level = Math.max(requiredLevel(engineCounter.value(), managers), Math.min(level, levelWithHysteresis));
+      level =
+          Math.max(
+              requiredLevel(engineCounter.value(), managers), Math.min(level, levelWithHysteresis));
       substitutes.removeIf(id -> inSubset(id) || engineList.find(id) == null);
       return level != previousLevel;
     }
@@ -85,7 +87,8 @@
      * with the engines in use that are healthy and warm. Each manager has an order of its own, as
      * otherwise all managers would take the same substitutes.
      */
-    public EngineEntry adjustSubstitutes(List<EngineEntry> healthy, Predicate<EngineEntry> available) {
+    public EngineEntry adjustSubstitutes(
+        List<EngineEntry> healthy, Predicate<EngineEntry> available) {
       double usualSize = engineCounter.value() / (double) (1 << level);
       if (healthy.stream().filter(engine -> inSubset(engine.id())).count()
           >= RELEASE_ABOVE_FRACTION * usualSize) {
@@ -175,7 +178,8 @@
     long idHash = StableHash.of(id);
     int level = 0;
     while (level < MAX_LEVEL
-        && (managerIndex >> level & 1) == StableHash.of(idHash, managerIndex >> level + 1, level) >>> 63) {
+        && (managerIndex >> level & 1)
+            == StableHash.of(idHash, managerIndex >> level + 1, level) >>> 63) {
       level++;
     }
     return level;
--- a/src/main/java/tansytrack/settings/SettingsParser.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -157,7 +157,9 @@
 
   private double number(String path, double defaultValue) {
     String value = pairs.get(path);
-    return value == null || value.isEmpty() || value.equals("-") ? defaultValue : parse(path, value);
+    return value == null || value.isEmpty() || value.equals("-")
+        ? defaultValue
+        : parse(path, value);
   }
 
   long timeNanos(String path) {
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -28,25 +28,25 @@
   private static final int ENGINES = 4;
   private static final long TASK_COST_MS = 250;
   private static final long STEP_MS = 50;
-  private static final Settings.ColdStartLimit COLD =
+  private static final Settings.ColdStartLimit COLD_START_LIMIT =
       new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
 
   /** One process of a manager, from its start to its end. */
   private static final class Process {
     final long id;
     final ManagerHarness manager = new ManagerHarness();
-    final BudgetDivisor reckoning = new BudgetDivisor(MEMBERS - 1, 10_000 * NANOS_PER_MS);
+    final BudgetDivisor budgetDivisor = new BudgetDivisor(MEMBERS - 1, 10_000 * NANOS_PER_MS);
     final long startedAtMs; // in ms of virtual time
     final ArrayDeque<String[]> openTasks = new ArrayDeque<>(); // id and end time of each open task
     int seenActions;
     int tasks;
 
-    Process(long id, long began, long seed) {
+    Process(long id, long startedAtMs, long seed) {
       this.id = id;
-      this.startedAtMs = began;
+      this.startedAtMs = startedAtMs;
       manager.seed = seed;
       manager.managerCount = MEMBERS;
-      manager.coldStartLimit = COLD;
+      manager.coldStartLimit = COLD_START_LIMIT;
     }
   }
 
@@ -54,22 +54,25 @@
   private final long[] startedAtMs = new long[ENGINES]; // ms of virtual time; 0 means long ago
   private final List<ArrayDeque<Long>> sends = new ArrayList<>();
   private int overloads;
-  private int most; // the most tasks sent to a cold engine within the window
-  private int fewest = Integer.MAX_VALUE; // the lowest number of managers that one assumed
+  private int maxColdTasks; // the most tasks sent to a cold engine within the window
+  private int minManagers = Integer.MAX_VALUE; // the lowest number of managers that one assumed
 
   private EngineEntry entry(int engine, Process process) {
-    long start = startedAtMs[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAtMs[engine] - process.startedAtMs);
+    long start =
+        startedAtMs[engine] == 0
+            ? 0
+            : Math.max(1, 100_000 + startedAtMs[engine] - process.startedAtMs);
     return ManagerHarness.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
   }
 
-  private void play(long seed, boolean byView) {
+  private void simulate(long seed, boolean byView) {
     MembershipSimulation world =
         MembershipSimulation.startConverged(
             MEMBERS,
             MembershipConfig.defaults(List.of("m0", "m1")),
             seed,
             LinkConditions.GOOD.withLoss(0.1));
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     processes.clear();
     sends.clear();
     for (int i = 0; i < ENGINES; i++) {
@@ -77,23 +80,25 @@
       sends.add(new ArrayDeque<>());
     }
     long from = world.now();
-    int cut = chance.nextInt(3);
+    int partitionKind = random.nextInt(3);
     world.schedule(
         from + 1000 * NANOS_PER_MS,
-        () -> world.partition((a, b) -> cut == 0 || cut == 1 && !a.zone().equals(b.zone())));
+        () ->
+            world.partition(
+                (a, b) -> partitionKind == 0 || partitionKind == 1 && !a.zone().equals(b.zone())));
     for (int i = 0; i < 3; i++) {
-      String address = "m" + chance.nextInt(MEMBERS);
+      String address = "m" + random.nextInt(MEMBERS);
       world.schedule(
-          from + chance.nextLong(8000 * NANOS_PER_MS),
+          from + random.nextLong(8000 * NANOS_PER_MS),
           () -> {
-            if (world.node(address).running() && chance.nextBoolean()) {
+            if (world.node(address).running() && random.nextBoolean()) {
               world.shutDown(address);
             } else {
               world.kill(address);
             }
           });
       world.schedule(
-          from + (9000 + chance.nextLong(12_000)) * NANOS_PER_MS,
+          from + (9000 + random.nextLong(12_000)) * NANOS_PER_MS,
           () -> {
             if (!world.node(address).running()) {
               world.start(address);
@@ -101,20 +106,23 @@
           });
     }
     for (int engine = 0; engine < ENGINES; engine++) {
-      int which = engine;
+      int restartedEngine = engine;
       world.schedule(
-          from + (6000 + chance.nextLong(14_000)) * NANOS_PER_MS,
+          from + (6000 + random.nextLong(14_000)) * NANOS_PER_MS,
           () -> {
-            startedAtMs[which] = world.now() / NANOS_PER_MS;
-            sends.get(which).clear();
-            processes.values().forEach(life -> life.manager.listEngines(false, entry(which, life)));
+            startedAtMs[restartedEngine] = world.now() / NANOS_PER_MS;
+            sends.get(restartedEngine).clear();
+            processes
+                .values()
+                .forEach(
+                    process -> process.manager.listEngines(false, entry(restartedEngine, process)));
           });
     }
     for (long at = from; at < from + 25_000 * NANOS_PER_MS; at += STEP_MS * NANOS_PER_MS) {
       world.runUntil(at);
       for (MembershipSimulation.Node node : world.nodes()) {
         if (node.running()) {
-          step(world, node, byView, chance);
+          step(world, node, byView, random);
         } else {
           processes.remove(node.name());
         }
@@ -126,36 +134,37 @@
       MembershipSimulation world,
       MembershipSimulation.Node node,
       boolean byView,
-      SplittableRandom chance) {
+      SplittableRandom random) {
     long now = world.now() / NANOS_PER_MS;
-    Process life = processes.get(node.name());
-    if (life == null || life.id != node.membership().self().instanceId()) {
+    Process process = processes.get(node.name());
+    if (process == null || process.id != node.membership().self().instanceId()) {
       // The manager's clock reaches its first step at the end of this call.
-      life = new Process(node.membership().self().instanceId(), now - STEP_MS, chance.nextLong());
-      processes.put(node.name(), life);
+      process =
+          new Process(node.membership().self().instanceId(), now - STEP_MS, random.nextLong());
+      processes.put(node.name(), process);
       EngineEntry[] all = new EngineEntry[ENGINES];
       for (int i = 0; i < ENGINES; i++) {
-        all[i] = entry(i, life);
+        all[i] = entry(i, process);
       }
-      life.manager.listEngines(true, all);
+      process.manager.listEngines(true, all);
     }
-    node.membership().others().forEach(life.reckoning::memberChanged);
+    node.membership().others().forEach(process.budgetDivisor::memberChanged);
     int by =
         byView
             ? node.membership().view().liveMembers()
-            : life.reckoning.update(world.now(), node.membership().view().liveMembers());
-    fewest = Math.min(fewest, by);
-    life.manager.setManagerCount(by).advance(STEP_MS);
-    while (!life.openTasks.isEmpty() && Long.parseLong(life.openTasks.peek()[1]) <= now) {
-      life.manager.endForward(life.openTasks.poll()[0], 0, Outcome.OK);
+            : process.budgetDivisor.update(world.now(), node.membership().view().liveMembers());
+    minManagers = Math.min(minManagers, by);
+    process.manager.setManagerCount(by).advance(STEP_MS);
+    while (!process.openTasks.isEmpty() && Long.parseLong(process.openTasks.peek()[1]) <= now) {
+      process.manager.endForward(process.openTasks.poll()[0], 0, Outcome.OK);
     }
-    for (int i = chance.nextInt(4); i > 0; i--) {
-      life.manager.submit("t" + life.tasks++ + " short a cost=" + TASK_COST_MS).decide();
+    for (int i = random.nextInt(4); i > 0; i--) {
+      process.manager.submit("t" + process.tasks++ + " short a cost=" + TASK_COST_MS).decide();
     }
-    for (; life.seenActions < life.manager.actions.size(); life.seenActions++) {
-      String[] done = life.manager.actions.get(life.seenActions).split(" ");
+    for (; process.seenActions < process.manager.actions.size(); process.seenActions++) {
+      String[] done = process.manager.actions.get(process.seenActions).split(" ");
       if (done[0].equals("forward")) {
-        life.openTasks.add(new String[] {done[1], Long.toString(now + TASK_COST_MS)});
+        process.openTasks.add(new String[] {done[1], Long.toString(now + TASK_COST_MS)});
         recordForward(Integer.parseInt(done[2].substring(1)), now);
       }
     }
@@ -168,16 +177,19 @@
   private void recordForward(int engine, long now) {
     ArrayDeque<Long> window = sends.get(engine);
     window.add(now);
-    while (window.peek() <= now - COLD.windowNanos() / NANOS_PER_MS) {
+    while (window.peek() <= now - COLD_START_LIMIT.windowNanos() / NANOS_PER_MS) {
       window.poll();
     }
     double age =
-        startedAtMs[engine] == 0 ? 1 : (now - startedAtMs[engine]) * NANOS_PER_MS / (double) COLD.warmUpNanos();
+        startedAtMs[engine] == 0
+            ? 1
+            : (now - startedAtMs[engine]) * NANOS_PER_MS / (double) COLD_START_LIMIT.warmUpNanos();
     if (age < 1) {
-      most = Math.max(most, window.size());
+      maxColdTasks = Math.max(maxColdTasks, window.size());
       double allowed =
-          COLD.overloadFactor()
-              * (COLD.startCapacityFraction() + (1 - COLD.startCapacityFraction()) * age)
+          COLD_START_LIMIT.overloadFactor()
+              * (COLD_START_LIMIT.startCapacityFraction()
+                  + (1 - COLD_START_LIMIT.startCapacityFraction()) * age)
               * 4
               * 1000
               / TASK_COST_MS;
@@ -192,10 +204,10 @@
   @Test
   void coldEnginesAreNotOverloadedWhileTheManagerCountChanges() {
     for (long seed = 1; seed <= 50; seed++) {
-      play(seed, false);
-      assertThat(overloads).as("seed %d, at most %d", seed, most).isZero();
+      simulate(seed, false);
+      assertThat(overloads).as("seed %d, at most %d", seed, maxColdTasks).isZero();
     }
-    assertThat(most).isGreaterThan(10);
+    assertThat(maxColdTasks).isGreaterThan(10);
   }
 
   /**
@@ -204,9 +216,9 @@
   @Test
   void countingOnlyReachableManagersOverloadsColdEngines() {
     for (long seed = 1; seed <= 20; seed++) {
-      play(seed, true);
+      simulate(seed, true);
     }
     assertThat(overloads).isPositive();
-    assertThat(fewest).isEqualTo(1);
+    assertThat(minManagers).isEqualTo(1);
   }
 }
--- a/src/test/java/tansytrack/DecideSubsetTest.java
+++ b/src/test/java/tansytrack/DecideSubsetTest.java
@@ -21,7 +21,7 @@
 /** The decision module with engine lists below the maximum subset size and far above it. */
 class DecideSubsetTest {
 
-  private static final Settings.ColdStartLimit COLD =
+  private static final Settings.ColdStartLimit COLD_START_LIMIT =
       new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
 
   private static String id(int engine) {
@@ -42,23 +42,23 @@
   }
 
   /** Tasks of all classes, while engines answer, fail, fall silent, drain, start and leave. */
-  private static ManagerHarness play(long seed, int engines, int position) {
+  private static ManagerHarness simulate(long seed, int engines, int managerIndex) {
     ManagerHarness manager = new ManagerHarness();
     manager.seed = seed;
     manager.managerCount = 40;
-    manager.managerIndex = position;
+    manager.managerIndex = managerIndex;
     manager.probing = true;
-    manager.coldStartLimit = COLD;
-    SplittableRandom chance = new SplittableRandom(seed);
+    manager.coldStartLimit = COLD_START_LIMIT;
+    SplittableRandom random = new SplittableRandom(seed);
     manager.listEngines(true, entries(engines));
     ArrayDeque<String> open = new ArrayDeque<>();
-    String[] grades = {"short", "stamp", "cell", "once", "load", "bound"};
+    String[] queryClasses = {"short", "stamp", "cell", "once", "load", "bound"};
     int seen = 0;
     for (int step = 0; step < 400; step++) {
       manager.advance(10);
-      int engine = chance.nextInt(engines);
+      int engine = random.nextInt(engines);
       if (step % 20 == 0) {
-        EngineEntry.State state = EngineEntry.State.values()[chance.nextInt(3)];
+        EngineEntry.State state = EngineEntry.State.values()[random.nextInt(3)];
         manager.listEngines(false, entry(engine, state, 100_000 + step * 10L));
       }
       if (step == 120 || step == 160) {
@@ -67,10 +67,10 @@
       if (step == 125 || step == 250) {
         manager.listEngines(true, entries(engines));
       }
-      for (int i = chance.nextInt(4); i > 0; i--) {
-        String key = chance.nextInt(4) == 0 ? " key=" + chance.nextInt(5) : "";
-        String grade = grades[chance.nextInt(grades.length)];
-        manager.submit("t" + step + "." + i + " " + grade + (i % 2 == 0 ? " a" : " b") + key);
+      for (int i = random.nextInt(4); i > 0; i--) {
+        String key = random.nextInt(4) == 0 ? " key=" + random.nextInt(5) : "";
+        String queryClass = queryClasses[random.nextInt(queryClasses.length)];
+        manager.submit("t" + step + "." + i + " " + queryClass + (i % 2 == 0 ? " a" : " b") + key);
       }
       manager.decide();
       for (; seen < manager.actions.size(); seen++) {
@@ -80,9 +80,9 @@
       }
       while (open.size() > 12) {
         String task = open.poll();
-        Outcome outcome = Outcome.values()[chance.nextInt(5) > 0 ? 0 : chance.nextInt(8)];
+        Outcome outcome = Outcome.values()[random.nextInt(5) > 0 ? 0 : random.nextInt(8)];
         LoadReport report =
-            chance.nextBoolean() ? null : new LoadReport(chance.nextDouble(), 3, 0, 0.4, 0);
+            random.nextBoolean() ? null : new LoadReport(random.nextDouble(), 3, 0, 0.4, 0);
         manager.endForward(task, 0, outcome, report);
       }
     }
@@ -102,16 +102,18 @@
     "5, 128, -143667793"
   })
   void actionsMatchTheRecordingUpToTheMaximumSize(long seed, int engines, int recorded) {
-    ManagerHarness manager = play(seed, engines, 3);
-    assertThat(manager.actions.hashCode()).as("%d actions", manager.actions.size()).isEqualTo(recorded);
+    ManagerHarness manager = simulate(seed, engines, 3);
+    assertThat(manager.actions.hashCode())
+        .as("%d actions", manager.actions.size())
+        .isEqualTo(recorded);
   }
 
   @ParameterizedTest(name = "{0} engines")
   @ValueSource(ints = {20, 100, 128})
   void managerIndexChangesNothingUpToTheMaximumSize(int engines) {
-    List<String> did = play(9, engines, 0).actions;
-    assertThat(play(9, engines, 17).actions).isEqualTo(did);
-    assertThat(play(9, engines, Settings.UNKNOWN_INDEX).actions).isEqualTo(did);
+    List<String> did = simulate(9, engines, 0).actions;
+    assertThat(simulate(9, engines, 17).actions).isEqualTo(did);
+    assertThat(simulate(9, engines, Settings.UNKNOWN_INDEX).actions).isEqualTo(did);
   }
 
   private static ManagerHarness manager(int managerCount, int managerIndex) {
@@ -155,7 +157,8 @@
     assertThat(many.knownEngines()).hasSizeBetween(50, 200);
     assertThat(list.reads).isEqualTo(reads);
     assertThat(many.actionsWith("forward")).hasSizeGreaterThan(8);
-    assertThat(many.actionsWith("forward")).allMatch(line -> many.knownEngines().contains(line.split(" ")[2]));
+    assertThat(many.actionsWith("forward"))
+        .allMatch(line -> many.knownEngines().contains(line.split(" ")[2]));
   }
 
   @Test
@@ -164,14 +167,24 @@
     EngineEntry[] all = entries(3000); // a third of them big: 1,000 for the class 'bound'
     manager.listEngines(true, all);
     long big =
-        manager.knownEngines().stream().filter(id -> Integer.parseInt(id.substring(7)) % 3 == 0).count();
+        manager.knownEngines().stream()
+            .filter(id -> Integer.parseInt(id.substring(7)) % 3 == 0)
+            .count();
     assertThat(big).isBetween(64L, 190L);
     manager.submitAll(300, "b# bound a mb=1 cost=1");
-    assertThat(manager.actionsWith("forward b").stream().map(line -> line.split(" ")[2]).distinct().count())
+    assertThat(
+            manager.actionsWith("forward b").stream()
+                .map(line -> line.split(" ")[2])
+                .distinct()
+                .count())
         .isBetween(50L, big);
     manager.submitAll(300, "s# short a mb=1 cost=1");
     // The engines that are only in the other class's subset get none of these tasks.
-    assertThat(manager.actionsWith("forward s").stream().map(line -> line.split(" ")[2]).distinct().count())
+    assertThat(
+            manager.actionsWith("forward s").stream()
+                .map(line -> line.split(" ")[2])
+                .distinct()
+                .count())
         .isLessThan(manager.knownEngines().size() - 20L);
   }
 
@@ -230,7 +243,8 @@
   void retryStaysInTheCellOfAnEngineThatLeftTheSubset() {
     ManagerHarness manager = manager(200, 55).listEngines(true, entries(100));
     manager.submit("t cell a").decide();
-    int first = Integer.parseInt(manager.actionsWith("forward t").get(0).split(" ")[2].substring(7));
+    int first =
+        Integer.parseInt(manager.actionsWith("forward t").get(0).split(" ")[2].substring(7));
     manager.listEngines(true, entries(6200)).endForward("t", 0, Outcome.ERROR);
     List<String> sent = manager.actionsWith("forward t");
     assertThat(sent).hasSize(2);
@@ -280,7 +294,8 @@
       before = after;
     }
     assertThat(before - own.size()).isBetween(100, 219); // the subsets of both classes
-    List<String> standIns = manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
+    List<String> standIns =
+        manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
     manager.submitAll(400, "t# short a cost=1 mb=1");
     List<String> sentTo =
         manager.actionsWith("forward").stream().map(line -> line.split(" ")[2]).distinct().toList();
@@ -300,7 +315,7 @@
   @Test
   void coldEngineIsNoSubstitute() {
     ManagerHarness manager = manager(500, 42);
-    manager.coldStartLimit = COLD;
+    manager.coldStartLimit = COLD_START_LIMIT;
     manager.listEngines(true, entries(3000));
     List<String> own = manager.knownEngines();
     EngineEntry[] half = entries(3000);
@@ -310,7 +325,8 @@
       }
     }
     manager.listEngines(true, half).advance(4000);
-    List<String> standIns = manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
+    List<String> standIns =
+        manager.knownEngines().stream().filter(id -> !own.contains(id)).toList();
     assertThat(standIns).hasSizeGreaterThan(10);
     assertThat(standIns).allMatch(id -> Integer.parseInt(id.substring(7)) % 4 == 0);
     // A substitute that restarts, and so is cold, gets nothing.
@@ -319,7 +335,9 @@
     manager.listEngines(
         false,
         entry(
-            Integer.parseInt(restarted.substring(7)), EngineEntry.State.READY, manager.now() / NANOS_PER_MS));
+            Integer.parseInt(restarted.substring(7)),
+            EngineEntry.State.READY,
+            manager.now() / NANOS_PER_MS));
     for (int i = 0; i < 20; i++) {
       int from = manager.actions.size();
       manager.submitAll(40, "t" + i + ".# short a cost=1 mb=1 left=400").advance(50);
@@ -336,7 +354,7 @@
   @Test
   void coldWorkCountSurvivesLeavingTheSubset() {
     ManagerHarness manager = manager(64, 3);
-    manager.coldStartLimit = COLD;
+    manager.coldStartLimit = COLD_START_LIMIT;
     manager.listEngines(true).advance(1000);
     EngineEntry[] few = entries(100);
     EngineEntry[] many = entries(6200);
@@ -414,11 +432,19 @@
       for (int i = 0; i < managers; i++) {
         ManagerHarness manager = manager(managers, i);
         manager.seed = 10_000L * round + i;
-        manager.coldStartLimit = COLD;
-        manager.managerCount = mistake == Misconfiguration.LOW_MANAGER_COUNT && i % 2 == 0 ? managers * 3 / 4 : managers;
-        manager.managerIndex = mistake == Misconfiguration.DUPLICATE_INDEX && i % 4 == 1 ? i - 1 : i;
-        manager.managerIndex = mistake == Misconfiguration.UNKNOWN_INDEX ? Settings.UNKNOWN_INDEX : manager.managerIndex;
-        int listed = mistake == Misconfiguration.SHORT_LIST && i % 2 == 0 ? engines * 9 / 10 : engines;
+        manager.coldStartLimit = COLD_START_LIMIT;
+        manager.managerCount =
+            mistake == Misconfiguration.LOW_MANAGER_COUNT && i % 2 == 0
+                ? managers * 3 / 4
+                : managers;
+        manager.managerIndex =
+            mistake == Misconfiguration.DUPLICATE_INDEX && i % 4 == 1 ? i - 1 : i;
+        manager.managerIndex =
+            mistake == Misconfiguration.UNKNOWN_INDEX
+                ? Settings.UNKNOWN_INDEX
+                : manager.managerIndex;
+        int listed =
+            mistake == Misconfiguration.SHORT_LIST && i % 2 == 0 ? engines * 9 / 10 : engines;
         EngineEntry[] all = new EngineEntry[listed];
         for (int engine = 0; engine < listed; engine++) {
           // Only the cold engines are ready, so that they get all tasks.
@@ -428,7 +454,9 @@
         }
         manager.listEngines(true).advance(1000).listEngines(true, all);
         fill(manager, "t", 10, cost);
-        manager.actionsWith("forward").forEach(line -> sent.merge(line.split(" ")[2], 1L, Long::sum));
+        manager
+            .actionsWith("forward")
+            .forEach(line -> sent.merge(line.split(" ")[2], 1L, Long::sum));
       }
       for (int engine = 0; engine < 40; engine++) {
         most = Math.max(most, sent.getOrDefault(id(engine), 0L));
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -28,7 +28,11 @@
 
   @Test
   void earliestDeadlineIsSentFirst() {
-    ManagerHarness manager = saturatedManager().submit("late short a left=9000").submit("soon short a left=4000").decide();
+    ManagerHarness manager =
+        saturatedManager()
+            .submit("late short a left=9000")
+            .submit("soon short a left=4000")
+            .decide();
     manager.endForward("x0", 0, Outcome.OK).endForward("x1", 0, Outcome.OK);
     assertThat(manager.actionsWith("forward").subList(8, 10))
         .containsExactly("forward soon e", "forward late e");
@@ -63,7 +67,11 @@
             .advance(100)
             .endForward("f", 0, Outcome.OK);
     for (int i = 0; i < 12; i++) {
-      manager.submit("s" + i + " short a").decide().advance(1500).endForward("s" + i, 0, Outcome.OK);
+      manager
+          .submit("s" + i + " short a")
+          .decide()
+          .advance(1500)
+          .endForward("s" + i, 0, Outcome.OK);
     }
     assertThat(manager.submitAll(8, "t# short a").actionsWith("forward t")).hasSize(4);
   }
@@ -82,15 +90,16 @@
 
   @ParameterizedTest(name = "{0} waiting")
   @CsvSource({"31, 0", "32, 0", "33, 1", "40, 8"})
-  void tenantQueueIsBounded(int waiting, int refused) {
+  void tenantQueueIsBounded(int waiting, int rejected) {
     ManagerHarness manager = saturatedManager().submitAll(waiting, "w# short a left=15000");
-    assertThat(manager.actionsWith("bounce")).hasSize(refused);
+    assertThat(manager.actionsWith("bounce")).hasSize(rejected);
   }
 
   @Test
   void expectedWaitBeyondBudgetIsRejectedAtOnce() {
     // The learned run time is four seconds; the nine tasks sent now take as long.
-    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submit("p short a cost=4000").decide();
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submit("p short a cost=4000").decide();
     manager.advance(4000).endForward("p", 0, Outcome.OK).submitAll(9, "x# short a left=19000");
     assertThat(manager.submit("t short a left=5000").decide().actionsWith("bounce"))
         .containsExactly("bounce t");
@@ -98,15 +107,18 @@
 
   @Test
   void taskWithoutTenantIsSentAtOnceOrRejected() {
-    assertThat(saturatedManager().submit("t short -").decide().actionsWith("bounce")).containsExactly("bounce t");
-    assertThat(new ManagerHarness().listEngines(true, small("e")).submit("t short -").decide().actions)
+    assertThat(saturatedManager().submit("t short -").decide().actionsWith("bounce"))
+        .containsExactly("bounce t");
+    assertThat(
+            new ManagerHarness().listEngines(true, small("e")).submit("t short -").decide().actions)
         .containsExactly("forward t e");
   }
 
   @ParameterizedTest(name = "{0}: {1} more")
   @CsvSource({"FULL, 0", "TIME_OUT, 0", "OK, 4"})
   void concurrencyLimitHalvesAndRises(Outcome outcome, int more) {
-    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# once a left=19000");
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# once a left=19000");
     manager
         .submitAll(6, "w# stamp b left=15000")
         .endForward("x0", 0, outcome)
@@ -117,7 +129,8 @@
 
   @Test
   void choiceFollowsReportsOrElseThreads() {
-    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"), small("g"));
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e"), small("f"), small("g"));
     manager.endProbe("e", Outcome.OK, report(0.9, 40, Double.NaN));
     manager.endProbe("f", Outcome.OK, report(0.1, 1, Double.NaN));
     manager.submitAll(8, "t# short a");
@@ -159,14 +172,18 @@
       manager.listEngines(false, small("e" + i));
     }
     for (long at = 0; at < 10_000; at += taskInterval) {
-      manager.submit("t" + at + " short a").decide().endForward("t" + at, 0, Outcome.OK).advance(taskInterval);
+      manager
+          .submit("t" + at + " short a")
+          .decide()
+          .endForward("t" + at, 0, Outcome.OK)
+          .advance(taskInterval);
     }
     assertThat(manager.actionsWith("probe ").size()).isBetween(min, max);
   }
 
   @ParameterizedTest(name = "warm sets run in {0} ms, others in 100")
   @CsvSource({"25, 0.75, 1.0", "100, 0.1, 0.45"})
-  void benefitOfWarmDataSetsIsLearned(int warm, double least, double most) {
+  void benefitOfWarmDataSetsIsLearned(int warm, double min, double max) {
     // Guards against preferring warm data sets where engines gain nothing from them.
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"));
     java.util.Map<String, List<Integer>> read =
@@ -183,13 +200,14 @@
       hits += hit && i >= 800 ? 1 : 0;
       manager.advance(hit ? warm : 100).endForward("t" + i, 0, Outcome.OK);
     }
-    assertThat(hits / 400.0).isBetween(least, most);
+    assertThat(hits / 400.0).isBetween(min, max);
   }
 
   @Test
   void tasksWaitForMemory() {
     // Guards against grants beyond an engine's memory, which make all its tasks spill or page.
-    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submitAll(4, "t# short a mb=300");
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submitAll(4, "t# short a mb=300");
     assertThat(manager.actionsWith("forward")).hasSize(2);
     assertThat(manager.endForward("t0", 0, Outcome.OK).actionsWith("forward")).hasSize(3);
   }
@@ -225,20 +243,21 @@
 
   @ParameterizedTest(name = "tasks of {0} MB: {1} of 4 go")
   @CsvSource({"160, 2", "80, 4"})
-  void poolMemoryLimitsAllButSmallTasks(int mb, int most) {
+  void poolMemoryLimitsAllButSmallTasks(int mb, int max) {
     // Guards against one task per engine from each of many managers, at twice the available memory.
     ManagerHarness manager = new ManagerHarness();
     manager.managerCount = 9;
     manager
         .listEngines(true, small("e"), small("f"), small("g"), small("h"))
         .submitAll(4, "t# short a mb=" + mb);
-    assertThat(manager.actionsWith("forward")).hasSize(most);
+    assertThat(manager.actionsWith("forward")).hasSize(max);
   }
 
   @Test
   void expensiveTasksAreRejectedWhileTasksWait() {
     // Guards against a few expensive tasks that take the capacity of many.
-    ManagerHarness manager = saturatedManager().submitAll(10, "w# short a left=19000").advance(3000);
+    ManagerHarness manager =
+        saturatedManager().submitAll(10, "w# short a left=19000").advance(3000);
     manager.submit("heavy short b cost=20000").submit("light short b cost=50").decide();
     assertThat(manager.actionsWith("bounce")).containsExactly("bounce heavy");
   }
@@ -247,14 +266,17 @@
   void waitForOnePoolRaisesOnlyItsPrice() {
     // Guards against rejecting what fits elsewhere while one type of engine is missing.
     ManagerHarness manager =
-        new ManagerHarness().listEngines(true, small("e")).submitAll(10, "w# bound a left=20000").advance(3000);
+        new ManagerHarness()
+            .listEngines(true, small("e"))
+            .submitAll(10, "w# bound a left=20000")
+            .advance(3000);
     manager.submit("t short b cost=20000").decide();
     assertThat(manager.actionsWith("forward")).containsExactly("forward t e");
   }
 
-  private static ManagerHarness managerWithHistory(boolean copies) {
+  private static ManagerHarness managerWithHistory(boolean hedging) {
     ManagerHarness manager = new ManagerHarness();
-    manager.hedging = copies;
+    manager.hedging = hedging;
     manager.listEngines(true, small("e"), small("f"), small("g"));
     for (int i = 0; i < 40; i++) {
       manager.submit("p" + i + " short a").decide().advance(50).endForward("p" + i, 0, Outcome.OK);
@@ -264,9 +286,9 @@
 
   @ParameterizedTest(name = "hedging {0}")
   @CsvSource({"false", "true"})
-  void silentEngineIsExcludedAndItsTasksRetried(boolean copies) {
+  void silentEngineIsExcludedAndItsTasksRetried(boolean hedging) {
     // Guards against engines that hang or vanish, and against broken links.
-    ManagerHarness manager = managerWithHistory(copies).submitAll(6, "t# short a");
+    ManagerHarness manager = managerWithHistory(hedging).submitAll(6, "t# short a");
     List<String> stuck =
         manager.actionsWith("forward t").stream().filter(line -> line.endsWith(" e")).toList();
     for (String line : manager.actionsWith("forward t")) {
@@ -277,23 +299,27 @@
     assertThat(stuck).isNotEmpty();
     manager.advance(900);
     assertThat(manager.logs).anyMatch(line -> line.startsWith("engine e suspected: silent"));
-    assertThat(manager.actionsWith(copies ? "forward t" : "cancel t").size())
-        .isEqualTo((copies ? 6 : 0) + stuck.size());
+    assertThat(manager.actionsWith(hedging ? "forward t" : "cancel t").size())
+        .isEqualTo((hedging ? 6 : 0) + stuck.size());
     long before = manager.sentTo("e");
     manager.submitAll(6, "u# short a");
-    assertThat(manager.sentTo("e") - before).as("but one trial").isLessThanOrEqualTo(1);
+    assertThat(manager.sentTo("e") - before).as("at most one trial task").isLessThanOrEqualTo(1);
   }
 
   @ParameterizedTest(name = "cancellation {0}, hedging {1}: forwards {2}, cancels {3}")
   @CsvSource({"true, true, 2, 0", "true, false, 1, 1", "false, true, 1, 0"})
   void waitingForwardMayRunElsewhere(
-      boolean cancels, boolean copies, int forwards, int cancelled) {
+      boolean cancellation, boolean hedging, int forwards, int cancelled) {
     // Guards against tasks that wait behind a bulk load. Where a forward cannot be cancelled, a
     // second one would only add to the overload.
     ManagerHarness manager = new ManagerHarness();
-    manager.cancellation = cancels;
-    manager.hedging = copies;
-    manager.listEngines(true, small("e"), small("f")).submit("t short a").decide().reportWaiting("t");
+    manager.cancellation = cancellation;
+    manager.hedging = hedging;
+    manager
+        .listEngines(true, small("e"), small("f"))
+        .submit("t short a")
+        .decide()
+        .reportWaiting("t");
     assertThat(manager.actionsWith("forward t")).hasSize(forwards);
     assertThat(manager.actionsWith("cancel t")).hasSize(cancelled);
   }
@@ -301,11 +327,15 @@
   @ParameterizedTest(name = "hedging {0}, {1} done after 1 s: forwards {2}, cancels {3}")
   @CsvSource({"true, 0.9, 1, 0", "true, 0.05, 2, 0", "false, 0.05, 1, 1", "true, 0, 1, 0"})
   void forwardFarFromItsEndIsRetriedElsewhere(
-      boolean copies, double done, int forwards, int cancelled) {
+      boolean hedging, double fractionDone, int forwards, int cancelled) {
     // Guards against overloaded engines, bad plans and starved priorities: progress reports tell of
     // them long before answers.
     ManagerHarness manager =
-        managerWithHistory(copies).submit("t short a cost=500").decide().advance(1000).reportFractionDone("t", done);
+        managerWithHistory(hedging)
+            .submit("t short a cost=500")
+            .decide()
+            .advance(1000)
+            .reportFractionDone("t", fractionDone);
     assertThat(manager.actionsWith("forward t ")).hasSize(forwards);
     assertThat(manager.actionsWith("cancel t ")).hasSize(cancelled);
   }
@@ -333,7 +363,7 @@
   /** Guards against excluding engines because of tasks that fail wherever they run. */
   @ParameterizedTest(name = "succeeds on another engine: {0}")
   @CsvSource({"false", "true"})
-  void errorsCountOnceTheTaskSucceedsElsewhere(boolean handled) {
+  void errorsCountOnceTheTaskSucceedsElsewhere(boolean succeeds) {
     ManagerHarness manager = managerWithHistory(false);
     manager.listEngines(true, small("e"));
     for (int i = 0; i < 6; i++) {
@@ -342,10 +372,10 @@
           .decide()
           .endForward("t" + i, 0, Outcome.ERROR)
           .endForward("t" + i, 1, Outcome.ERROR)
-          .endForward("t" + i, 2, handled && i > 3 ? Outcome.OK : Outcome.ERROR);
+          .endForward("t" + i, 2, succeeds && i > 3 ? Outcome.OK : Outcome.ERROR);
     }
     assertThat(manager.logs.stream().anyMatch(line -> line.contains("its answers fail")))
-        .isEqualTo(handled);
+        .isEqualTo(succeeds);
   }
 
   /** Guards against a key that is used up by tasks which can no longer end in time. */
@@ -354,7 +384,11 @@
   void taskQueuedByKeyIsRejectedWhenItCannotMeetItsDeadline(long left, boolean rejected) {
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"));
     for (int i = 0; i < 100; i++) {
-      manager.submit("p" + i + " once a key=" + i).decide().advance(150).endForward("p" + i, 0, Outcome.OK);
+      manager
+          .submit("p" + i + " once a key=" + i)
+          .decide()
+          .advance(150)
+          .endForward("p" + i, 0, Outcome.OK);
     }
     manager
         .submit("t once a key=7")
@@ -371,8 +405,14 @@
     // Guards against overloading an engine that restarted before a list shows it, and against
     // sending to dead engines because all engines are suspected.
     ManagerHarness manager = new ManagerHarness();
-    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * ManagerHarness.NANOS_PER_MS, 2, 1000 * ManagerHarness.NANOS_PER_MS);
-    manager.listEngines(true, small("e")).submit("t short a").decide().endForward("t", 0, Outcome.UNREACHED);
+    manager.coldStartLimit =
+        new Settings.ColdStartLimit(
+            0.3, 10_000 * ManagerHarness.NANOS_PER_MS, 2, 1000 * ManagerHarness.NANOS_PER_MS);
+    manager
+        .listEngines(true, small("e"))
+        .submit("t short a")
+        .decide()
+        .endForward("t", 0, Outcome.UNREACHED);
     assertThat(manager.submitAll(4, "u# short a").actionsWith("forward u")).isEmpty();
     manager.advance(1050).endForward("t", 1, Outcome.OK).submitAll(30, "w# stamp b cost=900");
     assertThat(manager.actionsWith("forward w").size()).isBetween(1, 3);
@@ -381,12 +421,15 @@
   @Test
   void restartedEngineIsNoLongerSuspected() {
     ManagerHarness manager = managerWithHistory(false).submit("t short a").decide();
-    String sick = manager.actionsWith("forward t ").get(0).split(" ")[2];
+    String unreachable = manager.actionsWith("forward t ").get(0).split(" ")[2];
     manager.endForward("t", 0, Outcome.UNREACHED);
-    assertThat(manager.logs).anyMatch(line -> line.startsWith("engine " + sick + " suspected"));
-    long before = manager.sentTo(sick);
-    manager.listEngines(false, engine(sick, "small", 0, State.READY, 99_000)).submitAll(18, "u# short b");
-    assertThat(manager.sentTo(sick) - before).isGreaterThan(1);
+    assertThat(manager.logs)
+        .anyMatch(line -> line.startsWith("engine " + unreachable + " suspected"));
+    long before = manager.sentTo(unreachable);
+    manager
+        .listEngines(false, engine(unreachable, "small", 0, State.READY, 99_000))
+        .submitAll(18, "u# short b");
+    assertThat(manager.sentTo(unreachable) - before).isGreaterThan(1);
   }
 
   @Test
@@ -418,9 +461,13 @@
     "stamp, 10, 2995, bounce t",
     "cell, 10, 2995, abort t"
   })
-  void openForwardsAreAnsweredBeforeShutdown(String queryClass, long cost, long after, String answer) {
+  void openForwardsAreAnsweredBeforeShutdown(
+      String queryClass, long cost, long after, String answer) {
     ManagerHarness manager =
-        new ManagerHarness().listEngines(true, small("e")).submit("t " + queryClass + " a cost=" + cost).decide();
+        new ManagerHarness()
+            .listEngines(true, small("e"))
+            .submit("t " + queryClass + " a cost=" + cost)
+            .decide();
     manager.announceShutdown(3000).advance(after);
     assertThat(
             manager.actions.stream()
@@ -433,14 +480,23 @@
   @CsvSource({"10, forward t e", "9000, bounce t"})
   void tasksDuringShutdownAreServedIfTheyCanEndInTime(long cost, String then) {
     ManagerHarness manager =
-        new ManagerHarness().listEngines(true, small("e")).announceShutdown(3000).submit("t short a cost=" + cost).decide();
+        new ManagerHarness()
+            .listEngines(true, small("e"))
+            .announceShutdown(3000)
+            .submit("t short a cost=" + cost)
+            .decide();
     assertThat(manager.actions).containsExactly(then);
   }
 
   @ParameterizedTest(name = "costing {0} ms: {1}")
   @CsvSource({"10, 0", "9000, 1"})
   void queuedTasksThatCannotEndBeforeShutdownAreRejected(long cost, int rejected) {
-    ManagerHarness manager = saturatedManager().submit("t short a left=15000 cost=" + cost).decide().announceShutdown(3000).advance(60);
+    ManagerHarness manager =
+        saturatedManager()
+            .submit("t short a left=15000 cost=" + cost)
+            .decide()
+            .announceShutdown(3000)
+            .advance(60);
     assertThat(manager.actionsWith("bounce t")).hasSize(rejected);
   }
 
@@ -451,13 +507,18 @@
   void poolUsesAChangedEntryAtOnce() {
     ManagerHarness manager = new ManagerHarness();
     manager.managerCount = 12;
-    manager.listEngines(true, small("e")).submit("x short a").decide().sweepListAndSubmit(big("e"), "t short a");
+    manager
+        .listEngines(true, small("e"))
+        .submit("x short a")
+        .decide()
+        .sweepListAndSubmit(big("e"), "t short a");
     assertThat(manager.actionsWith("forward")).containsExactly("forward x e", "forward t e");
   }
 
   @Test
   void closedAdmissionRejectsNewTasksOnly() {
-    ManagerHarness manager = new ManagerHarness().listEngines(true, small("e")).submit("in short a").decide();
+    ManagerHarness manager =
+        new ManagerHarness().listEngines(true, small("e")).submit("in short a").decide();
     manager.setAdmission(false).submit("out short a").decide();
     assertThat(manager.actions)
         .anyMatch(action -> action.startsWith("forward in"))
--- a/src/test/java/tansytrack/EngineSubsetTest.java
+++ b/src/test/java/tansytrack/EngineSubsetTest.java
@@ -184,7 +184,8 @@
     List<Set<String>> replaced = fleet(100, fewer);
     int came = managersPerEngine(replaced).get(engine(9000, EngineEntry.State.READY).id());
     assertThat(changedPairs(without, replaced)).isEqualTo(came);
-    assertThat(changedPairs(before, replaced)).isEqualTo(managersPerEngine(before).get(left) + came);
+    assertThat(changedPairs(before, replaced))
+        .isEqualTo(managersPerEngine(before).get(left) + came);
     assertThat(came).isBetween(12, 13);
   }
 
@@ -243,12 +244,12 @@
 
   @Test
   void singleChangesEqualAWholeList() {
-    SplittableRandom chance = new SplittableRandom(3);
+    SplittableRandom random = new SplittableRandom(3);
     TreeMap<String, EngineEntry> listed = new TreeMap<>();
     Selection byChange = new Selection(300, 11);
     for (int i = 0; i < 4000; i++) {
-      EngineEntry.State state = EngineEntry.State.values()[chance.nextInt(3)];
-      EngineEntry entry = engine(chance.nextInt(900), state);
+      EngineEntry.State state = EngineEntry.State.values()[random.nextInt(3)];
+      EngineEntry entry = engine(random.nextInt(900), state);
       listed.put(entry.id(), entry);
       listed.values().removeIf(changed -> changed.state() == EngineEntry.State.GONE);
       byChange.put(entry);
@@ -287,7 +288,8 @@
   void managersWithoutIndexDifferByTheirSeed() {
     int[] users = new int[640];
     for (int seed = 0; seed < 400; seed++) {
-      Selection selection = new Selection(400, Settings.UNKNOWN_INDEX, EngineSubsetTest::anyEngine, seed);
+      Selection selection =
+          new Selection(400, Settings.UNKNOWN_INDEX, EngineSubsetTest::anyEngine, seed);
       selection.set(engines(640));
       for (String id : selection.used()) {
         users[Integer.parseInt(id.substring(7))]++;
@@ -323,7 +325,8 @@
     assertThat(sweep(selection, 10, EngineSubsetTest::isUnhealthy)).isEqualTo(1);
     assertThat(selection.used()).hasSize(own.size() + 10);
     sweep(selection, 100, EngineSubsetTest::isUnhealthy);
-    List<EngineEntry> well = selection.usedEntries().stream().filter(entry -> !isUnhealthy(entry)).toList();
+    List<EngineEntry> well =
+        selection.usedEntries().stream().filter(entry -> !isUnhealthy(entry)).toList();
     double usual = 3000 / 32.0;
     int standIns = selection.used().size() - own.size();
     assertThat((double) well.size()).isGreaterThanOrEqualTo(0.55 * (usual + standIns));
@@ -393,7 +396,8 @@
     Set<String> own = selection.used();
     for (EngineEntry entry : selection.list.all().stream().toList()) {
       if (!own.contains(entry.id())) {
-        selection.put(ManagerHarness.engine(entry.id(), entry.type(), 0, EngineEntry.State.DRAINING, 0));
+        selection.put(
+            ManagerHarness.engine(entry.id(), entry.type(), 0, EngineEntry.State.DRAINING, 0));
       }
     }
     assertThat(sweep(selection, 5, entry -> own.contains(entry.id()))).isZero();
--- a/src/test/java/tansytrack/ManagerHarness.java
+++ b/src/test/java/tansytrack/ManagerHarness.java
@@ -38,23 +38,23 @@
 
   static QueryClass queryClass(
       String name,
-      QueryClass.RetrySafety repeat,
-      QueryClass.DeduplicationScope scope,
-      boolean inOrder,
-      String... kinds) {
+      QueryClass.RetrySafety retrySafety,
+      QueryClass.DeduplicationScope deduplicationScope,
+      boolean serializedByKey,
+      String... engineTypes) {
     return new QueryClass(
         name,
-        repeat,
-        scope,
+        retrySafety,
+        deduplicationScope,
         5000 * NANOS_PER_MS,
         1000 * NANOS_PER_MS,
         2,
         20_000 * NANOS_PER_MS,
         1,
         0.5,
-        inOrder,
+        serializedByKey,
         Set.of(),
-        Set.of(kinds),
+        Set.of(engineTypes),
         1,
         name.equals("load"),
         name.equals("short"));
@@ -160,16 +160,16 @@
    * Submits a task: "id class tenant", followed by any of key=, cost= and left= (the time to the
    * deadline, both in milliseconds), mb= and set=.
    */
-  ManagerHarness submit(String words) {
-    String[] word = words.split(" ");
+  ManagerHarness submit(String description) {
+    String[] words = description.split(" ");
     Long key = null;
     long cost = 100;
     long left = 20_000;
     double mb = 10;
     long set = -1;
-    for (int i = 3; i < word.length; i++) {
-      long value = Long.parseLong(word[i].substring(word[i].indexOf('=') + 1));
-      switch (word[i].substring(0, word[i].indexOf('='))) {
+    for (int i = 3; i < words.length; i++) {
+      long value = Long.parseLong(words[i].substring(words[i].indexOf('=') + 1));
+      switch (words[i].substring(0, words[i].indexOf('='))) {
         case "key" -> key = value;
         case "cost" -> cost = value;
         case "left" -> left = value;
@@ -181,9 +181,9 @@
         .onTask(
             now,
             new TaskRequest(
-                word[0],
-                word[1],
-                word[2].equals("-") ? "" : word[2],
+                words[0],
+                words[1],
+                words[2].equals("-") ? "" : words[2],
                 key,
                 now + left * NANOS_PER_MS,
                 cost * NANOS_PER_MS,
@@ -197,9 +197,9 @@
     return this;
   }
 
-  ManagerHarness submitAll(int count, String words) {
+  ManagerHarness submitAll(int count, String description) {
     for (int i = 0; i < count; i++) {
-      submit(words.replace("#", "" + i));
+      submit(description.replace("#", "" + i));
     }
     return decide();
   }
@@ -228,13 +228,14 @@
   }
 
   /** Reports that the task's first forward has done a fraction of its work. */
-  ManagerHarness reportFractionDone(String task, double share) {
-    return reportProgress(task, DecisionModule.Progress.FRACTION_DONE, share);
+  ManagerHarness reportFractionDone(String task, double fraction) {
+    return reportProgress(task, DecisionModule.Progress.FRACTION_DONE, fraction);
   }
 
-  private ManagerHarness reportProgress(String task, DecisionModule.Progress what, double amount) {
+  private ManagerHarness reportProgress(
+      String task, DecisionModule.Progress progress, double amount) {
     String engine = actionsWith("forward " + task + " ").get(0).split(" ")[2];
-    module().onProgress(now, task, 0, engine, what, amount);
+    module().onProgress(now, task, 0, engine, progress, amount);
     return decide();
   }
 
@@ -308,8 +309,8 @@
   }
 
   /** Returns the actions so far that begin with the given words. */
-  List<String> actionsWith(String words) {
-    return actions.stream().filter(line -> line.startsWith(words)).toList();
+  List<String> actionsWith(String prefix) {
+    return actions.stream().filter(line -> line.startsWith(prefix)).toList();
   }
 
   long sentTo(String engine) {
@@ -319,12 +320,12 @@
   }
 
   @Override
-  public void forward(String task, String engine, long timeOut) {
+  public void forward(String task, String engine, long timeoutNanos) {
     actions.add("forward " + task + " " + engine);
   }
 
   @Override
-  public void reject(String task, long pause) {
+  public void reject(String task, long retryAfterNanos) {
     actions.add("bounce " + task);
   }
 
@@ -349,8 +350,8 @@
   }
 
   @Override
-  public void scheduleWakeUp(long in, String token) {
-    nextWakeUp = now + in;
+  public void scheduleWakeUp(long delayNanos, String token) {
+    nextWakeUp = now + delayNanos;
   }
 
   @Override
--- a/src/test/java/tansytrack/RulesTest.java
+++ b/src/test/java/tansytrack/RulesTest.java
@@ -102,7 +102,11 @@
             "abort t"),
         rule(
             "2 non-idempotent and not executed: sent again",
-            m -> m.listEngines(true, small("e")).submit("t once a").decide().endForward("t", 0, Outcome.FULL),
+            m ->
+                m.listEngines(true, small("e"))
+                    .submit("t once a")
+                    .decide()
+                    .endForward("t", 0, Outcome.FULL),
             "forward t e",
             "forward t e"),
         rule(
@@ -143,7 +147,11 @@
             "2 deduplicated: the window starts with the first forward, even while it is open",
             m -> {
               m.hedging = true;
-              m.listEngines(true, small("e"), small("f")).submit("t stamp a").decide().advance(3000).reportWaiting("t");
+              m.listEngines(true, small("e"), small("f"))
+                  .submit("t stamp a")
+                  .decide()
+                  .advance(3000)
+                  .reportWaiting("t");
               m.endForward("t", 1, Outcome.ERROR).advance(2500).reportWaiting("t");
             },
             "forward t f",
@@ -169,7 +177,12 @@
             "bounce t"),
         rule(
             "3 no longer listed: nothing new",
-            m -> m.listEngines(true, small("e")).listEngines(true).submit("t short a left=1000").decide().advance(300),
+            m ->
+                m.listEngines(true, small("e"))
+                    .listEngines(true)
+                    .submit("t short a left=1000")
+                    .decide()
+                    .advance(300),
             "bounce t"),
         rule(
             "3 a change names only what changed",
@@ -255,7 +268,8 @@
             "forward u e"),
         rule(
             "6 restricted to a type that is gone: never sent elsewhere",
-            m -> m.listEngines(true, small("e")).submit("t bound a left=1000").decide().advance(300),
+            m ->
+                m.listEngines(true, small("e")).submit("t bound a left=1000").decide().advance(300),
             "bounce t"),
         rule(
             "6 restricted to a type: also for a retry",
@@ -270,7 +284,10 @@
             "7 the retry budget applies to every retry",
             m -> {
               m.retryBudget = new Settings.RetryBudget(1, 0, 5000 * NANOS_PER_MS);
-              m.listEngines(true, small("e")).submit("t short a").submit("u short a left=15000").decide();
+              m.listEngines(true, small("e"))
+                  .submit("t short a")
+                  .submit("u short a left=15000")
+                  .decide();
               m.endForward("t", 0, Outcome.ERROR).endForward("u", 0, Outcome.ERROR).advance(4000);
             },
             "forward u e",
@@ -281,7 +298,10 @@
             "7 the retry budget grows with the tasks accepted",
             m -> {
               m.retryBudget = new Settings.RetryBudget(0, 0.5, 5000 * NANOS_PER_MS);
-              m.listEngines(true, small("e")).submit("t short a").submit("u short a left=15000").decide();
+              m.listEngines(true, small("e"))
+                  .submit("t short a")
+                  .submit("u short a left=15000")
+                  .decide();
               m.endForward("t", 0, Outcome.ERROR).endForward("u", 0, Outcome.ERROR).advance(4000);
             },
             "forward u e",
@@ -331,8 +351,12 @@
   void coldEngineIsNotOverloaded(int managerCount, long age, long max) {
     ManagerHarness manager = new ManagerHarness();
     manager.managerCount = managerCount;
-    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
-    manager.listEngines(true).advance(1000).listEngines(true, engine("e", "small", 0, State.READY, 101_000 - age));
+    manager.coldStartLimit =
+        new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
+    manager
+        .listEngines(true)
+        .advance(1000)
+        .listEngines(true, engine("e", "small", 0, State.READY, 101_000 - age));
     manager.submitAll(30, "t# short a cost=300");
     assertThat(manager.sentTo("e")).isEqualTo(max);
   }
@@ -346,7 +370,8 @@
   @CsvSource({"0, 100, 0", "500, 100, 4", "1000, 100, 8", "0, -1, 7", "200, -100, 7"})
   void restartedManagerAllowsForWorkSentBeforeItsRestart(long since, long before, long most) {
     ManagerHarness manager = new ManagerHarness();
-    manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
+    manager.coldStartLimit =
+        new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
     manager
         .listEngines(true)
         .advance(since)
@@ -365,7 +390,8 @@
       ManagerHarness manager = new ManagerHarness();
       manager.seed = seed + i;
       manager.managerCount = managerCount;
-      manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
+      manager.coldStartLimit =
+          new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
           .listEngines(true, engine("e", "small", 0, State.READY, 100_000))
           .submitAll(tasks, "t# short a cost=" + cost);
@@ -400,7 +426,8 @@
       ManagerHarness manager = new ManagerHarness();
       manager.seed = i;
       manager.managerCount = managerCount;
-      manager.coldStartLimit = new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
+      manager.coldStartLimit =
+          new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
       manager
           .listEngines(true)
           .advance(1000)
