--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -178,8 +178,8 @@
     long idHash = StableHash.of(id);
     int level = 0;
     while (level < MAX_LEVEL
-        && (managerIndex >> level & 1)
-            == StableHash.of(idHash, managerIndex >> level + 1, level) >>> 63) {
+        && ((managerIndex >> level) & 1)
+            == StableHash.of(idHash, managerIndex >> (level + 1), level) >>> 63) {
       level++;
     }
     return level;
