--- a/src/test/java/tansytrack/ManagerHarness.java
+++ b/src/test/java/tansytrack/ManagerHarness.java
@@ -1,5 +1,11 @@
 package tansytrack;
 
+import static tansytrack.api.QueryClass.DeduplicationScope.ALL;
+import static tansytrack.api.QueryClass.DeduplicationScope.CELL;
+import static tansytrack.api.QueryClass.RetrySafety.DEDUPLICATED;
+import static tansytrack.api.QueryClass.RetrySafety.IDEMPOTENT;
+import static tansytrack.api.QueryClass.RetrySafety.NON_IDEMPOTENT;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -70,37 +76,12 @@
                   managerIndex,
                   "here",
                   List.of(
-                      queryClass(
-                          "short",
-                          QueryClass.RetrySafety.IDEMPOTENT,
-                          QueryClass.DeduplicationScope.ALL,
-                          false),
-                      queryClass(
-                          "stamp",
-                          QueryClass.RetrySafety.DEDUPLICATED,
-                          QueryClass.DeduplicationScope.ALL,
-                          false),
-                      queryClass(
-                          "cell",
-                          QueryClass.RetrySafety.DEDUPLICATED,
-                          QueryClass.DeduplicationScope.CELL,
-                          false),
-                      queryClass(
-                          "once",
-                          QueryClass.RetrySafety.NON_IDEMPOTENT,
-                          QueryClass.DeduplicationScope.ALL,
-                          true),
-                      queryClass(
-                          "load",
-                          QueryClass.RetrySafety.IDEMPOTENT,
-                          QueryClass.DeduplicationScope.ALL,
-                          false),
-                      queryClass(
-                          "bound",
-                          QueryClass.RetrySafety.IDEMPOTENT,
-                          QueryClass.DeduplicationScope.ALL,
-                          false,
-                          "big")),
+                      queryClass("short", IDEMPOTENT, ALL, false),
+                      queryClass("stamp", DEDUPLICATED, ALL, false),
+                      queryClass("cell", DEDUPLICATED, CELL, false),
+                      queryClass("once", NON_IDEMPOTENT, ALL, true),
+                      queryClass("load", IDEMPOTENT, ALL, false),
+                      queryClass("bound", IDEMPOTENT, ALL, false, "big")),
                   hasTenants
                       ? List.of(
                           new Settings.Tenant("a", 0.75, 100), new Settings.Tenant("b", 0.25, 100))
