--- a/src/jmh/java/tansytrack/jmh/DecideWorkload.java
+++ b/src/jmh/java/tansytrack/jmh/DecideWorkload.java
@@ -16,19 +16,20 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * One decision module before engines that end each task at once, on virtual time. Plain tasks may
- * go to any engine; scarce ones only to the one engine of a kind of its own, so that they wait
- * there.
+ * One decision module with engines that end each task at once, on virtual time. Plain tasks may go
+ * to any engine; scarce tasks may go only to the one engine of its type, so that they queue for it.
  */
 final class DecideWorkload implements Actions {
 
-  private static final long MS = 1_000_000L;
-  private static final long TASK_GAP = 370_000L; // virtual time between tasks: 2,700 a second
-  private static final long SWEEP_GAP = 50 * MS;
-  private static final long LEFT = 3000 * MS; // of a plain task, to its cut-off
-  private static final long LEFT_SCARCE = 60_000 * MS; // these must not end their wait
-  private static final long COST = MS;
-  private static final int MOST_FILL = 10_000;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  // 2,700 tasks per second of virtual time.
+  private static final long TASK_INTERVAL_NANOS = 370_000L;
+  private static final long SWEEP_INTERVAL_NANOS = 50 * NANOS_PER_MS;
+  private static final long PLAIN_TIME_LEFT_NANOS = 3000 * NANOS_PER_MS;
+  // Scarce tasks must stay in the queue for the whole benchmark.
+  private static final long SCARCE_TIME_LEFT_NANOS = 60_000 * NANOS_PER_MS;
+  private static final long TASK_COST_NANOS = NANOS_PER_MS;
+  private static final int MAX_FILL_TASKS = 10_000;
   private static final LoadReport IDLE =
       new LoadReport(Double.NaN, 0, Double.NaN, Double.NaN, Double.NaN);
   private static final String CONFIGURATION =
@@ -47,10 +48,10 @@
 
   private final Decide module;
   private final int tenants;
-  private long now = 100_000 * MS;
+  private long now = 100_000 * NANOS_PER_MS;
   private long number;
-  private String sentTo; // the engine of the last forward, until it is taken
-  private int refused;
+  private String sentTo; // the engine of the last forward, or null
+  private int rejected;
 
   DecideWorkload(int engines, int managers, int tenants) {
     this.tenants = tenants;
@@ -80,11 +81,15 @@
   }
 
   private static Settings settings(int managers, int tenants) {
-    StringBuilder named = new StringBuilder();
+    StringBuilder tenantList = new StringBuilder();
     for (int i = 0; i < tenants; i++) {
-      named.append(i == 0 ? "" : ",").append("{\"name\":\"t").append(i).append("\",\"portion\":1}");
+      tenantList
+          .append(i == 0 ? "" : ",")
+          .append("{\"name\":\"t")
+          .append(i)
+          .append("\",\"portion\":1}");
     }
-    String text = String.format(Locale.ROOT, CONFIGURATION, managers, named);
+    String text = String.format(Locale.ROOT, CONFIGURATION, managers, tenantList);
     try {
       return ManagerConfig.fromJson(Json.parse(text.getBytes(StandardCharsets.UTF_8))).settings();
     } catch (ProtocolException e) {
@@ -92,41 +97,45 @@
     }
   }
 
-  /** Offers scarce tasks until so many wait. */
-  void fill(int waiting) {
-    int wait = 0;
-    for (int i = 0; wait < waiting && i < MOST_FILL; i++) {
+  /** Submits scarce tasks until the given number of them wait. */
+  void fillQueue(int target) {
+    int waiting = 0;
+    for (int i = 0; waiting < target && i < MAX_FILL_TASKS; i++) {
       sentTo = null;
-      offer("scarce", LEFT_SCARCE);
+      submit("scarce", SCARCE_TIME_LEFT_NANOS);
       module.decide(now);
-      wait += sentTo == null ? 1 : 0;
+      waiting += sentTo == null ? 1 : 0;
     }
-    if (wait < waiting || refused > 0) {
-      throw new IllegalStateException(wait + " of " + waiting + " wait, " + refused + " refused");
+    if (waiting < target || rejected > 0) {
+      throw new IllegalStateException(
+          waiting + " of " + target + " wait, " + rejected + " rejected");
     }
   }
 
-  private String offer(String grade, long left) {
+  private String submit(String queryClass, long timeLeftNanos) {
     String id = Long.toHexString(++number);
     String tenant = "t" + number % tenants;
-    module.onTask(now, new TaskRequest(id, grade, tenant, null, now + left, COST, 1, -1));
+    module.onTask(
+        now,
+        new TaskRequest(id, queryClass, tenant, null, now + timeLeftNanos, TASK_COST_NANOS, 1, -1));
     return id;
   }
 
   void taskWithOutcome() {
-    now += TASK_GAP;
+    now += TASK_INTERVAL_NANOS;
     sentTo = null;
-    String id = offer("plain", LEFT);
+    String id = submit("plain", PLAIN_TIME_LEFT_NANOS);
     module.decide(now);
     if (sentTo == null) {
       throw new IllegalStateException("a plain task was not sent");
     }
-    module.onForwardEnd(now, id, 0, sentTo, Outcome.OK, MS, true, COST, 1, IDLE);
+    module.onForwardEnd(
+        now, id, 0, sentTo, Outcome.OK, NANOS_PER_MS, true, TASK_COST_NANOS, 1, IDLE);
     module.decide(now);
   }
 
   void sweep() {
-    now += SWEEP_GAP;
+    now += SWEEP_INTERVAL_NANOS;
     module.onWakeUp(now, "sweep");
     module.decide(now);
   }
@@ -138,12 +147,12 @@
 
   @Override
   public void reject(String task, long pause) {
-    refused++;
+    rejected++;
   }
 
   @Override
   public void abort(String task) {
-    refused++;
+    rejected++;
   }
 
   @Override
--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -1,100 +1,146 @@
 package tansytrack;
 
-// Every decision of a workload manager. One instance a manager: new Decide(settings, actions); then
-// any calls
-// that tell it something, which only put notes into inboxes; then decide(now), which empties them
-// and acts.
-// The interface is tansytrack.api: Decisions (in), Actions (out), Settings (at first). Why:
-// docs/design.md
-
-import static tansytrack.util.MathUtil.*;
-
-import java.util.*;
+import static tansytrack.util.MathUtil.clamp;
+import static tansytrack.util.MathUtil.movingAverage;
+import static tansytrack.util.MathUtil.pickWeighted;
+
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.stream.Stream;
-import tansytrack.api.*;
+import tansytrack.api.Actions;
+import tansytrack.api.DecisionModule;
+import tansytrack.api.EngineEntry;
+import tansytrack.api.EngineStatus;
+import tansytrack.api.LoadReport;
+import tansytrack.api.Outcome;
+import tansytrack.api.QueryClass;
+import tansytrack.api.Settings;
+import tansytrack.api.TaskRequest;
 import tansytrack.policy.EngineSubset;
-import tansytrack.util.*;
-
+import tansytrack.util.EngineList;
+import tansytrack.util.EventLoop;
+import tansytrack.util.KeyQueue;
+import tansytrack.util.SlidingWindow;
+import tansytrack.util.TenantQueue;
+
+/**
+ * Makes every decision of a workload manager: admission, queueing, the choice of an engine,
+ * retries, final answers and engine health.
+ *
+ * <p>Each manager has one instance, created with its settings and a receiver of actions. The
+ * methods of {@link DecisionModule} report events and only post messages to actors; {@link #decide}
+ * then processes all messages and issues the resulting {@link Actions}. The class does no input or
+ * output and reads no clock: the caller passes the present time, in nanoseconds, with each call.
+ * All times and durations are in nanoseconds. The reasons for the design are in docs/design.md.
+ */
 public final class Decide implements DecisionModule {
 
   private static final long NANOS_PER_MS = 1_000_000L;
   private static final Set<Outcome> NOT_EXECUTED =
       EnumSet.of(Outcome.FULL, Outcome.UNREACHED, Outcome.NEVER_SENT);
-  private static final double SMOOTHING_FACTOR = 0.05; // weight of one new sample in a running mean
-  private static final long MIN_SWEEP_INTERVAL_NANOS =
-      25 * NANOS_PER_MS; // how often waiters and engines are seen to
-  private static final long MAX_SWEEP_INTERVAL_NANOS =
-      50 * NANOS_PER_MS; // where tasks are rare; under the margin below
-  private static final long DEADLINE_MARGIN_NANOS =
-      60 * NANOS_PER_MS; // a task is answered so long before its cut-off
-
-  // The queues: the source's bounds, its longest wait, and the design's part of the client's time
-  // left.
+  // Weight of one new sample in a moving average.
+  private static final double SMOOTHING_FACTOR = 0.05;
+  // How often queued tasks and engines are checked.
+  private static final long MIN_SWEEP_INTERVAL_NANOS = 25 * NANOS_PER_MS;
+  // The longest interval, used where tasks are rare; it must stay below the deadline margin.
+  private static final long MAX_SWEEP_INTERVAL_NANOS = 50 * NANOS_PER_MS;
+  // A task is answered at least this long before its deadline.
+  private static final long DEADLINE_MARGIN_NANOS = 60 * NANOS_PER_MS;
+
+  // The queues: limits on their length, the longest wait, and the divisor that gives the part of a
+  // task's remaining time that it may spend in a queue.
   private static final int MAX_QUEUED_PER_TENANT = 32;
   private static final int MAX_QUEUED_TOTAL = 4096;
   private static final long MAX_QUEUE_WAIT_NANOS = 5000 * NANOS_PER_MS;
   private static final int QUEUE_WAIT_DIVISOR = 5;
 
-  // The price of engine work while tasks wait: after how long a wait, and how it falls.
+  // The price of engine work while tasks wait. A wait up to this duration sets no price.
   private static final long PRICE_FREE_WAIT_NANOS = 150 * NANOS_PER_MS;
-  private static final double PRICE_DECAY_PER_SWEEP = 0.96; // a sweep
-  private static final double MIN_PRICE_FRACTION = 0.02; // of the usual worth
-  private static final double CLASS_VALUE_DISCOUNT =
-      0.8; // of what sets a grade's worth apart: left out
-
-  // The room: the design's bound, what counts as busy and slow, and how long one sign of pressure
-  // lasts.
+  // The factor by which the price falls in each sweep interval.
+  private static final double PRICE_DECAY_PER_SWEEP = 0.96;
+  // The lowest price above 0, as a fraction of the mean value of tasks.
+  private static final double MIN_PRICE_FRACTION = 0.02;
+  // The part of the difference between a class's mean value and the overall mean that is ignored
+  // when a task's value is compared with the price.
+  private static final double CLASS_VALUE_DISCOUNT = 0.8;
+
+  // The concurrency limit: its first and its highest value in threads per core.
   private static final double INITIAL_THREADS_PER_CORE = 2;
   private static final double MAX_THREADS_PER_CORE = 4;
+  // At or above this CPU utilization fast answers do not raise the limit.
   private static final double BUSY_UTILIZATION = 0.8;
+  // At or above this CPU utilization, or fraction of granted memory, an engine is under pressure.
   private static final double SATURATED_UTILIZATION = 0.95;
+  // Natural logarithm of the slowdown, relative to the best one seen, up to which answers count as
+  // normal.
   private static final double STRAINED_LOG_SLOWDOWN = Math.log(2);
+  // Natural logarithm of the slowdown above which one answer halves the limit.
   private static final double SEVERE_LOG_SLOWDOWN = Math.log(5);
+  // How long one sign of pressure counts; also the shortest time between two halvings of a limit.
   private static final long PRESSURE_DURATION_NANOS = 1000 * NANOS_PER_MS;
-  private static final double COLD_BUDGET_FRACTION =
-      0.9; // of the cold budget: the rest is for misjudgement
-  private static final double COLD_SAFETY_DEVIATIONS = 4; // kept clear of it where chance decides
-  private static final double COLD_LIMIT_TOLERANCE =
-      2; // the rule's room for chance, in roots and in tasks
-  private static final double SMALL_TASK_MEMORY_FRACTION =
-      0.25; // of our part of a market's memory: always let in
-  private static final double TOP_PRIORITY_LOG_VALUE =
-      -0.7; // ln of worth over the mean: the top priority
-  private static final double PRIORITY_LOG_VALUE_STEP = 1.1; // and for each one under it
-  private static final double GRANT_DEVIATIONS = 2; // times the mean deviation of what was needed
-  private static final double INITIAL_GRANT_MARGIN =
-      0.25; // over the estimate, until its scatter is told
-
-  // Health and reports.
-  private static final double SUSPICION_THRESHOLD =
-      4; // -log10 of the chance of a silence: suspected
+  // The part of a cold engine's budget that is used; the rest allows for errors of estimation.
+  private static final double COLD_BUDGET_FRACTION = 0.9;
+  // How many standard deviations are kept free where the sum over all managers depends on chance.
+  private static final double COLD_SAFETY_DEVIATIONS = 4;
+  // The excess that the limit on cold engines tolerates: this many square roots of the number of
+  // tasks, plus this many tasks.
+  private static final double COLD_LIMIT_TOLERANCE = 2;
+  // A task that needs less than this fraction of the manager's share of a pool's memory is admitted
+  // to an idle
+  // engine even if the pool's memory is used up.
+  private static final double SMALL_TASK_MEMORY_FRACTION = 0.25;
+  // Natural logarithm of a task's value relative to the mean: the threshold of the top priority,
+  // and the step to each priority below it.
+  private static final double TOP_PRIORITY_LOG_VALUE = -0.7;
+  private static final double PRIORITY_LOG_VALUE_STEP = 1.1;
+  // A memory grant exceeds the estimate by this many mean deviations of the memory needed.
+  private static final double GRANT_DEVIATIONS = 2;
+  // The excess over the estimate until deviations have been reported.
+  private static final double INITIAL_GRANT_MARGIN = 0.25;
+
+  // Health and reports. An engine is suspected when -log10 of the probability of its present
+  // silence exceeds this value.
+  private static final double SUSPICION_THRESHOLD = 4;
+  // A shorter silence never makes an engine suspected.
   private static final long MIN_SILENCE_NANOS = 400 * NANOS_PER_MS;
-  private static final double INITIAL_EXPECTED_SIGNS =
-      1; // signs owed between two signs, until learned
-  private static final double STALLED_RUN_FACTOR =
-      3; // usual runs still to go: better taken elsewhere
+  // The number of signs of life expected between two of them, until it has been learned.
+  private static final double INITIAL_EXPECTED_SIGNS = 1;
+  // A forward is stalled when its remaining time exceeds this multiple of the expected run time.
+  private static final double STALLED_RUN_FACTOR = 3;
+  // The time from the suspicion of an engine to the first trial task; it doubles up to the maximum.
   private static final long INITIAL_TRIAL_INTERVAL_NANOS = 1000 * NANOS_PER_MS;
   private static final long MAX_TRIAL_INTERVAL_NANOS = 4000 * NANOS_PER_MS;
-  private static final double FAILURE_RATE_LIMIT = 0.3; // part of failed answers that is suspected
-  private static final long PROBE_AFTER_SILENCE_NANOS =
-      1000 * NANOS_PER_MS; // what our own answers tell of is not probed
+  // An engine is suspected when the fraction of failed answers exceeds the fleet's mean by this.
+  private static final double FAILURE_RATE_LIMIT = 0.3;
+  // An engine that gave a sign of life within this time is not probed.
+  private static final long PROBE_AFTER_SILENCE_NANOS = 1000 * NANOS_PER_MS;
   private static final long MIN_PROBE_INTERVAL_NANOS = 400 * NANOS_PER_MS;
-  private static final double REPORT_DECAY_NANOS =
-      8000 * NANOS_PER_MS; // into the average, as others send there too
+  // The time constant with which a report loses weight against the average, because other managers
+  // send tasks to the engine as well.
+  private static final double REPORT_DECAY_NANOS = 8000 * NANOS_PER_MS;
+  // An older load report is ignored.
   private static final long REPORT_MAX_AGE_NANOS = 3000 * NANOS_PER_MS;
-  private static final long SLOWDOWN_WINDOW_NANOS =
-      8000 * NANOS_PER_MS; // after which an engine's pace is half forgotten
+  // The time scale of an engine's mean slowdown: after a gap of this length it is half forgotten.
+  private static final long SLOWDOWN_WINDOW_NANOS = 8000 * NANOS_PER_MS;
 
-  // The draw.
-  private static final double IDLE_LOAD_PER_CORE =
-      0.15; // load a core of an engine that does nothing
+  // The random choice of an engine. The load per core that an idle engine counts with.
+  private static final double IDLE_LOAD_PER_CORE = 0.15;
+  // The number of data sets per engine that count as warm.
   private static final int MAX_WARM_DATA_SETS = 4;
-  private static final double WARM_DATA_EXPONENT =
-      6; // for how much faster warm data sets are seen to be
-  private static final double BULK_LOAD_CONFLICT_FACTOR =
-      0.02; // of one where a load of ours holds it
-  private static final double CROSS_ZONE_FACTOR =
-      0.5; // of one in another place, where crossing costs
+  // The exponent that turns the time saved by warm data sets into a weight.
+  private static final double WARM_DATA_EXPONENT = 6;
+  // The weight factor of an engine on which a bulk load of this manager holds the data set.
+  private static final double BULK_LOAD_CONFLICT_FACTOR = 0.02;
+  // The weight factor of an engine in another zone, where traffic between zones has a price.
+  private static final double CROSS_ZONE_FACTOR = 0.5;
 
   private final Settings settings;
   private final Settings.Capabilities capabilities;
@@ -103,17 +149,22 @@
   private final EventLoop eventLoop = new EventLoop();
   private final EngineList engineList = new EngineList();
   private final EngineSubset subset;
-  private final Map<String, Engine> engines = new TreeMap<>(); // used, or with forwards still out
+  // The engines in use, and those that still have open forwards.
+  private final Map<String, Engine> engines = new TreeMap<>();
   private final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Map<String, ClassStatistics> classStatistics = new TreeMap<>();
   private final Map<String, EnginePool> pools = new TreeMap<>();
   private final Map<String, TenantQueue<Task>> tenantQueues = new TreeMap<>();
   private final Dispatcher dispatcher = new Dispatcher();
   private long now;
-  private long firstListAt = -1; // when it was first told of engines
-  private int managerCount; // managers that share the engines
-  private boolean admissionClosed; // nothing new is let in: it could not be kept
-
+  // The time of the first engine list, or -1.
+  private long firstListAt = -1;
+  // The number of managers that share the engines.
+  private int managerCount;
+  // Whether new tasks are rejected, because the manager could not record them.
+  private boolean admissionClosed;
+
+  /** Creates the module of one manager; it issues its actions to {@code actions}. */
   public Decide(Settings settings, Actions actions) {
     this.settings = settings;
     capabilities = settings.capabilities();
@@ -121,72 +172,86 @@
     subset = new EngineSubset(settings, engineList);
     this.actions = actions;
     random = new SplittableRandom(settings.seed());
-    for (QueryClass grade : settings.queryClasses()) {
-      String bounds =
-          new TreeSet<>(grade.allowedZones()) + "/" + new TreeSet<>(grade.allowedEngineTypes());
+    for (QueryClass queryClass : settings.queryClasses()) {
+      String poolKey =
+          new TreeSet<>(queryClass.allowedZones())
+              + "/"
+              + new TreeSet<>(queryClass.allowedEngineTypes());
       classStatistics.put(
-          grade.name(),
-          new ClassStatistics(grade, pools.computeIfAbsent(bounds, key -> new EnginePool(grade))));
+          queryClass.name(),
+          new ClassStatistics(
+              queryClass, pools.computeIfAbsent(poolKey, key -> new EnginePool(queryClass))));
     }
     settings
         .tenants()
-        .forEach(of -> tenantQueues.put(of.name(), new TenantQueue<>(Math.max(of.share(), 0.001))));
+        .forEach(
+            tenant ->
+                tenantQueues.put(
+                    tenant.name(), new TenantQueue<>(Math.max(tenant.share(), 0.001))));
     if (tenantQueues.isEmpty()) {
+      // The settings name no tenants: all tasks share one queue.
       tenantQueues.put("", new TenantQueue<>(1));
-    } // none is told apart: all are one
+    }
     actions.scheduleWakeUp(MIN_SWEEP_INTERVAL_NANOS, "sweep");
   }
 
-  // ---- The door: ids become objects, and everything heard becomes a note ----
+  // ---- Events: ids are resolved to objects, and each event is posted as a message ----
 
+  @Override
   public void onEngineList(long at, boolean complete, List<EngineEntry> entries) {
     now = at;
     firstListAt = firstListAt < 0 ? at : firstListAt;
-    Map<String, EngineEntry> named = new TreeMap<>();
-    entries.forEach(entry -> named.put(entry.id(), entry));
+    Map<String, EngineEntry> entriesById = new TreeMap<>();
+    entries.forEach(entry -> entriesById.put(entry.id(), entry));
     if (complete) {
-      engineList.replaceAll(named.values());
+      engineList.replaceAll(entriesById.values());
     } else {
-      named.values().forEach(engineList::put);
+      entriesById.values().forEach(engineList::put);
     }
-    boolean moved = subset.updateLevels(managerCount);
-    Stream.concat(entries.stream(), moved ? engineList.all().stream() : Stream.empty())
+    boolean subsetChanged = subset.updateLevels(managerCount);
+    Stream.concat(entries.stream(), subsetChanged ? engineList.all().stream() : Stream.empty())
         .filter(subset::uses)
         .forEach(entry -> engines.computeIfAbsent(entry.id(), Engine::new));
     engines.values().stream()
-        .filter(engine -> complete || moved || named.containsKey(engine.id))
+        .filter(engine -> complete || subsetChanged || entriesById.containsKey(engine.id))
         .forEach(
             engine ->
-                engine.postListing(named.getOrDefault(engine.id, engineList.find(engine.id))));
+                engine.postListing(
+                    entriesById.getOrDefault(engine.id, engineList.find(engine.id))));
   }
 
-  public void onTask(long at, TaskRequest offer) {
+  @Override
+  public void onTask(long at, TaskRequest request) {
     now = at;
-    ClassStatistics row = classStatistics.get(offer.queryClass());
-    if (row == null || admissionClosed) {
+    ClassStatistics statistics = classStatistics.get(request.queryClass());
+    if (statistics == null || admissionClosed) {
       actions.reject(
-          offer.id(),
-          row != null && capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0);
+          request.id(),
+          statistics != null && capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0);
     } else {
-      Task task = new Task(offer, row);
+      Task task = new Task(request, statistics);
       tasks.put(task.id, task);
-      dispatcher.post(() -> dispatcher.taken(task));
+      dispatcher.post(() -> dispatcher.onTask(task));
     }
   }
 
+  @Override
   public void onAdmissionChange(long at, boolean open) {
     now = at;
     admissionClosed = !open;
   }
 
+  @Override
   public void onManagerCount(long at, int count) {
     now = at;
     managerCount = Math.max(1, count);
     if (firstListAt >= 0) {
+      // The number of listed engines in use may change.
       onEngineList(at, false, List.of());
-    } // fewer or more of those listed may be used
+    }
   }
 
+  @Override
   public void onForwardEnd(
       long at,
       String id,
@@ -206,49 +271,58 @@
     }
   }
 
+  @Override
   public void onProbeEnd(long at, String engine, Outcome outcome, LoadReport report) {
     now = at;
-    Engine from = engines.get(engine);
-    if (from != null) {
-      from.post(() -> from.onProbeEnd(outcome, report));
+    Engine probedEngine = engines.get(engine);
+    if (probedEngine != null) {
+      probedEngine.post(() -> probedEngine.onProbeEnd(outcome, report));
     }
   }
 
+  @Override
   public void onProgress(
-      long at, String id, int index, String engine, Progress what, double amount) {
+      long at, String id, int index, String engine, Progress progress, double amount) {
     now = at;
     Forward forward = findForward(engine, id, index);
     if (forward != null) {
       Task task = forward.task;
-      boolean told = what == Progress.FRACTION_DONE && amount > 0;
+      boolean hasFraction = progress == Progress.FRACTION_DONE && amount > 0;
       long age = Math.max(NANOS_PER_MS, now - forward.sentAt);
-      double run = age / clamp(amount, 0.001, 1);
+      double projectedRunTime = age / clamp(amount, 0.001, 1);
       forward.engine.post(forward.engine::onSignOfLife);
-      if (told) {
+      if (hasFraction) {
         forward.engine.post(
-            () -> forward.engine.updateSlowdown(task, Math.log(run / task.isolatedRunTime())));
+            () ->
+                forward.engine.updateSlowdown(
+                    task, Math.log(projectedRunTime / task.isolatedRunTime())));
       }
-      boolean hopeless =
-          what == Progress.WAITING
-              || told && run - age > STALLED_RUN_FACTOR * task.expectedRunTime();
-      if (capabilities.cancellation() && hopeless) {
-        // Stuck behind a load, for memory or in a jam. Where it can't be taken back, leave the
-        // crowd.
+      boolean stalled =
+          progress == Progress.WAITING
+              || hasFraction
+                  && projectedRunTime - age > STALLED_RUN_FACTOR * task.expectedRunTime();
+      if (capabilities.cancellation() && stalled) {
+        // The forward waits for a bulk load or for memory, or the engine is overloaded. Where
+        // forwards cannot be cancelled, a second one would only add to the overload.
         dispatcher.post(() -> dispatcher.retryStalled(forward));
       }
     }
   }
 
+  @Override
   public void onWakeUp(long at, String token) {
     now = at;
     engines.values().stream()
         .filter(
-            one -> !one.openForwards.isEmpty() || capabilities.probing() && now >= one.nextProbeAt)
-        .forEach(one -> one.post(one::sweep));
+            engine ->
+                !engine.openForwards.isEmpty()
+                    || capabilities.probing() && now >= engine.nextProbeAt)
+        .forEach(engine -> engine.post(engine::sweep));
     dispatcher.post(dispatcher::sweep);
     actions.scheduleWakeUp(dispatcher.sweepInterval(), token);
   }
 
+  @Override
   public void onClientLeft(long at, String id) {
     now = at;
     Task task = tasks.get(id);
@@ -257,35 +331,41 @@
     }
   }
 
+  @Override
   public void onShutdown(long at, long until) {
     now = at;
     dispatcher.post(() -> dispatcher.shutdownAt = until - DEADLINE_MARGIN_NANOS);
   }
 
+  @Override
   public List<EngineStatus> engineStatuses(long at) {
     return engines.values().stream()
-        .filter(one -> one.entry != null)
+        .filter(engine -> engine.entry != null)
         .map(
-            one ->
+            engine ->
                 new EngineStatus(
-                    one.id,
-                    one.openForwards.size(),
-                    one.report == null ? -1 : at - one.reportAt,
-                    !one.usable()))
+                    engine.id,
+                    engine.openForwards.size(),
+                    engine.report == null ? -1 : at - engine.reportAt,
+                    !engine.usable()))
         .toList();
   }
 
   private Forward findForward(String engine, String task, int index) {
-    Engine at = engines.get(engine);
-    return at == null
+    Engine found = engines.get(engine);
+    return found == null
         ? null
-        : at.openForwards.stream()
+        : found.openForwards.stream()
             .filter(forward -> forward.index == index && forward.task.id.equals(task))
             .findFirst()
             .orElse(null);
   }
 
-  /** All news first, so that no turn goes to a task whose end is in this batch; then the turns. */
+  /**
+   * Processes all events first, so that no task is dispatched that ends in the same batch; then
+   * dispatches queued tasks.
+   */
+  @Override
   public void decide(long at) {
     now = at;
     eventLoop.runUntilIdle();
@@ -293,34 +373,35 @@
     eventLoop.runUntilIdle();
   }
 
-  // ---- The grade table, tasks, forwards ----
+  // ---- Concurrency limits, query classes, tasks, forwards ----
 
-  /** The room: a bound on our threads, of one engine or of a market. */
+  /** An adaptive limit on the threads of this manager's tasks, on one engine or in a pool. */
   private class ConcurrencyLimit {
     double maxThreads;
-    int usedThreads; // of our tasks there
-    double logSlowdown; // ln of how much slower than the best seen
+    int usedThreads; // of this manager's tasks there
+    double logSlowdown; // moving average of ln of the slowdown relative to the best one seen
     long halvedAt;
     long pressureUntil;
 
     /**
-     * Binds only under pressure; our threads up to the first bound are that too. Slow answers are
-     * none while cores of our part idle: under a price tasks guessed too low got in, and it never
-     * grew again.
+     * Tells whether a task of the class may start. Without pressure, threads up to the initial
+     * limit are always allowed. Slow answers are no sign of pressure while cores of this manager's
+     * share are idle: otherwise, while work has a price, tasks with too low an estimate are
+     * admitted, appear slow, and the limit never grows again.
      */
-    boolean allows(QueryClass grade, double able) {
-      boolean pressed =
-          logSlowdown > STRAINED_LOG_SLOWDOWN && usedThreads >= able || now < pressureUntil;
-      return !pressed && usedThreads < able * INITIAL_THREADS_PER_CORE
-          || usedThreads + grade.threads() <= Math.max(maxThreads, grade.threads());
+    boolean allows(QueryClass queryClass, double cores) {
+      boolean underPressure =
+          logSlowdown > STRAINED_LOG_SLOWDOWN && usedThreads >= cores || now < pressureUntil;
+      return !underPressure && usedThreads < cores * INITIAL_THREADS_PER_CORE
+          || usedThreads + queryClass.threads() <= Math.max(maxThreads, queryClass.threads());
     }
 
-    void onAnswer(QueryClass grade, double above, boolean busy, double most) {
-      logSlowdown = movingAverage(logSlowdown, above, 2 * SMOOTHING_FACTOR);
-      if (above > SEVERE_LOG_SLOWDOWN) {
+    void onAnswer(QueryClass queryClass, double slowdown, boolean busy, double limit) {
+      logSlowdown = movingAverage(logSlowdown, slowdown, 2 * SMOOTHING_FACTOR);
+      if (slowdown > SEVERE_LOG_SLOWDOWN) {
         halve();
-      } else if (above < STRAINED_LOG_SLOWDOWN && !busy) {
-        maxThreads = Math.min(maxThreads + grade.threads(), most);
+      } else if (slowdown < STRAINED_LOG_SLOWDOWN && !busy) {
+        maxThreads = Math.min(maxThreads + queryClass.threads(), limit);
       }
     }
 
@@ -332,28 +413,32 @@
       maxThreads = Math.max(maxThreads / 2, 1);
     }
 
-    void onRefusal() {
+    void onOverload() {
       pressureUntil = now + PRESSURE_DURATION_NANOS;
       halve();
     }
   }
 
-  /** Engines that grades are bound to, the price of work there, and the room of them all. */
+  /**
+   * The engines that certain query classes are restricted to, with the price of work on them and
+   * one concurrency limit over all of them.
+   */
   private final class EnginePool extends ConcurrencyLimit {
     final EngineSubset.EngineGroup group;
-    double cores; // cores, our part of them
-    double memoryMb; // likewise
-    double grantedMb; // of that, to our tasks
-    boolean limitedAsWhole; // our part of an engine holds no thread, on average
-    double price; // of engine work, in earnings; 0 unless tasks wait
+    double cores; // this manager's share of the cores, in warm cores
+    double memoryMb; // this manager's share of the memory
+    double grantedMb; // memory granted to this manager's tasks
+    boolean limitedAsWhole; // this manager's share of an engine is less than one thread, on average
+    double price; // of engine work, in earnings per nanosecond; 0 unless tasks wait
 
-    EnginePool(QueryClass grade) {
+    EnginePool(QueryClass queryClass) {
       group =
           subset.group(
-              entry -> // rule 6: placement
-              (grade.allowedZones().isEmpty() || grade.allowedZones().contains(entry.zone()))
-                      && (grade.allowedEngineTypes().isEmpty()
-                          || grade.allowedEngineTypes().contains(entry.type())));
+              entry -> // rule 6: placement by zone and engine type
+              (queryClass.allowedZones().isEmpty()
+                          || queryClass.allowedZones().contains(entry.zone()))
+                      && (queryClass.allowedEngineTypes().isEmpty()
+                          || queryClass.allowedEngineTypes().contains(entry.type())));
     }
 
     private void adjustSubstitutes() {
@@ -362,106 +447,114 @@
               .filter(engine -> engine.healthy() && engine.servedPools.contains(this))
               .map(engine -> engine.entry)
               .toList();
-      EngineEntry moved =
+      EngineEntry changed =
           group.adjustSubstitutes(
               healthy,
               entry ->
                   !engines.containsKey(entry.id())
                       && capacityFraction(entry.startedAtNanos()) >= 1);
-      if (moved != null) {
-        engines.computeIfAbsent(moved.id(), Engine::new).postListing(moved);
+      if (changed != null) {
+        engines.computeIfAbsent(changed.id(), Engine::new).postListing(changed);
       }
     }
 
     private void updateCapacity() {
-      double before = cores, parts = 0;
+      double previousCores = cores, surplusThreads = 0;
       cores = memoryMb = grantedMb = usedThreads = 0;
       for (Engine engine : engines.values()) {
         if (engine.usable() && engine.servedPools.contains(this)) {
           cores += engine.cores * engine.capacityFraction() * engine.share();
           memoryMb += engine.totalMemoryMb * engine.share();
           usedThreads += engine.limit.usedThreads;
-          parts += engine.cores * INITIAL_THREADS_PER_CORE * engine.share() - 1;
+          surplusThreads += engine.cores * INITIAL_THREADS_PER_CORE * engine.share() - 1;
           grantedMb += engine.grantedMb;
         }
       }
-      limitedAsWhole = parts < 0;
-      maxThreads = before == 0 ? cores * INITIAL_THREADS_PER_CORE : maxThreads * cores / before;
+      limitedAsWhole = surplusThreads < 0;
+      maxThreads =
+          previousCores == 0
+              ? cores * INITIAL_THREADS_PER_CORE
+              : maxThreads * cores / previousCores;
     }
   }
 
-  /** What differs by service grade. */
+  /** The statistics of one query class. */
   private static final class ClassStatistics {
     final QueryClass queryClass;
     final EnginePool pool;
-    double costBias = 1; // told cost over estimated cost
-    double memoryBias = 1; // told memory over estimated memory, and its scatter
-    double memoryMargin = INITIAL_GRANT_MARGIN;
-    double meanCost = Double.NaN; // of the tasks taken, in nanoseconds of work
-    double meanRunTime = Double.NaN; // of the handled, in nanoseconds
-    double logSlowdown = Double.NaN; // ln of run time over undisturbed run time, on all engines
-    double bestLogSlowdown = Double.NaN; // the lowest that usual has been
-    double meanLogValue = Double.NaN; // ln of the earnings for the work of its tasks
-    boolean noCapacity; // at this turn
-
-    ClassStatistics(QueryClass grade, EnginePool market) {
-      this.queryClass = grade;
-      this.pool = market;
+    double costBias = 1; // reported cost divided by estimated cost
+    double memoryBias = 1; // reported memory divided by estimated memory
+    double memoryMargin = INITIAL_GRANT_MARGIN; // added to the bias in a memory grant
+    double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
+    double meanRunTime = Double.NaN; // of tasks that succeeded, in nanoseconds
+    double logSlowdown = Double.NaN; // mean ln of run time over isolated run time, on all engines
+    double bestLogSlowdown = Double.NaN; // the lowest value that this mean has had
+    double meanLogValue = Double.NaN; // mean ln of earnings per nanosecond of work
+    boolean noCapacity; // a plain task of this class fitted no engine in the present dispatch pass
+
+    ClassStatistics(QueryClass queryClass, EnginePool pool) {
+      this.queryClass = queryClass;
+      this.pool = pool;
     }
   }
 
+  /** A task that has been accepted and not yet answered. */
   private final class Task {
     final String id;
     final ClassStatistics statistics;
     final QueryClass queryClass;
-    final TenantQueue<Task> tenantQueue; // null: unknown, never held
-    final Long key; // null: none
-    KeyQueue<Task> keyQueue; // where its grade keeps order
+    final TenantQueue<Task> tenantQueue; // null where unknown: such a task is never queued
+    final Long key; // null where the task has none, or its class is not serialized by key
+    KeyQueue<Task> keyQueue; // null where key is null
     final long deadline;
     final double cost; // nanoseconds of work
-    final double logValue; // earnings for its work
+    final double logValue; // ln of earnings per nanosecond of work
     final TaskRequest request;
-    boolean waitsForKey; // waits for its key
-    boolean queued; // waits for room
+    boolean waitsForKey; // waits for earlier tasks of its key
+    boolean queued; // waits in the tenant's queue
     boolean finished;
     long enqueuedAt;
-    long queueDeadline; // end of the budget in the queue
+    long queueDeadline; // the time at which its queue wait budget ends
     int forwardsSent; // sent so far
     final List<Forward> openForwards = new ArrayList<>(2);
-    final List<Engine> failedEngines = new ArrayList<>(2); // held against them once it is handled
-    Forward firstExecuted; // the first that may have run
-    long cancelledForwards; // a bit a forward
-
-    Task(TaskRequest offer, ClassStatistics row) {
-      this.request = offer;
-      id = offer.id();
-      this.statistics = row;
-      queryClass = row.queryClass;
-      tenantQueue = tenantQueues.get(offer.tenant());
-      key = queryClass.serializedByKey() ? offer.key() : null;
-      deadline = offer.deadlineNanos();
-      double usual = Double.isNaN(row.meanCost) ? NANOS_PER_MS : row.meanCost;
+    // The engines on which it ended with an error; they count as failed once it succeeds elsewhere.
+    final List<Engine> failedEngines = new ArrayList<>(2);
+    Forward firstExecuted; // the earliest forward that an engine may have executed
+    long cancelledForwards; // bit set of the indexes of cancelled forwards
+
+    Task(TaskRequest request, ClassStatistics statistics) {
+      this.request = request;
+      id = request.id();
+      this.statistics = statistics;
+      queryClass = statistics.queryClass;
+      tenantQueue = tenantQueues.get(request.tenant());
+      key = queryClass.serializedByKey() ? request.key() : null;
+      deadline = request.deadlineNanos();
+      double usualCost = Double.isNaN(statistics.meanCost) ? NANOS_PER_MS : statistics.meanCost;
       cost =
           Math.max(
               NANOS_PER_MS,
-              offer.estimatedCostNanos() > 0 ? offer.estimatedCostNanos() * row.costBias : usual);
-      row.meanCost = movingAverage(row.meanCost, cost, SMOOTHING_FACTOR);
+              request.estimatedCostNanos() > 0
+                  ? request.estimatedCostNanos() * statistics.costBias
+                  : usualCost);
+      statistics.meanCost = movingAverage(statistics.meanCost, cost, SMOOTHING_FACTOR);
       logValue = Math.log(Math.max(queryClass.earnings(), 1e-9) / cost);
     }
 
-    /** Run time on an engine that does nothing else. */
+    /** Returns the expected run time on an otherwise idle engine. */
     double isolatedRunTime() {
       return Math.max(cost / queryClass.threads(), 5 * NANOS_PER_MS);
     }
 
-    /** And as the fleet runs now. */
+    /** Returns the expected run time at the fleet's present slowdown. */
     double expectedRunTime() {
       return isolatedRunTime()
           * (Double.isNaN(statistics.logSlowdown) ? 2 : Math.exp(statistics.logSlowdown));
     }
 
     /**
-     * Earnings for its work, most of what sets its grade apart left out: no grade is shed whole.
+     * Returns the earnings per nanosecond of work, corrected for most of the difference between its
+     * class and the overall mean, so that load shedding never drops a whole class.
      */
     double value() {
       return Math.exp(
@@ -472,7 +565,9 @@
       return Math.min(MAX_QUEUE_WAIT_NANOS, Math.max(0, deadline - now) / QUEUE_WAIT_DIVISOR);
     }
 
-    /** The part of its budget that a waiter has used, once it has waited at all long. */
+    /**
+     * Returns the fraction of the queue wait budget that is used; 0 during the first short wait.
+     */
     double budgetUsed() {
       long waited = now - enqueuedAt;
       return waited > PRICE_FREE_WAIT_NANOS
@@ -480,7 +575,7 @@
           : 0;
     }
 
-    /** Nothing can come of it: its cut-off is too near, or it would outlast a manager that ends. */
+    /** Tells whether the deadline is too near, or the task would outlast the shutdown. */
     boolean cannotEndInTime() {
       return deadline - now <= DEADLINE_MARGIN_NANOS
           || expectedRunTime() > dispatcher.shutdownAt - now;
@@ -490,12 +585,16 @@
       return queryClass.retrySafety() == QueryClass.RetrySafety.IDEMPOTENT;
     }
 
-    /** Rule 2: may it go to that engine, given what its earlier forwards may have done? */
+    /**
+     * Rule 2: tells whether the task may go to that engine, given what its earlier forwards may
+     * have executed.
+     */
     boolean mayRetryOn(Engine engine) {
       if (!openForwards.isEmpty() && !capabilities.hedging()) {
         return false;
       }
-      // The earliest that may have run: a later one may have ended while that one is still out.
+      // The earliest forward that may have been executed: a later one may have ended while that
+      // one is still open.
       Forward first =
           openForwards.isEmpty()
                   || firstExecuted != null && firstExecuted.index < openForwards.get(0).index
@@ -504,11 +603,11 @@
       if (first == null || isIdempotent()) {
         return true;
       }
-      // It leaves up to so much later, as the connection for it comes up.
-      long since =
+      // The request may leave this much later, while its connection is being opened.
+      long elapsed =
           now - first.sentAt + MAX_SWEEP_INTERVAL_NANOS + capabilities.connectTimeoutNanos();
       return queryClass.retrySafety() == QueryClass.RetrySafety.DEDUPLICATED
-          && since < queryClass.deduplicationWindowNanos()
+          && elapsed < queryClass.deduplicationWindowNanos()
           && switch (queryClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> first.engine.entry.zone().equals(engine.entry.zone());
@@ -516,7 +615,7 @@
           };
     }
 
-    /** Rule 2: does a bounce keep its promise that trying again is harmless? */
+    /** Rule 2: tells whether the client may safely retry the task after a rejection. */
     boolean mayReject() {
       return isIdempotent()
           || firstExecuted == null && openForwards.isEmpty()
@@ -525,41 +624,48 @@
     }
   }
 
+  /** One attempt to execute a task on an engine. */
   private record Forward(
       Task task, Engine engine, int index, long sentAt, double memoryMb, boolean warmData) {}
 
-  // ---- The gate: tenant queues, turns, final answers ----
+  // ---- The dispatcher: tenant queues, dispatching, final answers ----
 
+  /** The actor that queues tasks, dispatches them to engines and gives their final answers. */
   private final class Dispatcher extends EventLoop.Actor {
     final Map<Long, KeyQueue<Task>> keyQueues = new TreeMap<>();
-    final SlidingWindow taken = new SlidingWindow(); // times within the ration's window (rule 7)
-    final SlidingWindow recentRetries = new SlidingWindow();
-    double warmLogRatio; // mean ln of run time over the usual with a warm data set
-    double coldLogRatio = 0.1; // and without
-    boolean hasLoadReports; // has any engine ever told its load?
-    boolean mostSuspected; // of the fleet: then no engine is kept out for it
+    final SlidingWindow recentTasks =
+        new SlidingWindow(); // tasks within the window of the retry budget (rule 7)
+    final SlidingWindow recentRetries = new SlidingWindow(); // retries within that window
+    double warmLogRatio; // mean ln of run time over the usual one, with a warm data set
+    double coldLogRatio = 0.1; // the same without a warm data set
+    boolean hasLoadReports; // whether any engine has ever reported its load
+    boolean mostSuspected; // whether most of the fleet is suspected; then suspicion excludes none
     int queuedTasks;
-    long shutdownAt = Long.MAX_VALUE; // the manager ends: what is answered later is lost
+    long shutdownAt = Long.MAX_VALUE; // the time after which the shutdown loses answers
     long lastSentAt;
     long lastSweepAt = now;
     long lastTaskAt = now;
-    double meanTaskInterval = 1000 * NANOS_PER_MS; // mean time between tasks taken; from rare on
-    double meanSendInterval = 10 * NANOS_PER_MS; // mean time between sends, while tasks wait
-    double meanLogValue = Double.NaN; // mean ln of the worth of the tasks taken
-    double meanCost = Double.NaN; // of the tasks taken, in nanoseconds of work
+    double meanTaskInterval =
+        1000 * NANOS_PER_MS; // mean time between accepted tasks; starts as for rare tasks
+    double meanSendInterval = 10 * NANOS_PER_MS; // mean time between sends while tasks wait
+    double meanLogValue = Double.NaN; // mean ln of the earnings per nanosecond of accepted tasks
+    double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
 
     Dispatcher() {
       super(eventLoop);
     }
 
-    /** Rarer where few tasks come: what sweeps cost must not grow with the managers. */
+    /**
+     * Returns the time to the next sweep. It is longer where few tasks come, so that the cost of
+     * sweeps does not grow with the number of managers.
+     */
     long sweepInterval() {
       return (long) clamp(meanTaskInterval / 2, MIN_SWEEP_INTERVAL_NANOS, MAX_SWEEP_INTERVAL_NANOS);
     }
 
     /**
-     * Guards against probes that cost more than they tell: rarer with fewer tasks and more
-     * managers.
+     * Returns the time between probes of an engine. It is longer with fewer tasks and more
+     * managers, so that probes do not cost more than they tell.
      */
     long probeInterval() {
       return (long)
@@ -568,8 +674,8 @@
               engines.size() * meanTaskInterval * Math.sqrt(managerCount));
     }
 
-    private void taken(Task task) {
-      taken.add(now, 1);
+    private void onTask(Task task) {
+      recentTasks.add(now, 1);
       meanTaskInterval =
           movingAverage(
               meanTaskInterval, Math.min(now - lastTaskAt, 1000 * NANOS_PER_MS), SMOOTHING_FACTOR);
@@ -583,7 +689,8 @@
         return;
       }
       if (task.key != null) {
-        // Looked up only now: one named at the door may have been dropped before its task got here.
+        // The queue is looked up only here: one found when the event arrived may have been removed
+        // before this message was processed.
         task.keyQueue = keyQueues.computeIfAbsent(task.key, KeyQueue::new);
         task.keyQueue.tasks.add(task);
         if (task.keyQueue.tasks.peek() != task || !isKeyAvailable(task.keyQueue)) {
@@ -594,95 +701,100 @@
       enqueue(task);
     }
 
-    boolean isKeyAvailable(KeyQueue<Task> line) {
-      return line.openForwards == 0 && now >= line.cooldownUntilNanos;
+    boolean isKeyAvailable(KeyQueue<Task> keyQueue) {
+      return keyQueue.openForwards == 0 && now >= keyQueue.cooldownUntilNanos;
     }
 
     /**
-     * Into its tenant's queue; refused at once if it earns little, fits no bound or waits too long.
+     * Adds the task to its tenant's queue. Gives it up at once if its value is below the price, a
+     * queue is full, or the expected wait exceeds its budget.
      */
     private void enqueue(Task task) {
       task.waitsForKey = false;
       task.enqueuedAt = now;
       task.queueDeadline = now + task.queueWaitBudget();
-      int depth = task.tenantQueue == null ? 0 : task.tenantQueue.waiters.size();
-      boolean cheap = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
-      boolean full = !canBeSent(task);
-      if (cheap && (full || !task.statistics.pool.limitedAsWhole)
-          || full
+      int tenantQueued = task.tenantQueue == null ? 0 : task.tenantQueue.tasks.size();
+      boolean belowPrice = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
+      boolean noCapacity = !canBeSent(task);
+      if (belowPrice && (noCapacity || !task.statistics.pool.limitedAsWhole)
+          || noCapacity
               && (task.tenantQueue == null
                   || queuedTasks >= MAX_QUEUED_TOTAL
-                  || depth >= MAX_QUEUED_PER_TENANT
+                  || tenantQueued >= MAX_QUEUED_PER_TENANT
                   || expectedWait(task) > task.queueWaitBudget())) {
         giveUp(task);
       } else if (task.tenantQueue == null) {
-        route(task); // of no tenant: at once or not at all
+        route(task); // a task of no tenant is sent at once or rejected
       } else {
         addToQueue(task);
       }
     }
 
     private void addToQueue(Task task) {
-      task.tenantQueue.waiters.add(queuePosition(task.tenantQueue.waiters, task), task);
+      task.tenantQueue.tasks.add(queuePosition(task.tenantQueue.tasks, task), task);
       task.queued = true;
       queuedTasks++;
     }
 
     private void removeFromQueue(Task task) {
-      queuedTasks -= task.queued && task.tenantQueue.waiters.remove(task) ? 1 : 0;
+      queuedTasks -= task.queued && task.tenantQueue.tasks.remove(task) ? 1 : 0;
       task.queued = false;
     }
 
-    private int queuePosition(ArrayList<Task> waiters, Task task) {
-      return (int) waiters.stream().filter(waiter -> waiter.deadline <= task.deadline).count();
+    private int queuePosition(ArrayList<Task> queue, Task task) {
+      return (int) queue.stream().filter(queued -> queued.deadline <= task.deadline).count();
     }
 
     /**
-     * The send spacing behind it, plus, with no room, the least remaining mean run time on an
-     * engine.
+     * Returns the expected time in the queue: the send interval times the number of tasks ahead,
+     * plus the shortest remaining mean run time of any open forward on an engine of the pool.
      */
     private double expectedWait(Task task) {
-      double weights = 0;
-      for (TenantQueue<Task> tenant : tenantQueues.values()) {
-        weights += tenant.waiters.isEmpty() && tenant != task.tenantQueue ? 0 : tenant.weight;
+      double totalWeight = 0;
+      for (TenantQueue<Task> queue : tenantQueues.values()) {
+        totalWeight += queue.tasks.isEmpty() && queue != task.tenantQueue ? 0 : queue.weight;
       }
-      double ahead =
-          queuePosition(task.tenantQueue.waiters, task) * weights / task.tenantQueue.weight;
-      double least =
+      double tasksAhead =
+          queuePosition(task.tenantQueue.tasks, task) * totalWeight / task.tenantQueue.weight;
+      double minRemaining =
           engines.values().stream()
               .filter(engine -> engine.ready && engine.servedPools.contains(task.statistics.pool))
               .mapToDouble(Engine::minRemainingTime)
               .min()
               .orElse(Double.MAX_VALUE);
-      return Math.min(queuedTasks, ahead) * meanSendInterval
-          + (least == Double.MAX_VALUE ? 0 : least);
+      return Math.min(queuedTasks, tasksAhead) * meanSendInterval
+          + (minRemaining == Double.MAX_VALUE ? 0 : minRemaining);
     }
 
     private boolean canBeSent(Task task) {
-      EnginePool market = task.statistics.pool;
-      return (!market.limitedAsWhole || market.allows(task.queryClass, market.cores))
+      EnginePool pool = task.statistics.pool;
+      return (!pool.limitedAsWhole || pool.allows(task.queryClass, pool.cores))
           && engines.values().stream().anyMatch(engine -> engine.canTake(task));
     }
 
-    /** One turn: smooth weighted round-robin over the tenants whose next waiter fits some room. */
+    /**
+     * Dispatches one task, by smooth weighted round-robin over the tenants that have a task which
+     * can be sent.
+     */
     private void dispatchNext() {
-      classStatistics.values().forEach(row -> row.noCapacity = false);
-      Task chosen = null;
-      TenantQueue<Task> best = null;
-      double total = 0;
-      for (TenantQueue<Task> tenant : tenantQueues.values()) {
-        Task next = nextSendable(tenant.waiters);
-        tenant.currentWeight += next != null ? tenant.weight : 0;
-        total += next != null ? tenant.weight : 0;
-        if (next != null && (best == null || tenant.currentWeight > best.currentWeight)) {
-          best = tenant;
-          chosen = next;
+      classStatistics.values().forEach(statistics -> statistics.noCapacity = false);
+      Task selected = null;
+      TenantQueue<Task> selectedQueue = null;
+      double totalWeight = 0;
+      for (TenantQueue<Task> queue : tenantQueues.values()) {
+        Task next = nextSendable(queue.tasks);
+        queue.currentWeight += next != null ? queue.weight : 0;
+        totalWeight += next != null ? queue.weight : 0;
+        if (next != null
+            && (selectedQueue == null || queue.currentWeight > selectedQueue.currentWeight)) {
+          selectedQueue = queue;
+          selected = next;
         }
       }
-      if (best != null) {
-        best.currentWeight -= total;
-        removeFromQueue(chosen);
-        route(chosen);
+      if (selectedQueue != null) {
+        selectedQueue.currentWeight -= totalWeight;
+        removeFromQueue(selected);
+        route(selected);
       }
     }
 
@@ -692,49 +804,52 @@
     }
 
     /**
-     * The fleet as a whole, at the sweep and whenever an engine is listed, suspected or cleared.
+     * Recomputes the figures of the whole fleet; called by each sweep and whenever an engine is
+     * listed, suspected or cleared.
      */
     private void updateCapacity() {
       mostSuspected =
           engines.values().stream()
                   .filter(engine -> engine.ready)
-                  .mapToDouble(engine -> engine.suspect ? engine.cores : -engine.cores)
+                  .mapToDouble(engine -> engine.suspected ? engine.cores : -engine.cores)
                   .sum()
               > 0;
       pools.values().forEach(EnginePool::updateCapacity);
     }
 
     /**
-     * The waiter with least time left that fits; one that fits nowhere steps aside for those that
-     * do.
+     * Returns the queued task with the earliest deadline that can be sent, or null. A task that can
+     * be sent to no engine does not block those behind it.
      */
-    private Task nextSendable(ArrayList<Task> waiters) {
-      for (int i = 0; i < waiters.size(); i++) {
-        Task task = waiters.get(i);
-        boolean plain = task.forwardsSent == 0 && task.keyQueue == null;
-        if (!task.statistics.noCapacity) { // no room for a plain one is none for the others
+    private Task nextSendable(ArrayList<Task> queue) {
+      for (int i = 0; i < queue.size(); i++) {
+        Task task = queue.get(i);
+        boolean unconstrained = task.forwardsSent == 0 && task.keyQueue == null;
+        // Where a plain task of the class cannot be sent, no other task of the class can.
+        if (!task.statistics.noCapacity) {
           if (canBeSent(task)) {
             return task;
           }
-          task.statistics.noCapacity |= plain;
+          task.statistics.noCapacity |= unconstrained;
         }
       }
       return null;
     }
 
     private void onSent(Task task) {
-      double wait = Math.min(now - lastSentAt, 1000 * NANOS_PER_MS);
+      double interval = Math.min(now - lastSentAt, 1000 * NANOS_PER_MS);
       meanSendInterval =
           queuedTasks > 0 || now > task.enqueuedAt
-              ? movingAverage(meanSendInterval, wait, SMOOTHING_FACTOR)
+              ? movingAverage(meanSendInterval, interval, SMOOTHING_FACTOR)
               : meanSendInterval;
       lastSentAt = now;
       if (task.tenantQueue != null) {
+        // The remaining queued tasks have not been considered yet.
         dispatchNext();
-      } // the others had no turn
+      }
     }
 
-    /** The re-check failed: back into the queue, within the budget that it has left. */
+    /** Returns a task that no longer fits its engine to the queue, within its remaining budget. */
     private void requeue(Task task) {
       if (task.finished) {
         return;
@@ -746,7 +861,7 @@
       }
     }
 
-    /** Gives a task up; one that still has a forward out only stops waiting for a further one. */
+    /** Gives a task up; with an open forward it only stops waiting for another one. */
     private void giveUp(Task task) {
       removeFromQueue(task);
       if (task.openForwards.isEmpty()) {
@@ -754,7 +869,7 @@
       }
     }
 
-    /** Rule 1: the one final answer. */
+    /** Rule 1: gives the one final answer of a task without a result. */
     private void rejectOrAbort(Task task) {
       if (task.mayReject()) {
         actions.reject(
@@ -770,7 +885,7 @@
       finish(task);
     }
 
-    /** Nothing more is owed or sent; its forwards stay with their engines until they end. */
+    /** Ends a task: cancels its open forwards, which stay with their engines until they end. */
     private void finish(Task task) {
       removeFromQueue(task);
       task.finished = true;
@@ -791,13 +906,14 @@
     }
 
     /**
-     * Rule 5: the next task of a key is wanted once the one before is over and the key has rested.
+     * Rule 5: enqueues the next task of a key once the one before has ended and the key's cooldown
+     * is over.
      */
-    private void releaseKey(KeyQueue<Task> line) {
-      Task head = line.tasks.peek();
-      if (isKeyAvailable(line) && head == null) {
-        keyQueues.remove(line.key);
-      } else if (isKeyAvailable(line) && head.waitsForKey) {
+    private void releaseKey(KeyQueue<Task> keyQueue) {
+      Task head = keyQueue.tasks.peek();
+      if (isKeyAvailable(keyQueue) && head == null) {
+        keyQueues.remove(keyQueue.key);
+      } else if (isKeyAvailable(keyQueue) && head.waitsForKey) {
         enqueue(head);
       }
     }
@@ -814,10 +930,9 @@
         if (outcome == Outcome.TIME_OUT
             || outcome == Outcome.RESET
             || outcome == Outcome.CANCELLED) {
+          // One sweep is added because the end on the engine and this event may cross.
           task.keyQueue.cooldownUntilNanos =
-              now
-                  + settings.keyCooldownNanos()
-                  + MAX_SWEEP_INTERVAL_NANOS; // news of its end crosses
+              now + settings.keyCooldownNanos() + MAX_SWEEP_INTERVAL_NANOS;
         }
       }
       if (!task.finished && (over || outcome == Outcome.OK)) {
@@ -829,14 +944,15 @@
       }
     }
 
-    /** Its forwards all failed: wanted again where the rules leave a way, else answered at once. */
+    /** All forwards failed: enqueues the task again where the rules allow, or else answers it. */
     private void retryOrAnswer(Task task) {
-      boolean left = task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
-      boolean may =
-          left
+      boolean attemptsLeft =
+          task.forwardsSent < capabilities.maxForwards() && !task.cannotEndInTime();
+      boolean retry =
+          attemptsLeft
               && (task.firstExecuted == null
                   || task.queryClass.retrySafety() != QueryClass.RetrySafety.NON_IDEMPOTENT);
-      if (may) {
+      if (retry) {
         enqueue(task);
       } else {
         rejectOrAbort(task);
@@ -844,7 +960,8 @@
     }
 
     /**
-     * A forward stuck on its engine: taken back, or doubled, where grade, rules and levers allow.
+     * Cancels a stalled forward, or sends a second one, where the query class, the rules and the
+     * capabilities allow.
      */
     private void retryStalled(Forward forward) {
       Task task = forward.task;
@@ -863,61 +980,65 @@
       }
     }
 
-    /** Rule 7: one more further forward within the ration? */
+    /** Rule 7: tells whether one more retry is within the retry budget. */
     boolean retryBudgetAllows() {
-      Settings.RetryBudget rule = settings.retryBudget();
-      return rule == null
+      Settings.RetryBudget budget = settings.retryBudget();
+      return budget == null
           || recentRetries.count() + 1
-              <= rule.spareAttempts() + rule.extraPerRequest() * taken.count();
+              <= budget.spareAttempts() + budget.extraPerRequest() * recentTasks.count();
     }
 
     /**
-     * Early refusal by worth: while tasks wait, work has a price, lest heavy ones take all room.
+     * Updates the price of engine work in each pool. While tasks wait, tasks whose value is below
+     * the price are rejected early, so that expensive ones do not take all capacity.
      */
     private void updatePrices() {
-      double usual = Math.exp(meanLogValue);
-      double fall =
+      double usualValue = Math.exp(meanLogValue);
+      double decay =
           Math.pow(PRICE_DECAY_PER_SWEEP, (now - lastSweepAt) / (double) MIN_SWEEP_INTERVAL_NANOS);
       lastSweepAt = now;
-      for (EnginePool market : pools.values()) {
-        // How far through its budget the waiter is that is nearest to its end.
-        double spent =
+      for (EnginePool pool : pools.values()) {
+        // The largest fraction of a queue wait budget that any queued task has used.
+        double budgetUsed =
             tenantQueues.values().stream()
-                .flatMap(tenant -> tenant.waiters.stream())
-                .filter(task -> task.statistics.pool == market)
+                .flatMap(queue -> queue.tasks.stream())
+                .filter(task -> task.statistics.pool == pool)
                 .mapToDouble(Task::budgetUsed)
                 .max()
                 .orElse(0);
-        double wanted = spent > 0 ? usual * Math.pow(MIN_PRICE_FRACTION, 1 - spent) : 0;
-        market.price = Math.max(wanted, market.price * fall);
-        market.price = market.price < usual * MIN_PRICE_FRACTION ? 0 : market.price;
+        double newPrice =
+            budgetUsed > 0 ? usualValue * Math.pow(MIN_PRICE_FRACTION, 1 - budgetUsed) : 0;
+        pool.price = Math.max(newPrice, pool.price * decay);
+        pool.price = pool.price < usualValue * MIN_PRICE_FRACTION ? 0 : pool.price;
       }
     }
 
     private void sweep() {
       engines
           .values()
-          .removeIf(one -> one.unused && one.openForwards.isEmpty() && now >= one.retainedUntil);
+          .removeIf(
+              engine ->
+                  engine.unused && engine.openForwards.isEmpty() && now >= engine.retainedUntil);
       updateCapacity();
       pools.values().forEach(EnginePool::adjustSubstitutes);
       updatePrices();
       long window = settings.retryBudget() == null ? 0 : settings.retryBudget().windowNanos();
-      taken.evictBefore(
-          now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1); // too early rather than too late
+      // Tasks are removed early rather than late, so that the budget is never overestimated.
+      recentTasks.evictBefore(now - window + 2 * MAX_SWEEP_INTERVAL_NANOS + 1);
       recentRetries.evictBefore(now - window);
       tenantQueues.values().stream()
-          .flatMap(tenant -> tenant.waiters.stream())
+          .flatMap(queue -> queue.tasks.stream())
           .filter(task -> now >= task.queueDeadline)
           .toList()
           .forEach(this::giveUp);
-      for (KeyQueue<Task> line : new ArrayList<>(keyQueues.values())) {
-        for (Task task : new ArrayList<>(line.tasks)) {
+      for (KeyQueue<Task> keyQueue : new ArrayList<>(keyQueues.values())) {
+        for (Task task : new ArrayList<>(keyQueue.tasks)) {
           double needed = Math.max(DEADLINE_MARGIN_NANOS, task.expectedRunTime());
           if (task.waitsForKey && task.deadline - now <= needed) {
             rejectOrAbort(task);
           }
         }
-        releaseKey(line);
+        releaseKey(keyQueue);
       }
       if (shutdownAt < Long.MAX_VALUE) {
         new ArrayList<>(tasks.values())
@@ -933,8 +1054,8 @@
   }
 
   /**
-   * Draws among the engines that fit, weighted against their load; an unheard one counts as
-   * average.
+   * Picks one of the engines that can take the task, at random and weighted against their load; an
+   * engine without a fresh report counts as average.
    */
   private Engine pickEngine(Task task) {
     double average =
@@ -943,67 +1064,67 @@
             .mapToDouble(engine -> engine.load(1))
             .average()
             .orElse(1);
-    List<Engine> fitting =
+    List<Engine> candidates =
         engines.values().stream().filter(engine -> engine.canTake(task)).toList();
     double[] weights =
-        fitting.stream().mapToDouble(engine -> engine.weight(task, average)).toArray();
-    return fitting.get(pickWeighted(weights, random.nextDouble()));
+        candidates.stream().mapToDouble(engine -> engine.weight(task, average)).toArray();
+    return candidates.get(pickWeighted(weights, random.nextDouble()));
   }
 
-  /** What an engine started then surely can do by now. */
-  private double capacityFraction(long start) {
-    Settings.ColdStartLimit rule = settings.coldStartLimit();
-    if (rule == null || start <= 0 || now - start >= rule.warmUpNanos()) {
+  /** Returns the fraction of its capacity that an engine started at that time has by now. */
+  private double capacityFraction(long startedAt) {
+    Settings.ColdStartLimit limit = settings.coldStartLimit();
+    if (limit == null || startedAt <= 0 || now - startedAt >= limit.warmUpNanos()) {
       return 1;
     }
-    double age = Math.max(0, now - start) / (double) rule.warmUpNanos();
-    return rule.startCapacityFraction() + (1 - rule.startCapacityFraction()) * age;
+    double age = Math.max(0, now - startedAt) / (double) limit.warmUpNanos();
+    return limit.startCapacityFraction() + (1 - limit.startCapacityFraction()) * age;
   }
 
-  // ---- Engines: the one record of each, its room, its health, the one place that every send
-  // passes ----
+  // ---- Engines: state, concurrency limit and health; every task is sent from here ----
 
+  /** The actor of one engine: it sends tasks there and tracks its load and health. */
   private final class Engine extends EventLoop.Actor {
     final String id;
     EngineEntry entry; // as last listed
     boolean ready;
-    boolean unused; // or no longer used; forgotten once its forwards have ended
-    long retainedUntil; // what it was sent while cold counts for a window
-    final List<EnginePool> servedPools = new ArrayList<>(2); // whose tasks may use it
-    boolean isSubstitute; // for others of the subset: never while it is cold
-    int subsetLevel; // of the managers one in 2 to this power uses it
+    boolean unused; // no longer listed or used; it is removed once its forwards have ended
+    long retainedUntil; // the work sent to it while cold counts for a whole window
+    final List<EnginePool> servedPools = new ArrayList<>(2);
+    boolean isSubstitute; // a substitute for others of the subset; it is not used while cold
+    int subsetLevel; // one in 2^level managers uses the engine
     double cores = 1;
     double totalMemoryMb;
     final ArrayList<Forward> openForwards = new ArrayList<>();
-    double grantedMb; // memory of our tasks there
+    double grantedMb; // memory granted to this manager's tasks there
     final ConcurrencyLimit limit = new ConcurrencyLimit();
-    double logSlowdown; // ln of how much slower than the fleet its answers are
+    double logSlowdown; // mean ln of its slowdown relative to the fleet
     long slowdownUpdatedAt = now;
-    double observedShare; // our part of the tasks that it reports to hold, smoothed
+    double observedShare; // moving average of this manager's share of the engine's tasks
     LoadReport report;
     long reportAt;
-    int threadsSentSinceReport; // sent since that report
-    double otherTasks; // tasks that it reported, less ours then
-    double otherMemoryMb; // what it reported granted, less what was ours then
+    int threadsSentSinceReport;
+    double otherTasks; // the tasks in the last report, less this manager's at the time
+    double otherMemoryMb; // the memory in the last report, less this manager's at the time
     long nextProbeAt;
     int failedProbes;
     long lastSweepAt;
-    long lastSignAt; // last sign of life, or when one was first owed
-    double expectedSigns; // how many signs usual run times led to expect since then
-    double meanExpectedSigns =
-        INITIAL_EXPECTED_SIGNS; // mean and deviation of what was owed at a sign
-    double expectedSignsDeviation = INITIAL_EXPECTED_SIGNS;
-    double failureRate; // part of its answers that fail, the last ones counting most
-    boolean unreachable; // the last try: then the fleet is no excuse
+    long lastSignAt; // the last sign of life, or the first send to the idle engine since then
+    double expectedSigns; // the number of signs of life expected since then by usual run times
+    double meanExpectedSigns = INITIAL_EXPECTED_SIGNS; // mean of that number at the time of a sign
+    double expectedSignsDeviation = INITIAL_EXPECTED_SIGNS; // mean deviation of that number
+    double failureRate; // moving average of the fraction of failed answers
+    boolean unreachable; // at the last attempt; excludes the engine even if most are suspected
     long unreachableAt;
-    boolean suspect;
+    boolean suspected;
     long nextTrialAt;
     long trialInterval;
-    long coldPermitUntil; // a cold engine's, for this window
-    double coldPermitDraw;
-    final SlidingWindow recentColdWork = new SlidingWindow(); // work
+    long coldPermitUntil; // the end of the window for which the random number below holds
+    double coldPermitDraw; // a random number that decides on a permit beyond the even share
+    final SlidingWindow recentColdWork =
+        new SlidingWindow(); // work sent while cold, in nanoseconds
     final LinkedHashSet<Long> warmDataSets =
-        new LinkedHashSet<>(); // data sets read last, oldest first
+        new LinkedHashSet<>(); // data sets last read, oldest first
 
     Engine(String id) {
       super(eventLoop);
@@ -1011,35 +1132,37 @@
       nextProbeAt = now + (long) (random.nextDouble() * dispatcher.probeInterval());
     }
 
-    private void postListing(EngineEntry told) {
-      post(() -> onListing(told));
+    private void postListing(EngineEntry listing) {
+      post(() -> onListing(listing));
     }
 
-    private void onListing(EngineEntry told) {
-      dispatcher.post(
-          dispatcher::updateCapacity); // behind each: one a list would come ahead of some
-      boolean used = told != null && subset.uses(told);
-      ready = used && told.state() == EngineEntry.State.READY;
-      boolean leaves = told != null && !used && !unused && settings.coldStartLimit() != null;
-      retainedUntil = leaves ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
-      unused = !used || told.state() == EngineEntry.State.GONE;
+    private void onListing(EngineEntry listing) {
+      // Posted after each entry: one message for a whole list would precede some of its entries.
+      dispatcher.post(dispatcher::updateCapacity);
+      boolean isUsed = listing != null && subset.uses(listing);
+      ready = isUsed && listing.state() == EngineEntry.State.READY;
+      boolean leavesSubset =
+          listing != null && !isUsed && !unused && settings.coldStartLimit() != null;
+      retainedUntil = leavesSubset ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
+      unused = !isUsed || listing.state() == EngineEntry.State.GONE;
       servedPools.clear();
-      if (told == null) {
+      if (listing == null) {
         return;
       }
-      engines.putIfAbsent(id, this); // a sweep may have forgotten it since it was named at the door
-      pools.values().stream().filter(market -> market.group.uses(told)).forEach(servedPools::add);
-      isSubstitute = subset.isSubstitute(told);
-      subsetLevel = subset.level(told);
-      boolean fresh = entry == null || told.startedAtNanos() > entry.startedAtNanos();
-      entry = told;
-      Settings.EngineType figures = settings.engineTypes().get(told.type());
-      cores = figures != null && figures.cores() > 0 ? figures.cores() : Math.max(1, told.size());
-      totalMemoryMb = figures == null ? 0 : figures.memoryMb();
-      if (fresh) {
-        // A new process: nothing learned of the old one holds.
+      // A sweep may have removed the engine since the event arrived.
+      engines.putIfAbsent(id, this);
+      pools.values().stream().filter(pool -> pool.group.uses(listing)).forEach(servedPools::add);
+      isSubstitute = subset.isSubstitute(listing);
+      subsetLevel = subset.level(listing);
+      boolean restarted = entry == null || listing.startedAtNanos() > entry.startedAtNanos();
+      entry = listing;
+      Settings.EngineType type = settings.engineTypes().get(listing.type());
+      cores = type != null && type.cores() > 0 ? type.cores() : Math.max(1, listing.size());
+      totalMemoryMb = type == null ? 0 : type.memoryMb();
+      if (restarted) {
+        // A new process: nothing learned about the old one applies.
         warmDataSets.clear();
-        suspect = unreachable = false;
+        suspected = unreachable = false;
         report = null;
         logSlowdown = limit.logSlowdown = failureRate = 0;
         limit.pressureUntil = unreachableAt = failedProbes = 0;
@@ -1047,34 +1170,40 @@
       }
     }
 
-    // -- May it be sent to? --
+    // -- Eligibility --
 
     boolean usable() {
-      return ready && !unreachable && (!suspect || dispatcher.mostSuspected);
+      return ready && !unreachable && (!suspected || dispatcher.mostSuspected);
     }
 
     boolean healthy() {
-      return ready && !unreachable && !suspect && capacityFraction() >= 1;
+      return ready && !unreachable && !suspected && capacityFraction() >= 1;
     }
 
     private double capacityFraction() {
       return Decide.this.capacityFraction(coldSince());
     }
 
-    /** Rule 4: an even part of what a cold engine may get; where that holds no task, a draw. */
+    /**
+     * Rule 4: tells whether the task is within this manager's even share of what a cold engine may
+     * get, or, where the share is too small for it, whether a random cold-start permit admits it.
+     */
     private boolean coldLimitAllows(Task task) {
       if (capacityFraction() >= 1 || isSubstitute) {
         return capacityFraction() >= 1;
       }
       recentColdWork.evictBefore(now - settings.coldStartLimit().windowNanos());
-      double sent = recentColdWork.sum();
-      return sent + task.cost <= evenColdShare() || sent == 0 && coldPermitChance(task) > 0;
+      double sentWork = recentColdWork.sum();
+      return sentWork + task.cost <= evenColdShare() || sentWork == 0 && coldPermitChance(task) > 0;
     }
 
-    /** Ours for sure; half is left to tickets where it would not hold a usual task. */
+    /**
+     * Returns the work that this manager may always send. Where the share is less than a usual
+     * task, half of it is left to cold-start permits.
+     */
     private double evenColdShare() {
-      double part = coldBudget() / maxExpectedManagers();
-      return dispatcher.meanCost > part ? part / 2 : part;
+      double share = coldBudget() / maxExpectedManagers();
+      return dispatcher.meanCost > share ? share / 2 : share;
     }
 
     private double expectedManagers() {
@@ -1082,7 +1211,8 @@
     }
 
     /**
-     * And those that may use it, by chance, older lists and positions that are unknown or doubled.
+     * Returns an upper bound on the managers that use the engine, as their number varies by chance,
+     * with outdated lists, and with indexes that are unknown or held by two managers.
      */
     double maxExpectedManagers() {
       return Math.min(
@@ -1090,46 +1220,57 @@
           expectedManagers() + COLD_SAFETY_DEVIATIONS * Math.sqrt(expectedManagers()));
     }
 
+    /**
+     * Returns when the engine started; an unreachable one counts as restarted, as lists arrive
+     * late.
+     */
     private long coldSince() {
       return Math.max(entry.startedAtNanos(), unreachableAt);
-    } // as lists are late
+    }
 
     /**
-     * Grows over a window where the engine is older than we are: our earlier life may have sent.
+     * Returns the work that all managers together may send to the cold engine within a window. It
+     * grows over the first window where the engine is older than this process, because an earlier
+     * process of this manager may have sent tasks to it.
      */
     private double coldBudget() {
       long window = settings.coldStartLimit().windowNanos();
-      double known =
+      double knownFraction =
           coldSince() >= firstListAt ? 1 : Math.min(1, (now - firstListAt) / (double) window);
       return COLD_BUDGET_FRACTION
           * settings.coldStartLimit().overloadFactor()
           * capacityFraction()
           * cores
           * window
-          * known;
+          * knownFraction;
     }
 
-    /** The chance that a task gets in when our part does not hold it; 0 where the draw failed. */
+    /**
+     * Returns the probability of a cold-start permit for a task that exceeds the even share; 0
+     * where the random draw of this window gave none.
+     */
     private double coldPermitChance(Task task) {
       if (now >= coldPermitUntil) {
         coldPermitUntil = now + settings.coldStartLimit().windowNanos();
         coldPermitDraw = random.nextDouble();
       }
-      // Of all: what the even parts leave and the rule's room for chance, at most what it can do.
-      double chances =
+      // For all managers: what the even shares leave, plus the tolerated excess, and at most what
+      // the engine can execute.
+      double tolerance =
           COLD_LIMIT_TOLERANCE
               * (Math.sqrt(coldBudget() * dispatcher.meanCost) + dispatcher.meanCost);
-      double all = coldBudget() - evenColdShare() * maxExpectedManagers() + chances;
+      double totalWork = coldBudget() - evenColdShare() * maxExpectedManagers() + tolerance;
       double deviations = COLD_SAFETY_DEVIATIONS * Math.sqrt(task.cost) / 2;
-      double mean = Math.sqrt(all + deviations * deviations) - deviations;
+      double mean = Math.sqrt(totalWork + deviations * deviations) - deviations;
       double work =
           Math.min(mean * mean, coldBudget() / settings.coldStartLimit().overloadFactor());
-      double part = work / (maxExpectedManagers() * task.cost);
-      return coldPermitDraw < part ? Math.min(1, part) : 0;
+      double probability = work / (maxExpectedManagers() * task.cost);
+      return coldPermitDraw < probability ? Math.min(1, probability) : 0;
     }
 
     /**
-     * Every rule on sending, in one place; rule 3 (drains) without its grace, as the list is late.
+     * Checks every rule on sending. Rule 3 (draining engines) is applied without its grace period,
+     * as lists arrive late.
      */
     private boolean rulesAllow(Task task) {
       return ready
@@ -1143,7 +1284,7 @@
                   && (task.forwardsSent > 0 || dispatcher.isKeyAvailable(task.keyQueue)));
     }
 
-    /** Rules, health and room together. */
+    /** Tells whether rules, health and free capacity permit sending the task here. */
     boolean canTake(Task task) {
       if (!rulesAllow(task)
           || !task.openForwards.isEmpty() && task.openForwards.get(0).engine == this) {
@@ -1155,105 +1296,109 @@
     }
 
     /**
-     * This manager's part of the engine: an even one, or more where it is seen to hold mostly ours.
+     * Returns this manager's share of the engine: an even one, or more where its tasks are seen to
+     * make up more of the load.
      */
     private double share() {
       return Math.max(1 / expectedManagers(), observedShare);
     }
 
     /**
-     * The room in threads: its own, or the market's where our part of an engine holds no thread.
+     * Checks the engine's concurrency limit, or the pool's where this manager's share of an engine
+     * is less than one thread.
      */
     private boolean threadsFit(Task task) {
-      EnginePool market = task.statistics.pool;
-      return market.limitedAsWhole
-          ? now >= limit.pressureUntil && market.allows(task.queryClass, market.cores)
+      EnginePool pool = task.statistics.pool;
+      return pool.limitedAsWhole
+          ? now >= limit.pressureUntil && pool.allows(task.queryClass, pool.cores)
           : limit.allows(task.queryClass, cores * share() * capacityFraction());
     }
 
-    /** One more of our tasks here, or one less. */
-    private void addUsage(int threads, double memory) {
+    /** Adds the threads and memory of a task; negative values remove them. */
+    private void addUsage(int threads, double memoryMb) {
       limit.usedThreads += threads;
-      grantedMb += memory;
-      for (EnginePool market : pools.values()) {
-        boolean counts =
-            usable() && servedPools.contains(market); // what is stuck takes none elsewhere
-        market.usedThreads += counts ? threads : 0;
-        market.grantedMb += counts ? memory : 0;
+      grantedMb += memoryMb;
+      for (EnginePool pool : pools.values()) {
+        // Tasks on an unusable engine take no capacity of the pool.
+        boolean isCounted = usable() && servedPools.contains(pool);
+        pool.usedThreads += isCounted ? threads : 0;
+        pool.grantedMb += isCounted ? memoryMb : 0;
       }
     }
 
     /**
-     * The room in memory always binds: past it an engine spills, waits or pages, and tells too
-     * late.
+     * Checks the memory limit. It always applies: beyond it an engine spills, waits or pages, and
+     * its reports come too late.
      */
     private boolean memoryFits(Task task) {
-      EnginePool market = task.statistics.pool;
-      boolean told =
-          hasFreshReport()
-              && !Double.isNaN(report.grantedMemoryFraction())
-              && !market.limitedAsWhole;
-      double wanted = memoryGrantMb(task);
-      double most = told ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
-      if (totalMemoryMb <= 0 || grantedMb + wanted <= most) {
+      EnginePool pool = task.statistics.pool;
+      boolean reported =
+          hasFreshReport() && !Double.isNaN(report.grantedMemoryFraction()) && !pool.limitedAsWhole;
+      double neededMb = memoryGrantMb(task);
+      double limitMb = reported ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
+      if (totalMemoryMb <= 0 || grantedMb + neededMb <= limitMb) {
         return true;
       }
-      boolean let =
-          market.grantedMb + wanted <= market.memoryMb
-              || wanted < SMALL_TASK_MEMORY_FRACTION * market.memoryMb;
-      return openForwards.isEmpty() && (!told && let || market.usedThreads == 0);
+      boolean fitsPool =
+          pool.grantedMb + neededMb <= pool.memoryMb
+              || neededMb < SMALL_TASK_MEMORY_FRACTION * pool.memoryMb;
+      return openForwards.isEmpty() && (!reported && fitsPool || pool.usedThreads == 0);
     }
 
-    /** What a task is to be granted here; where grants are not heeded, what it will take. */
+    /** Returns the memory to grant, or, where engines ignore grants, the memory it will use. */
     private double memoryGrantMb(Task task) {
-      double memory =
+      double neededMb =
           task.request.estimatedMemoryMb()
               * (task.statistics.memoryBias + task.statistics.memoryMargin);
-      double most =
+      double maxMb =
           capabilities.maxGrantFraction() > 0 && totalMemoryMb > 0
               ? capabilities.maxGrantFraction() * totalMemoryMb
-              : memory;
-      return Math.min(memory, most);
+              : neededMb;
+      return Math.min(neededMb, maxMb);
     }
 
     /**
-     * More for tasks that earn much for their work, and for loads, as others wait for what they
-     * hold.
+     * Returns the priority. It is higher for tasks that earn much for their work, and for bulk
+     * loads, as other tasks wait for the data sets that they hold.
      */
     private int priority(Task task) {
-      double above = task.logValue - dispatcher.meanLogValue;
-      int usual =
+      double logRelativeValue = task.logValue - dispatcher.meanLogValue;
+      int priority =
           3
               - (int)
                   clamp(
-                      Math.ceil((TOP_PRIORITY_LOG_VALUE - above) / PRIORITY_LOG_VALUE_STEP), 0, 3);
-      return task.queryClass.bulkLoad() ? Math.max(2, usual) : usual;
+                      Math.ceil(
+                          (TOP_PRIORITY_LOG_VALUE - logRelativeValue) / PRIORITY_LOG_VALUE_STEP),
+                      0,
+                      3);
+      return task.queryClass.bulkLoad() ? Math.max(2, priority) : priority;
     }
 
     private void send(Task task) {
       if (task.finished) {
+        // The client left, or the task was answered, after it had been dispatched.
         return;
-      } // its client left, or it was answered, behind its turn
+      }
       if (!canTake(task)) {
         dispatcher.post(() -> dispatcher.requeue(task));
         return;
       }
-      double memory = memoryGrantMb(task);
+      double memoryMb = memoryGrantMb(task);
       if (capabilities.memoryGrants() || capabilities.priorities()) {
         actions.assignResources(
             task.id,
-            capabilities.memoryGrants() ? (long) Math.ceil(memory) : 0,
+            capabilities.memoryGrants() ? (long) Math.ceil(memoryMb) : 0,
             capabilities.priorities() ? priority(task) : 1);
       }
       actions.forward(task.id, id, 0);
-      boolean read = warmDataSets.remove(task.request.dataSet());
-      Forward forward = new Forward(task, this, task.forwardsSent, now, memory, read);
+      boolean warmData = warmDataSets.remove(task.request.dataSet());
+      Forward forward = new Forward(task, this, task.forwardsSent, now, memoryMb, warmData);
       expectedSigns = openForwards.isEmpty() ? 0 : expectedSigns;
       lastSignAt = openForwards.isEmpty() ? now : lastSignAt;
       lastSweepAt = openForwards.isEmpty() ? now : lastSweepAt;
       openForwards.add(forward);
-      // Not by a note: its end, or the next of its key, may be in the same batch and must find it
-      // out.
+      // Recorded here and not by a message: its end, or the next task of its key, may be in the
+      // same batch and must find the forward open.
       task.openForwards.add(forward);
       if (task.keyQueue != null) {
         task.keyQueue.openForwards++;
@@ -1261,7 +1406,7 @@
       if (task.forwardsSent++ > 0) {
         dispatcher.recentRetries.add(now, 1);
       }
-      addUsage(task.queryClass.threads(), memory);
+      addUsage(task.queryClass.threads(), memoryMb);
       threadsSentSinceReport += task.queryClass.threads();
       if (capacityFraction() < 1) {
         recentColdWork.add(now, (long) task.cost);
@@ -1270,14 +1415,13 @@
       if (warmDataSets.size() > MAX_WARM_DATA_SETS) {
         warmDataSets.remove(warmDataSets.iterator().next());
       }
-      trialInterval =
-          Math.min(
-              MAX_TRIAL_INTERVAL_NANOS, trialInterval * 2); // both are read only under suspicion
+      // Both values are read only while the engine is suspected.
+      trialInterval = Math.min(MAX_TRIAL_INTERVAL_NANOS, trialInterval * 2);
       nextTrialAt = now + trialInterval;
       dispatcher.post(() -> dispatcher.onSent(task));
     }
 
-    // -- What it says --
+    // -- Outcomes and reports --
 
     private void onForwardEnd(
         Forward forward,
@@ -1285,90 +1429,97 @@
         boolean over,
         long cost,
         double memoryMb,
-        LoadReport told) {
+        LoadReport received) {
       openForwards.remove(forward);
       addUsage(-forward.task.queryClass.threads(), -forward.memoryMb);
-      onReport(told);
+      onReport(received);
       if (outcome == Outcome.OK) {
         failureRate = movingAverage(failureRate, 0, 4 * SMOOTHING_FACTOR);
         onSignOfLife();
         onSuccess(forward, cost, memoryMb);
         forward.task.failedEngines.forEach(engine -> engine.post(engine::onFailure));
       } else if (outcome == Outcome.ERROR && forward.task.isIdempotent()) {
-        forward.task.failedEngines.add(
-            this); // a bad task fails anywhere: no news of this engine yet
+        // The task itself may be faulty and fail on every engine.
+        forward.task.failedEngines.add(this);
       } else if (outcome == Outcome.ERROR
           || outcome == Outcome.UNREACHED
           || outcome == Outcome.RESET) {
         unreachable |= outcome == Outcome.UNREACHED;
         unreachableAt = outcome == Outcome.UNREACHED ? now : unreachableAt;
         if (unreachable) {
-          suspect("unreached");
+          suspect("unreachable");
         }
         onFailure();
       } else if (outcome == Outcome.FULL || outcome == Outcome.TIME_OUT) {
-        limit.onRefusal();
-        forward.task.statistics.pool.onRefusal();
+        limit.onOverload();
+        forward.task.statistics.pool.onOverload();
       }
       dispatcher.post(() -> dispatcher.onForwardEnd(forward, outcome, over));
     }
 
-    /** An engine that fails fast looks idle, and would draw ever more tasks. */
+    /**
+     * Counts a failed answer; an engine that fails fast looks idle and would attract more tasks.
+     */
     private void onFailure() {
       failureRate = movingAverage(failureRate, 1, 4 * SMOOTHING_FACTOR);
-      if (!suspect && failureRate > failureRateLimit()) {
+      if (!suspected && failureRate > failureRateLimit()) {
         suspect("its answers fail");
       }
     }
 
-    private void onSuccess(Forward forward, long toldCost, double toldMemory) {
+    private void onSuccess(Forward forward, long reportedCost, double reportedMemoryMb) {
       Task task = forward.task;
-      ClassStatistics row = task.statistics;
-      if (toldCost > 0) {
-        row.costBias =
+      ClassStatistics statistics = task.statistics;
+      if (reportedCost > 0) {
+        statistics.costBias =
             clamp(
-                movingAverage(row.costBias, toldCost * row.costBias / task.cost, SMOOTHING_FACTOR),
+                movingAverage(
+                    statistics.costBias,
+                    reportedCost * statistics.costBias / task.cost,
+                    SMOOTHING_FACTOR),
                 0.2,
                 5);
       }
-      if (toldMemory > 0 && task.request.estimatedMemoryMb() > 0) {
-        double told = toldMemory / task.request.estimatedMemoryMb();
-        double off = Math.abs(told - row.memoryBias);
-        row.memoryMargin =
-            movingAverage(row.memoryMargin, GRANT_DEVIATIONS * off, SMOOTHING_FACTOR);
-        row.memoryBias = clamp(movingAverage(row.memoryBias, told, SMOOTHING_FACTOR), 0.2, 5);
+      if (reportedMemoryMb > 0 && task.request.estimatedMemoryMb() > 0) {
+        double memoryRatio = reportedMemoryMb / task.request.estimatedMemoryMb();
+        double deviation = Math.abs(memoryRatio - statistics.memoryBias);
+        statistics.memoryMargin =
+            movingAverage(statistics.memoryMargin, GRANT_DEVIATIONS * deviation, SMOOTHING_FACTOR);
+        statistics.memoryBias =
+            clamp(movingAverage(statistics.memoryBias, memoryRatio, SMOOTHING_FACTOR), 0.2, 5);
       }
-      long run = Math.max(NANOS_PER_MS, now - forward.sentAt);
-      double alone =
-          toldCost > 0
-              ? Math.max(toldCost / task.queryClass.threads(), 5 * NANOS_PER_MS)
+      long runTime = Math.max(NANOS_PER_MS, now - forward.sentAt);
+      double isolatedRunTime =
+          reportedCost > 0
+              ? Math.max(reportedCost / task.queryClass.threads(), 5 * NANOS_PER_MS)
               : task.isolatedRunTime();
-      double ratio = Math.log(run / alone);
-      row.meanRunTime = movingAverage(row.meanRunTime, run, SMOOTHING_FACTOR);
-      row.logSlowdown = movingAverage(row.logSlowdown, ratio, SMOOTHING_FACTOR);
-      row.bestLogSlowdown =
-          Double.isNaN(row.bestLogSlowdown)
-              ? row.logSlowdown
-              : Math.min(row.bestLogSlowdown, row.logSlowdown);
-      double above = ratio - Math.max(0, row.bestLogSlowdown);
+      double logRatio = Math.log(runTime / isolatedRunTime);
+      statistics.meanRunTime = movingAverage(statistics.meanRunTime, runTime, SMOOTHING_FACTOR);
+      statistics.logSlowdown = movingAverage(statistics.logSlowdown, logRatio, SMOOTHING_FACTOR);
+      statistics.bestLogSlowdown =
+          Double.isNaN(statistics.bestLogSlowdown)
+              ? statistics.logSlowdown
+              : Math.min(statistics.bestLogSlowdown, statistics.logSlowdown);
+      double slowdown = logRatio - Math.max(0, statistics.bestLogSlowdown);
       dispatcher.warmLogRatio =
           movingAverage(
               dispatcher.warmLogRatio,
-              ratio - row.logSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? SMOOTHING_FACTOR / 5 : 0);
       dispatcher.coldLogRatio =
           movingAverage(
               dispatcher.coldLogRatio,
-              ratio - row.logSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? 0 : SMOOTHING_FACTOR / 5);
-      updateSlowdown(task, ratio);
+      updateSlowdown(task, logRatio);
       boolean busy = hasFreshReport() && report.cpuUtilization() >= BUSY_UTILIZATION;
-      limit.onAnswer(task.queryClass, above, busy, cores * MAX_THREADS_PER_CORE);
-      row.pool.onAnswer(task.queryClass, above, busy, row.pool.cores * MAX_THREADS_PER_CORE);
+      limit.onAnswer(task.queryClass, slowdown, busy, cores * MAX_THREADS_PER_CORE);
+      statistics.pool.onAnswer(
+          task.queryClass, slowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
     }
 
-    /** How much slower than the fleet; a sample counts the more the rarer they come. */
-    private void updateSlowdown(Task task, double ratio) {
+    /** Updates the slowdown relative to the fleet; a sample counts more where they are rare. */
+    private void updateSlowdown(Task task, double logRatio) {
       double weight =
           clamp(
               (now - slowdownUpdatedAt) / (double) SLOWDOWN_WINDOW_NANOS,
@@ -1377,7 +1528,7 @@
       logSlowdown =
           Double.isNaN(task.statistics.logSlowdown)
               ? logSlowdown
-              : movingAverage(logSlowdown, ratio - task.statistics.logSlowdown, weight);
+              : movingAverage(logSlowdown, logRatio - task.statistics.logSlowdown, weight);
       slowdownUpdatedAt = now;
     }
 
@@ -1385,44 +1536,46 @@
       return report != null && now - reportAt <= REPORT_MAX_AGE_NANOS;
     }
 
-    private void onReport(LoadReport told) {
-      if (told == null) {
+    private void onReport(LoadReport received) {
+      if (received == null) {
         return;
       }
       dispatcher.hasLoadReports |=
-          !Double.isNaN(told.cpuUtilization()) || !Double.isNaN(told.activeTasks());
-      report = told;
+          !Double.isNaN(received.cpuUtilization()) || !Double.isNaN(received.activeTasks());
+      report = received;
       reportAt = now;
       threadsSentSinceReport = 0;
-      otherTasks = Math.max(0, told.activeTasks() - openForwards.size());
-      otherMemoryMb = Math.max(0, told.grantedMemoryFraction() * totalMemoryMb - grantedMb);
-      if (told.cpuUtilization() < BUSY_UTILIZATION && told.activeTasks() >= 0) {
-        // While cores idle, all that others are not seen to hold is free for us.
-        double free = 1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
-        observedShare = movingAverage(observedShare, Math.max(0, free), 2 * SMOOTHING_FACTOR);
-      } else if (told.activeTasks() >= 4) {
+      otherTasks = Math.max(0, received.activeTasks() - openForwards.size());
+      otherMemoryMb = Math.max(0, received.grantedMemoryFraction() * totalMemoryMb - grantedMb);
+      if (received.cpuUtilization() < BUSY_UTILIZATION && received.activeTasks() >= 0) {
+        // While cores are idle, whatever others do not use is available to this manager.
+        double freeFraction =
+            1 - otherTasks / (cores * capacityFraction() * INITIAL_THREADS_PER_CORE);
+        observedShare =
+            movingAverage(observedShare, Math.max(0, freeFraction), 2 * SMOOTHING_FACTOR);
+      } else if (received.activeTasks() >= 4) {
         observedShare =
             movingAverage(
                 observedShare,
-                Math.min(1, openForwards.size() / told.activeTasks()),
+                Math.min(1, openForwards.size() / received.activeTasks()),
                 8 * SMOOTHING_FACTOR);
       }
-      if (told.cpuUtilization() >= SATURATED_UTILIZATION
-          || told.grantedMemoryFraction() >= SATURATED_UTILIZATION) {
+      if (received.cpuUtilization() >= SATURATED_UTILIZATION
+          || received.grantedMemoryFraction() >= SATURATED_UTILIZATION) {
         limit.pressureUntil = now + PRESSURE_DURATION_NANOS;
       }
     }
 
-    private void onProbeEnd(Outcome outcome, LoadReport told) {
+    private void onProbeEnd(Outcome outcome, LoadReport received) {
       if (outcome == Outcome.OK) {
         failedProbes = 0;
-        onReport(told);
+        onReport(received);
       } else if (outcome != Outcome.FULL && ++failedProbes >= 2) {
         suspect("probes unanswered");
       }
     }
 
-    // -- Health: how unusual is the present silence, given the gaps seen before? --
+    // -- Health: the probability of the present silence, given the earlier ones --
 
     private void onSignOfLife() {
       expectedSignsDeviation =
@@ -1435,10 +1588,10 @@
       lastSignAt = now;
       unreachable = false;
       nextTrialAt = Math.min(nextTrialAt, now + MIN_SILENCE_NANOS);
-      if (suspect && failedProbes < 2 && failureRate <= failureRateLimit()) {
-        suspect = false;
+      if (suspected && failedProbes < 2 && failureRate <= failureRateLimit()) {
+        suspected = false;
         dispatcher.updateCapacity();
-        actions.log("engine " + id + " answers again: back in the draw");
+        actions.log("engine " + id + " answers again and receives tasks");
       }
     }
 
@@ -1458,21 +1611,24 @@
                       / forward.task.expectedRunTime());
       lastSweepAt = now;
       long silence = now - lastSignAt;
-      double unusual =
+      double suspicion =
           expectedSigns
               / (Math.max(meanExpectedSigns, INITIAL_EXPECTED_SIGNS) + expectedSignsDeviation)
               / Math.log(10);
-      if (!suspect && silence > MIN_SILENCE_NANOS && unusual > SUSPICION_THRESHOLD) {
+      if (!suspected && silence > MIN_SILENCE_NANOS && suspicion > SUSPICION_THRESHOLD) {
         suspect("silent for " + silence / NANOS_PER_MS + " ms");
       }
-      if (suspect && !dispatcher.mostSuspected) {
+      if (suspected && !dispatcher.mostSuspected) {
         openForwards.stream()
             .filter(forward -> now - forward.sentAt > MIN_SILENCE_NANOS)
             .forEach(forward -> dispatcher.post(() -> dispatcher.retryStalled(forward)));
       }
     }
 
-    /** Against the fleet: where all fail alike, leaving the one that failed last helps nobody. */
+    /**
+     * Returns the limit relative to the fleet's mean: where all engines fail alike, excluding one
+     * of them does not help.
+     */
     private double failureRateLimit() {
       return FAILURE_RATE_LIMIT
           + engines.values().stream()
@@ -1482,20 +1638,22 @@
               .orElse(0);
     }
 
-    private void suspect(String why) {
-      if (suspect) {
+    private void suspect(String reason) {
+      if (suspected) {
         return;
       }
-      suspect = true;
+      suspected = true;
       dispatcher.updateCapacity();
       trialInterval = INITIAL_TRIAL_INTERVAL_NANOS;
       nextTrialAt = now + trialInterval;
-      actions.log("engine " + id + " suspected: " + why + "; no more tasks but trials");
+      actions.log("engine " + id + " suspected: " + reason + "; it receives trial tasks only");
     }
 
-    // -- The draw's figures --
+    // -- Figures for the choice of an engine --
 
-    /** When our first task there should end, by the mean run of its grade. */
+    /**
+     * Returns the time until the first open forward should end, by the mean run time of its class.
+     */
     double minRemainingTime() {
       return openForwards.stream()
           .mapToDouble(
@@ -1511,20 +1669,25 @@
           .orElse(Double.MAX_VALUE);
     }
 
-    /** Load a core: reported use, else tasks held, else our threads; plus our sends since. */
+    /**
+     * Returns the load per core: the reported utilization and tasks, or else this manager's
+     * threads; plus the threads sent since the report.
+     */
     double load(double average) {
-      double able = cores * capacityFraction();
+      double warmCores = cores * capacityFraction();
       if (!dispatcher.hasLoadReports || !hasFreshReport()) {
-        return (dispatcher.hasLoadReports ? average : 0) + limit.usedThreads / (able * share());
+        return (dispatcher.hasLoadReports ? average : 0)
+            + limit.usedThreads / (warmCores * share());
       }
-      double held = (otherTasks + limit.usedThreads) / able;
+      double tasksPerCore = (otherTasks + limit.usedThreads) / warmCores;
       return Double.isNaN(report.cpuUtilization())
-          ? Double.isNaN(held) ? average : held
+          ? Double.isNaN(tasksPerCore) ? average : tasksPerCore
           : report.cpuUtilization()
-              + (Double.isNaN(held) ? 0 : held)
-              + threadsSentSinceReport / able;
+              + (Double.isNaN(tasksPerCore) ? 0 : tasksPerCore)
+              + threadsSentSinceReport / warmCores;
     }
 
+    /** Returns the weight of this engine in the random choice for the task. */
     double weight(Task task, double average) {
       double trust =
           hasFreshReport()
@@ -1532,30 +1695,30 @@
               : 1;
       double load = IDLE_LOAD_PER_CORE + average + (load(average) - average) * trust;
       double weight = cores * capacityFraction() / (load * load * load) / Math.exp(2 * logSlowdown);
-      boolean read = warmDataSets.contains(task.request.dataSet());
+      boolean warmData = warmDataSets.contains(task.request.dataSet());
       weight *=
-          read
+          warmData
               ? Math.exp(
                   WARM_DATA_EXPONENT
                       * clamp(dispatcher.coldLogRatio - dispatcher.warmLogRatio, 0, 0.5))
               : 1;
       if (capacityFraction() < 1 && task.cost > evenColdShare()) {
-        weight /=
-            Math.max(coldPermitChance(task), 1e-9); // as often in all as if it needed no ticket
+        // Compensates for the permit: the engine is chosen as often as if none were needed.
+        weight /= Math.max(coldPermitChance(task), 1e-9);
       }
       weight *=
           capabilities.crossZonePriced() && !entry.zone().equals(settings.zone())
               ? CROSS_ZONE_FACTOR
               : 1;
-      boolean stands = task.queryClass.bulkLoad() || task.queryClass.waitsForBulkLoads();
-      boolean held =
-          stands
+      boolean mayConflict = task.queryClass.bulkLoad() || task.queryClass.waitsForBulkLoads();
+      boolean conflicts =
+          mayConflict
               && openForwards.stream()
                   .anyMatch(
                       forward ->
                           forward.task.queryClass.bulkLoad()
                               && forward.task.request.dataSet() == task.request.dataSet());
-      weight *= held ? BULK_LOAD_CONFLICT_FACTOR : 1;
+      weight *= conflicts ? BULK_LOAD_CONFLICT_FACTOR : 1;
       return weight;
     }
   }
--- a/src/main/java/tansytrack/adapter/SimulatorAdapter.java
+++ b/src/main/java/tansytrack/adapter/SimulatorAdapter.java
@@ -24,26 +24,26 @@
 import tansytrack.settings.SettingsParser;
 
 /**
- * The bench's wire on one side, the module's interface on the other; each instance is a module of
- * its own.
+ * Connects decision modules to the simulator: reads its events line by line, calls the module of
+ * the manager that each event is for, and writes the actions as lines of the reply.
  */
 public final class SimulatorAdapter {
 
-  private static final int LISTS = 16;
+  private static final int MAX_LISTS = 16;
 
-  private final Fields in;
+  private final FieldReader fields;
   private final OutputStream out;
   private final PrintStream err;
-  private final BiFunction<Settings, Actions, DecisionModule> start;
+  private final BiFunction<Settings, Actions, DecisionModule> moduleFactory;
   private final StringBuilder reply = new StringBuilder();
   private final Map<String, Instance> instances = new HashMap<>();
-  private final List<List<EngineEntry>> lists = new ArrayList<>();
-  private final Set<Instance> touched = new LinkedHashSet<>();
-  private final double[] row = new double[16];
+  private final List<List<EngineEntry>> engineLists = new ArrayList<>();
+  private final Set<Instance> pendingInstances = new LinkedHashSet<>();
+  private final double[] reportFigures = new double[16];
   private long lineNumber;
   private boolean failed;
 
-  /** An adapter over the decisions of this program. */
+  /** Creates an adapter whose managers use {@link Decide}. */
   public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
     this(in, out, err, Decide::new);
   }
@@ -52,104 +52,110 @@
       InputStream in,
       OutputStream out,
       PrintStream err,
-      BiFunction<Settings, Actions, DecisionModule> start) {
-    this.start = start;
-    this.in = new Fields(in);
+      BiFunction<Settings, Actions, DecisionModule> moduleFactory) {
+    this.moduleFactory = moduleFactory;
+    this.fields = new FieldReader(in);
     this.out = out;
     this.err = err;
-    for (int i = 0; i < LISTS; i++) {
-      lists.add(List.of());
+    for (int i = 0; i < MAX_LISTS; i++) {
+      engineLists.add(List.of());
     }
   }
 
-  /** Serves until the input ends: 0, or 2 after a line that does not follow the wire. */
+  /** Serves until the input ends and returns the exit code: 0, or 2 after a malformed line. */
   public int run() throws IOException {
     try {
       while (nextLine()) {
-        if (!in.blank()) {
-          batch();
+        if (!fields.isBlank()) {
+          processBatch();
         }
       }
       return 0;
     } catch (InvalidInputException | ArithmeticException e) {
       err.println(
-          "tansytrack: line " + lineNumber + ": " + e.getMessage() + " in '" + in.whole() + "'");
+          "tansytrack: line "
+              + lineNumber
+              + ": "
+              + e.getMessage()
+              + " in '"
+              + fields.excerpt()
+              + "'");
       return 2;
     }
   }
 
   private boolean nextLine() throws IOException {
     lineNumber++;
-    return in.next();
+    return fields.nextLine();
   }
 
-  private void batch() throws IOException {
-    String word = in.text("message");
-    if (!word.equals("BATCH")) {
-      throw new Fields.Malformed("expected BATCH, not " + word);
+  private void processBatch() throws IOException {
+    String message = fields.text("message");
+    if (!message.equals("BATCH")) {
+      throw new FieldReader.MalformedLineException("expected BATCH, not " + message);
     }
-    long now = in.time("clock");
+    long now = fields.timeNanos("clock");
     reply.setLength(0);
     while (true) {
       if (!nextLine()) {
-        throw new Fields.Malformed("input ended inside a batch");
+        throw new FieldReader.MalformedLineException("input ended inside a batch");
       }
-      if (in.blank()) {
+      if (fields.isBlank()) {
         continue;
       }
-      String event = in.text("message");
+      String event = fields.text("message");
       if (event.equals("OVER_TO_YOU")) {
         break;
       }
-      event(now, event);
+      processEvent(now, event);
     }
-    for (Instance instance : touched) {
-      guarded(instance, () -> instance.module.decide(now));
+    for (Instance instance : pendingInstances) {
+      callModule(instance, () -> instance.module.decide(now));
     }
-    touched.clear();
+    pendingInstances.clear();
     reply.append("FINISHED\n");
     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
 
-  private void event(long now, String event) throws IOException {
+  private void processEvent(long now, String event) throws IOException {
     switch (event) {
-      case "REGISTER" -> register();
-      case "ATTACH" -> attach();
-      case "EXIT" -> touched.remove(instances.remove(in.text("manager_id")));
-      case "BACKENDS_CHANGED" -> changed(now, told());
-      case "INCOMING" -> incoming(now, told());
-      case "RESOLVED" -> resolved(now, told());
-      case "SAMPLED" -> sampled(now, told());
-      case "SIGNAL" -> signal(now, told());
+      case "REGISTER" -> registerList();
+      case "ATTACH" -> attachManager();
+      case "EXIT" -> pendingInstances.remove(instances.remove(fields.text("manager_id")));
+      case "BACKENDS_CHANGED" -> onEngineList(now, receiver());
+      case "INCOMING" -> onTask(now, receiver());
+      case "RESOLVED" -> onForwardEnd(now, receiver());
+      case "SAMPLED" -> onProbeEnd(now, receiver());
+      case "SIGNAL" -> onProgress(now, receiver());
       case "WAKEUP" -> {
-        Instance to = told();
-        String token = in.text("nonce");
-        guarded(to, () -> to.module.onWakeUp(now, token));
+        Instance instance = receiver();
+        String token = fields.text("nonce");
+        callModule(instance, () -> instance.module.onWakeUp(now, token));
       }
       case "ABANDONED" -> {
-        Instance to = told();
-        String task = in.text("op_id");
-        guarded(to, () -> to.module.onClientLeft(now, task));
+        Instance instance = receiver();
+        String task = fields.text("op_id");
+        callModule(instance, () -> instance.module.onClientLeft(now, task));
       }
-      case "INBOX", "ACK_FIRST" -> told();
-      default -> throw new Fields.Malformed("unknown event " + event);
+      case "INBOX", "ACK_FIRST" -> receiver();
+      default -> throw new FieldReader.MalformedLineException("unknown event " + event);
     }
   }
 
-  /** The instance that an event is for; it may act in this batch. */
-  private Instance told() {
-    String name = in.text("manager_id");
-    Instance to = instances.get(name);
-    if (to == null) {
-      throw new Fields.Malformed("no instance " + name);
+  /** Returns the instance that an event is for and marks it to decide in this batch. */
+  private Instance receiver() {
+    String name = fields.text("manager_id");
+    Instance instance = instances.get(name);
+    if (instance == null) {
+      throw new FieldReader.MalformedLineException("no instance " + name);
     }
-    touched.add(to);
-    return to;
+    pendingInstances.add(instance);
+    return instance;
   }
 
-  /** A failure inside the decisions is said once, and ends the day. */
-  private void guarded(Instance instance, Runnable call) {
+  /** Runs a call of a module. Its first failure is reported; after that no module is called. */
+  private void callModule(Instance instance, Runnable call) {
     if (failed) {
       return;
     }
@@ -158,146 +164,148 @@
     } catch (RuntimeException e) {
       failed = true;
       StackTraceElement[] trace = e.getStackTrace();
-      String what = e + (trace.length > 0 ? " at " + trace[0] : "");
+      String failure = e + (trace.length > 0 ? " at " + trace[0] : "");
       reply
           .append("DIE ")
           .append(instance.name)
           .append(' ')
-          .append(what.replace('\n', ' '))
+          .append(failure.replace('\n', ' '))
           .append('\n');
     }
   }
 
   private int slot() {
-    long slot = in.integer("slot", -1);
-    if (slot < 0 || slot >= LISTS) {
-      throw new Fields.Malformed("slot out of range");
+    long slot = fields.integer("slot", -1);
+    if (slot < 0 || slot >= MAX_LISTS) {
+      throw new FieldReader.MalformedLineException("slot out of range");
     }
     return (int) slot;
   }
 
-  private void register() throws IOException {
+  private void registerList() throws IOException {
     int slot = slot();
-    long count = in.integer("members", 0);
+    long count = fields.integer("members", 0);
     List<EngineEntry> entries = new ArrayList<>();
     for (long i = 0; i < count; i++) {
-      if (!nextLine() || !in.text("entry").equals("M")) {
-        throw new Fields.Malformed("expected an M line");
+      if (!nextLine() || !fields.text("entry").equals("M")) {
+        throw new FieldReader.MalformedLineException("expected an M line");
       }
-      double size = in.number("scale");
-      String place = in.textOrEmpty("locality");
+      double size = fields.number("scale");
+      String zone = fields.textOrEmpty("locality");
       EngineEntry.State state =
-          switch ((int) in.integer("availability", -1)) {
+          switch ((int) fields.integer("availability", -1)) {
             case 0 -> EngineEntry.State.GONE;
             case 1 -> EngineEntry.State.READY;
             case 2 -> EngineEntry.State.DRAINING;
-            default -> throw new Fields.Malformed("unknown availability");
+            default -> throw new FieldReader.MalformedLineException("unknown availability");
           };
-      String id = in.text("engine");
-      String kind = in.textOrEmpty("shape");
-      long startedAt = in.time("up_since_ms");
-      int cell = in.more() ? (int) in.integer("pack", 0) : 0;
-      entries.add(new EngineEntry(id, size, place, kind, cell, state, startedAt));
+      String id = fields.text("engine");
+      String type = fields.textOrEmpty("shape");
+      long startedAt = fields.timeNanos("up_since_ms");
+      int cell = fields.hasMore() ? (int) fields.integer("pack", 0) : 0;
+      entries.add(new EngineEntry(id, size, zone, type, cell, state, startedAt));
     }
-    lists.set(slot, entries);
+    engineLists.set(slot, entries);
   }
 
-  private void attach() {
-    Instance instance = new Instance(in.text("manager_id"));
-    long seed = in.integer("init_seed", 0);
-    SettingsParser boot = new SettingsParser();
-    while (in.more()) {
-      boot.put(in.text("pair"));
+  private void attachManager() {
+    Instance instance = new Instance(fields.text("manager_id"));
+    long seed = fields.integer("init_seed", 0);
+    SettingsParser parser = new SettingsParser();
+    while (fields.hasMore()) {
+      parser.put(fields.text("pair"));
     }
-    instance.columns = boot.reportColumns();
-    touched.remove(instances.put(instance.name, instance));
-    touched.add(instance);
-    Settings settings = boot.toSettings(seed);
-    guarded(instance, () -> instance.module = start.apply(settings, instance));
+    instance.reportColumns = parser.reportColumns();
+    pendingInstances.remove(instances.put(instance.name, instance));
+    pendingInstances.add(instance);
+    Settings settings = parser.toSettings(seed);
+    callModule(instance, () -> instance.module = moduleFactory.apply(settings, instance));
   }
 
-  private void changed(long now, Instance to) {
-    in.integer("rev", 0);
-    int kind = (int) in.integer("kind", -1);
-    if (kind < 0 || kind > 3) {
-      throw new Fields.Malformed("unknown kind of list");
+  private void onEngineList(long now, Instance instance) {
+    fields.integer("rev", 0);
+    int listKind = (int) fields.integer("kind", -1);
+    if (listKind < 0 || listKind > 3) {
+      throw new FieldReader.MalformedLineException("unknown kind of list");
     }
-    if (kind == 3) {
+    if (listKind == 3) {
       return;
     }
-    List<EngineEntry> entries = lists.get(slot());
-    guarded(to, () -> to.module.onEngineList(now, kind != 0, entries));
+    List<EngineEntry> entries = engineLists.get(slot());
+    callModule(instance, () -> instance.module.onEngineList(now, listKind != 0, entries));
   }
 
-  private void incoming(long now, Instance to) {
-    String id = in.text("op_id");
-    String grade = in.textOrEmpty("tier_class");
-    String tenant = in.textOrEmpty("party");
-    long key = in.integer("relation", -1);
-    long until = in.time("valid_until_ms");
-    long cost = in.time("est_cost_ms");
-    double memory = in.number("want_mb");
-    long set = in.integer("source_set", -1);
-    in.integer("attrs", 0);
-    TaskRequest offer =
-        new TaskRequest(id, grade, tenant, key < 0 ? null : key, until, cost, memory, set);
-    guarded(to, () -> to.module.onTask(now, offer));
+  private void onTask(long now, Instance instance) {
+    String id = fields.text("op_id");
+    String queryClass = fields.textOrEmpty("tier_class");
+    String tenant = fields.textOrEmpty("party");
+    long key = fields.integer("relation", -1);
+    long deadline = fields.timeNanos("valid_until_ms");
+    long cost = fields.timeNanos("est_cost_ms");
+    double memoryMb = fields.number("want_mb");
+    long dataSet = fields.integer("source_set", -1);
+    fields.integer("attrs", 0);
+    TaskRequest request =
+        new TaskRequest(
+            id, queryClass, tenant, key < 0 ? null : key, deadline, cost, memoryMb, dataSet);
+    callModule(instance, () -> instance.module.onTask(now, request));
   }
 
-  private void resolved(long now, Instance to) {
-    String task = in.text("op_id");
-    long told = in.integer("true_cost", 0);
-    String engine = in.text("engine");
-    long lag = in.time("lag_ms");
-    boolean over = in.integer("terminal", 0) == 1;
-    Outcome outcome = outcome(in.text("state_code"));
-    int index = (int) in.integer("trial", 0);
-    LoadReport report = report(to);
-    long cost = (told >> 12) * 1_000_000L;
-    double memory = (told & 4095) * 4.0;
-    guarded(
-        to,
+  private void onForwardEnd(long now, Instance instance) {
+    String task = fields.text("op_id");
+    long costAndMemory = fields.integer("true_cost", 0);
+    String engine = fields.text("engine");
+    long lag = fields.timeNanos("lag_ms");
+    boolean over = fields.integer("terminal", 0) == 1;
+    Outcome outcome = outcome(fields.text("state_code"));
+    int index = (int) fields.integer("trial", 0);
+    LoadReport report = report(instance);
+    long cost = (costAndMemory >> 12) * 1_000_000L;
+    double memoryMb = (costAndMemory & 4095) * 4.0;
+    callModule(
+        instance,
         () ->
-            to.module.onForwardEnd(
-                now, task, index, engine, outcome, lag, over, cost, memory, report));
+            instance.module.onForwardEnd(
+                now, task, index, engine, outcome, lag, over, cost, memoryMb, report));
   }
 
-  private void sampled(long now, Instance to) {
-    String engine = in.text("engine");
-    Outcome outcome = outcome(in.text("state_code"));
-    in.time("lag_ms");
-    LoadReport report = report(to);
-    guarded(to, () -> to.module.onProbeEnd(now, engine, outcome, report));
+  private void onProbeEnd(long now, Instance instance) {
+    String engine = fields.text("engine");
+    Outcome outcome = outcome(fields.text("state_code"));
+    fields.timeNanos("lag_ms");
+    LoadReport report = report(instance);
+    callModule(instance, () -> instance.module.onProbeEnd(now, engine, outcome, report));
   }
 
-  private void signal(long now, Instance to) {
-    String task = in.text("op_id");
-    int index = (int) in.integer("trial", 0);
-    String engine = in.text("engine");
-    int what = (int) in.integer("what", 0);
-    double amount = in.number("amount");
-    if (what >= 1 && what <= 3) {
-      DecisionModule.Progress progress = DecisionModule.Progress.values()[what - 1];
-      guarded(to, () -> to.module.onProgress(now, task, index, engine, progress, amount));
+  private void onProgress(long now, Instance instance) {
+    String task = fields.text("op_id");
+    int index = (int) fields.integer("trial", 0);
+    String engine = fields.text("engine");
+    int progressCode = (int) fields.integer("what", 0);
+    double amount = fields.number("amount");
+    if (progressCode >= 1 && progressCode <= 3) {
+      DecisionModule.Progress progress = DecisionModule.Progress.values()[progressCode - 1];
+      callModule(
+          instance, () -> instance.module.onProgress(now, task, index, engine, progress, amount));
     }
   }
 
-  private LoadReport report(Instance to) {
-    int count = in.more() ? in.row("health_info", row) : 0;
+  private LoadReport report(Instance instance) {
+    int count = fields.hasMore() ? fields.numbers("health_info", reportFigures) : 0;
     if (count == 0) {
       return null;
     }
     return new LoadReport(
-        column(to, "cpu_share", count),
-        column(to, "busy_reqs", count),
-        column(to, "pending", count),
-        column(to, "x0", count),
-        column(to, "x1", count));
+        column(instance, "cpu_share", count),
+        column(instance, "busy_reqs", count),
+        column(instance, "pending", count),
+        column(instance, "x0", count),
+        column(instance, "x1", count));
   }
 
-  private double column(Instance to, String name, int count) {
-    int at = to.columns.indexOf(name);
-    return at < 0 || at >= count ? Double.NaN : row[at];
+  private double column(Instance instance, String name, int count) {
+    int index = instance.reportColumns.indexOf(name);
+    return index < 0 || index >= count ? Double.NaN : reportFigures[index];
   }
 
   private static Outcome outcome(String code) {
@@ -310,58 +318,58 @@
       case "ABORTED" -> Outcome.RESET;
       case "CANCELLED" -> Outcome.CANCELLED;
       case "TOO_LATE" -> Outcome.NEVER_SENT;
-      default -> throw new Fields.Malformed("unknown outcome " + code);
+      default -> throw new FieldReader.MalformedLineException("unknown outcome " + code);
     };
   }
 
-  /** One workload manager: its module, and its actions as lines of the reply. */
+  /** One workload manager: its module, and the actions that it writes to the reply. */
   private final class Instance implements Actions {
     final String name;
     DecisionModule module;
-    List<String> columns = List.of();
+    List<String> reportColumns = List.of();
 
     Instance(String name) {
       this.name = name;
     }
 
-    private StringBuilder say(String word) {
-      return reply.append(word).append(' ').append(name).append(' ');
+    private StringBuilder appendAction(String action) {
+      return reply.append(action).append(' ').append(name).append(' ');
     }
 
-    /** Nanoseconds as milliseconds, to the microsecond; cut, never rounded up. */
-    private void time(long nanos) {
+    /** Writes nanoseconds as milliseconds with three decimals, rounded towards zero. */
+    private void appendMillis(long nanos) {
       long micros = nanos / 1000;
-      long part = Math.abs(micros % 1000);
+      long fraction = Math.abs(micros % 1000);
       reply
           .append(micros / 1000)
           .append('.')
-          .append((char) ('0' + part / 100))
-          .append((char) ('0' + part / 10 % 10))
-          .append((char) ('0' + part % 10));
+          .append((char) ('0' + fraction / 100))
+          .append((char) ('0' + fraction / 10 % 10))
+          .append((char) ('0' + fraction % 10));
     }
 
     @Override
-    public void forward(String task, String engine, long timeOut) {
-      say("FORWARD").append(task).append(' ').append(engine).append(' ');
-      time(timeOut);
+    public void forward(String task, String engine, long timeoutNanos) {
+      appendAction("FORWARD").append(task).append(' ').append(engine).append(' ');
+      appendMillis(timeoutNanos);
       reply.append('\n');
     }
 
     @Override
-    public void reject(String task, long pause) {
-      say("BOUNCE").append(task).append(' ');
-      time(pause);
+    public void reject(String task, long retryAfterNanos) {
+      appendAction("BOUNCE").append(task).append(' ');
+      appendMillis(retryAfterNanos);
       reply.append('\n');
     }
 
     @Override
     public void abort(String task) {
-      say("FINISH_ERROR").append(task).append('\n');
+      appendAction("FINISH_ERROR").append(task).append('\n');
     }
 
     @Override
     public void assignResources(String task, long memoryMb, int priority) {
-      say("PROVIDE")
+      appendAction("PROVIDE")
           .append(task)
           .append(' ')
           .append(memoryMb)
@@ -372,24 +380,24 @@
 
     @Override
     public void probe(String engine) {
-      say("HEALTH_CHECK").append(engine).append('\n');
+      appendAction("HEALTH_CHECK").append(engine).append('\n');
     }
 
     @Override
     public void cancel(String task, int index) {
-      say("CANCEL").append(task).append(' ').append(index).append('\n');
+      appendAction("CANCEL").append(task).append(' ').append(index).append('\n');
     }
 
     @Override
-    public void scheduleWakeUp(long in, String token) {
-      say("DEFER");
-      time(in);
+    public void scheduleWakeUp(long delayNanos, String token) {
+      appendAction("DEFER");
+      appendMillis(delayNanos);
       reply.append(' ').append(token).append('\n');
     }
 
     @Override
     public void log(String text) {
-      say("RECORD").append(text).append('\n');
+      appendAction("RECORD").append(text).append('\n');
     }
   }
 }
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -1,44 +1,57 @@
 package tansytrack.policy;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
 import java.util.function.Predicate;
-import tansytrack.api.*;
-import tansytrack.util.*;
+import tansytrack.api.EngineEntry;
+import tansytrack.api.Settings;
+import tansytrack.util.EngineList;
+import tansytrack.util.StableHash;
 
 /**
- * Which of the listed engines one manager uses: deterministic subsetting. At level k the managers'
- * positions fall into blocks of 2^k; of each block an engine takes one, bit by bit from the top,
- * each by a hash of its id. So N / 2^k managers use an engine, or one more; a manager uses about M
- * / 2^k engines. docs/design.md
+ * Selects which of the listed engines one manager uses, by deterministic subsetting. At level k the
+ * manager indexes form blocks of 2^k; each engine takes one manager of each block, choosing bit by
+ * bit from the highest one by a hash of its id. So of N managers N / 2^k use an engine, or one
+ * more, and of M engines a manager uses about M / 2^k. The reasons for the design are in
+ * docs/design.md.
  */
 public final class EngineSubset {
 
-  private static final double MAX_SUBSET_SIZE = 128; // of engines in a subset
-  private static final int MIN_MANAGERS_PER_ENGINE =
-      8; // managers an engine: fewer would load it unevenly
-  private static final double LEVEL_HYSTERESIS =
-      0.9; // of the engines that led to a level: then it falls
+  // The size of a subset above which the level rises.
+  private static final double MAX_SUBSET_SIZE = 128;
+  // The lowest number of managers per engine; fewer would load an engine unevenly.
+  private static final int MIN_MANAGERS_PER_ENGINE = 8;
+  // The level falls only when the number of engines is below this fraction of what raised it.
+  private static final double LEVEL_HYSTERESIS = 0.9;
   private static final int MAX_LEVEL = 20;
-  private static final double REFILL_BELOW_FRACTION =
-      0.55; // of what is used is healthy: others stand in. Over
-  private static final double RELEASE_ABOVE_FRACTION =
-      2 / 3.0; // half, as suspicion of most keeps none out
+  // Substitutes are added while less than this fraction of the engines in use is healthy. It is
+  // over one half, because where most engines are suspected, suspicion excludes none.
+  private static final double REFILL_BELOW_FRACTION = 0.55;
+  // Substitutes are released while at least this fraction of the subset's usual size is healthy.
+  private static final double RELEASE_ABOVE_FRACTION = 2 / 3.0;
 
   private final long managerIndex;
   private final EngineList engineList;
-  private final List<EngineGroup> groups =
-      new ArrayList<>(); // the first: those that no task may use
+  // The first group holds the engines that no task may use.
+  private final List<EngineGroup> groups = new ArrayList<>();
 
-  public EngineSubset(Settings set, EngineList listed) {
-    this.engineList = listed;
+  /**
+   * Creates the subset of one manager. Where the settings tell no manager index, one is derived
+   * from the seed.
+   */
+  public EngineSubset(Settings settings, EngineList engineList) {
+    this.engineList = engineList;
     managerIndex =
-        set.managerIndex() != Settings.UNKNOWN_INDEX
-            ? set.managerIndex()
-            : StableHash.mix(set.seed()) >>> 33;
+        settings.managerIndex() != Settings.UNKNOWN_INDEX
+            ? settings.managerIndex()
+            : StableHash.mix(settings.seed()) >>> 33;
     group(entry -> !anyGroup(group -> group != groups.get(0) && group.allowed.test(entry)));
   }
 
-  /** Engines that the same tasks may use: of each group a subset. */
+  /** The engines that the same query classes may use; each group has a subset of its own. */
   public final class EngineGroup {
     private final Predicate<EngineEntry> allowed;
     private final EngineList.EngineCounter engineCounter;
@@ -50,6 +63,7 @@
       engineCounter = engineList.count(allowed);
     }
 
+    /** Tells whether the manager uses the engine for this group, also as a substitute. */
     public boolean uses(EngineEntry entry) {
       return allowed.test(entry) && (inSubset(entry.id()) || substitutes.contains(entry.id()));
     }
@@ -59,37 +73,40 @@
     }
 
     private boolean updateLevel(int managers) {
-      int before = level;
-      int highest = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
-      level = Math.max(requiredLevel(engineCounter.value(), managers), Math.min(level, highest));
+      int previousLevel = level;
+      int levelWithHysteresis = requiredLevel(engineCounter.value() / LEVEL_HYSTERESIS, managers);
+      level =
+          Math.max(
+              requiredLevel(engineCounter.value(), managers), Math.min(level, levelWithHysteresis));
       substitutes.removeIf(id -> inSubset(id) || engineList.find(id) == null);
-      return level != before;
+      return level != previousLevel;
     }
 
     /**
-     * Called once a sweep with those used that are healthy and warm: the one engine that is now to
-     * stand in, or no more, or null. By an order of each manager's own, or all would take the same
-     * ones.
+     * Adds or releases at most one substitute, and returns it, or null. It is called once per sweep
+     * with the engines in use that are healthy and warm. Each manager has an order of its own, as
+     * otherwise all managers would take the same substitutes.
      */
-    public EngineEntry adjustSubstitutes(List<EngineEntry> healthy, Predicate<EngineEntry> free) {
-      double usual = engineCounter.value() / (double) (1 << level);
-      if (healthy.stream().filter(one -> inSubset(one.id())).count()
-          >= RELEASE_ABOVE_FRACTION * usual) {
+    public EngineEntry adjustSubstitutes(
+        List<EngineEntry> healthy, Predicate<EngineEntry> available) {
+      double usualSize = engineCounter.value() / (double) (1 << level);
+      if (healthy.stream().filter(engine -> inSubset(engine.id())).count()
+          >= RELEASE_ABOVE_FRACTION * usualSize) {
         String first = substitutes.stream().findFirst().orElse("");
         return substitutes.remove(first) ? engineList.find(first) : null;
       }
-      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usual + substitutes.size());
-      if (enough || substitutes.size() >= usual) {
+      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usualSize + substitutes.size());
+      if (enough || substitutes.size() >= usualSize) {
         return null;
       }
       EngineEntry next =
           engineList.all().stream()
               .filter(
-                  one ->
-                      allowed.test(one)
-                          && !uses(one)
-                          && one.state() == EngineEntry.State.READY
-                          && free.test(one))
+                  engine ->
+                      allowed.test(engine)
+                          && !uses(engine)
+                          && engine.state() == EngineEntry.State.READY
+                          && available.test(engine))
               .min(substituteOrder())
               .orElse(null);
       if (next != null) {
@@ -99,36 +116,43 @@
     }
   }
 
+  /** Adds a group of the engines that match the predicate. */
   public EngineGroup group(Predicate<EngineEntry> allowed) {
     groups.add(new EngineGroup(allowed));
     return groups.get(groups.size() - 1);
   }
 
   /**
-   * When the list or the number of managers has changed. True: any engine may be used, or no more.
+   * Recomputes the levels after the list or the number of managers has changed. Returns true if a
+   * level has changed, so that any engine may have entered or left the subset.
    */
   public boolean updateLevels(int managers) {
     return groups.stream().filter(group -> group.updateLevel(managers)).count() > 0;
   }
 
+  /** Tells whether the manager uses the engine for any group. */
   public boolean uses(EngineEntry entry) {
     return anyGroup(group -> group.uses(entry));
   }
 
+  /** Tells whether the engine is in no group's subset, so that it is at most a substitute. */
   public boolean isSubstitute(EngineEntry entry) {
     return !anyGroup(group -> group.allowed.test(entry) && group.inSubset(entry.id()));
   }
 
-  private boolean anyGroup(Predicate<EngineGroup> such) {
+  private boolean anyGroup(Predicate<EngineGroup> predicate) {
     for (EngineGroup group : groups) {
-      if (such.test(group)) {
+      if (predicate.test(group)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Of the managers one in 2 to this power uses it: by its own depth, where it only stands in. */
+  /**
+   * Returns the level by which the number of the engine's managers is estimated: one in 2^level
+   * uses it. For a substitute it is the highest level at which this manager would use the engine.
+   */
   public int level(EngineEntry entry) {
     return groups.stream()
         .filter(group -> group.allowed.test(entry))
@@ -136,7 +160,10 @@
         .reduce(highestLevel(entry.id()), Math::min);
   }
 
-  /** The lowest level that keeps a subset within its bound, and enough managers at an engine. */
+  /**
+   * Returns the lowest level that keeps a subset within its maximum size, or a lower one if too few
+   * managers per engine would remain.
+   */
   private static int requiredLevel(double engines, int managers) {
     int level = 0;
     while (engines / (1 << level) > MAX_SUBSET_SIZE
@@ -146,17 +173,19 @@
     return level;
   }
 
-  /** The levels, from the lowest on, at which an engine takes this manager out of its block. */
+  /** Returns the highest level up to which the engine selects this manager from its block. */
   private int highestLevel(String id) {
-    long name = StableHash.of(id);
-    int k = 0;
-    while (k < MAX_LEVEL
-        && (managerIndex >> k & 1) == StableHash.of(name, managerIndex >> k + 1, k) >>> 63) {
-      k++;
+    long idHash = StableHash.of(id);
+    int level = 0;
+    while (level < MAX_LEVEL
+        && ((managerIndex >> level) & 1)
+            == StableHash.of(idHash, managerIndex >> (level + 1), level) >>> 63) {
+      level++;
     }
-    return k;
+    return level;
   }
 
+  /** Orders substitutes: engines of the highest levels first, then by a hash with the index. */
   private Comparator<EngineEntry> substituteOrder() {
     return Comparator.comparingInt((EngineEntry entry) -> -highestLevel(entry.id()))
         .thenComparingLong(
--- a/src/main/java/tansytrack/settings/InvalidInputException.java
+++ b/src/main/java/tansytrack/settings/InvalidInputException.java
@@ -1,10 +1,11 @@
 package tansytrack.settings;
 
-/** What was given cannot be used; the message says where and why. */
+/** Thrown when a configuration, file or input line is invalid; the message says where and why. */
 public class InvalidInputException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  public InvalidInputException(String what) {
-    super(what);
+  /** Creates an exception; the message names the invalid part and the reason. */
+  public InvalidInputException(String message) {
+    super(message);
   }
 }
--- a/src/main/java/tansytrack/settings/ManagerConfig.java
+++ b/src/main/java/tansytrack/settings/ManagerConfig.java
@@ -6,7 +6,7 @@
 import tansytrack.api.LoadReport;
 import tansytrack.api.Settings;
 
-/** All that a workload manager is told when it starts; times in nanoseconds. */
+/** The configuration of a workload manager; times are in nanoseconds. */
 public record ManagerConfig(
     String name,
     String listenAddress,
@@ -17,55 +17,58 @@
     long idleTimeoutNanos,
     int maxDescriptors) {
 
-  private static final List<String> REPORTED =
+  private static final List<String> REPORT_FIGURES =
       List.of("cpu_share", "busy_reqs", "pending", "x0", "x1");
-  private static final Map<String, String> OTHER_NAMES =
+  private static final Map<String, String> COLUMN_ALIASES =
       Map.of("util", "cpu_share", "inflight", "busy_reqs", "queue", "pending");
 
   /**
-   * From the parsed JSON of the configuration; the settings in it become the pairs that the bench
-   * would send.
+   * Reads the configuration from its parsed JSON. The settings in it are flattened to the pairs of
+   * path and value that the simulator would send.
    */
   public static ManagerConfig fromJson(Object json) {
-    Map<?, ?> all = map(json, "the configuration");
-    SettingsParser pairs = new SettingsParser();
-    flatten("", map(all.get("settings"), "settings"), pairs);
+    Map<?, ?> fields = requireObject(json, "the configuration");
+    SettingsParser parser = new SettingsParser();
+    flatten("", requireObject(fields.get("settings"), "settings"), parser);
     long seed;
     try {
-      seed = Long.parseUnsignedLong(text(all, "seed"), 16);
+      seed = Long.parseUnsignedLong(requireString(fields, "seed"), 16);
     } catch (NumberFormatException e) {
       throw new InvalidInputException("seed is not a hex number");
     }
-    Object sockets = map(all.get("limits"), "limits").get("sockets");
+    Object sockets = requireObject(fields.get("limits"), "limits").get("sockets");
     if (!(sockets instanceof Number)) {
       throw new InvalidInputException("limits.sockets is not a number");
     }
-    Settings settings = pairs.toSettings(seed);
+    Settings settings = parser.toSettings(seed);
     if (settings.queryClasses().isEmpty()) {
       throw new InvalidInputException("settings.grades is empty");
     }
     return new ManagerConfig(
-        text(all, "name"),
-        text(all, "listen"),
-        text(all, "channel"),
-        all.get("known"),
+        requireString(fields, "name"),
+        requireString(fields, "listen"),
+        requireString(fields, "channel"),
+        fields.get("known"),
         settings,
-        pairs.reportColumns(),
-        pairs.time("policy_limits.conn_idle_ms"),
+        parser.reportColumns(),
+        parser.timeNanos("policy_limits.conn_idle_ms"),
         ((Number) sockets).intValue());
   }
 
-  /** How long a connection to an engine may take to come up. */
+  /** Returns the timeout for opening a connection to an engine. */
   public long connectTimeoutNanos() {
     return settings.capabilities().connectTimeoutNanos();
   }
 
-  /** The same without the engines: thousands of them take megabytes, and are needed once. */
+  /**
+   * Returns the same configuration without the list of engines: it can take megabytes and is needed
+   * only once.
+   */
   public ManagerConfig withoutKnownEngines() {
     return withAddresses(listenAddress, channelAddress, null);
   }
 
-  /** The same manager elsewhere, with other engines. */
+  /** Returns the same configuration with other addresses and engines. */
   public ManagerConfig withAddresses(String otherListen, String otherChannel, Object otherKnown) {
     return new ManagerConfig(
         name,
@@ -79,75 +82,76 @@
   }
 
   /**
-   * What differs in another one that a running manager cannot take over, by name; empty: nothing.
+   * Returns the names of the fields that differ in the other configuration and that a running
+   * manager cannot reload, separated by commas; empty if there are none.
    */
   public String nonReloadableDifferences(ManagerConfig other) {
-    List<String> differ = new ArrayList<>();
+    List<String> differences = new ArrayList<>();
     if (!listenAddress.equals(other.listenAddress)) {
-      differ.add("listen");
+      differences.add("listen");
     }
-    // The seed is new with each start, so it says nothing of the settings.
+    // The seed is new with each start and is no difference of the settings.
     if (!settings.equals(other.settings.withSeed(settings.seed()))
         || idleTimeoutNanos != other.idleTimeoutNanos
         || !reportColumns.equals(other.reportColumns)) {
-      differ.add("settings");
+      differences.add("settings");
     }
-    return String.join(", ", differ);
+    return String.join(", ", differences);
   }
 
-  private static Map<?, ?> map(Object value, String what) {
+  private static Map<?, ?> requireObject(Object value, String name) {
     if (value instanceof Map) {
       return (Map<?, ?>) value;
     }
-    throw new InvalidInputException(what + " is not an object");
+    throw new InvalidInputException(name + " is not an object");
   }
 
-  private static String text(Map<?, ?> from, String name) {
-    if (from.get(name) instanceof String) {
-      return (String) from.get(name);
+  private static String requireString(Map<?, ?> fields, String name) {
+    if (fields.get(name) instanceof String) {
+      return (String) fields.get(name);
     }
     throw new InvalidInputException(name + " is not a string");
   }
 
-  private static void flatten(String path, Map<?, ?> object, SettingsParser into) {
-    object.forEach((name, value) -> put(path + name, value, into));
+  private static void flatten(String path, Map<?, ?> object, SettingsParser parser) {
+    object.forEach((name, value) -> putValue(path + name, value, parser));
   }
 
-  private static void put(String path, Object value, SettingsParser into) {
+  private static void putValue(String path, Object value, SettingsParser parser) {
     if (value instanceof Map) {
-      flatten(path + '.', (Map<?, ?>) value, into);
+      flatten(path + '.', (Map<?, ?>) value, parser);
     } else if (value instanceof List) {
       List<?> list = (List<?>) value;
       if (list.stream().anyMatch(Map.class::isInstance)) {
-        into.put(path + ".count", Integer.toString(list.size()));
+        parser.put(path + ".count", Integer.toString(list.size()));
         for (int i = 0; i < list.size(); i++) {
-          put(path + '.' + i, list.get(i), into);
+          putValue(path + '.' + i, list.get(i), parser);
         }
       } else {
-        into.put(path, String.join(",", list.stream().map(ManagerConfig::plain).toList()));
+        parser.put(path, String.join(",", list.stream().map(ManagerConfig::plainText).toList()));
       }
     } else if (value != null) {
-      into.put(path, plain(value));
+      parser.put(path, plainText(value));
     }
   }
 
-  private static String plain(Object value) {
+  private static String plainText(Object value) {
     return value == null ? "-" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
-  /** The place of a reported figure among the columns, or -1. */
+  /** Returns the index of a reported figure among the columns, or -1. */
   public int columnIndex(String name) {
-    int at = reportColumns.indexOf(name);
-    return at >= 0 ? at : reportColumns.indexOf(OTHER_NAMES.getOrDefault(name, name));
+    int index = reportColumns.indexOf(name);
+    return index >= 0 ? index : reportColumns.indexOf(COLUMN_ALIASES.getOrDefault(name, name));
   }
 
-  /** A report from the figures of all columns. */
+  /** Builds a load report from the figures of all columns. */
   public LoadReport toLoadReport(double[] figures) {
-    double[] all = new double[REPORTED.size()];
-    for (int i = 0; i < all.length; i++) {
-      int at = columnIndex(REPORTED.get(i));
-      all[i] = at < 0 ? Double.NaN : figures[at];
+    double[] values = new double[REPORT_FIGURES.size()];
+    for (int i = 0; i < values.length; i++) {
+      int index = columnIndex(REPORT_FIGURES.get(i));
+      values[i] = index < 0 ? Double.NaN : figures[index];
     }
-    return new LoadReport(all[0], all[1], all[2], all[3], all[4]);
+    return new LoadReport(values[0], values[1], values[2], values[3], values[4]);
   }
 }
--- a/src/main/java/tansytrack/settings/SettingsParser.java
+++ b/src/main/java/tansytrack/settings/SettingsParser.java
@@ -10,137 +10,142 @@
 import tansytrack.api.Settings;
 
 /**
- * The start-up settings of one workload manager, from path=value pairs; unknown paths are skipped.
+ * Parses the start-up settings of a workload manager from pairs of path and value; unknown paths
+ * are ignored.
  */
 public final class SettingsParser {
 
-  private static final long CONNECT_TIME =
-      1_000_000_000L; // where none is set: far more than a round trip
-  private static final double MOST = 1e12; // of any figure: times in nanoseconds stay in range
+  // Used where the settings tell no timeout; it is much longer than a round trip.
+  private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
+  // The exclusive upper bound of every number; times in nanoseconds stay within a long.
+  private static final double NUMBER_LIMIT = 1e12;
 
   private final Map<String, String> pairs = new HashMap<>();
 
+  /** Adds a pair of the form path=value. */
   public void put(String pair) {
-    int cut = pair.indexOf('=');
-    if (cut < 1) {
+    int separator = pair.indexOf('=');
+    if (separator < 1) {
       throw new InvalidInputException("pair without '='");
     }
-    pairs.put(pair.substring(0, cut), pair.substring(cut + 1));
+    pairs.put(pair.substring(0, separator), pair.substring(separator + 1));
   }
 
   void put(String path, String value) {
     pairs.put(path, value);
   }
 
+  /** Returns the names of the columns of a load report. */
   public List<String> reportColumns() {
     return list("reporting.columns");
   }
 
+  /** Builds the settings from all pairs; rejects numbers that are malformed or out of range. */
   public Settings toSettings(long seed) {
-    List<QueryClass> grades = new ArrayList<>();
+    List<QueryClass> queryClasses = new ArrayList<>();
     List<String> threads = list("extra.threads_by_class");
-    List<String> loads = list("extra.is_load");
-    List<String> waits = list("extra.class_waits");
+    List<String> bulkLoads = list("extra.is_load");
+    List<String> waitsForBulkLoads = list("extra.class_waits");
     for (int i = 0; i < (int) number("grades.count", 0); i++) {
-      String g = "grades." + i + ".";
-      grades.add(
+      String prefix = "grades." + i + ".";
+      queryClasses.add(
           new QueryClass(
-              pairs.getOrDefault(g + "name", "?"),
-              repeat(pairs.get(g + "repeat")),
-              scope(pairs.get(g + "key_scope")),
-              time(g + "window_ms"),
-              time(g + "objective_ms"),
-              number(g + "aim_stretch", 0),
-              time(g + "deadline_ms"),
-              number(g + "worth", 0),
-              number(g + "late_worth", 0),
-              flag(g + "serial_by_key"),
-              set(g + "allowed_in"),
-              set(g + "runs_on"),
+              pairs.getOrDefault(prefix + "name", "?"),
+              retrySafety(pairs.get(prefix + "repeat")),
+              deduplicationScope(pairs.get(prefix + "key_scope")),
+              timeNanos(prefix + "window_ms"),
+              timeNanos(prefix + "objective_ms"),
+              number(prefix + "aim_stretch", 0),
+              timeNanos(prefix + "deadline_ms"),
+              number(prefix + "worth", 0),
+              number(prefix + "late_worth", 0),
+              flag(prefix + "serial_by_key"),
+              set(prefix + "allowed_in"),
+              set(prefix + "runs_on"),
               i < threads.size() ? (int) parse("extra.threads_by_class", threads.get(i)) : 1,
-              i < loads.size() && loads.get(i).equals("true"),
-              i < waits.size() && waits.get(i).equals("true")));
+              i < bulkLoads.size() && bulkLoads.get(i).equals("true"),
+              i < waitsForBulkLoads.size() && waitsForBulkLoads.get(i).equals("true")));
     }
     List<Settings.Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < (int) number("tenants.count", 0); i++) {
-      String t = "tenants." + i + ".";
+      String prefix = "tenants." + i + ".";
       tenants.add(
           new Settings.Tenant(
-              pairs.getOrDefault(t + "name", "?"),
-              number(t + "portion", 0),
-              number(t + "quota_rps", 0)));
+              pairs.getOrDefault(prefix + "name", "?"),
+              number(prefix + "portion", 0),
+              number(prefix + "quota_rps", 0)));
     }
-    Map<String, Settings.EngineType> kinds = new HashMap<>();
-    List<String> names = list("skus");
+    Map<String, Settings.EngineType> engineTypes = new HashMap<>();
+    List<String> typeNames = list("skus");
     List<String> cores = list("extra.cpu_of_kind");
     List<String> memory = list("extra.memory_by_kind_mb");
-    for (int i = 0; i < names.size(); i++) {
-      kinds.put(
-          names.get(i),
+    for (int i = 0; i < typeNames.size(); i++) {
+      engineTypes.put(
+          typeNames.get(i),
           new Settings.EngineType(
               i < cores.size() ? (int) parse("extra.cpu_of_kind", cores.get(i)) : 0,
               i < memory.size() ? parse("extra.memory_by_kind_mb", memory.get(i)) : 0));
     }
-    long connectTime = time("policy_limits.connect_timeout_ms");
-    Settings.Capabilities levers =
+    long connectTimeoutNanos = timeNanos("policy_limits.connect_timeout_ms");
+    Settings.Capabilities capabilities =
         new Settings.Capabilities(
             flag("policy_limits.may_probe"),
             flag("policy_limits.cancel"),
             flag("policy_limits.parallel_tries"),
             flag("policy_limits.retry_after"),
-            time("policy_limits.max_retry_after_ms"),
+            timeNanos("policy_limits.max_retry_after_ms"),
             (int) number("policy_limits.max_attempts", 1),
             flag("extra.memory_heeded"),
             number("extra.grant_cap", 0),
             flag("extra.ranks_heeded"),
             flag("extra.tells_cost"),
-            time("extra.progress_ms"),
+            timeNanos("extra.progress_ms"),
             number("prices.cross_zone", 0) > 0,
-            connectTime > 0 ? connectTime : CONNECT_TIME);
-    Settings.ColdStartLimit cold =
+            connectTimeoutNanos > 0 ? connectTimeoutNanos : DEFAULT_CONNECT_TIMEOUT_NANOS);
+    Settings.ColdStartLimit coldStartLimit =
         pairs.containsKey("rules.overload_factor")
             ? new Settings.ColdStartLimit(
                 number("rules.start_capacity", 1),
-                time("rules.ramp_time_ms"),
+                timeNanos("rules.ramp_time_ms"),
                 number("rules.overload_factor", 0),
-                time("rules.fall_ms"))
+                timeNanos("rules.fall_ms"))
             : null;
-    Settings.RetryBudget ration =
+    Settings.RetryBudget retryBudget =
         pairs.containsKey("rules.look_back_ms")
             ? new Settings.RetryBudget(
                 (int) number("rules.spare_attempts", 0),
                 number("rules.extra_per_request", 0),
-                time("rules.look_back_ms"))
+                timeNanos("rules.look_back_ms"))
             : null;
     return new Settings(
         seed,
         Math.max(1, (int) number("siblings", 1)),
         (int) number("position", Settings.UNKNOWN_INDEX),
         pairs.getOrDefault("zone", ""),
-        grades,
+        queryClasses,
         tenants,
-        kinds,
-        levers,
-        time("rules.drain_grace_ms"),
-        cold,
-        time("rules.turn_gap_ms"),
-        ration);
+        engineTypes,
+        capabilities,
+        timeNanos("rules.drain_grace_ms"),
+        coldStartLimit,
+        timeNanos("rules.turn_gap_ms"),
+        retryBudget);
   }
 
-  private static QueryClass.RetrySafety repeat(String word) {
-    if ("idempotent".equals(word)) {
+  private static QueryClass.RetrySafety retrySafety(String value) {
+    if ("idempotent".equals(value)) {
       return QueryClass.RetrySafety.IDEMPOTENT;
     }
-    return "deduplicated".equals(word)
+    return "deduplicated".equals(value)
         ? QueryClass.RetrySafety.DEDUPLICATED
         : QueryClass.RetrySafety.NON_IDEMPOTENT;
   }
 
-  private static QueryClass.DeduplicationScope scope(String word) {
-    if ("all".equals(word)) {
+  private static QueryClass.DeduplicationScope deduplicationScope(String value) {
+    if ("all".equals(value)) {
       return QueryClass.DeduplicationScope.ALL;
     }
-    return "zone".equals(word)
+    return "zone".equals(value)
         ? QueryClass.DeduplicationScope.ZONE
         : QueryClass.DeduplicationScope.CELL;
   }
@@ -150,12 +155,14 @@
     return "true".equals(value) || "1".equals(value);
   }
 
-  private double number(String path, double otherwise) {
+  private double number(String path, double defaultValue) {
     String value = pairs.get(path);
-    return value == null || value.isEmpty() || value.equals("-") ? otherwise : parse(path, value);
+    return value == null || value.isEmpty() || value.equals("-")
+        ? defaultValue
+        : parse(path, value);
   }
 
-  long time(String path) {
+  long timeNanos(String path) {
     return Math.round(number(path, 0) * 1e6);
   }
 
@@ -166,7 +173,7 @@
     } catch (NumberFormatException e) {
       number = -1;
     }
-    if (number >= 0 && number < MOST) {
+    if (number >= 0 && number < NUMBER_LIMIT) {
       return number;
     }
     throw new InvalidInputException(
--- a/src/main/java/tansytrack/util/EngineList.java
+++ b/src/main/java/tansytrack/util/EngineList.java
@@ -7,88 +7,91 @@
 import java.util.function.Predicate;
 import tansytrack.api.EngineEntry;
 
-/** The engines listed, without those that are gone, by id: a reference for each and no more. */
+/**
+ * The listed engines without those that are gone, sorted by id. It holds one reference per engine,
+ * as lists can have many thousands of entries.
+ */
 public final class EngineList {
 
   private final ArrayList<EngineEntry> entries = new ArrayList<>();
-  private final List<EngineCounter> counts = new ArrayList<>();
+  private final List<EngineCounter> counters = new ArrayList<>();
 
-  /** How many are listed of some kind. */
+  /** Counts the listed engines that match a predicate. */
   public static final class EngineCounter {
-    private final Predicate<EngineEntry> counted;
+    private final Predicate<EngineEntry> predicate;
     private int value;
 
-    private EngineCounter(Predicate<EngineEntry> counted) {
-      this.counted = counted;
+    private EngineCounter(Predicate<EngineEntry> predicate) {
+      this.predicate = predicate;
     }
 
-    /** The number at present. */
+    /** Returns the present number. */
     public int value() {
       return value;
     }
   }
 
-  /** Counts those from now on; to be asked for while nothing is listed. */
-  public EngineCounter count(Predicate<EngineEntry> counted) {
-    counts.add(new EngineCounter(counted));
-    return counts.get(counts.size() - 1);
+  /** Adds a counter of matching engines; must be called while the list is empty. */
+  public EngineCounter count(Predicate<EngineEntry> predicate) {
+    counters.add(new EngineCounter(predicate));
+    return counters.get(counters.size() - 1);
   }
 
-  /** All entries by id, as a view that cannot be changed. */
+  /** Returns all entries, sorted by id, as an unmodifiable view. */
   public List<EngineEntry> all() {
     return Collections.unmodifiableList(entries);
   }
 
-  /** The entry of that id, or null. */
+  /** Returns the entry with that id, or null. */
   public EngineEntry find(String id) {
-    int at = indexOf(id);
-    return at >= 0 ? entries.get(at) : null;
+    int index = indexOf(id);
+    return index >= 0 ? entries.get(index) : null;
   }
 
-  /** The whole list: by id, each once. */
-  public void replaceAll(Collection<EngineEntry> all) {
+  /** Replaces the whole list by entries that are sorted by id and unique. */
+  public void replaceAll(Collection<EngineEntry> sortedEntries) {
     entries.clear();
-    entries.addAll(all);
+    entries.addAll(sortedEntries);
     entries.removeIf(entry -> entry.state() == EngineEntry.State.GONE);
     entries.trimToSize();
-    counts.forEach(count -> count.value = 0);
+    counters.forEach(count -> count.value = 0);
     entries.forEach(entry -> count(entry, 1));
   }
 
-  /** One change. */
+  /** Adds, replaces or, if it is gone, removes one entry. */
   public void put(EngineEntry entry) {
-    int at = indexOf(entry.id());
-    if (at >= 0) {
-      count(entries.remove(at), -1);
+    int index = indexOf(entry.id());
+    if (index >= 0) {
+      count(entries.remove(index), -1);
     }
     if (entry.state() != EngineEntry.State.GONE) {
-      entries.add(at >= 0 ? at : -at - 1, entry);
+      entries.add(index >= 0 ? index : -index - 1, entry);
       count(entry, 1);
     }
   }
 
-  private void count(EngineEntry entry, int one) {
-    for (EngineCounter count : counts) {
-      count.value += count.counted.test(entry) ? one : 0;
+  private void count(EngineEntry entry, int delta) {
+    for (EngineCounter count : counters) {
+      count.value += count.predicate.test(entry) ? delta : 0;
     }
   }
 
-  /** Its index, or under 0 where it is not listed: the index that it would take, as -index - 1. */
+  /** Returns the index of the id, or -(insertion point) - 1 where it is not listed. */
   private int indexOf(String id) {
-    int from = 0;
-    int to = entries.size() - 1;
-    while (from <= to) {
-      int middle = (from + to) >>> 1;
-      int order = entries.get(middle).id().compareTo(id);
-      if (order == 0) {
+    int low = 0;
+    int high = entries.size() - 1;
+    while (low <= high) {
+      int middle = (low + high) >>> 1;
+      int comparison = entries.get(middle).id().compareTo(id);
+      if (comparison == 0) {
         return middle;
       }
-      if (order < 0) {
-        from = middle + 1;
+      if (comparison < 0) {
+        low = middle + 1;
       } else {
-        to = middle - 1;
+        high = middle - 1;
       }
     }
-    return -from - 1;
+    return -low - 1;
   }
 }
--- a/src/main/java/tansytrack/util/EventLoop.java
+++ b/src/main/java/tansytrack/util/EventLoop.java
@@ -2,20 +2,18 @@
 
 import java.util.ArrayDeque;
 
-/**
- * Parts that talk only by putting notes into inboxes, and the one loop that empties them, in turn.
- */
+/** A single-threaded event loop that delivers messages to the inboxes of actors in turn. */
 public final class EventLoop {
 
   private final ArrayDeque<Actor> ready = new ArrayDeque<>();
 
-  /** A note in an inbox: what the part that takes it is to do. */
+  /** A message in an inbox: the work that its actor is to do. */
   public interface Message {
-    /** Carries the note out; called on the loop. */
+    /** Does the work; called on the loop. */
     void handle();
   }
 
-  /** A part with its inbox: notes are put by anybody on the loop and taken in its turn. */
+  /** An actor with an inbox; actors communicate by messages only. */
   public abstract static class Actor {
     private final EventLoop loop;
     private final ArrayDeque<Message> inbox = new ArrayDeque<>();
@@ -24,23 +22,23 @@
       this.loop = loop;
     }
 
-    /** Puts a note into the inbox; it is taken when the loop comes to this part. */
-    public final void post(Message note) {
-      inbox.add(note);
+    /** Adds a message to the inbox; it is handled in this actor's turn. */
+    public final void post(Message message) {
+      inbox.add(message);
       if (inbox.size() == 1) {
         loop.ready.add(this);
       }
     }
   }
 
-  /** Takes one note of each part in turn until none is left. */
+  /** Handles one message of each actor in turn until none is left. */
   public void runUntilIdle() {
     while (!ready.isEmpty()) {
-      Actor part = ready.poll();
-      part.inbox.peek().handle();
-      part.inbox.poll();
-      if (!part.inbox.isEmpty()) {
-        ready.add(part);
+      Actor actor = ready.poll();
+      actor.inbox.peek().handle();
+      actor.inbox.poll();
+      if (!actor.inbox.isEmpty()) {
+        ready.add(actor);
       }
     }
   }
--- a/src/main/java/tansytrack/util/MathUtil.java
+++ b/src/main/java/tansytrack/util/MathUtil.java
@@ -1,31 +1,31 @@
 package tansytrack.util;
 
-/** Arithmetic that several parts share. */
+/** Shared arithmetic functions. */
 public final class MathUtil {
 
   private MathUtil() {}
 
-  /** A running mean after one more sample; NaN until the first. */
-  public static double movingAverage(double old, double sample, double weight) {
-    return Double.isNaN(old) ? sample : old + weight * (sample - old);
+  /** Returns the exponential moving average after one more sample; NaN stands for no sample yet. */
+  public static double movingAverage(double average, double sample, double weight) {
+    return Double.isNaN(average) ? sample : average + weight * (sample - average);
   }
 
-  /** The value, or the nearer bound where it lies outside. */
-  public static double clamp(double value, double least, double most) {
-    return Math.max(least, Math.min(most, value));
+  /** Returns the value, or the nearer bound if it lies outside. */
+  public static double clamp(double value, double min, double max) {
+    return Math.max(min, Math.min(max, value));
   }
 
-  /** The index that a point between 0 and 1 falls on when each takes room by its weight. */
+  /** Returns the index that a point in [0, 1) selects, with probabilities by weight. */
   public static int pickWeighted(double[] weights, double point) {
     double total = 0;
     for (double weight : weights) {
       total += weight;
     }
-    double left = point * total;
-    int at = 0;
-    while (at < weights.length - 1 && left >= weights[at]) {
-      left -= weights[at++];
+    double remaining = point * total;
+    int index = 0;
+    while (index < weights.length - 1 && remaining >= weights[index]) {
+      remaining -= weights[index++];
     }
-    return at;
+    return index;
   }
 }
--- a/src/main/java/tansytrack/util/SlidingWindow.java
+++ b/src/main/java/tansytrack/util/SlidingWindow.java
@@ -2,33 +2,33 @@
 
 import java.util.ArrayDeque;
 
-/** What happened of late: times and amounts, forgotten from the oldest on. */
+/** A sliding window of events, each with its time and an amount. */
 public final class SlidingWindow {
 
-  private final ArrayDeque<long[]> happened = new ArrayDeque<>();
+  private final ArrayDeque<long[]> events = new ArrayDeque<>();
 
-  /** Adds something that happened, with its amount. */
-  public void add(long at, long amount) {
-    happened.add(new long[] {at, amount});
+  /** Adds an event with its amount. */
+  public void add(long time, long amount) {
+    events.add(new long[] {time, amount});
   }
 
-  /** Forgets what happened before that time. */
-  public void evictBefore(long before) {
-    while (!happened.isEmpty() && happened.peek()[0] < before) {
-      happened.poll();
+  /** Removes the events before that time. */
+  public void evictBefore(long time) {
+    while (!events.isEmpty() && events.peek()[0] < time) {
+      events.poll();
     }
   }
 
-  /** How many happened within the window. */
+  /** Returns the number of events in the window. */
   public int count() {
-    return happened.size();
+    return events.size();
   }
 
-  /** The sum of the amounts within the window. */
+  /** Returns the sum of the amounts in the window. */
   public long sum() {
     long sum = 0;
-    for (long[] one : happened) {
-      sum += one[1];
+    for (long[] event : events) {
+      sum += event[1];
     }
     return sum;
   }
--- a/src/main/java/tansytrack/util/TenantQueue.java
+++ b/src/main/java/tansytrack/util/TenantQueue.java
@@ -2,14 +2,16 @@
 
 import java.util.ArrayList;
 
-/** One tenant's queue and where it stands in the turns. */
+/** The queue of one tenant, with its state in the smooth weighted round-robin. */
 public final class TenantQueue<T> {
 
   public final double weight;
-  public double currentWeight; // smooth weighted round-robin
-  public final ArrayList<T> waiters = new ArrayList<>(); // least time left first
+  public double currentWeight;
 
-  /** A tenant without waiters; its weight is its part of the turns. */
+  /** The queued tasks, earliest deadline first. */
+  public final ArrayList<T> tasks = new ArrayList<>();
+
+  /** Creates an empty queue; the weight is the tenant's share of the turns. */
   public TenantQueue(double weight) {
     this.weight = weight;
   }
--- a/src/test/java/tansytrack/ColdFleetTest.java
+++ b/src/test/java/tansytrack/ColdFleetTest.java
@@ -1,7 +1,7 @@
 package tansytrack;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tansytrack.Manager.MS;
+import static tansytrack.ManagerHarness.NANOS_PER_MS;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,81 +19,86 @@
 import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
- * Managers whose number changes, with links between them that break, and engines that start cold:
- * real decisions, virtual time.
+ * Decision modules on virtual time, with a changing number of managers, broken links between them
+ * and engines that start cold.
  */
 class ColdFleetTest {
 
   private static final int MEMBERS = 12;
   private static final int ENGINES = 4;
-  private static final long COST = 250; // ms of work of a task
-  private static final long STEP = 50; // ms
-  private static final Settings.ColdStartLimit COLD =
-      new Settings.ColdStartLimit(0.3, 10_000 * MS, 2, 1000 * MS);
+  private static final long TASK_COST_MS = 250;
+  private static final long STEP_MS = 50;
+  private static final Settings.ColdStartLimit COLD_START_LIMIT =
+      new Settings.ColdStartLimit(0.3, 10_000 * NANOS_PER_MS, 2, 1000 * NANOS_PER_MS);
 
-  /** One manager in one of its lives. */
-  private static final class Life {
+  /** One process of a manager, from its start to its end. */
+  private static final class Process {
     final long id;
-    final Manager manager = new Manager();
-    final BudgetDivisor reckoning = new BudgetDivisor(MEMBERS - 1, 10_000 * MS);
-    final long began; // on the world's clock
-    final ArrayDeque<String[]> out = new ArrayDeque<>(); // task, engine and when it ends
-    int seen;
+    final ManagerHarness manager = new ManagerHarness();
+    final BudgetDivisor budgetDivisor = new BudgetDivisor(MEMBERS - 1, 10_000 * NANOS_PER_MS);
+    final long startedAtMs; // in ms of virtual time
+    final ArrayDeque<String[]> openTasks = new ArrayDeque<>(); // id and end time of each open task
+    int seenActions;
     int tasks;
 
-    Life(long id, long began, long seed) {
+    Process(long id, long startedAtMs, long seed) {
       this.id = id;
-      this.began = began;
+      this.startedAtMs = startedAtMs;
       manager.seed = seed;
-      manager.siblings = MEMBERS;
-      manager.cold = COLD;
+      manager.managerCount = MEMBERS;
+      manager.coldStartLimit = COLD_START_LIMIT;
     }
   }
 
-  private final Map<String, Life> lives = new HashMap<>();
-  private final long[] startedAt = new long[ENGINES]; // ms on the world's clock; 0: long ago
+  private final Map<String, Process> processes = new HashMap<>();
+  private final long[] startedAtMs = new long[ENGINES]; // ms of virtual time; 0 means long ago
   private final List<ArrayDeque<Long>> sends = new ArrayList<>();
-  private int falls;
-  private int most; // tasks to a cold engine within the window
-  private int fewest = Integer.MAX_VALUE; // managers that one reckoned by
+  private int overloads;
+  private int maxColdTasks; // the most tasks sent to a cold engine within the window
+  private int minManagers = Integer.MAX_VALUE; // the lowest number of managers that one assumed
 
-  private EngineEntry entry(int engine, Life life) {
-    long start = startedAt[engine] == 0 ? 0 : Math.max(1, 100_000 + startedAt[engine] - life.began);
-    return Manager.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
+  private EngineEntry entry(int engine, Process process) {
+    long start =
+        startedAtMs[engine] == 0
+            ? 0
+            : Math.max(1, 100_000 + startedAtMs[engine] - process.startedAtMs);
+    return ManagerHarness.engine("e" + engine, "small", engine, EngineEntry.State.READY, start);
   }
 
-  private void play(long seed, boolean byView) {
+  private void simulate(long seed, boolean byView) {
     MembershipSimulation world =
         MembershipSimulation.startConverged(
             MEMBERS,
             MembershipConfig.defaults(List.of("m0", "m1")),
             seed,
             LinkConditions.GOOD.withLoss(0.1));
-    SplittableRandom chance = new SplittableRandom(seed);
-    lives.clear();
+    SplittableRandom random = new SplittableRandom(seed);
+    processes.clear();
     sends.clear();
     for (int i = 0; i < ENGINES; i++) {
-      startedAt[i] = 0;
+      startedAtMs[i] = 0;
       sends.add(new ArrayDeque<>());
     }
     long from = world.now();
-    int cut = chance.nextInt(3);
+    int partitionKind = random.nextInt(3);
     world.schedule(
-        from + 1000 * MS,
-        () -> world.partition((a, b) -> cut == 0 || cut == 1 && !a.zone().equals(b.zone())));
+        from + 1000 * NANOS_PER_MS,
+        () ->
+            world.partition(
+                (a, b) -> partitionKind == 0 || partitionKind == 1 && !a.zone().equals(b.zone())));
     for (int i = 0; i < 3; i++) {
-      String address = "m" + chance.nextInt(MEMBERS);
+      String address = "m" + random.nextInt(MEMBERS);
       world.schedule(
-          from + chance.nextLong(8000 * MS),
+          from + random.nextLong(8000 * NANOS_PER_MS),
           () -> {
-            if (world.node(address).running() && chance.nextBoolean()) {
+            if (world.node(address).running() && random.nextBoolean()) {
               world.shutDown(address);
             } else {
               world.kill(address);
             }
           });
       world.schedule(
-          from + (9000 + chance.nextLong(12_000)) * MS,
+          from + (9000 + random.nextLong(12_000)) * NANOS_PER_MS,
           () -> {
             if (!world.node(address).running()) {
               world.start(address);
@@ -101,110 +106,119 @@
           });
     }
     for (int engine = 0; engine < ENGINES; engine++) {
-      int which = engine;
+      int restartedEngine = engine;
       world.schedule(
-          from + (6000 + chance.nextLong(14_000)) * MS,
+          from + (6000 + random.nextLong(14_000)) * NANOS_PER_MS,
           () -> {
-            startedAt[which] = world.now() / MS;
-            sends.get(which).clear();
-            lives.values().forEach(life -> life.manager.list(false, entry(which, life)));
+            startedAtMs[restartedEngine] = world.now() / NANOS_PER_MS;
+            sends.get(restartedEngine).clear();
+            processes
+                .values()
+                .forEach(
+                    process -> process.manager.listEngines(false, entry(restartedEngine, process)));
           });
     }
-    for (long at = from; at < from + 25_000 * MS; at += STEP * MS) {
+    for (long at = from; at < from + 25_000 * NANOS_PER_MS; at += STEP_MS * NANOS_PER_MS) {
       world.runUntil(at);
       for (MembershipSimulation.Node node : world.nodes()) {
         if (node.running()) {
-          turn(world, node, byView, chance);
+          step(world, node, byView, random);
         } else {
-          lives.remove(node.name());
+          processes.remove(node.name());
         }
       }
     }
   }
 
-  private void turn(
+  private void step(
       MembershipSimulation world,
       MembershipSimulation.Node node,
       boolean byView,
-      SplittableRandom chance) {
-    long now = world.now() / MS;
-    Life life = lives.get(node.name());
-    if (life == null || life.id != node.membership().self().instanceId()) {
-      // Its clock is at its first step by the end of this turn.
-      life = new Life(node.membership().self().instanceId(), now - STEP, chance.nextLong());
-      lives.put(node.name(), life);
+      SplittableRandom random) {
+    long now = world.now() / NANOS_PER_MS;
+    Process process = processes.get(node.name());
+    if (process == null || process.id != node.membership().self().instanceId()) {
+      // The manager's clock reaches its first step at the end of this call.
+      process =
+          new Process(node.membership().self().instanceId(), now - STEP_MS, random.nextLong());
+      processes.put(node.name(), process);
       EngineEntry[] all = new EngineEntry[ENGINES];
       for (int i = 0; i < ENGINES; i++) {
-        all[i] = entry(i, life);
+        all[i] = entry(i, process);
       }
-      life.manager.list(true, all);
+      process.manager.listEngines(true, all);
     }
-    node.membership().others().forEach(life.reckoning::memberChanged);
+    node.membership().others().forEach(process.budgetDivisor::memberChanged);
     int by =
         byView
             ? node.membership().view().liveMembers()
-            : life.reckoning.update(world.now(), node.membership().view().liveMembers());
-    fewest = Math.min(fewest, by);
-    life.manager.siblings(by).pass(STEP);
-    while (!life.out.isEmpty() && Long.parseLong(life.out.peek()[1]) <= now) {
-      life.manager.end(life.out.poll()[0], 0, Outcome.OK);
+            : process.budgetDivisor.update(world.now(), node.membership().view().liveMembers());
+    minManagers = Math.min(minManagers, by);
+    process.manager.setManagerCount(by).advance(STEP_MS);
+    while (!process.openTasks.isEmpty() && Long.parseLong(process.openTasks.peek()[1]) <= now) {
+      process.manager.endForward(process.openTasks.poll()[0], 0, Outcome.OK);
     }
-    for (int i = chance.nextInt(4); i > 0; i--) {
-      life.manager.take("t" + life.tasks++ + " short a cost=" + COST).decide();
+    for (int i = random.nextInt(4); i > 0; i--) {
+      process.manager.submit("t" + process.tasks++ + " short a cost=" + TASK_COST_MS).decide();
     }
-    for (; life.seen < life.manager.did.size(); life.seen++) {
-      String[] done = life.manager.did.get(life.seen).split(" ");
+    for (; process.seenActions < process.manager.actions.size(); process.seenActions++) {
+      String[] done = process.manager.actions.get(process.seenActions).split(" ");
       if (done[0].equals("forward")) {
-        life.out.add(new String[] {done[1], Long.toString(now + COST)});
-        sent(Integer.parseInt(done[2].substring(1)), now);
+        process.openTasks.add(new String[] {done[1], Long.toString(now + TASK_COST_MS)});
+        recordForward(Integer.parseInt(done[2].substring(1)), now);
       }
     }
   }
 
   /**
-   * Counts it, and whether the engine falls by it: N tasks are allowed in the window, and 3 roots
-   * of N and 3 more.
+   * Records a forward, and whether it overloads the engine: in a window, N tasks are allowed, plus
+   * 3 square roots of N and 3 tasks.
    */
-  private void sent(int engine, long now) {
+  private void recordForward(int engine, long now) {
     ArrayDeque<Long> window = sends.get(engine);
     window.add(now);
-    while (window.peek() <= now - COLD.windowNanos() / MS) {
+    while (window.peek() <= now - COLD_START_LIMIT.windowNanos() / NANOS_PER_MS) {
       window.poll();
     }
     double age =
-        startedAt[engine] == 0 ? 1 : (now - startedAt[engine]) * MS / (double) COLD.warmUpNanos();
+        startedAtMs[engine] == 0
+            ? 1
+            : (now - startedAtMs[engine]) * NANOS_PER_MS / (double) COLD_START_LIMIT.warmUpNanos();
     if (age < 1) {
-      most = Math.max(most, window.size());
+      maxColdTasks = Math.max(maxColdTasks, window.size());
       double allowed =
-          COLD.overloadFactor()
-              * (COLD.startCapacityFraction() + (1 - COLD.startCapacityFraction()) * age)
+          COLD_START_LIMIT.overloadFactor()
+              * (COLD_START_LIMIT.startCapacityFraction()
+                  + (1 - COLD_START_LIMIT.startCapacityFraction()) * age)
               * 4
               * 1000
-              / COST;
-      falls += window.size() > allowed + 3 * Math.sqrt(allowed) + 3 ? 1 : 0;
+              / TASK_COST_MS;
+      overloads += window.size() > allowed + 3 * Math.sqrt(allowed) + 3 ? 1 : 0;
     }
   }
 
   /**
-   * Fifty schedules: links all cut, places cut off, managers killed, ended and started again,
-   * engines started cold.
+   * Runs fifty random schedules in which links or zones are cut off, managers are killed, shut down
+   * and restarted, and engines start cold.
    */
   @Test
-  void noColdEngineIsPushedOverWhileTheNumberOfManagersChanges() {
+  void coldEnginesAreNotOverloadedWhileTheManagerCountChanges() {
     for (long seed = 1; seed <= 50; seed++) {
-      play(seed, false);
-      assertThat(falls).as("seed %d, at most %d", seed, most).isZero();
+      simulate(seed, false);
+      assertThat(overloads).as("seed %d, at most %d", seed, maxColdTasks).isZero();
     }
-    assertThat(most).isGreaterThan(10);
+    assertThat(maxColdTasks).isGreaterThan(10);
   }
 
-  /** What the reckoning guards against: managers that deal the budget among those whom they see. */
+  /**
+   * The failure guarded against: managers that divide the budget by the managers they can reach.
+   */
   @Test
-  void managersThatReckonByWhomTheySeePushColdEnginesOver() {
+  void countingOnlyReachableManagersOverloadsColdEngines() {
     for (long seed = 1; seed <= 20; seed++) {
-      play(seed, true);
+      simulate(seed, true);
     }
-    assertThat(falls).isPositive();
-    assertThat(fewest).isEqualTo(1);
+    assertThat(overloads).isPositive();
+    assertThat(minManagers).isEqualTo(1);
   }
 }
