--- a/src/main/java/tansytrack/state/AttemptCancellation.java
+++ b/src/main/java/tansytrack/state/AttemptCancellation.java
@@ -1,48 +1,50 @@
 package tansytrack.state;
 
 /**
- * Cancels an attempt at its engine and says, once, when it is sure to have ended there: by the
- * engine's word on {@code DELETE}, which is repeated until one comes through, or by time where the
- * engine cannot be reached.
+ * Cancels an attempt at its engine and reports, once, that the attempt has certainly ended there.
+ * That is known from the engine's response to {@code DELETE}, which is retried until one succeeds,
+ * or from the time that has passed if the engine cannot be reached.
  *
- * <p>Guards against a second attempt, or the next query of the same key, beside one that still
- * runs. It does harm where an engine is lost for good: its queries count as running for as long as
- * {@link #endsUnasked} says.
+ * <p>This prevents a second attempt, or the next query of the same key, from running next to one
+ * that still runs. The cost: the queries of an engine that is lost for good count as running for
+ * the time that {@link #endsUnasked} gives.
  */
 final class AttemptCancellation {
 
   private static final long MS = 1_000_000L;
 
-  /** How long an engine holds a question for news open at most. */
+  /** The longest time that an engine holds a long poll open. */
   static final long HELD_OPEN = 250 * MS;
 
-  /** For the way there and back, and for clocks. */
+  /** Allows for the network round trip and for clock differences. */
   static final long MARGIN = 150 * MS;
 
-  // An engine drops a query that was not asked for in 2 s. It looks for such every 2 s, so a query
-  // may run on for up to 4 s behind the last question, which may have been held open.
+  // An engine drops a query that was not polled for 2 s. It checks for such queries every 2 s, so
+  // a query may run for up to 4 s after its last poll, which may itself have been held open.
   private static final long UNASKED = 2000 * MS;
   private static final long UNASKED_CHECK_INTERVAL = 2000 * MS;
 
-  /** Behind the last question a reachable engine has dropped the query. */
+  /** The time after the last poll by which a reachable engine has dropped the query. */
   static final long DROPPED_UNASKED = UNASKED + UNASKED_CHECK_INTERVAL + HELD_OPEN + MARGIN;
 
-  // Far more than a connection takes to come up and carry a call.
+  // Far longer than it takes to establish a connection and send a request on it.
   private static final long OVERTAKEN = 100 * MS;
   private static final long FIRST_PAUSE = 50 * MS;
   private static final long LONGEST_PAUSE = 400 * MS;
 
   /**
-   * The attempt as far as its manager knows it.
+   * What the manager knows about the attempt.
    *
-   * @param path its query at the engine
-   * @param askedAt the last question, or the start, that may have come to the engine
-   * @param deadline until when it may take
-   * @param known the engine ever said that it has the query
-   * @param silent a call for it went without an answer; only connections that have answered since
-   *     may carry the cancellation
-   * @param ordered the next query of its key must not begin beside it
-   * @param startMayComeLate the call that starts it may be taken up as late as engines keep a query
+   * @param path the path of its query at the engine
+   * @param askedAt when the last poll, or the start request, that may have reached the engine was
+   *     sent
+   * @param deadline the time by which the query must end
+   * @param known whether the engine has ever confirmed that it has the query
+   * @param silent whether a request for the attempt went unanswered; the cancellation then uses only
+   *     connections that have delivered a response since
+   * @param ordered whether the next query of its key must not start before this one has ended
+   * @param startMayComeLate whether the engine may process the start request as late as it would
+   *     still keep the query
    */
   record Attempt(
       String path,
@@ -59,8 +61,10 @@
   private final Runnable ended;
   private final long answeredSince;
   private long pause = FIRST_PAUSE;
-  private boolean confirmed; // the engine has taken a DELETE before
-  private boolean asking; // a DELETE is on its way
+  // Whether the engine has responded to an earlier DELETE.
+  private boolean confirmed;
+  // Whether a DELETE is in progress.
+  private boolean asking;
   private boolean over;
 
   AttemptCancellation(EngineLines engine, Timers timers, Attempt attempt, Runnable ended) {
@@ -72,11 +76,11 @@
   }
 
   /**
-   * When a query that is not asked for any more has ended for sure. An engine that stands still
-   * drops nothing meanwhile: there only the query's own time counts. One that accepts connections
-   * and answers nothing shows that; one that takes no new connections either looks like a machine
-   * that is cut off, so a query that keeps an order counts as if it stood still until the list says
-   * that the engine has gone.
+   * Returns the time by which a query that is no longer polled has certainly ended. A stalled engine
+   * drops no query while it is stalled, so there only the query's own deadline counts. An engine
+   * that accepts connections and answers nothing is known to be stalled. One that accepts no
+   * connections either cannot be told from a machine that is disconnected from the network, so for
+   * an ordered query the engine counts as stalled until the engine list says that it is gone.
    */
   static long endsUnasked(EngineLines engine, long askedAt, long deadline, boolean ordered) {
     boolean mayStandStill = (ordered || engine.unresponsive()) && !engine.retired();
@@ -96,8 +100,9 @@
   }
 
   /**
-   * A first DELETE proves nothing where the engine never said that it has the query: the call that
-   * starts it may be overtaken, as they go on different connections.
+   * Handles the result of a DELETE. A first successful DELETE proves nothing if the engine never
+   * confirmed that it has the query: the DELETE may have overtaken the start request, which uses
+   * another connection.
    */
   private void deleted(boolean taken) {
     asking = false;
@@ -112,7 +117,8 @@
       confirmed = true;
       timers.at(timers.now() + OVERTAKEN, this::delete);
     } else {
-      expireLater(); // the time may have passed while this DELETE was on its way
+      // The expiry timer may have fired while this DELETE was in progress.
+      expireLater();
     }
   }
 
@@ -120,10 +126,14 @@
     timers.at(endsAt(), this::expire);
   }
 
-  /** Time counts where nothing can be reached, so not while a DELETE waits on a connection. */
+  /**
+   * Ends the cancellation by time, which counts only for an unreachable engine, so not while a DELETE
+   * is in progress on an established connection.
+   */
   private void expire() {
     if (timers.now() < endsAt()) {
-      expireLater(); // the engine has shown meanwhile that it may stand still
+      // The engine has turned out in the meantime to be possibly stalled.
+      expireLater();
     } else if (!asking || !engine.connected()) {
       end();
     }
--- a/src/main/java/tansytrack/state/Counters.java
+++ b/src/main/java/tansytrack/state/Counters.java
@@ -3,22 +3,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What was taken in, sent and answered, by kind. */
+/** Event counters by name, as shown by SHOW STATS. */
 public final class Counters {
 
   private final Map<String, Long> counts = new TreeMap<>();
 
-  /** Adds one to a counter, which begins at 0. */
+  /** Increments a counter, which starts at 0. */
   public void add(String kind) {
     counts.merge(kind, 1L, Long::sum);
   }
 
-  /** A counter's value, 0 where nothing was counted. */
+  /** Returns a counter's value, 0 if nothing was counted. */
   public long of(String kind) {
     return counts.getOrDefault(kind, 0L);
   }
 
-  /** All counters by name, in order. */
+  /** Returns all counters, ordered by name. */
   public Map<String, Long> all() {
     return counts;
   }
--- a/src/main/java/tansytrack/state/EngineLines.java
+++ b/src/main/java/tansytrack/state/EngineLines.java
@@ -13,46 +13,63 @@
 import tansytrack.wire.Sockets;
 
 /**
- * The connections to one engine: they belong to its id, as an address can pass to another engine.
+ * The connections to one engine. They belong to the engine's id and not to its address, as an
+ * address can be reassigned to another engine.
  */
 final class EngineLines implements HttpLine.Holder {
 
   static final byte[] NOTHING = new byte[0];
+
+  /** Earlier than any response: permits connections that have not delivered one recently. */
   static final long ANY_TIME = Long.MIN_VALUE;
-  private static final int LONGEST =
-      1 << 16; // twice a page with its head, and what may come before it
-  private static final long REST =
-      10_000_000L; // of a connection before its next call: what else belongs
-  // to the last answer comes by then
-  private static final int TRIES = 4; // of a call that connections break under
-  private static final int USUAL = 2; // connections: of thousands of engines few have more
+
+  // Twice a page with its header, and the informational responses that may precede it.
+  private static final int LONGEST = 1 << 16;
+
+  // How long a connection stays unused between two requests. Surplus bytes that belong to the last
+  // response arrive within this time.
+  private static final long REST = 10_000_000L;
+
+  // Attempts at a request whose connections break.
+  private static final int TRIES = 4;
+
+  // Initial size of the collections of connections. Few of thousands of engines have more.
+  private static final int USUAL = 2;
 
   final String id;
   private final Sockets sockets;
   private final Timers timers;
   private final Limits limits;
   private final Counters counters;
-  private final ArrayDeque<Idle> idle = new ArrayDeque<>(USUAL); // the last used at the end
-  private final Map<HttpLine, Timers.Timer> coming =
-      new IdentityHashMap<>(USUAL); // until up, or given up
+  // Ordered by time of last use, the most recent one last.
+  private final ArrayDeque<Idle> idle = new ArrayDeque<>(USUAL);
+  // Timeouts of the connections that are being established.
+  private final Map<HttpLine, Timers.Timer> coming = new IdentityHashMap<>(USUAL);
   private final Set<HttpLine> lines = Collections.newSetFromMap(new IdentityHashMap<>(USUAL));
-  private final ArrayDeque<Runnable> waiting =
-      new ArrayDeque<>(USUAL); // for a connection to be free
-  private boolean refusing; // the last connection that was tried was refused
+  // Requests that wait for an idle connection.
+  private final ArrayDeque<Runnable> waiting = new ArrayDeque<>(USUAL);
+  // Whether the last attempt to connect was refused.
+  private boolean refusing;
   private long refusedAt;
-  private long heardAt = ANY_TIME; // the last whole answer to any call
-  private boolean unresponsive; // a connection came up since then and stayed silent
+  // When the last complete response to any request came.
+  private long heardAt = ANY_TIME;
+  // Whether a connection established since then has left a request unanswered.
+  private boolean unresponsive;
   private InetSocketAddress address;
-  int forwards; // out, as the connections hold them
-  private boolean takes; // ready, as last listed: something new may begin there
-  private boolean retired; // gone from the list: what is out ends, nothing is kept
+  // Forwards that have not ended, counted here and not by the module.
+  int forwards;
+  // Whether the engine is ready according to the latest list, so that new work may start there.
+  private boolean takes;
+  // Whether the engine has left the list: open requests complete, no connection is kept after them.
+  private boolean retired;
   private long retiredAt;
 
-  /** What bounds connections: times in nanoseconds, and how many descriptors engines may take. */
+  /** Limits for connections: timeouts in nanoseconds, and a maximum of open connections. */
   static final class Limits {
     final long connectTime;
     final long idleTime;
-    int most; // may change with a new configuration
+    // May change when the configuration is reloaded.
+    int most;
 
     Limits(long connectTime, long idleTime) {
       this.connectTime = connectTime;
@@ -71,8 +88,8 @@
   }
 
   /**
-   * Its address, as listed, and whether anything new may begin there; connections to an old address
-   * are of no use.
+   * Updates the engine from the list: its address, and whether new work may start there. Idle
+   * connections to a previous address are closed.
    */
   void listed(InetSocketAddress at, boolean ready) {
     takes = ready;
@@ -83,6 +100,7 @@
     }
   }
 
+  /** Marks the engine as gone from the list and closes its idle connections. */
   void retire() {
     takes = false;
     retiredAt = retired ? retiredAt : timers.now();
@@ -90,16 +108,20 @@
     dropIdle();
   }
 
-  /** It has left the list: its machine is gone, or will be within moments. */
+  /** Whether the engine has left the list: its machine is gone, or will be shortly. */
   boolean retired() {
     return retired;
   }
 
+  /** Whether new work may start at the engine. */
   boolean takes() {
     return takes;
   }
 
-  /** It left the list so long ago that the module cannot have it in mind any more. */
+  /**
+   * Whether the engine left the list more than the given time ago, so that the module no longer
+   * refers to it.
+   */
   boolean forgotten(long after) {
     return retired && timers.now() - retiredAt > after;
   }
@@ -110,42 +132,52 @@
     }
   }
 
-  /** Closes what the engine would soon close itself: a call must not cross that. */
+  /**
+   * Closes connections before the engine closes them for being idle, so that no request is sent while
+   * the engine closes its connection.
+   */
   void trim() {
     while (!idle.isEmpty() && timers.now() - idle.peek().since > limits.idleTime) {
       idle.poll().line.drop();
     }
   }
 
-  /** A whole answer came from it, to whatever call. */
+  /** Records that a complete response to any request came from the engine. */
   void heard() {
     heardAt = timers.now();
     unresponsive = false;
   }
 
-  /** A call on that connection, which is up, was left without an answer for longer than allowed. */
+  /**
+   * Records that a request on the given established connection has not been answered within its time
+   * limit.
+   */
   void unanswered(HttpLine line) {
     unresponsive |= line.cameAt() > heardAt;
   }
 
   /**
-   * Does it accept connections and answer nothing? Then its process may stand still, and with it
-   * the clock by which it drops what nobody asks for. A machine that is cut off accepts none.
+   * Whether the engine accepts connections and answers nothing. Then its process may be stalled, and
+   * so may the timer by which it drops queries that are not polled. A machine that is disconnected
+   * from the network accepts no connections.
    */
   boolean unresponsive() {
     return unresponsive;
   }
 
-  /** Is any connection to it up? Then its process lives, or its machine has fallen silent. */
+  /**
+   * Whether any connection to the engine is established. Then its process is alive, or its machine
+   * has become unreachable without closing connections.
+   */
   boolean connected() {
     return lines.stream().anyMatch(HttpLine::up);
   }
 
   /**
-   * Runs a call as soon as there is a connection for it: at once, or, where the engine refuses new
-   * connections and some are up, in turn as those become free. Guards against losing touch with
-   * what an engine still runs that takes no new connections, as it drains or holds all it can; a
-   * call may wait behind others there.
+   * Runs an action that sends a request once a connection is available: immediately, or, if the
+   * engine refuses new connections and some are established, in order as those become idle. This
+   * keeps contact with queries on an engine that refuses connections because it drains or is at its
+   * connection limit. There, a request may have to wait for others.
    */
   void whenAvailable(Runnable call) {
     waiting.add(call);
@@ -156,7 +188,7 @@
     while (!waiting.isEmpty()) {
       if (refusing && connected()) {
         if (idle.isEmpty()) {
-          return; // the next connection that becomes free serves it
+          return; // continues when a connection becomes idle
         }
         long rests = rests();
         if (rests > 0) {
@@ -169,9 +201,11 @@
   }
 
   /**
-   * The free connection that was used last, of those that have rested and have brought an answer
-   * since the given time. Rest counts from the end of a stall: what came on it meanwhile may not
-   * have been read yet, and would pass for the answer to the next call.
+   * Takes the most recently used idle connection among those that have been unused for the reuse
+   * delay and have delivered a response since the given time; null if there is none. The delay starts
+   * again at the end of a stall of the event loop: data that arrived during the stall may not have
+   * been read yet, and would be taken for the response to the next request. No delay is required if
+   * no further connection may be opened.
    */
   private HttpLine rested(long answeredSince) {
     for (Iterator<Idle> last = idle.descendingIterator(); last.hasNext(); ) {
@@ -185,9 +219,10 @@
   }
 
   /**
-   * How long a call that can wait should, so that it finds a connection which is free but rests: 0
-   * where one has rested or none is free. Guards against a new connection for each further call of
-   * a task, right behind the answer to the one before; it costs that call the rest at most.
+   * Returns how long a request that can wait should be delayed so that it can use an idle connection
+   * whose reuse delay has not passed; 0 if there is a reusable connection or no idle one. Without
+   * this, each follow-up request of a task, sent right after the previous response, would open a new
+   * connection. The price is a delay of at most the reuse delay.
    */
   long rests() {
     Idle first = idle.peek();
@@ -198,7 +233,10 @@
     return Math.max(one.since, timers.calmSince()) + REST - timers.now();
   }
 
-  /** Makes a call on a free connection or a new one; null where there are no descriptors left. */
+  /**
+   * Sends a request on an idle connection or a new one; returns null, and sends nothing, if the limit
+   * of open connections is reached.
+   */
   HttpLine call(String method, String path, String fields, byte[] body, HttpLine.Caller by) {
     return call(method, path, fields, body, ANY_TIME, by);
   }
@@ -232,16 +270,18 @@
   }
 
   /**
-   * A call that nobody has to wait for: whatever becomes of it is said once, as whether it has come
-   * to the engine: it was answered, or has twice gone out whole on connections that came up for it
-   * and stayed up. One that breaks is made again, as a connection may be reset before the call was
-   * read, and so is one that stays silent for the time that a connection may take to come up, as a
-   * call may never be taken up. Guards against taking the silence of a machine that is cut off for
-   * that of one that hangs: its old connections stay open and swallow all, but no new one comes up.
-   * Silence counts only while the engine answers nobody; else it is that connection's fault.
+   * Sends a request whose response is not needed, and reports once whether the request has reached
+   * the engine: it was answered, or it was twice sent completely on connections that were
+   * established for it and stayed open. The request is retried if its connection breaks, as that may
+   * happen before the engine has read it, and if it is not answered within the connect timeout, as
+   * the engine may never process it. An unreachable machine must not be mistaken for a process that
+   * hangs: its old connections stay open and accept data, but no new one can be established, so only
+   * new connections count. A missing response counts only while the engine answers no request at
+   * all; otherwise the fault lies with that connection.
    *
-   * @param answeredSince of the connections that are open only those are of use that have brought
-   *     an answer since, as the engine was silent before
+   * @param answeredSince only open connections that have delivered a response since this time are
+   *     used, as the engine did not answer before
+   * @param done receives whether the request has reached the engine
    */
   void aside(String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
     new Aside(method, path, body, answeredSince, done).start();
@@ -256,10 +296,12 @@
     private Timers.Timer timer;
     private final long startedAt = timers.now();
     private long answeredSince;
-    private boolean fresh; // the connection came up for this call
+    // Whether the connection is established for this request.
+    private boolean fresh;
     private boolean written;
     private int tries;
-    private int silent; // whole calls without a word, on connections that came up for them
+    // Requests sent completely and not answered, on connections established for them.
+    private int silent;
 
     Aside(String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
       this.method = method;
@@ -350,7 +392,8 @@
       refusedAt = timers.now();
     }
     if (!waiting.isEmpty()) {
-      timers.at(timers.now(), this::serveWaiting); // not within the end of another's call
+      // Deferred, as this runs within the handling of another request's failure.
+      timers.at(timers.now(), this::serveWaiting);
     }
   }
 
--- a/src/main/java/tansytrack/state/Inquiry.java
+++ b/src/main/java/tansytrack/state/Inquiry.java
@@ -8,17 +8,19 @@
 import tansytrack.wire.Junk;
 
 /**
- * Asks engines, after a start, what became of forwards that the life before left out: an engine
- * knows a query until it was not asked for in 2 s. One that has ended tells its work; one that
- * still runs is given up, as nobody waits for it. Some are asked at a time, so that a start does
- * not take the connections that tasks need.
+ * Asks engines, after a start, about the forwards that the previous run of this manager left
+ * unresolved. An engine keeps a query until it has not been polled for 2 s. The engine reports the
+ * work of a query that has ended; one that still runs is cancelled, as no client waits for it. The
+ * number of concurrent requests is limited, so that a start does not use up the connections that
+ * tasks need.
  */
 final class Inquiry {
 
   private static final int AT_A_TIME = 8;
   private static final int MOST = 4096;
-  private static final long WITHIN =
-      600_000_000L; // an engine holds a question open for 250 ms at most
+
+  // An engine holds a long poll open for 250 ms at most.
+  private static final long WITHIN = 600_000_000L;
 
   private final Manager manager;
   private final Timers timers;
@@ -31,6 +33,7 @@
     this.watch = watch;
   }
 
+  /** Asks about the given forwards; of too many, only about the most recent ones. */
   void start(Collection<TaskWatch.Left> all) {
     List<TaskWatch.Left> some = List.copyOf(all);
     left.addAll(some.subList(Math.max(0, some.size() - MOST), some.size()));
@@ -45,11 +48,11 @@
     if (engine != null) {
       new Question(one, engine).ask();
     } else if (one != null) {
-      manager.later(this::next); // it is no engine of ours any more
+      manager.later(this::next); // the engine is no longer listed
     }
   }
 
-  /** One of them. */
+  /** The request about one forward. */
   private final class Question implements HttpLine.Caller {
     private final TaskWatch.Left about;
     private final EngineLines engine;
--- a/src/main/java/tansytrack/state/Intake.java
+++ b/src/main/java/tansytrack/state/Intake.java
@@ -5,13 +5,16 @@
 import tansytrack.wire.Junk;
 import tansytrack.wire.Statement;
 
-/** Makes a task of a statement's fields, or says which field is of no use. */
+/** Makes a task from the fields of a statement, or rejects it naming the unusable field. */
 final class Intake {
 
   private static final double MS = 1e6;
-  private static final double MOST = 1e9; // of any amount: keeps sums of times in range
 
-  private static final int LONGEST_AMOUNT = 24; // digits of a double, and some
+  // Upper bound of every amount, which keeps sums of times within the range of a long.
+  private static final double MOST = 1e9;
+
+  // Enough for all digits of a double.
+  private static final int LONGEST_AMOUNT = 24;
 
   private final Set<String> grades;
   private final Set<String> tenants;
@@ -21,7 +24,7 @@
     this.tenants = tenants;
   }
 
-  /** The task, whose last byte came at that time. */
+  /** Returns the task of a statement whose last byte was received at the given time. */
   TaskOffer offer(Statement statement, long at) throws Junk {
     String id = needed(statement, "id");
     hex("id", id);
@@ -49,8 +52,8 @@
   }
 
   /**
-   * The mark by which engines know a repeat, or null: passed on as it is, so it must be a plain
-   * word.
+   * Returns the key by which engines recognise a repeated statement, or null. It is passed on
+   * unchanged in a header field, so only letters, digits and a few signs are allowed.
    */
   static String stamp(Statement statement) throws Junk {
     String stamp = statement.field("once");
@@ -82,8 +85,8 @@
   }
 
   /**
-   * A plain decimal from 0 on: what Java's own reader takes besides (1d, 0x1p3, 1e3) no engine
-   * would.
+   * Parses a non-negative decimal number, 0 if absent. Further forms that {@link
+   * Double#parseDouble} accepts (1d, 0x1p3, 1e3) are rejected, as no engine accepts them.
    */
   static double amount(String field, String value) throws Junk {
     if (value == null) {
--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -33,30 +33,43 @@
 import tansytrack.wire.Statement;
 
 /**
- * What a running workload manager holds, between the module on one side and the sockets on the
- * other.
+ * The state of a running workload manager: client sessions, open tasks and connections to engines.
+ * It passes events from the sockets to the decision module and carries out the module's actions.
+ * All methods run on the event loop's thread.
  */
 public final class Manager implements Actions, PgSession.Front {
 
   private static final long MS = 1_000_000L;
-  private static final int SPARE_DESCRIPTORS =
-      64; // files of the program itself, its listener and channel,
-  // and clients that come while all others are in use
-  private static final int LAST_DESCRIPTORS =
-      24; // of those: with no more left no client is taken in
-  private static final long LONGEST_LAG =
-      3000 * MS; // a call leaves so long before its connection is closed as idle
-  private static final long ROUND = 500 * MS; // between rounds over sessions and idle connections
+
+  // For the files of the program itself, its listener and command channel, and for clients that
+  // connect while all other descriptors are in use.
+  private static final int SPARE_DESCRIPTORS = 64;
+
+  // Of those, the ones that clients may not use: with no more left, a new client is rejected.
+  private static final int LAST_DESCRIPTORS = 24;
+
+  // A request is sent at least this long before the engine closes its connection as idle.
+  private static final long LONGEST_LAG = 3000 * MS;
+
+  // Interval of the checks of sessions and idle connections.
+  private static final long ROUND = 500 * MS;
   private static final String[] COLUMNS = {"c1", "c2", "c3"};
-  private static final String FAILED = "58000"; // no refusal: it promises nothing
+
+  // SQLSTATE system_error: unlike 53300, it does not promise that the statement has not run.
+  private static final String FAILED = "58000";
+
+  // Counter names, indexed by the ordinals of TaskWatch.End.
   private static final String[] ENDED = {
     "tasks.handled", "tasks.bounced", "tasks.aborted", "tasks.abandoned", "tasks.time_up"
-  }; // by TaskWatch.End
+  };
   private static final String SHOW_STATS = "show stats";
   private static final String SHOW_FLEET = "show fleet";
   private static final String[] STATS = {"counter", "count"};
 
-  /** Characters of the counters by engine: their messages have to fit what a session may hold. */
+  /**
+   * Limit for the counters by engine in SHOW STATS, in characters, as the answer has to fit into a
+   * session's output buffer.
+   */
   private static final int LONGEST_ENGINE_STATS = 1 << 17;
 
   private final Config config;
@@ -70,17 +83,23 @@
   private int mostSessions;
   private final SecureRandom secrets = new SecureRandom();
   private final Intake intake;
-  private final Set<String> orderedClasses; // whose queries run one at a time, by key
+  // Classes whose queries run one at a time for each key.
+  private final Set<String> orderedClasses;
   private final Map<String, OpenTask> tasks = new HashMap<>();
   private final Map<String, EngineLines> engines = new LinkedHashMap<>();
-  private final Map<Integer, PgSession> sessions = new LinkedHashMap<>(); // the oldest first
+  // In the order of their creation.
+  private final Map<Integer, PgSession> sessions = new LinkedHashMap<>();
   private final ArrayDeque<OpenTask> finished = new ArrayDeque<>();
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
   private int sessionNumber;
-  private boolean admitted = true; // as the module was last told
-  private int owed; // answers
-  private boolean told; // the module has heard something and not yet decided
-
+  // Whether the module was last told that new tasks are admitted.
+  private boolean admitted = true;
+  // The number of tasks that have not been answered.
+  private int owed;
+  // Whether the module has received events since its last decision.
+  private boolean told;
+
+  /** Creates the manager and, through the given factory, its decision module. */
   public Manager(
       Config config,
       Timers timers,
@@ -110,14 +129,17 @@
     timers.at(timers.now() + ROUND, this::round);
   }
 
-  // ---- The loop's side ----
+  // ---- Called by the event loop ----
 
   @Override
   public void later(Runnable what) {
     later.add(what);
   }
 
-  /** Lets the module decide on all that it has heard, until nothing is left to be told. */
+  /**
+   * Runs deferred actions and lets the module decide on the events it has received, until neither is
+   * left.
+   */
   public void turn() {
     while (told || !later.isEmpty()) {
       for (int i = later.size(); i > 0; i--) {
@@ -126,8 +148,8 @@
       if (told) {
         told = false;
         module.decide(timers.now());
-        // Only now: the module may act on a task in the very turn in which it hears that it is
-        // over.
+        // Removed only after the decision, as the module may still act on a task in the same
+        // decision in which it learns that the task is over.
         for (OpenTask task = finished.poll(); task != null; task = finished.poll()) {
           if (task.out == 0) {
             tasks.remove(task.id, task);
@@ -137,23 +159,26 @@
     }
   }
 
-  /** How many descriptors there are in all. */
+  /** Sets the number of file descriptors that the process may use in all. */
   public void descriptors(int most) {
     limits.most = most - SPARE_DESCRIPTORS;
     mostSessions = most / 2;
     sockets.mostAccepted(mostSessions + LAST_DESCRIPTORS);
   }
 
+  /** Returns the event counters of this manager. */
   public Counters counters() {
     return counters;
   }
 
+  /** Returns the number of known engines. */
   public int engineCount() {
     return engines.size();
   }
 
   /**
-   * Asks what became of the forwards that the life before left out; the engines are known by then.
+   * Asks the engines about the forwards that the previous run left unresolved. Called once the
+   * engines are known.
    */
   public void inquire() {
     if (!watch.left().isEmpty()) {
@@ -165,24 +190,27 @@
     return engines.get(id);
   }
 
-  /** So many managers share the engines from now on. */
+  /** Tells the module how many managers share the engines from now on. */
   public void siblings(int count) {
     told = true;
     module.siblings(timers.now(), count);
   }
 
-  /** The manager is to end, and no answer given after that time will count. */
+  /**
+   * Tells the module that the manager is stopping and that no answer given after the given time is
+   * delivered.
+   */
   public void stopping(long until) {
     told = true;
     module.stopping(timers.now(), until);
   }
 
-  /** Is no answer owed, and none still being read? */
+  /** Whether every task is answered and every answer has been sent. */
   public boolean idle() {
     return owed == 0 && sessions.values().stream().noneMatch(PgSession::busy);
   }
 
-  /** Ends all sessions, and each connection to an engine once its call has ended. */
+  /** Ends all sessions, and each connection to an engine once its open request has ended. */
   public void close() {
     engines.values().forEach(EngineLines::retire);
     new ArrayList<>(sessions.values()).forEach(PgSession::end);
@@ -190,16 +218,21 @@
 
   private void round() {
     new ArrayList<>(sessions.values()).forEach(PgSession::round);
-    // Not at once: the module may act on an engine in the very turn in which it hears that it has
-    // gone.
+    // Not removed at once, as the module may still act on an engine in the same decision in which
+    // it learns that the engine is gone.
     engines.values().removeIf(engine -> engine.forgotten(2 * ROUND));
     engines.values().forEach(EngineLines::trim);
     timers.at(timers.now() + ROUND, this::round);
   }
 
-  // ---- The command channel's side ----
+  // ---- Called by the command channel ----
 
-  /** Engines as listed, and where those are that have not gone. */
+  /**
+   * Takes over a list of engines.
+   *
+   * @param complete whether the list is complete; otherwise it holds only changes
+   * @param addresses the addresses of the engines that are not gone, by their ids
+   */
   public void engines(
       boolean complete, List<EngineEntry> entries, Map<String, InetSocketAddress> addresses) {
     counters.add("channel.lists");
@@ -223,8 +256,9 @@
     module.engines(timers.now(), complete, entries);
   }
 
-  // ---- The clients' side ----
+  // ---- Called for clients ----
 
+  /** Creates a session on an accepted connection; if there is no room, a session is rejected. */
   public void accepted(Connection connection) {
     counters.add("clients.connections");
     int number = ++sessionNumber;
@@ -239,8 +273,8 @@
   }
 
   /**
-   * Guards against crowds that connect and say nothing: they make room for each other, and for the
-   * usual clients.
+   * Returns the session to close when there is no room for a new one, or null. Many clients that
+   * connect and send nothing thus displace each other and not the clients that send queries.
    */
   private PgSession leastNeeded() {
     PgSession least = null;
@@ -314,8 +348,9 @@
   }
 
   /**
-   * The module's view beside what is on the sockets: they differ only by news that it has not yet
-   * been told. Of thousands of engines the first ones are shown, and how many are not.
+   * Appends the module's view of the engines next to the numbers of forwards on the sockets. They
+   * differ only by events that the module has not yet received. Of thousands of engines only the
+   * first ones are shown, with the number of those that are not.
    */
   private void engineStats(StringBuilder rows) {
     row(rows, "engines.known", engines.size());
@@ -379,7 +414,8 @@
   }
 
   /**
-   * The client waits no longer: it is told so, and the module that nobody needs an answer any more.
+   * Ends a task whose deadline has passed: the client gets an error, and the module is told that no
+   * answer is needed any more.
    */
   void timeUp(OpenTask task) {
     if (!task.answered()) {
@@ -399,8 +435,9 @@
     }
   }
 
-  // ---- What has become of a forward ----
+  // ---- Results of forwards and probes ----
 
+  /** Handles the end of a forward; the pages are null unless its outcome is OK. */
   void ended(
       OpenForward forward,
       Outcome outcome,
@@ -434,7 +471,7 @@
         report);
   }
 
-  /** The one place where a task stops being owed an answer. */
+  /** Ends a task. Every task is answered, or given up, through this method. */
   private void over(OpenTask task, TaskWatch.End end, long bytes, Runnable say) {
     owed--;
     counters.add(ENDED[end.ordinal()]);
@@ -451,14 +488,14 @@
     }
   }
 
-  /** What has come of a probe. */
+  /** Handles the end of a probe. */
   void probed(EngineLines engine, Outcome outcome, LoadReport report) {
     counters.add("probes.ended." + outcome);
     told = true;
     module.probed(timers.now(), engine.id, outcome, report);
   }
 
-  /** The load that an answer told, or null. */
+  /** Returns the load report of a response, or null if it has none. */
   LoadReport report(Http.Answer answer) throws Junk {
     String load = answer.field("x-load");
     return load == null ? null : config.report(figures(load));
--- a/src/main/java/tansytrack/state/OpenForward.java
+++ b/src/main/java/tansytrack/state/OpenForward.java
@@ -11,27 +11,38 @@
 import tansytrack.wire.PgSession;
 
 /**
- * One forward: the call that starts it, the questions after it, the pages of its result. All pages
- * are gathered before the first row goes to the client, as a page that is lost with its engine
- * could not be made good afterwards.
+ * One forward: the request that starts the query, the polls after it, and the pages of its result.
+ * All pages are collected before the first row goes to the client: if the engine failed in between,
+ * the missing pages could not be delivered, and the rows already sent could not be withdrawn.
  */
 final class OpenForward implements HttpLine.Caller {
 
   static final int COLUMNS = 3;
-  private static final int MOST_PAGES = 64; // a result is 48,000 bytes, a page 6,000 at most
+
+  // A result has at most 48,000 bytes, a page at most 6,000.
+  private static final int MOST_PAGES = 64;
   private static final int MOST_BYTES = 1 << 16;
   private static final long HELD_OPEN = AttemptCancellation.HELD_OPEN;
   private static final long MARGIN = AttemptCancellation.MARGIN;
-  private static final long OVERDUE =
-      HELD_OPEN + 2 * MARGIN; // a call without its answer by then has lost it
-  private static final int MOST_BROKEN =
-      8; // calls in a row: one in four spoilt makes this one in 65,000
-  private static final long LATEST =
-      50_000_000L; // a starting call is made again up to so long behind its decision
-  private static final long PAUSE = 10_000_000L; // before each further one, by how many came before
-  private static final long REFUSED_PAUSE = 50_000_000L; // likewise, before one that may be refused
+
+  // A request that is not answered within this time counts as lost.
+  private static final long OVERDUE = HELD_OPEN + 2 * MARGIN;
+
+  // Consecutive failed requests. If one in four fails, 8 in a row occur once in 65,000 times.
+  private static final int MOST_BROKEN = 8;
+
+  // The start request is retried only within this time after the decision to forward.
+  private static final long LATEST = 50_000_000L;
+
+  // Delay before a retry, multiplied by the number of retries before it.
+  private static final long PAUSE = 10_000_000L;
+
+  // The same for a retry after refused connections, up to a maximum number of steps.
+  private static final long REFUSED_PAUSE = 50_000_000L;
   private static final int MOST_PAUSES = 5;
-  private static final int REFUSALS_OF_THE_DEAD = 3; // in a row, behind a reset: its process died
+
+  // Consecutive refused connections after a reset that show that the engine's process has died.
+  private static final int REFUSALS_OF_THE_DEAD = 3;
 
   final OpenTask task;
   final int index;
@@ -42,23 +53,32 @@
   private final String path;
   private final List<byte[]> pages = new ArrayList<>();
   private Timers.Timer timer;
-  private HttpLine line; // with the open call
+  // The connection of the open request, null if there is none.
+  private HttpLine line;
   private int bytes;
   private int pageCount;
-  private boolean heard; // its engine ever said that it has the query
-  private boolean left; // a byte of the call that starts it was written
-  private boolean silent; // an answer was overdue since the last whole one
-  private boolean stalled; // a call ever went without an answer: it may yet be taken up
-  private int broken; // calls in a row that brought nothing whole
-  private int refusals; // of those, the last ones in a row that were refused
-  private boolean
-      reset; // a call ever broke since the last whole answer, on a connection that was up
+  // Whether the engine has ever confirmed that it has the query.
+  private boolean heard;
+  // Whether any byte of the start request may have been sent.
+  private boolean left;
+  // Whether a response has been overdue since the last complete one.
+  private boolean silent;
+  // Whether any request has ever gone unanswered; the engine may still process it.
+  private boolean stalled;
+  // Consecutive requests without a complete response.
+  private int broken;
+  // Consecutive refused connections at the end of those.
+  private int refusals;
+  // Whether an established connection broke during a request since the last complete response.
+  private boolean reset;
   private Timers.Timer callTimer;
   private boolean cancelled;
   private boolean over;
   private long calledAt;
-  private long askedAt; // the last question that may have come to the engine
-  private String asking; // what was asked last; null: the call that starts it
+  // When the last poll that may have reached the engine was sent.
+  private long askedAt;
+  // The path suffix of the last poll; null if the last request was the start request.
+  private String asking;
   private long until;
   private double cost;
   private double memory;
@@ -75,18 +95,21 @@
     path = "/o/" + task.id;
   }
 
-  /** Of the pages that it has brought so far. */
+  /** Returns the total size of the pages received so far. */
   int bytes() {
     return bytes;
   }
 
-  /** Sets until when it may take. */
+  /** Sets the time by which the forward must end. */
   void due(long by) {
     until = by;
     timer = timers.at(until, this::timeOut);
   }
 
-  /** Sends it, if it was not given up meanwhile; its end comes later, never within this call. */
+  /**
+   * Sends the start request unless the forward has been cancelled in the meantime. The end of the
+   * forward is reported later, never within this method.
+   */
   void start() {
     postOpen(Long.MAX_VALUE);
   }
@@ -169,12 +192,12 @@
         end(Outcome.OK);
       } else {
         String next = "/" + pages.size();
-        // Not within this call: the connection that brought the answer is free only behind it.
+        // Deferred, as the connection becomes idle only after this method returns.
         manager.later(() -> askRested(next));
       }
     } else if (again && asking != null && (wasSilent || !notRun)) {
-      // Not known after a break. Not an error: that would say it runs no more, and a key would not
-      // rest.
+      // The engine does not know the query after a failed request. This must not end as an error:
+      // that would mean that the query has ended, and the next one of its key could start too early.
       letGo(Outcome.RESET);
     } else if (status == 503) {
       end(notRun ? Outcome.FULL : Outcome.ERROR);
@@ -190,7 +213,10 @@
     }
   }
 
-  /** Takes a page that is whole and the one asked for; else it is junk and nothing has changed. */
+  /**
+   * Adds a page to the result. If it is not complete or not the requested one, the response is
+   * rejected and the state remains unchanged.
+   */
   private void page(Http.Answer answer) throws Junk {
     int count = pageCount;
     if (pages.isEmpty()) {
@@ -215,15 +241,16 @@
   }
 
   /**
-   * No whole answer in time: the connection is given up, and the query, which belongs to none,
-   * asked for on another.
+   * Handles a request without a complete response in time: the connection is closed, and the query,
+   * which is not bound to a connection, is polled on another one.
    */
   private void overdue() {
     if (!over && line != null) {
       manager.counters().add("calls.overdue");
       HttpLine open = line;
       stalled = true;
-      boolean up = open.up(); // then the call may have come to the engine
+      // On an established connection the request may have reached the engine.
+      boolean up = open.up();
       if (up) {
         engine.unanswered(open);
       }
@@ -233,10 +260,10 @@
   }
 
   /**
-   * Guards against spoilt answers, resets and silence, which cost a call and not the task: the
-   * query is asked for again while its engine may still have it. A refused connection proves that
-   * this call did not run, no more: an engine that drains, or holds all the connections that it
-   * can, refuses new ones and works on.
+   * Handles a request without a usable response. Malformed responses, resets and timeouts fail a
+   * request and not the task: the query is polled again while the engine may still have it. A refused
+   * connection proves only that this request was not processed: an engine that drains or is at its
+   * connection limit refuses new connections and continues to work.
    */
   @Override
   public void failed(HttpLine.Failure why) {
@@ -271,15 +298,15 @@
     if (why == HttpLine.Failure.UNSENT && broken < MOST_BROKEN) {
       manager.later(() -> postOpen(LATEST));
     } else {
-      end(Outcome.UNREACHED); // the call itself never left: nothing ran
+      end(Outcome.UNREACHED); // no byte of the request was sent, so the query did not run
     }
   }
 
   /**
-   * A process that dies resets its connections, and nothing listens there any more. Each sign alone
-   * has other causes, so all have to be there: a call that broke promptly, no connection that is
-   * up, new ones refused again and again, and an engine that is not told to drain, as such refuse
-   * new ones too.
+   * Whether the engine's process has died. The connections of a dead process are reset and new ones
+   * are refused. Each sign alone has other causes, so all are required: a request that failed without
+   * a timeout, no established connection, new connections refused repeatedly, and an engine that is
+   * not draining, as a draining one refuses connections too.
    */
   private boolean processDied() {
     return reset
@@ -299,16 +326,17 @@
       return Math.max(PAUSE, calledAt + OVERDUE - timers.now());
     }
     if (refusals > 0) {
-      // Where connections are up, the next question waits for one of them.
+      // If connections are established, the next poll waits for one of them to become idle.
       return engine.connected() ? 0 : Math.min(refusals, MOST_PAUSES) * REFUSED_PAUSE;
     }
     return (broken - 1) * PAUSE;
   }
 
   /**
-   * Guards against a query that begins behind its time: this is no new decision, so it holds only
-   * while nobody could have decided otherwise. Else the module hears that nothing was sent, and
-   * decides again under all its rules.
+   * Sends the start request if the decision to forward still holds: the task is unanswered, the
+   * engine accepts work, and the decision is not older than the given time. Otherwise the query
+   * could start too late; the forward ends as not sent, and the module decides again under all its
+   * rules.
    */
   private void postOpen(long latest) {
     if (over || cancelled) {
@@ -322,8 +350,8 @@
   }
 
   /**
-   * The list has changed. Guards against a call that begins at an engine told to drain while its
-   * connection came up.
+   * Handles a change of the engine list: a query must not start at an engine that was set to drain
+   * while the connection was being established.
    */
   void undrained() {
     if (!engine.takes()) {
@@ -332,8 +360,8 @@
   }
 
   /**
-   * It is not to begin any more. Guards against a query that begins behind its client's back: a
-   * call whose connection is still coming up is taken back, also where nothing that runs can be
+   * Withdraws the start request if its connection has not been established, so that the query does
+   * not start after its task was answered. This also applies where running queries cannot be
    * cancelled.
    */
   void takeBack() {
@@ -347,9 +375,9 @@
   }
 
   /**
-   * Its time is up. Guards against a key whose next task is sent beside this one: the client is
-   * answered at once, but the forward stays out until it is given up for sure, as the call for that
-   * may not be taken up.
+   * Handles the deadline of the forward. The client is answered at once, but the forward ends only
+   * when its query has certainly ended, as the cancellation may be delayed: until then the next task
+   * of its key must not be sent.
    */
   private void timeOut() {
     if (!over && timers.now() >= task.cutOffAt) {
@@ -359,20 +387,20 @@
   }
 
   /**
-   * Gives it up at its engine: its end comes once the call for that has gone out whole. Guards
-   * against a second forward beside this one: where the call cannot leave, as on a machine that
-   * vanished, the forward stays out until its engine must have dropped it for not being asked.
+   * Cancels the query at its engine. The forward ends once that is confirmed. If the engine cannot be
+   * reached, as when its machine has vanished, the forward ends only when the engine must have
+   * dropped the query for not being polled, so that no second forward runs next to this one.
    */
   void cancel() {
     letGo(Outcome.CANCELLED);
   }
 
-  /** Its connections broke and it was not found again. */
+  /** Gives up a forward whose requests failed repeatedly. */
   private void lost() {
     letGo(Outcome.RESET);
   }
 
-  /** From now on it is only to end; how it ended is said once that is sure. */
+  /** Cancels the query; the forward ends with the given outcome once the query has ended. */
   private void letGo(Outcome outcome) {
     if (!over && !cancelled) {
       cancelled = true;
@@ -398,6 +426,7 @@
     quiet();
   }
 
+  /** Sends a changed priority to the engine. */
   void priority(int priority) {
     if (!over && !cancelled) {
       engine.aside(
--- a/src/main/java/tansytrack/state/OpenTask.java
+++ b/src/main/java/tansytrack/state/OpenTask.java
@@ -4,19 +4,23 @@
 import java.util.List;
 import tansytrack.wire.PgSession;
 
-/** A task that is owed an answer, or has forwards out. */
+/** A task that is not answered yet, or that has forwards which have not ended. */
 final class OpenTask {
 
   final String id;
   final String grade;
   final byte[] statement;
   final long cutOffAt;
-  final boolean ordered; // one at a time with the others of its key
-  final String stamp; // a mark by which engines know a repeat, as its client gave it; or null
-  PgSession session; // null once it is answered or abandoned
+  // Whether the tasks of its key run one at a time.
+  final boolean ordered;
+  // The client's key by which engines recognise a repeated statement, or null.
+  final String stamp;
+  // Null once the task is answered or abandoned.
+  PgSession session;
   long memoryMb;
   int priority = 1;
   final List<OpenForward> forwards = new ArrayList<>(2);
+  // The number of forwards that have not ended.
   int out;
 
   OpenTask(
@@ -36,6 +40,7 @@
     this.session = session;
   }
 
+  /** Whether the task needs no answer any more. */
   boolean answered() {
     return session == null;
   }
--- a/src/main/java/tansytrack/state/Probe.java
+++ b/src/main/java/tansytrack/state/Probe.java
@@ -6,10 +6,10 @@
 import tansytrack.wire.HttpLine;
 import tansytrack.wire.Junk;
 
-/** A question for an engine's load. */
+/** A request for an engine's load report. */
 final class Probe implements HttpLine.Caller {
 
-  private static final int TRIES = 2; // further ones
+  private static final int TRIES = 2;
 
   private final Manager manager;
   private final EngineLines engine;
@@ -23,7 +23,7 @@
     this.engine = engine;
   }
 
-  /** Asks; its end comes later, never within this call. */
+  /** Sends the request. The end of the probe is reported later, never within this method. */
   void start(Timers timers, long within) {
     line = engine.call("GET", "/stats", this);
     timer = timers.at(timers.now() + within, this::late);
@@ -42,8 +42,8 @@
   }
 
   /**
-   * One spoilt answer or reset connection says nothing of the engine: it is asked again, within the
-   * same time.
+   * Retries after a malformed response or a broken connection, as one such failure says nothing about
+   * the engine. The time limit of the probe stays the same.
    */
   @Override
   public void failed(HttpLine.Failure why) {
--- a/src/main/java/tansytrack/state/Siblings.java
+++ b/src/main/java/tansytrack/state/Siblings.java
@@ -4,32 +4,35 @@
 import java.util.Map;
 
 /**
- * The other managers, as far as this one keeps in touch with them. Called on the loop; none of it
- * waits.
+ * The group of managers that share the engines, as known to this one. Called on the event loop's
+ * thread; no method blocks.
  */
 public interface Siblings extends AutoCloseable {
 
-  /** Where nothing is switched on. */
+  /** Used where the membership protocol is not configured. */
   Siblings NONE = new Siblings() {};
 
-  /** Columns of what is shown of members; read only, handed as it is to the rows' writer. */
+  /** The columns of SHOW FLEET. Not to be modified; the session sends it without a copy. */
   @SuppressWarnings("MutablePublicArray")
   String[] COLUMNS = {
     "name", "place", "standing", "stage", "since_s", "incarnation", "version", "settings", "facts"
   };
 
-  /** It takes tasks from now on. */
+  /** Tells the others that this manager accepts tasks from now on. */
   default void serving() {}
 
-  /** It is told to end. */
+  /** Tells the others that this manager is stopping. */
   default void ending() {}
 
-  /** Counts for SHOW STATS, by name. */
+  /** Returns the counters of the membership for SHOW STATS, by name. */
   default Map<String, Long> counts() {
     return Map.of();
   }
 
-  /** A row a member for SHOW FLEET, itself first; null: nothing is switched on. */
+  /**
+   * Returns one row for each member for SHOW FLEET, this manager first; null if the membership
+   * protocol is not configured.
+   */
   default List<String[]> members() {
     return null;
   }
--- a/src/main/java/tansytrack/state/TaskWatch.java
+++ b/src/main/java/tansytrack/state/TaskWatch.java
@@ -6,12 +6,12 @@
 import tansytrack.api.TaskOffer;
 
 /**
- * Hears what tasks do, in the loop; it must not block, and decides nothing about them. Times in
- * nanoseconds.
+ * Receives the events of tasks, on the event loop's thread. Implementations must not block, and do
+ * not decide about tasks. Times are in nanoseconds.
  */
 public interface TaskWatch {
 
-  /** How a task stopped being owed an answer. */
+  /** How a task ended for its client. */
   enum End {
     HANDLED,
     BOUNCED,
@@ -20,26 +20,33 @@
     TIME_UP
   }
 
-  /** A forward that the life before left out. */
+  /** A forward of a previous run of the manager whose outcome is unknown. */
   record Left(String task, String engine) {}
 
-  /** Hears nothing. */
+  /** Ignores all events. */
   TaskWatch NONE = new TaskWatch() {};
 
-  /** A task was taken in. */
+  /** Called when a task was accepted. */
   default void taken(long now, TaskOffer offer) {}
 
-  /** May new tasks come in, as far as what must be kept of them can be? */
+  /** Whether new tasks may be accepted, which requires that their records can be stored. */
   default boolean admits() {
     return true;
   }
 
-  /** A forward is to go out, by running go, once, here or a moment later in the loop. */
+  /**
+   * Called when a forward is to be sent. The implementation runs {@code go} exactly once to send it,
+   * here or shortly after on the event loop.
+   */
   default void sent(long now, String task, int index, String engine, long memoryMb, Runnable go) {
     go.run();
   }
 
-  /** A forward ended; served: what it brought goes to the client. */
+  /**
+   * Called when a forward has ended.
+   *
+   * @param served whether its result goes to the client
+   */
   default void ended(
       long now,
       String task,
@@ -50,24 +57,28 @@
       boolean served) {}
 
   /**
-   * The task's answer, which is to be given by running say, once, here or a moment later in the
-   * loop.
+   * Called when a task has ended for its client. The implementation runs {@code say} exactly once to
+   * give the answer, here or shortly after on the event loop.
    */
   default void answered(long now, String task, End end, long bytes, Runnable say) {
     say.run();
   }
 
-  /** What engines are to be asked about, once, after the start. */
+  /** Returns the forwards about which engines are to be asked once, after the start. */
   default Collection<Left> left() {
     return List.of();
   }
 
-  /** What an engine said of it: ended, with its work, or given up now. */
+  /**
+   * Called when an engine has answered about an unresolved forward.
+   *
+   * @param ended whether the query had ended, with the given work; otherwise it is cancelled now
+   */
   default void told(Left about, boolean ended, long work) {}
 
   /**
-   * Nothing comes any more; what is still to be given is given. Called by the loop's thread at its
-   * end.
+   * Called on the event loop's thread when the loop ends. No further events follow; answers that are
+   * still held back are given.
    */
   default void close() {}
 }
--- a/src/main/java/tansytrack/state/Timers.java
+++ b/src/main/java/tansytrack/state/Timers.java
@@ -2,9 +2,10 @@
 
 import java.util.TreeSet;
 
-/** The present time, as the loop last read it, and all that is to happen later, in one order. */
+/** The event loop's clock, read once in each iteration, and its queue of timers. */
 public final class Timers {
 
+  // A gap of this length between two readings of the clock, beyond sleep, counts as a stall.
   private static final long STALL = 10_000_000L;
 
   private final TreeSet<Timer> waiting = new TreeSet<>();
@@ -12,7 +13,7 @@
   private long calmSince;
   private long count;
 
-  /** Something to be done at a time, unless it is cancelled first. */
+  /** An action to be run at a given time unless it is cancelled before. */
   public final class Timer implements Comparable<Timer> {
     private final long at;
     private final long number = count++;
@@ -23,7 +24,7 @@
       this.what = what;
     }
 
-    /** Takes the timer back; nothing happens if it has run. */
+    /** Cancels the timer; has no effect if it has run. */
     public void cancel() {
       waiting.remove(this);
     }
@@ -34,43 +35,46 @@
     }
   }
 
-  /** The time of the loop's current round. */
+  /** Returns the time of the loop's current iteration, in nanoseconds. */
   public long now() {
     return now;
   }
 
-  /** The loop has been at work since it read the time before. */
+  /** Sets the time; the loop has not slept since the previous reading. */
   public void now(long time) {
     slept(time, 0);
   }
 
-  /** Or it wanted to sleep so long since then. */
+  /** Sets the time after the loop has slept for up to the given time since the previous reading. */
   public void slept(long time, long nap) {
     calmSince = time - now - nap >= STALL ? time : calmSince;
     now = time;
   }
 
   /**
-   * Since when the loop has got the time that it needs; what else runs beside it may have got none
-   * before that either.
+   * Returns the end of the last stall of the loop. During a stall, other threads of the process may
+   * have got no processor time either.
    */
   long calmSince() {
     return calmSince;
   }
 
-  /** Runs something on the loop once that time has come. */
+  /** Schedules an action to run on the loop at the given time. */
   public Timer at(long time, Runnable what) {
     Timer timer = new Timer(time, what);
     waiting.add(timer);
     return timer;
   }
 
-  /** How long until the next one is due, at most the given time. */
+  /** Returns the time until the next timer is due, at most the given time. */
   public long idle(long most) {
     return waiting.isEmpty() ? most : Math.max(0, Math.min(most, waiting.first().at - now));
   }
 
-  /** Does all that is due by now; what is added meanwhile waits for the next turn of the loop. */
+  /**
+   * Runs all timers that are due. Timers that are added meanwhile wait for the next iteration of the
+   * loop.
+   */
   public void run() {
     long last = count;
     while (!waiting.isEmpty() && waiting.first().at <= now && waiting.first().number < last) {
