--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -7,45 +7,67 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One TCP connection: a ring a direction, and the owner that is called back. Only the loop's thread
- * calls it; what the sockets see comes as notes. It gives back all that it holds in one place,
- * {@link #over}.
+ * One TCP connection with a ring buffer for each direction and an owner that receives its events.
+ * Its methods run on the event loop's thread only; the I/O threads hand socket events over to the
+ * loop. All its resources are released in one place, {@link #over()}.
  */
 public final class Connection {
 
-  /** Whose connection it is. */
+  /** Receives the events of a connection. */
   public interface Owner {
-    /** More bytes are in the ring; the last ones came at that time. */
+    /**
+     * Called when bytes have been added to the input buffer.
+     *
+     * @param at when the last of them were received
+     * @throws Junk if the bytes violate the protocol; the connection is then closed
+     */
     void heard(long at) throws Junk;
 
-    /** All that was to be written has been handed to the system. */
+    /** Called when the output buffer is empty and the operating system has taken all of it. */
     default void written() {}
 
-    /** It is over, or never came up; said once, and not when the owner itself closed it. */
+    /**
+     * Called once when the connection has been closed or could not be established, but not if the
+     * owner itself closed it.
+     *
+     * @param wasUp whether the connection had been established
+     */
     void closed(boolean wasUp);
 
-    /** It has given back what it held, whoever closed it; said once. */
+    /** Called once when the connection has released its resources, whoever closed it. */
     default void over() {}
   }
 
-  private static final int CHUNK = 1 << 15; // handed to the system at once: bounds what lies there
-  static final int MOST_UNREAD =
-      1 << 15; // handed over and not yet read: then reading stops for a while
+  // Bytes passed to the operating system at a time, which bounds the bytes queued there.
+  private static final int CHUNK = 1 << 15;
 
+  /** With more bytes handed over to the loop and not yet processed, reading is suspended. */
+  static final int MOST_UNREAD = 1 << 15;
+
+  /** Bytes that the I/O thread has handed over to the loop and that are not yet processed. */
   final AtomicInteger unread = new AtomicInteger();
+
+  /** The bytes received and not yet consumed by the owner. */
   public final Ring in;
+
+  /** The bytes to be sent. */
   public final Ring out;
+
   private final Sockets sockets;
   private Owner owner;
-  private IoSession session; // null until it is up
+  // Null until the connection is established.
+  private IoSession session;
   private ConnectFuture coming;
   private boolean writing;
   private boolean closing;
   private boolean over;
   private boolean refused;
-  private long handed; // bytes handed to the system so far, whether or not it has taken them
-  private long cameAt; // when it came up
-  private boolean shutByUs; // it was closed on this side, perhaps while the system was taking bytes
+  // Bytes passed to the operating system so far, whether or not it has taken them.
+  private long handed;
+  // When the connection was established.
+  private long cameAt;
+  // Whether this side closed the connection, possibly during a write.
+  private boolean shutByUs;
 
   Connection(Sockets sockets, int mostIn, int mostOut) {
     this.sockets = sockets;
@@ -53,51 +75,52 @@
     out = new Ring(mostOut);
   }
 
-  /** Names who is told of what comes in and of the end. */
+  /** Sets the owner, which receives all further events. */
   public void own(Owner by) {
     owner = by;
   }
 
-  /** Whether it may still be written to. */
+  /** Whether the connection can still be written to. */
   public boolean open() {
     return !over && !closing;
   }
 
-  /** It has given back all that it held. */
+  /** Whether the connection has released its resources. */
   public boolean ended() {
     return over;
   }
 
-  /** The machine it was to go to refused it: nothing listens there. */
+  /** Whether the peer's machine refused the connection. */
   public boolean refused() {
     return refused;
   }
 
-  /** Bytes that the system has taken so far. */
+  /** Returns the number of bytes that the operating system has taken so far. */
   public long taken() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
   /**
-   * Bytes that may have left so far. The system counts what it has taken only behind the write
-   * itself, on a thread of its own; so for a connection that was closed on this side all that was
-   * handed over counts, and the system's own count only where it was the one to say that the
-   * connection is over.
+   * Returns the number of bytes that may have been sent so far. The count of written bytes is updated
+   * by the I/O thread only after the write itself. If this side closed the connection, all bytes
+   * passed to the I/O thread therefore count as possibly sent; if the I/O thread reported the end,
+   * its count is exact.
    */
   long left() {
     return shutByUs ? handed : taken();
   }
 
-  /** Whether the socket is connected. */
+  /** Whether the connection is established. */
   public boolean up() {
     return session != null;
   }
 
+  /** Returns when the connection was established. */
   long cameAt() {
     return cameAt;
   }
 
-  /** The address of the other side, null before it is connected. */
+  /** Returns the peer's address, null before the connection is established. */
   public InetSocketAddress peer() {
     return session == null ? null : (InetSocketAddress) session.getRemoteAddress();
   }
@@ -106,9 +129,9 @@
     coming = future;
   }
 
-  /** It did not come up. */
+  /** Handles a failure to establish the connection. */
   void failed(Throwable why) {
-    // A connection that is reset while it comes up is no other type than one that is refused.
+    // A connection reset while it is being established has the same exception type as a refused one.
     refused =
         why instanceof java.net.ConnectException
             && why.getMessage() != null
@@ -154,7 +177,7 @@
     }
   }
 
-  /** Hands the next bytes to the system; the rest follows as those have gone. */
+  /** Passes the next bytes to the operating system; the rest follows once those are written. */
   public void flush() {
     if (over || session == null || writing) {
       return;
@@ -169,20 +192,20 @@
     }
   }
 
-  /** Closes it once all is written. */
+  /** Closes the connection once the output buffer is written. */
   public void finish() {
     closing = true;
     flush();
   }
 
-  /** Closes it now; the owner is not told. */
+  /** Closes the connection now without notifying the owner. */
   public void close() {
     if (!over) {
       over();
     }
   }
 
-  /** As if the peer had closed it. */
+  /** Closes the connection and notifies the owner as if the peer had closed it. */
   void drop() {
     if (!over) {
       boolean wasUp = session != null;
--- a/src/main/java/tansytrack/wire/Http.java
+++ b/src/main/java/tansytrack/wire/Http.java
@@ -4,20 +4,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** HTTP/1.1 as a caller speaks it: writes calls into a ring and reads answers from one. */
+/** The client side of HTTP/1.1: writes requests to a ring buffer and reads responses from one. */
 public final class Http {
 
   private static final int LONGEST_HEAD = 1 << 13;
 
-  /** An answer; the names of its fields in lower case. */
+  /**
+   * A complete response.
+   *
+   * @param fields the header fields by name in lower case
+   * @param lasts whether the connection can be used for another request
+   */
   public record Answer(int status, Map<String, String> fields, byte[] body, boolean lasts) {
 
-    /** The value of a header field by its name in lower case, or null. */
+    /** Returns the value of a header field, named in lower case, or null. */
     public String field(String name) {
       return fields.get(name);
     }
 
-    /** A field that is a number from 0 on; the other value where it is absent. */
+    /** Returns a header field that is a non-negative number, or the default if it is absent. */
     public double number(String name, double otherwise) throws Junk {
       String value = fields.get(name);
       return value == null ? otherwise : amount(value);
@@ -26,7 +31,7 @@
 
   private Http() {}
 
-  /** A call; the fields are whole lines, each with its line end. */
+  /** Writes a request; the header fields are given as complete lines, each with its line end. */
   public static void call(
       Ring out, String method, String path, String host, String fields, byte[] body) {
     String head =
@@ -46,8 +51,8 @@
   }
 
   /**
-   * The next final answer, taken out of the ring, or null while it is not whole. What only says
-   * that one will come (1xx) is passed over. An answer with its head may take half of the ring.
+   * Reads the next final response and removes it from the buffer; null while it is incomplete.
+   * Informational responses (1xx) are skipped. A body may be at most half as large as the buffer.
    */
   public static Answer answer(Ring in) throws Junk {
     while (true) {
@@ -64,7 +69,7 @@
     }
   }
 
-  /** Checks the first line of a head and gives its length. */
+  /** Checks the status line and returns its length. */
   private static int statusLine(byte[] head) throws Junk {
     int line = lineEnd(head, 0);
     if (line < 12
@@ -222,7 +227,7 @@
     return value;
   }
 
-  /** A finite number from 0 on. */
+  /** Parses a finite non-negative number. */
   public static double amount(String text) throws Junk {
     try {
       double value = Double.parseDouble(text);
@@ -230,7 +235,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // said below
+      // reported below
     }
     throw new Junk("not an amount: " + text);
   }
--- a/src/main/java/tansytrack/wire/HttpLine.java
+++ b/src/main/java/tansytrack/wire/HttpLine.java
@@ -2,40 +2,55 @@
 
 import java.net.InetSocketAddress;
 
-/** A connection that carries HTTP calls, one at a time. */
+/** A client connection for HTTP requests, one at a time. */
 public final class HttpLine implements Connection.Owner {
 
   /**
-   * Why no answer will come: the machine refused the connection; it did not come up in time; it
-   * ended before a byte of the call was written; or it broke, or brought what cannot be read, after
-   * that.
+   * Why a request gets no response. The names are part of counter names.
    */
   public enum Failure {
+    /** The peer's machine refused the connection. */
     REFUSED,
+    /** The connection was not established in time. */
     LATE,
+    /** The connection ended before any byte of the request was written. */
     UNSENT,
+    /** The connection broke, or delivered a malformed response, after that. */
     BROKEN
   }
 
-  /** Who made the call; one of answered and failed comes, once, unless the call was dropped. */
+  /**
+   * Receives the result of a request: exactly one of {@link #answered} and {@link #failed} is
+   * called, unless the connection is closed by {@link HttpLine#drop}.
+   */
   public interface Caller {
-    /** Junk: it cannot be used; the connection is closed, and the call counts as broken. */
+    /**
+     * Called with the complete response.
+     *
+     * @throws Junk if the response cannot be used; the connection is then closed and the request
+     *     fails as {@link Failure#BROKEN}
+     */
     void answered(Http.Answer answer) throws Junk;
 
-    /** No answer will come; nothing was written unless the connection broke. */
+    /**
+     * Called when no response will come. Nothing was written unless the reason is {@link
+     * Failure#BROKEN}.
+     */
     void failed(Failure why);
 
-    /** The call has gone out whole. */
+    /** Called when the request has been written completely. */
     default void written() {}
 
-    /** More of the answer has come, and it is not whole yet. */
+    /** Called when a further part of the response was received that does not complete it. */
     default void part() {}
   }
 
-  /** Who owns the line: told when it is free for the next call, or of no more use. */
+  /** Keeps the connections that are not in use. */
   public interface Holder {
+    /** Called when the connection is available for the next request. */
     void free(HttpLine line);
 
+    /** Called when the connection is closed and is of no further use. */
     void lost(HttpLine line);
   }
 
@@ -46,10 +61,16 @@
   private final Sockets sockets;
   private Caller caller;
   private long calledAt;
-  private long leftBefore; // bytes of earlier calls
-  private boolean fresh; // no answer has ever begun for the open call
+  // Bytes that had been sent before the open request.
+  private long leftBefore;
+  // Whether no byte of a response has been received since the open request was made.
+  private boolean fresh;
 
-  /** Answers with their heads may take half of the given bytes. */
+  /**
+   * Starts to establish a connection.
+   *
+   * @param mostIn size of the input buffer in bytes; the body of a response may take half of it
+   */
   public HttpLine(Sockets sockets, InetSocketAddress to, int mostIn, Holder holder) {
     this.sockets = sockets;
     this.holder = holder;
@@ -58,6 +79,7 @@
     connection = sockets.connect(to, mostIn, this);
   }
 
+  /** Returns the address that the connection was opened to. */
   public InetSocketAddress to() {
     return to;
   }
@@ -66,28 +88,37 @@
     return connection;
   }
 
+  /** Whether the connection is established. */
   public boolean up() {
     return connection.up();
   }
 
-  /** When it came up. */
+  /** Returns when the connection was established. */
   public long cameAt() {
     return connection.cameAt();
   }
 
-  /** The machine refused it: nothing listens there, or it takes no more connections. */
+  /**
+   * Whether the peer's machine refused the connection: no process listens there, or it accepts no
+   * more connections.
+   */
   public boolean refused() {
     return connection.refused();
   }
 
   /**
-   * When the open call, or the last one, could leave: as it was made, or once the connection was
-   * up.
+   * Returns the earliest time at which the open request, or the last one, could be sent: when it was
+   * made, or when the connection was established.
    */
   public long begunAt() {
     return Math.max(calledAt, connection.cameAt());
   }
 
+  /**
+   * Sends a request; it is written once the connection is established. There must be no open one.
+   *
+   * @param fields further header fields as complete lines, each with its line end
+   */
   public void call(String method, String path, String fields, byte[] body, Caller by) {
     caller = by;
     calledAt = sockets.time();
@@ -111,9 +142,8 @@
       caller.part();
       return;
     }
-    // More behind it belongs to no call. A second copy does no harm; anything else may be the rest
-    // of an answer whose
-    // length was wrong, so that this one is not whole.
+    // Bytes after the response belong to no request. A duplicate of the response does no harm; other
+    // bytes may be the rest of a response with a wrong length, which is then incomplete.
     boolean more = connection.in.size() > 0;
     if (more && answer.status() == 200 && connection.in.at(0) != 'H') {
       throw new Junk("more bytes than the length that was told");
@@ -152,7 +182,7 @@
     }
   }
 
-  /** Closes it; who made the open call is not told. */
+  /** Closes the connection without notifying the sender of the open request. */
   public void drop() {
     caller = null;
     connection.close();
--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -8,14 +8,17 @@
 import java.util.Map;
 
 /**
- * Reads JSON from bytes into maps, lists, strings, booleans, null, and numbers as Long or Double.
+ * Parses JSON into maps, lists, strings, booleans, null, and numbers as Long or Double. Static
+ * methods check the type of a parsed value.
  */
 public final class Json {
 
-  private static final int DEEPEST = 32; // far deeper than any message here
+  // Far more than any message of the command channel or configuration uses.
+  private static final int DEEPEST = 32;
 
   private final byte[] text;
-  private final Map<String, String> names = new HashMap<>(); // of members: each once in memory
+  // Member names by themselves, so that equal names share one string.
+  private final Map<String, String> names = new HashMap<>();
   private int at;
   private int depth;
 
@@ -23,6 +26,7 @@
     this.text = text;
   }
 
+  /** Parses a complete JSON text. */
   public static Object read(byte[] text) throws Junk {
     Json json = new Json(text);
     Object value = json.value();
@@ -33,6 +37,11 @@
     return value;
   }
 
+  /**
+   * Returns the value as an object.
+   *
+   * @param what names the value in the error message
+   */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> map(Object value, String what) throws Junk {
     if (value instanceof Map) {
@@ -41,6 +50,11 @@
     throw new Junk(what + " is not an object");
   }
 
+  /**
+   * Returns the value as a list.
+   *
+   * @param what names the value in the error message
+   */
   @SuppressWarnings("unchecked")
   public static List<Object> list(Object value, String what) throws Junk {
     if (value instanceof List) {
@@ -49,6 +63,11 @@
     throw new Junk(what + " is not a list");
   }
 
+  /**
+   * Returns the value as a string.
+   *
+   * @param what names the value in the error message
+   */
   public static String text(Object value, String what) throws Junk {
     if (value instanceof String) {
       return (String) value;
@@ -56,6 +75,11 @@
     throw new Junk(what + " is not a string");
   }
 
+  /**
+   * Returns the value as a number.
+   *
+   * @param what names the value in the error message
+   */
   public static double number(Object value, String what) throws Junk {
     if (value instanceof Number) {
       return ((Number) value).doubleValue();
--- a/src/main/java/tansytrack/wire/Junk.java
+++ b/src/main/java/tansytrack/wire/Junk.java
@@ -1,23 +1,30 @@
 package tansytrack.wire;
 
-/** A peer said what its protocol does not allow. */
+/** Signals that a peer sent something that its protocol does not allow. */
 public final class Junk extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final boolean cutOff;
 
-  /** A message that breaks the protocol; the text names how. */
+  /**
+   * Creates an exception for a message that violates the protocol. The text says how; it may be sent
+   * to clients, and its beginning labels a counter.
+   */
   public Junk(String what) {
     this(what, false);
   }
 
-  /** As above; cutOff: the message just ended too early. */
+  /**
+   * Creates an exception for a message that violates the protocol.
+   *
+   * @param cutOff whether the message is valid so far and only ends too early
+   */
   public Junk(String what, boolean cutOff) {
     super(what, null, false, false);
     this.cutOff = cutOff;
   }
 
-  /** What was wrong, without the figures and words of this one case. */
+  /** Returns a counter label: the message without the numbers and values of the single case. */
   String reason() {
     StringBuilder reason = new StringBuilder();
     for (char c : getMessage().toCharArray()) {
@@ -30,7 +37,7 @@
     return plain.isEmpty() ? "other" : plain;
   }
 
-  /** Is all right as far as it goes, and only its end is missing? */
+  /** Whether the message is valid so far and only ends too early. */
   public boolean cutOff() {
     return cutOff;
   }
--- a/src/main/java/tansytrack/wire/PgSession.java
+++ b/src/main/java/tansytrack/wire/PgSession.java
@@ -4,27 +4,41 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One client's session in the PostgreSQL protocol 3.0: simple queries, one after the other. */
+/**
+ * A client session of the PostgreSQL frontend/backend protocol 3.0. It serves only simple queries,
+ * one at a time.
+ */
 public final class PgSession implements Connection.Owner {
 
-  /** What sessions are for; one query is open at a time. */
+  /** Handles the queries and events of sessions. A session has one open query at a time. */
   public interface Front {
-    /** A statement has come whole at that time; it is owed one answer. */
+    /**
+     * Called for each query; it must be answered exactly once.
+     *
+     * @param at when the last byte of the query was received
+     */
     void query(PgSession session, byte[] statement, long at);
 
-    /** Somebody wants the query of the session with this key given up. */
+    /**
+     * Called for a cancel request.
+     *
+     * @param number the number of the session whose query is to be cancelled
+     * @param secret the secret key that the request names
+     */
     void cancel(int number, int secret);
 
-    /** The session ends; a query may have been open. */
+    /** Called when the session ends, possibly with an open query. */
     void gone(PgSession session);
 
-    /** A client spoke what the protocol does not allow, or past a bound, and is closed. */
+    /**
+     * Called when a session is closed because its client violated the protocol or exceeded a limit.
+     */
     default void malformed(String why) {}
 
-    /** Its connection has given back what it held. */
+    /** Called when the session's connection has released its resources. */
     void over(PgSession session);
 
-    /** To be done when the present news has been dealt with. */
+    /** Runs an action after the current event has been handled. */
     void later(Runnable what);
   }
 
@@ -32,16 +46,24 @@
   private static final int CANCEL = 80877102;
   private static final int TLS = 80877103;
   private static final int GSS = 80877104;
-  private static final int LONGEST = 1 << 15; // a message; statements here are far shorter
+
+  // The statements of clients are far shorter.
+  private static final int LONGEST = 1 << 15;
   private static final int SHORTEST_START = 8;
-  private static final int STUCK = 60; // rounds without a byte read by a client that is owed some:
-  // longer than any waits, as a cut before loses its answer
-  private static final int UNUSED = 120; // rounds without a word, for one that never asked anything
-  private static final int UNREADY =
-      4; // rounds without a whole message since its first byte, or since
-  // the connection came: far more than a round trip
-  private static final int MOST_VAIN =
-      50; // messages in a round that ask for nothing or cannot be used
+
+  // Rounds in which a client reads nothing of a pending answer before its session is closed. This is
+  // longer than any client waits, as closing earlier would lose the answer.
+  private static final int STUCK = 60;
+
+  // Rounds without any message before a session that has sent no usable query is closed.
+  private static final int UNUSED = 120;
+
+  // Rounds without a complete message since its first byte, or since the connection was accepted.
+  // Far longer than a round trip.
+  private static final int UNREADY = 4;
+
+  // Messages in a round that request nothing or cannot be used.
+  private static final int MOST_VAIN = 50;
   private static final String[] STATUS = {
     "server_version",
     "15.0",
@@ -56,7 +78,9 @@
     "standard_conforming_strings",
     "on"
   };
-  private static final int TEXT = 25; // the type of every column
+
+  // The type of every column.
+  private static final int TEXT = 25;
 
   private final Connection connection;
   private final Front front;
@@ -64,16 +88,29 @@
   private final int secret;
   private boolean started;
   private boolean querying;
-  private boolean skipping; // to the next Sync, after a message of the extended protocol
-  private long heardAt; // when the last bytes came
-  private long taken; // of what was written, by the last round
-  private int quiet; // rounds since anything was heard or written
-  private boolean asked; // something that could be used
-  private int unready; // rounds since a message was due that is not whole
-  private int vain; // messages in this round that asked for nothing
-  private Object open; // what the owner of the query keeps with it
-
-  /** A session on an accepted connection, with the key that a cancel request must name. */
+  // Whether messages are ignored up to the next Sync, after one of the extended query protocol.
+  private boolean skipping;
+  // When the last bytes were received.
+  private long heardAt;
+  // Bytes written to the client as of the last round.
+  private long taken;
+  // Rounds since anything was received or written.
+  private int quiet;
+  // Whether the client has ever sent a usable query.
+  private boolean asked;
+  // Rounds for which a message has been due and incomplete.
+  private int unready;
+  // Messages in this round that requested nothing.
+  private int vain;
+  // The handler's object for the open query, null if there is none.
+  private Object open;
+
+  /**
+   * Creates a session on an accepted connection.
+   *
+   * @param number identifies the session in cancel requests (the process ID of the protocol)
+   * @param secret the secret key that a cancel request must name
+   */
   public PgSession(Connection connection, Front front, int number, int secret) {
     this.connection = connection;
     this.front = front;
@@ -82,48 +119,49 @@
     connection.own(this);
   }
 
-  /** The session's number, the public part of its cancel key. */
+  /** Returns the number that identifies the session in cancel requests. */
   public int number() {
     return number;
   }
 
-  /** Whether a cancel request names this session's secret. */
+  /** Whether the secret key of a cancel request is the one of this session. */
   public boolean fits(int secret) {
     return this.secret == secret;
   }
 
-  /** The query that is waited for, null between queries. */
+  /** Returns the handler's object for the open query, null if there is none. */
   public Object open() {
     return open;
   }
 
-  /** Sets the query that is waited for; null: it is answered. */
+  /** Sets the handler's object for the open query; null if the query is answered. */
   public void open(Object query) {
     open = query;
     asked |= query != null;
   }
 
-  /** Has the connection given back what it held? */
+  /** Whether the session's connection has released its resources. */
   public boolean ended() {
     return connection.ended();
   }
 
-  /** Is an answer owed, or still being read by the client? */
+  /** Whether a query is open, or its answer has not been written completely. */
   public boolean busy() {
     return querying || connection.out.size() > 0;
   }
 
   /**
-   * How soon it is closed for a new one when there is no room: one that has not started first, then
-   * one that never asked, then an idle one; -1: not at all, as it is owed an answer.
+   * Returns the priority with which the session is closed to make room for a new one: 2 if its
+   * startup is not complete, 1 if it has sent no usable query, 0 if it is idle, and -1 if it must not
+   * be closed because an answer is pending.
    */
   public int dispensable() {
     return busy() || !connection.open() ? -1 : !started ? 2 : !asked ? 1 : 0;
   }
 
   /**
-   * One round, some time after the last: a client that stopped reading or speaking must not hold
-   * anything, nor one that never comes to the end of a message.
+   * Called periodically. Closes the session if its client has stopped reading or sending, or does not
+   * complete a message, so that such clients do not hold resources.
    */
   public void round() {
     vain = 0;
@@ -141,7 +179,7 @@
     }
   }
 
-  /** For a session that there is no room for. */
+  /** Rejects the session because there is no room for it. */
   public void refuse() {
     error("FATAL", "53300", "too many connections");
     end();
@@ -210,8 +248,8 @@
   }
 
   /**
-   * Guards against streams without end of messages that ask for nothing: they take the loop's time
-   * from the others.
+   * Counts a message that requests nothing, and closes the session if there are too many of them, as
+   * an endless stream of them takes the event loop's time from other clients.
    */
   private void vain() {
     if (++vain > MOST_VAIN) {
@@ -219,7 +257,7 @@
     }
   }
 
-  /** The open query could not be used. */
+  /** Answers the open query with an error, as it cannot be used. */
   public void unusable(String why) {
     error("22023", why);
     vain();
@@ -242,7 +280,7 @@
           ready();
         }
       }
-      case 'd', 'c', 'f' -> {} // the rest of a copy that was refused
+      case 'd', 'c', 'f' -> {} // the rest of a COPY that was rejected
       default -> fatal("08P01", "invalid frontend message type " + (message[0] & 255));
     }
   }
@@ -281,7 +319,11 @@
 
   // ---- Answers to the open query; each ends it ----
 
-  /** Rows as text, a tab between columns and a line feed after each row. */
+  /**
+   * Answers the open query with rows.
+   *
+   * @param pages rows as text with a tab between columns and a line feed after each row
+   */
   public void rows(String[] columns, List<byte[]> pages) {
     int bytes = 2;
     for (String column : columns) {
@@ -312,7 +354,10 @@
     done();
   }
 
-  /** Does every row of the page hold so many columns, and does it end with a row? */
+  /**
+   * Whether every row of the page has the given number of columns and the page ends with a complete
+   * row.
+   */
   public static boolean holdsRows(byte[] page, int columns) {
     int tabs = 0;
     for (byte b : page) {
@@ -344,7 +389,7 @@
     message('D', row.array());
   }
 
-  /** An error ends the query, not the session. */
+  /** Answers the open query with an error. The session continues. */
   public void error(String code, String text) {
     error("ERROR", code, text);
     done();
@@ -352,17 +397,17 @@
 
   private void done() {
     ready();
-    quiet = 0; // the wait for the answer was not the client's
+    quiet = 0; // the time until the answer does not count as the client's silence
     querying = false;
     open = null;
     connection.flush();
-    // What came behind the query has waited in the ring.
+    // Messages received after the query have been kept in the input buffer.
     if (connection.in.size() > 0) {
       front.later(() -> heard(heardAt));
     }
   }
 
-  // ---- What is written ----
+  // ---- Messages to the client ----
 
   private void ready() {
     message('Z', new byte[] {'I'});
@@ -384,14 +429,14 @@
   private void message(char type, byte[] body) {
     ByteBuffer head = ByteBuffer.allocate(5).put((byte) type).putInt(body.length + 4).flip();
     if (connection.out.space() < body.length + 5) {
-      front.later(this::cut); // asks on, but does not read what it is answered
+      front.later(this::cut); // the client sends queries without reading the answers
       return;
     }
     connection.out.put(head);
     connection.out.put(body);
   }
 
-  /** Closes the session once all is written; an open query is given up. */
+  /** Closes the session once the output is written. An open query is abandoned. */
   public void end() {
     connection.finish();
     front.gone(this);
--- a/src/main/java/tansytrack/wire/Ring.java
+++ b/src/main/java/tansytrack/wire/Ring.java
@@ -3,45 +3,47 @@
 import java.nio.ByteBuffer;
 
 /**
- * The bytes of one direction of a connection: a ring that starts small, doubles when full, and has
- * a bound.
+ * A ring buffer for the bytes of one direction of a connection. It starts small, doubles when full,
+ * and has a maximum capacity.
  */
 public final class Ring {
 
-  private static final int FIRST = 1 << 11; // most messages are shorter
+  // Most messages are shorter.
+  private static final int FIRST = 1 << 11;
 
-  private static final int KEPT =
-      1 << 13; // by an empty ring: hundreds of sessions must not keep their largest
+  // An empty buffer that has grown further is shrunk, so that hundreds of sessions do not keep the
+  // memory of their largest messages.
+  private static final int KEPT = 1 << 13;
 
   private final int most;
   private byte[] bytes = new byte[FIRST];
   private int head;
   private int size;
 
-  /** A ring that holds at most so many bytes; a power of two. */
+  /** Creates a buffer with the given maximum capacity in bytes, a power of two. */
   public Ring(int most) {
     if (Integer.bitCount(most) != 1 || most < FIRST) {
-      throw new IllegalArgumentException("the bound of a ring is a power of two from " + FIRST);
+      throw new IllegalArgumentException("the maximum capacity of a ring buffer must be a power of two of at least " + FIRST);
     }
     this.most = most;
   }
 
-  /** How many bytes it holds. */
+  /** Returns the number of bytes in the buffer. */
   public int size() {
     return size;
   }
 
-  /** How many bytes it may hold. */
+  /** Returns the maximum capacity in bytes. */
   public int most() {
     return most;
   }
 
-  /** What more it could hold. */
+  /** Returns the number of bytes that can be added up to the maximum capacity. */
   public int space() {
     return most - size;
   }
 
-  /** The byte at an index, counted from the oldest. */
+  /** Returns the byte at an index, counted from the oldest. */
   public byte at(int index) {
     if (index < 0 || index >= size) {
       throw new IndexOutOfBoundsException(index);
@@ -49,7 +51,7 @@
     return bytes[head + index & bytes.length - 1];
   }
 
-  /** Four bytes, the highest first. */
+  /** Returns the big-endian integer of the four bytes at an index. */
   public int intAt(int index) {
     return (at(index) & 255) << 24
         | (at(index + 1) & 255) << 16
@@ -57,7 +59,7 @@
         | (at(index + 3) & 255);
   }
 
-  /** Takes all of the buffer, or nothing: false if it does not fit. */
+  /** Adds all remaining bytes of the source, or none; returns false if they do not fit. */
   public boolean put(ByteBuffer from) {
     int count = from.remaining();
     if (count > space()) {
@@ -72,12 +74,12 @@
     return true;
   }
 
-  /** Takes all of the bytes, or nothing: false if they do not fit. */
+  /** Adds all of the bytes, or none; returns false if they do not fit. */
   public boolean put(byte[] from) {
     return put(ByteBuffer.wrap(from));
   }
 
-  /** A copy of some bytes, which stay in the buffer. */
+  /** Returns a copy of bytes, which remain in the buffer. */
   public byte[] copy(int from, int count) {
     if (from < 0 || count < 0 || from + count > size) {
       throw new IndexOutOfBoundsException(from + count);
@@ -94,7 +96,7 @@
     System.arraycopy(bytes, 0, copy, first, count - first);
   }
 
-  /** Drops the oldest bytes. */
+  /** Removes the oldest bytes. */
   public void skip(int count) {
     if (count < 0 || count > size) {
       throw new IndexOutOfBoundsException(count);
@@ -107,7 +109,7 @@
     }
   }
 
-  /** Takes the first bytes out. */
+  /** Removes the oldest bytes and returns them. */
   public byte[] take(int count) {
     byte[] taken = copy(0, count);
     skip(count);
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -28,20 +28,30 @@
 import org.tinylog.Logger;
 
 /**
- * All sockets, on Apache MINA: its threads only hand notes over to the loop, which alone touches
- * connections.
+ * All sockets of the process, based on Apache MINA. Its I/O threads only hand events over to the
+ * event loop; only the loop's thread accesses connections.
  */
 public final class Sockets {
 
   private static final AttributeKey CONNECTION = new AttributeKey(Sockets.class, "connection");
-  private static final int BACKLOG = 1024; // as many as there can be descriptors
-  private static final int READ_FIRST =
-      1 << 11; // bytes of a first read, and bounds to what MINA adapts it
+
+  // As many as there can be descriptors.
+  private static final int BACKLOG = 1024;
+
+  // Initial size of the read buffer, and the limits within which MINA adapts it, in bytes.
+  private static final int READ_FIRST = 1 << 11;
   private static final int READ_MOST = 1 << 14;
-  private static final int FRONT_IN = 1 << 16; // the longest message of a client
-  private static final int FRONT_OUT = 1 << 19; // a result of the most bytes, in the shortest rows
-  private static final int CALL_OUT = 1 << 17; // a statement, with its header
 
+  // Holds the longest message of a client.
+  private static final int FRONT_IN = 1 << 16;
+
+  // Holds a result of the maximum size with rows of the minimum size.
+  private static final int FRONT_OUT = 1 << 19;
+
+  // Holds a request with a statement and its header.
+  private static final int CALL_OUT = 1 << 17;
+
+  // Interval between log lines about closed connections.
   private static final long SAID_EVERY = 1_000_000_000L;
 
   private final Consumer<Runnable> hand;
@@ -63,14 +73,19 @@
   private int unsaid;
   private long saidAt;
 
-  /** All connections of the process; what their threads have to tell is handed to the loop. */
+  /**
+   * Creates the sockets.
+   *
+   * @param hand runs actions on the event loop
+   * @param clock time stamps of received data, in nanoseconds
+   */
   public Sockets(Consumer<Runnable> hand, LongSupplier clock) {
     this.hand = hand;
     this.clock = clock;
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
     acceptor.setReuseAddress(true);
-    acceptor.setCloseOnDeactivation(false); // or the end of listening would end all sessions
+    acceptor.setCloseOnDeactivation(false); // sessions stay open when listening ends
     acceptor.setBacklog(BACKLOG);
     acceptor.setHandler(new Handler());
     connector.setHandler(new Handler());
@@ -83,14 +98,15 @@
     config.setMaxReadBufferSize(READ_MOST);
   }
 
-  /** More accepted connections than that are closed at once. */
+  /** Sets the maximum number of accepted connections; further ones are closed at once. */
   public void mostAccepted(int most) {
     acceptor.most = most;
   }
 
   /**
-   * Guards against crowds that connect faster than the loop can turn them away: with no descriptor
-   * left nothing could be accepted and no engine reached.
+   * Closes surplus connections on the I/O thread. Clients can connect faster than the event loop
+   * could reject them, and without free descriptors no connection could be accepted and no engine
+   * reached.
    */
   private final class Acceptor extends NioSocketAcceptor {
     private final AtomicInteger held = new AtomicInteger();
@@ -103,8 +119,8 @@
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel from)
         throws Exception {
-      // MINA's own count follows only as its other thread takes the sessions: a whole backlog would
-      // slip through.
+      // MINA's own count is updated later, on another thread, so a whole backlog could exceed the
+      // limit.
       if (held.get() < most) {
         NioSession session = super.accept(processor, from);
         if (session != null) {
@@ -121,7 +137,11 @@
     }
   }
 
-  /** Listens there; each connection comes as a note, and is to get its owner at once. */
+  /**
+   * Listens on an address and returns the one it is bound to.
+   *
+   * @param to receives each accepted connection on the event loop, and must set its owner
+   */
   public InetSocketAddress listen(InetSocketAddress at, Consumer<Connection> to)
       throws IOException {
     accepted = to;
@@ -129,12 +149,16 @@
     return acceptor.getLocalAddress();
   }
 
-  /** Accepts no more connections; those that are open stay. */
+  /** Stops accepting connections; open ones stay open. */
   public void stopListening() {
     acceptor.unbind();
   }
 
-  /** A connection that is on its way; what is written meanwhile goes out once it is up. */
+  /**
+   * Starts to establish a connection. Data written before it is established is sent afterwards.
+   *
+   * @param mostIn maximum size of the input buffer in bytes
+   */
   public Connection connect(InetSocketAddress to, int mostIn, Connection.Owner owner) {
     Connection connection = new Connection(this, mostIn, CALL_OUT);
     connection.own(owner);
@@ -151,35 +175,39 @@
     return connection;
   }
 
-  /** The time now, by the clock that stamps what is heard. */
+  /** Returns the current time of the clock that time-stamps received data. */
   long time() {
     return clock.getAsLong();
   }
 
-  /** Connections open or on their way. */
+  /** Returns the number of connections that are open or being established. */
   public int open() {
     return open;
   }
 
   /**
-   * Reads on. Guards against a selector that waits up to a second, as MINA does not wake it for
-   * this: a list of a megabyte came in steps of 32 KiB a second. A flush of nothing wakes it.
+   * Resumes reading. MINA does not wake its selector for this, which waits up to a second: a list of
+   * one megabyte was received at 32 KiB a second. An empty flush wakes the selector.
    */
   void resumeRead(IoSession session) {
     session.resumeRead();
     processors.flush((NioSession) session);
   }
 
+  /** Called once for each connection that has been closed. */
   void gone(Connection connection) {
     open--;
   }
 
-  /** Connections closed for what came on them, by reason. */
+  /** Returns the numbers of connections closed for protocol violations, by reason. */
   public Map<String, Long> junk() {
     return junk;
   }
 
-  /** Said once a second at most: bad peers must not take the time of the others. */
+  /**
+   * Counts a connection that is closed for a protocol violation, and logs it, at most once a second,
+   * so that misbehaving peers do not take the time of the others.
+   */
   void junk(Connection connection, Junk junk) {
     this.junk.merge(junk.reason(), 1L, Long::sum);
     unsaid++;
@@ -194,7 +222,7 @@
     }
   }
 
-  /** Closes all connections and ends the threads. */
+  /** Closes all connections and stops the I/O threads. */
   public void close() {
     acceptor.dispose(false);
     connector.dispose(false);
@@ -207,7 +235,7 @@
     }
   }
 
-  /** Runs on MINA's threads: nothing here but handing over. */
+  /** Runs on MINA's threads and only hands events over to the event loop. */
   private final class Handler extends IoHandlerAdapter {
 
     @Override
@@ -235,7 +263,8 @@
       if (connection.unread.addAndGet(bytes.remaining()) > Connection.MOST_UNREAD) {
         session.suspendRead();
         if (connection.unread.get() <= Connection.MOST_UNREAD) {
-          session.resumeRead(); // the loop has taken it meanwhile, and saw nothing to resume
+          // The loop has processed the bytes meanwhile, before reading was suspended.
+          session.resumeRead();
         }
       }
       hand.accept(() -> connection.heard(bytes, at));
--- a/src/main/java/tansytrack/wire/Statement.java
+++ b/src/main/java/tansytrack/wire/Statement.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * A statement as a client writes it: fields in a comment ahead, and the group of tables in a
- * schema's name.
+ * An SQL statement as a client writes it. A leading comment carries fields, and the name of a schema
+ * carries the number of the data set.
  */
 public final class Statement {
 
@@ -36,8 +36,10 @@
   private final byte[] text;
   private final byte[] body;
   private int at;
-  private String word; // the name just read, in lower case; null for anything else
-  private boolean bare; // not in quotation marks, so it may be a key word
+  // The identifier or keyword just read, in lower case unless quoted; null for any other token.
+  private String word;
+  // Whether it is not in quotation marks, so that it may be a keyword.
+  private boolean bare;
 
   private Statement(byte[] text, int from) {
     this.text = text;
@@ -45,7 +47,7 @@
     at = from;
   }
 
-  /** Reads the comment at the head of a statement, and its fields. */
+  /** Parses the leading comment of a statement, if there is one, and its fields. */
   public static Statement read(byte[] text) throws Junk {
     int from = blanks(text, 0);
     if (from + 1 >= text.length || text[from] != '/' || text[from + 1] != '*') {
@@ -63,18 +65,18 @@
     return made;
   }
 
-  /** The value of a field in the leading comment, or null. */
+  /** Returns the value of a field in the leading comment, or null. */
   public String field(String name) {
     return fields.get(name);
   }
 
-  /** Is it these words, in any case and with blanks round them? */
+  /** Whether the statement is the given text, ignoring case and surrounding white space. */
   public boolean is(String words) {
     return body.length < 2 * words.length()
         && string(text.length - body.length, text.length).strip().equalsIgnoreCase(words);
   }
 
-  /** The statement without that comment. */
+  /** Returns the statement without the leading comment. */
   public byte[] body() {
     return body;
   }
@@ -111,14 +113,15 @@
   }
 
   /**
-   * The number behind the underscore in the name of the schema that is read or written, or -1. A
-   * name where a table stands goes before any other: an alias may look like a schema too.
+   * Returns the number of the data set: the digits after the underscore in the name of the schema
+   * that is read or written; -1 if there are none. A name in the position of a table takes precedence
+   * over any other, as an alias may look like a schema too.
    */
   public long group() {
     long other = -1;
-    boolean tables = false; // a list of tables is open
-    boolean wanted = false; // a table's name would stand here
-    String schema = null; // a name that a dot may follow
+    boolean tables = false; // within a list of tables
+    boolean wanted = false; // a table's name may follow
+    String schema = null; // the last name, which a dot may follow
     boolean dotted = false;
     while (next()) {
       if (word == null) {
@@ -176,7 +179,10 @@
     return at + ahead < text.length ? text[at + ahead] : 0;
   }
 
-  /** Reads the next name or sign, past blanks, comments and strings; false at the end. */
+  /**
+   * Reads the next name or sign, skipping white space, comments, strings and numbers; returns false
+   * at the end.
+   */
   private boolean next() {
     word = null;
     while (at < text.length) {
@@ -195,7 +201,7 @@
         at++;
         quoted('\'', true);
       } else if (sign == '$' && dollars()) {
-
+        // the string has been skipped
       } else if (sign == '"') {
         int from = at;
         quoted('"', false);
@@ -247,7 +253,7 @@
     }
   }
 
-  /** Past a string or a quoted name; a doubled mark stands for itself. */
+  /** Skips a string or a quoted name, in which a doubled quotation mark stands for itself. */
   private void quoted(char mark, boolean escapes) {
     at++;
     while (at < text.length) {
@@ -265,7 +271,7 @@
     at = Math.min(at, text.length);
   }
 
-  /** Past a string between dollar marks, if one starts here. */
+  /** Skips a dollar-quoted string if one starts here. */
   private boolean dollars() {
     int end = at + 1;
     while (end < text.length && (letter(text[end]) || (digit(text[end]) && end > at + 1))) {
--- a/src/test/java/tansytrack/state/EngineLinesTest.java
+++ b/src/test/java/tansytrack/state/EngineLinesTest.java
@@ -21,8 +21,8 @@
 import tansytrack.wire.Sockets;
 
 /**
- * Connections to one engine, on a clock and an inbox that the test holds; the sockets' thread stops
- * where it says.
+ * Tests the connections to one engine with a clock and an event queue under the test's control. The
+ * I/O thread can be made to wait.
  */
 class EngineLinesTest {
 
@@ -30,7 +30,8 @@
 
   private final AtomicLong clock = new AtomicLong(1000 * MS);
   private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
-  private volatile CountDownLatch stop; // where set, the sockets' thread waits behind its next note
+  // If set, the I/O thread waits for it after handing over its next event.
+  private volatile CountDownLatch stop;
   private final List<String> answers = new ArrayList<>();
 
   private void hand(Runnable note) {
@@ -77,9 +78,10 @@
   }
 
   /**
-   * Guards against a second copy of an answer that comes some milliseconds late while the loop and
-   * the sockets' thread get no time: read behind the next call on its connection it would pass for
-   * the answer to that one.
+   * A duplicate of a response that arrives some milliseconds late, while the event loop and the I/O
+   * thread get no processor time, must not be taken for the response to the next request on the same
+   * connection. After a stall, that request therefore needs another connection; after plain sleep it
+   * reuses the first one.
    */
   @ParameterizedTest(name = "{0} ms of sleep, {1} ms without time: {2} connections")
   @CsvSource({"12, 0, 1", "0, 12, 2"})
@@ -110,7 +112,7 @@
         first.getOutputStream().write(answer("one"));
         until(1);
         if (stalled > 0) {
-          first.getOutputStream().write(answer("one")); // the copy: nobody reads it yet
+          first.getOutputStream().write(answer("one")); // the duplicate, which is not read yet
         }
         clock.addAndGet((slept + stalled) * MS);
         timers.slept(clock.get(), slept * MS);
@@ -131,7 +133,7 @@
                         call(new DataInputStream(second.getInputStream()));
                         second.getOutputStream().write(answer("two"));
                       } catch (Exception e) {
-                        // the verdict is the answer that comes
+                        // the assertion on the responses fails then
                       }
                     });
             reader.start();
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -19,7 +19,9 @@
 import tansytrack.wire.PgSession;
 import tansytrack.wire.Sockets;
 
-/** News that cross: what the module still does with a task or an engine that is gone by then. */
+/**
+ * Tests events that cross each other: the module acts on a task or an engine that is gone by then.
+ */
 class ManagerTest {
 
   private static final long MS = 1_000_000L;
@@ -83,7 +85,10 @@
         timers.now());
   }
 
-  /** Guards against a manager that dies of a client which leaves in the same turn of the loop. */
+  /**
+   * The manager must not fail if a client leaves in the iteration of the loop in which its task is
+   * forwarded.
+   */
   @ParameterizedTest(name = "left before the turn: {0}")
   @CsvSource({"true, forwards.ended.NEVER_SENT", "false, forwards.ended.UNREACHED"})
   void aTaskThatIsLeftInTheSameTurnIsNeverSent(boolean before, String end) {
@@ -92,7 +97,7 @@
       manager.gone(session);
     }
     manager.turn();
-    // Nothing ever comes up: what was sent is given up after its time.
+    // No connection is ever established: what was sent ends after the connect timeout.
     timers.now(timers.now() + 250 * MS);
     timers.run();
     assertThat(manager.counters().of(end)).isEqualTo(1);
@@ -102,7 +107,7 @@
   }
 
   /**
-   * Guards against a manager that dies of an engine which goes in the turn in which it is probed.
+   * The manager must not fail if an engine leaves in the iteration of the loop in which it is probed.
    */
   @ParameterizedTest
   @ValueSource(strings = {"GONE", "DRAINING"})
@@ -114,7 +119,10 @@
     assertThat(manager.counters().of("probes.sent")).isEqualTo(1);
   }
 
-  /** Guards against an engine that is listed again in the turn of a sweep which forgets it. */
+  /**
+   * An engine that is listed again must be usable, also if that happens in the iteration of the
+   * loop in which the periodic check would remove it.
+   */
   @ParameterizedTest(name = "{0} ms later")
   @ValueSource(longs = {0, 5000})
   void anEngineMayComeBack(long later) {
@@ -130,8 +138,8 @@
   }
 
   /**
-   * Guards against a second copy: what a silent machine was never told to drop stays out until it
-   * must have.
+   * A forward that cannot be cancelled, as its machine does not respond, must not end before the
+   * engine has certainly dropped the query. Otherwise a second query could run next to it.
    */
   @ParameterizedTest(name = "after {0} ms: {1} ended")
   @CsvSource({"260, 0", "2010, 0", "2400, 0", "4010, 0", "4260, 0", "4400, 1"})
--- a/src/test/java/tansytrack/wire/HttpLineTest.java
+++ b/src/test/java/tansytrack/wire/HttpLineTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A line whose session takes what it is handed, and has counted none of it yet: the system's thread
- * is in the write.
+ * Tests a connection whose session accepts written data and has not counted it yet, as when the I/O
+ * thread is within the write.
  */
 class HttpLineTest implements HttpLine.Holder, HttpLine.Caller {
 
@@ -33,7 +33,10 @@
     failures.add(why);
   }
 
-  /** Guards against a second copy: a call that may have left is made again as if none of it had. */
+  /**
+   * A request that may have been sent must not be reported as unsent: it would be sent again, and the
+   * query would run twice.
+   */
   @ParameterizedTest(name = "up: {0}, ended by {1}: {2}")
   @CsvSource({"true, us, BROKEN", "true, the system, UNSENT", "false, the system, UNSENT"})
   void whatWasHandedOverMayHaveLeft(boolean up, String by, HttpLine.Failure told) {
@@ -44,7 +47,7 @@
     }
     line.call("POST", "/o", "", new byte[0], this);
     if (by.equals("us")) {
-      // Noise from before the call, which the loop reads only now.
+      // Bytes received before the request, which the loop processes only now.
       line.connection().heard(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
     } else {
       line.connection().drop();
--- a/src/test/java/tansytrack/wire/ParsersTest.java
+++ b/src/test/java/tansytrack/wire/ParsersTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is read from peers: byte by byte, and junk. */
+/** Tests the parsers of peers' data with partial and malformed input. */
 class ParsersTest {
 
   private static byte[] bytes(String text) {
@@ -207,8 +207,8 @@
   }
 
   /**
-   * Guards against a peer whose bytes end the manager: whatever they are, they are read or are
-   * junk.
+   * No bytes of a peer may make the manager fail: a parser accepts them or rejects them with its
+   * checked exception.
    */
   @ParameterizedTest
   @ValueSource(
--- a/src/test/java/tansytrack/wire/PgSessionTest.java
+++ b/src/test/java/tansytrack/wire/PgSessionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A session whose connection never sends: nobody reads what it is answered. */
+/** Tests a session whose connection never sends, as if the client did not read. */
 class PgSessionTest implements PgSession.Front {
 
   private final Connection connection =
@@ -55,7 +55,8 @@
   }
 
   /**
-   * Guards against clients that hold a descriptor and do nothing with it, or never end a message.
+   * A client that holds a descriptor without using it, or never completes a message, is
+   * disconnected.
    */
   @ParameterizedTest(name = "start {0}, query {1}: given up in round {2}")
   @CsvSource({"'', '', 5", "yes, '', 61", "yes, SELECT 1, 61", "half, '', 5", "yes, half, 5"})
@@ -74,8 +75,8 @@
   }
 
   /**
-   * Guards against streams without end that cost the loop's time: 50 in a round, then the session
-   * ends.
+   * An endless stream of messages that request nothing must not take the event loop's time: after 50
+   * in a round the session ends.
    */
   @ParameterizedTest(name = "{0} messages of {1}, a round after every {2}: ends {3}")
   @CsvSource({
@@ -111,8 +112,8 @@
   }
 
   /**
-   * Guards against a long answer that is cut at its first bytes, as its task took long and nothing
-   * was said before.
+   * The time until the answer does not count as the client's inactivity. Otherwise the answer of a
+   * long task would be cut off at its first bytes.
    */
   @Test
   void aLongWaitForAnAnswerIsNotTheClients() {
@@ -129,8 +130,7 @@
   }
 
   /**
-   * Guards against a client that asks on without reading: its answers must not pile up past the
-   * ring.
+   * The answers for a client that sends queries without reading must not exceed the output buffer.
    */
   @ParameterizedTest
   @CsvSource({"10, false", "100, true"})
@@ -148,8 +148,8 @@
   }
 
   /**
-   * A query crosses the end of its session: read behind that it must not be sent on, as its answer
-   * could not leave.
+   * A query that is received after the end of its session must not be passed on, as its answer could
+   * not be sent.
    */
   @Test
   void whatIsReadBehindTheEndOfASessionIsNotAsked() {
--- a/src/test/java/tansytrack/wire/SocketsTest.java
+++ b/src/test/java/tansytrack/wire/SocketsTest.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What happens before the loop hears of it. */
+/** Tests what the I/O threads do on their own. */
 class SocketsTest {
 
   /**
-   * Guards against crowds that take the last descriptor while the loop is busy: here it never takes
-   * a note.
+   * Many clients that connect while the event loop is busy must not take the last descriptors. In
+   * this test the loop processes no event at all.
    */
   @Test
   void moreConnectionsThanThereMayBeAreClosedWhereTheyAreAccepted() throws IOException {
@@ -33,7 +33,7 @@
       try {
         closed += client.getInputStream().read() < 0 ? 1 : 0;
       } catch (IOException e) {
-        assertThat(i).as("one within the bound stays open").isLessThan(2);
+        assertThat(i).as("a connection within the limit stays open").isLessThan(2);
       }
     }
     assertThat(closed).isEqualTo(18);
