--- a/src/main/java/tansytrack/state/Intake.java
+++ b/src/main/java/tansytrack/state/Intake.java
@@ -53,7 +53,7 @@
 
   /**
    * Returns the key by which engines recognise a repeated statement, or null. It is passed on
-   * unchanged in a header field, so only letters, digits and a few signs are allowed.
+   * unchanged in a header field, so it may hold only letters, digits, and the characters _, . and -.
    */
   static String stamp(Statement statement) throws Junk {
     String stamp = statement.field("once");
--- a/src/test/java/tansytrack/state/EngineLinesTest.java
+++ b/src/test/java/tansytrack/state/EngineLinesTest.java
@@ -83,7 +83,7 @@
    * connection. After a stall, that request therefore needs another connection; after plain sleep it
    * reuses the first one.
    */
-  @ParameterizedTest(name = "{0} ms of sleep, {1} ms without time: {2} connections")
+  @ParameterizedTest(name = "{0} ms of sleep, {1} ms of stall: {2} connections")
   @CsvSource({"12, 0, 1", "0, 12, 2"})
   void whatCameDuringAStallIsNoAnswerToTheNextCall(long slept, long stalled, int connections)
       throws Exception {
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -89,7 +89,7 @@
    * The manager must not fail if a client leaves in the iteration of the loop in which its task is
    * forwarded.
    */
-  @ParameterizedTest(name = "left before the turn: {0}")
+  @ParameterizedTest(name = "left before the decision: {0}")
   @CsvSource({"true, forwards.ended.NEVER_SENT", "false, forwards.ended.UNREACHED"})
   void aTaskThatIsLeftInTheSameTurnIsNeverSent(boolean before, String end) {
     ask();
--- a/src/test/java/tansytrack/wire/HttpLineTest.java
+++ b/src/test/java/tansytrack/wire/HttpLineTest.java
@@ -37,8 +37,8 @@
    * A request that may have been sent must not be reported as unsent: it would be sent again, and the
    * query would run twice.
    */
-  @ParameterizedTest(name = "up: {0}, ended by {1}: {2}")
-  @CsvSource({"true, us, BROKEN", "true, the system, UNSENT", "false, the system, UNSENT"})
+  @ParameterizedTest(name = "connected: {0}, closed by {1}: {2}")
+  @CsvSource({"true, this side, BROKEN", "true, the I/O thread, UNSENT", "false, the I/O thread, UNSENT"})
   void whatWasHandedOverMayHaveLeft(boolean up, String by, HttpLine.Failure told) {
     Sockets sockets = new Sockets(note -> {}, () -> 5);
     HttpLine line = new HttpLine(sockets, new InetSocketAddress("127.0.0.1", 1), 1 << 16, this);
@@ -46,7 +46,7 @@
       line.connection().came(new DummySession());
     }
     line.call("POST", "/o", "", new byte[0], this);
-    if (by.equals("us")) {
+    if (by.equals("this side")) {
       // Bytes received before the request, which the loop processes only now.
       line.connection().heard(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
     } else {
--- a/src/test/java/tansytrack/wire/PgSessionTest.java
+++ b/src/test/java/tansytrack/wire/PgSessionTest.java
@@ -58,7 +58,7 @@
    * A client that holds a descriptor without using it, or never completes a message, is
    * disconnected.
    */
-  @ParameterizedTest(name = "start {0}, query {1}: given up in round {2}")
+  @ParameterizedTest(name = "start {0}, query {1}: closed in round {2}")
   @CsvSource({"'', '', 5", "yes, '', 61", "yes, SELECT 1, 61", "half, '', 5", "yes, half, 5"})
   void aClientThatDoesNothingIsCut(String start, String query, int round) {
     send(start.equals("half") ? "" : start, query.equals("half") ? "" : query);
