--- a/src/main/java/tansytrack/state/AttemptCancellation.java
+++ b/src/main/java/tansytrack/state/AttemptCancellation.java
@@ -11,80 +11,85 @@
  */
 final class AttemptCancellation {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** The longest time that an engine holds a long poll open. */
-  static final long HELD_OPEN = 250 * MS;
+  static final long MAX_LONG_POLL_NANOS = 250 * NANOS_PER_MS;
 
   /** Allows for the network round trip and for clock differences. */
-  static final long MARGIN = 150 * MS;
+  static final long TRANSIT_MARGIN_NANOS = 150 * NANOS_PER_MS;
 
   // An engine drops a query that was not polled for 2 s. It checks for such queries every 2 s, so
   // a query may run for up to 4 s after its last poll, which may itself have been held open.
-  private static final long UNASKED = 2000 * MS;
-  private static final long UNASKED_CHECK_INTERVAL = 2000 * MS;
+  private static final long UNPOLLED_EXPIRY_NANOS = 2000 * NANOS_PER_MS;
+  private static final long UNPOLLED_CHECK_INTERVAL_NANOS = 2000 * NANOS_PER_MS;
 
   /** The time after the last poll by which a reachable engine has dropped the query. */
-  static final long DROPPED_UNASKED = UNASKED + UNASKED_CHECK_INTERVAL + HELD_OPEN + MARGIN;
+  static final long MAX_UNPOLLED_LIFETIME_NANOS =
+      UNPOLLED_EXPIRY_NANOS
+          + UNPOLLED_CHECK_INTERVAL_NANOS
+          + MAX_LONG_POLL_NANOS
+          + TRANSIT_MARGIN_NANOS;
 
   // Far longer than it takes to establish a connection and send a request on it.
-  private static final long OVERTAKEN = 100 * MS;
-  private static final long FIRST_PAUSE = 50 * MS;
-  private static final long LONGEST_PAUSE = 400 * MS;
+  private static final long SECOND_DELETE_DELAY_NANOS = 100 * NANOS_PER_MS;
+  private static final long INITIAL_RETRY_DELAY_NANOS = 50 * NANOS_PER_MS;
+  private static final long MAX_RETRY_DELAY_NANOS = 400 * NANOS_PER_MS;
 
   /**
    * What the manager knows about the attempt.
    *
    * @param path the path of its query at the engine
-   * @param askedAt when the last poll, or the start request, that may have reached the engine was
-   *     sent
+   * @param lastPolledAt when the last poll, or the start request, that may have reached the engine
+   *     was sent
    * @param deadline the time by which the query must end
-   * @param known whether the engine has ever confirmed that it has the query
-   * @param silent whether a request for the attempt went unanswered; the cancellation then uses only
-   *     connections that have delivered a response since
+   * @param knownToEngine whether the engine has ever confirmed that it has the query
+   * @param hadUnansweredRequest whether a request for the attempt went unanswered; the cancellation
+   *     then uses only connections that have delivered a response since
    * @param ordered whether the next query of its key must not start before this one has ended
-   * @param startMayComeLate whether the engine may process the start request as late as it would
+   * @param startMayArriveLate whether the engine may process the start request as late as it would
    *     still keep the query
    */
   record Attempt(
       String path,
-      long askedAt,
+      long lastPolledAt,
       long deadline,
-      boolean known,
-      boolean silent,
+      boolean knownToEngine,
+      boolean hadUnansweredRequest,
       boolean ordered,
-      boolean startMayComeLate) {}
+      boolean startMayArriveLate) {}
 
-  private final EngineLines engine;
+  private final EngineConnections engine;
   private final Timers timers;
   private final Attempt attempt;
-  private final Runnable ended;
+  private final Runnable onEnd;
   private final long answeredSince;
-  private long pause = FIRST_PAUSE;
+  private long retryDelay = INITIAL_RETRY_DELAY_NANOS;
   // Whether the engine has responded to an earlier DELETE.
   private boolean confirmed;
   // Whether a DELETE is in progress.
-  private boolean asking;
-  private boolean over;
+  private boolean deleteInProgress;
+  private boolean finished;
 
-  AttemptCancellation(EngineLines engine, Timers timers, Attempt attempt, Runnable ended) {
+  AttemptCancellation(EngineConnections engine, Timers timers, Attempt attempt, Runnable ended) {
     this.engine = engine;
     this.timers = timers;
     this.attempt = attempt;
-    this.ended = ended;
-    answeredSince = attempt.silent() ? timers.now() : EngineLines.ANY_TIME;
+    this.onEnd = ended;
+    answeredSince = attempt.hadUnansweredRequest() ? timers.now() : EngineConnections.ANY_TIME;
   }
 
   /**
-   * Returns the time by which a query that is no longer polled has certainly ended. A stalled engine
-   * drops no query while it is stalled, so there only the query's own deadline counts. An engine
-   * that accepts connections and answers nothing is known to be stalled. One that accepts no
+   * Returns the time by which a query that is no longer polled has certainly ended. A stalled
+   * engine drops no query while it is stalled, so there only the query's own deadline counts. An
+   * engine that accepts connections and answers nothing is known to be stalled. One that accepts no
    * connections either cannot be told from a machine that is disconnected from the network, so for
    * an ordered query the engine counts as stalled until the engine list says that it is gone.
    */
-  static long endsUnasked(EngineLines engine, long askedAt, long deadline, boolean ordered) {
+  static long unpolledEndTime(
+      EngineConnections engine, long askedAt, long deadline, boolean ordered) {
     boolean mayStandStill = (ordered || engine.unresponsive()) && !engine.retired();
-    return (mayStandStill ? Math.max(askedAt, deadline) : askedAt) + DROPPED_UNASKED;
+    return (mayStandStill ? Math.max(askedAt, deadline) : askedAt) + MAX_UNPOLLED_LIFETIME_NANOS;
   }
 
   void start() {
@@ -93,9 +98,10 @@
   }
 
   private void delete() {
-    if (!over) {
-      asking = true;
-      engine.aside("DELETE", attempt.path(), EngineLines.NOTHING, answeredSince, this::deleted);
+    if (!finished) {
+      deleteInProgress = true;
+      engine.sendInBackground(
+          "DELETE", attempt.path(), EngineConnections.EMPTY_BODY, answeredSince, this::deleteDone);
     }
   }
 
@@ -104,18 +110,18 @@
    * confirmed that it has the query: the DELETE may have overtaken the start request, which uses
    * another connection.
    */
-  private void deleted(boolean taken) {
-    asking = false;
+  private void deleteDone(boolean taken) {
+    deleteInProgress = false;
     if (!taken && timers.now() >= endsAt()) {
       end();
     } else if (!taken) {
-      timers.at(timers.now() + pause, this::delete);
-      pause = Math.min(LONGEST_PAUSE, 2 * pause);
-    } else if (attempt.known() || (confirmed && !attempt.startMayComeLate())) {
+      timers.schedule(timers.now() + retryDelay, this::delete);
+      retryDelay = Math.min(MAX_RETRY_DELAY_NANOS, 2 * retryDelay);
+    } else if (attempt.knownToEngine() || (confirmed && !attempt.startMayArriveLate())) {
       end();
     } else if (!confirmed) {
       confirmed = true;
-      timers.at(timers.now() + OVERTAKEN, this::delete);
+      timers.schedule(timers.now() + SECOND_DELETE_DELAY_NANOS, this::delete);
     } else {
       // The expiry timer may have fired while this DELETE was in progress.
       expireLater();
@@ -123,30 +129,30 @@
   }
 
   private void expireLater() {
-    timers.at(endsAt(), this::expire);
+    timers.schedule(endsAt(), this::expire);
   }
 
   /**
-   * Ends the cancellation by time, which counts only for an unreachable engine, so not while a DELETE
-   * is in progress on an established connection.
+   * Ends the cancellation by time, which counts only for an unreachable engine, so not while a
+   * DELETE is in progress on an established connection.
    */
   private void expire() {
     if (timers.now() < endsAt()) {
       // The engine has turned out in the meantime to be possibly stalled.
       expireLater();
-    } else if (!asking || !engine.connected()) {
+    } else if (!deleteInProgress || !engine.connected()) {
       end();
     }
   }
 
   private void end() {
-    if (!over) {
-      over = true;
-      ended.run();
+    if (!finished) {
+      finished = true;
+      onEnd.run();
     }
   }
 
   private long endsAt() {
-    return endsUnasked(engine, attempt.askedAt(), attempt.deadline(), attempt.ordered());
+    return unpolledEndTime(engine, attempt.lastPolledAt(), attempt.deadline(), attempt.ordered());
   }
 }
--- a/src/main/java/tansytrack/state/Counters.java
+++ b/src/main/java/tansytrack/state/Counters.java
@@ -9,17 +9,17 @@
   private final Map<String, Long> counts = new TreeMap<>();
 
   /** Increments a counter, which starts at 0. */
-  public void add(String kind) {
+  public void increment(String kind) {
     counts.merge(kind, 1L, Long::sum);
   }
 
   /** Returns a counter's value, 0 if nothing was counted. */
-  public long of(String kind) {
+  public long get(String kind) {
     return counts.getOrDefault(kind, 0L);
   }
 
   /** Returns all counters, ordered by name. */
-  public Map<String, Long> all() {
+  public Map<String, Long> asMap() {
     return counts;
   }
 }
--- /dev/null
+++ b/src/main/java/tansytrack/state/ForwardResolution.java
@@ -0,0 +1,114 @@
+package tansytrack.state;
+
+import java.util.ArrayDeque;
+import java.util.Collection;
+import java.util.List;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
+import tansytrack.wire.ProtocolException;
+
+/**
+ * Asks engines, after a start, about the forwards that the previous run of this manager left
+ * unresolved. An engine keeps a query until it has not been polled for 2 s. The engine reports the
+ * work of a query that has ended; one that still runs is cancelled, as no client waits for it. The
+ * number of concurrent requests is limited, so that a start does not use up the connections that
+ * tasks need.
+ */
+final class ForwardResolution {
+
+  private static final int MAX_CONCURRENT_REQUESTS = 8;
+  private static final int MAX_FORWARDS = 4096;
+
+  // An engine holds a long poll open for 250 ms at most.
+  private static final long REQUEST_TIMEOUT_NANOS = 600_000_000L;
+
+  private final Manager manager;
+  private final Timers timers;
+  private final TaskListener listener;
+  private final ArrayDeque<TaskListener.UnresolvedForward> unresolved = new ArrayDeque<>();
+
+  ForwardResolution(Manager manager, Timers timers, TaskListener watch) {
+    this.manager = manager;
+    this.timers = timers;
+    this.listener = watch;
+  }
+
+  /** Asks about the given forwards; of too many, only about the most recent ones. */
+  void start(Collection<TaskListener.UnresolvedForward> all) {
+    List<TaskListener.UnresolvedForward> some = List.copyOf(all);
+    unresolved.addAll(some.subList(Math.max(0, some.size() - MAX_FORWARDS), some.size()));
+    for (int i = 0; i < MAX_CONCURRENT_REQUESTS; i++) {
+      next();
+    }
+  }
+
+  private void next() {
+    TaskListener.UnresolvedForward one = unresolved.poll();
+    EngineConnections engine = one == null ? null : manager.engine(one.engine());
+    if (engine != null) {
+      new StatusRequest(one, engine).send();
+    } else if (one != null) {
+      manager.defer(this::next); // the engine is no longer listed
+    }
+  }
+
+  /** The request about one forward. */
+  private final class StatusRequest implements HttpConnection.ResponseHandler {
+    private final TaskListener.UnresolvedForward forward;
+    private final EngineConnections engine;
+    private final Timers.Timer timer;
+    private HttpConnection connection;
+    private boolean ended;
+
+    StatusRequest(TaskListener.UnresolvedForward about, EngineConnections engine) {
+      this.forward = about;
+      this.engine = engine;
+      timer = timers.schedule(timers.now() + REQUEST_TIMEOUT_NANOS, this::timedOut);
+    }
+
+    void send() {
+      connection = engine.send("GET", "/o/" + forward.task() + "/0", this);
+      if (connection == null) {
+        end();
+      }
+    }
+
+    @Override
+    public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
+      manager.counters().increment("inquiries.answered");
+      if (answer.status() == 200) {
+        listener.forwardResolved(
+            forward, true, Math.round(answer.numericHeader("work-ms", 0) * 1e6));
+      } else if (answer.status() == 202) {
+        engine.sendInBackground(
+            "DELETE",
+            "/o/" + forward.task(),
+            EngineConnections.EMPTY_BODY,
+            EngineConnections.ANY_TIME,
+            gone -> {});
+        listener.forwardResolved(forward, false, 0);
+      }
+      end();
+    }
+
+    @Override
+    public void requestFailed(HttpConnection.Failure why) {
+      end();
+    }
+
+    private void timedOut() {
+      if (!ended && connection != null) {
+        connection.abort();
+      }
+      end();
+    }
+
+    private void end() {
+      if (!ended) {
+        ended = true;
+        timer.cancel();
+        manager.defer(ForwardResolution.this::next);
+      }
+    }
+  }
+}
--- a/src/main/java/tansytrack/state/OpenForward.java
+++ b/src/main/java/tansytrack/state/OpenForward.java
@@ -5,105 +5,105 @@
 import java.util.List;
 import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
-import tansytrack.wire.Http;
-import tansytrack.wire.HttpLine;
-import tansytrack.wire.Junk;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
 import tansytrack.wire.PgSession;
+import tansytrack.wire.ProtocolException;
 
 /**
  * One forward: the request that starts the query, the polls after it, and the pages of its result.
  * All pages are collected before the first row goes to the client: if the engine failed in between,
  * the missing pages could not be delivered, and the rows already sent could not be withdrawn.
  */
-final class OpenForward implements HttpLine.Caller {
+final class OpenForward implements HttpConnection.ResponseHandler {
 
   static final int COLUMNS = 3;
 
   // A result has at most 48,000 bytes, a page at most 6,000.
-  private static final int MOST_PAGES = 64;
-  private static final int MOST_BYTES = 1 << 16;
-  private static final long HELD_OPEN = AttemptCancellation.HELD_OPEN;
-  private static final long MARGIN = AttemptCancellation.MARGIN;
+  private static final int MAX_PAGES = 64;
+  private static final int MAX_RESULT_BYTES = 1 << 16;
+  private static final long MAX_LONG_POLL_NANOS = AttemptCancellation.MAX_LONG_POLL_NANOS;
+  private static final long TRANSIT_MARGIN_NANOS = AttemptCancellation.TRANSIT_MARGIN_NANOS;
 
   // A request that is not answered within this time counts as lost.
-  private static final long OVERDUE = HELD_OPEN + 2 * MARGIN;
+  private static final long RESPONSE_TIMEOUT_NANOS = MAX_LONG_POLL_NANOS + 2 * TRANSIT_MARGIN_NANOS;
 
   // Consecutive failed requests. If one in four fails, 8 in a row occur once in 65,000 times.
-  private static final int MOST_BROKEN = 8;
+  private static final int MAX_CONSECUTIVE_FAILURES = 8;
 
   // The start request is retried only within this time after the decision to forward.
-  private static final long LATEST = 50_000_000L;
+  private static final long MAX_START_DELAY_NANOS = 50_000_000L;
 
   // Delay before a retry, multiplied by the number of retries before it.
-  private static final long PAUSE = 10_000_000L;
+  private static final long RETRY_DELAY_STEP_NANOS = 10_000_000L;
 
   // The same for a retry after refused connections, up to a maximum number of steps.
-  private static final long REFUSED_PAUSE = 50_000_000L;
-  private static final int MOST_PAUSES = 5;
+  private static final long REFUSED_RETRY_DELAY_STEP_NANOS = 50_000_000L;
+  private static final int MAX_REFUSED_DELAY_STEPS = 5;
 
   // Consecutive refused connections after a reset that show that the engine's process has died.
-  private static final int REFUSALS_OF_THE_DEAD = 3;
+  private static final int MIN_REFUSALS_OF_DEAD_PROCESS = 3;
 
   final OpenTask task;
   final int index;
-  final EngineLines engine;
-  final long at;
+  final EngineConnections engine;
+  final long createdAt;
   private final Manager manager;
   private final Timers timers;
   private final String path;
   private final List<byte[]> pages = new ArrayList<>();
   private Timers.Timer timer;
   // The connection of the open request, null if there is none.
-  private HttpLine line;
-  private int bytes;
+  private HttpConnection connection;
+  private int resultBytes;
   private int pageCount;
   // Whether the engine has ever confirmed that it has the query.
-  private boolean heard;
+  private boolean knownToEngine;
   // Whether any byte of the start request may have been sent.
-  private boolean left;
+  private boolean mayHaveBeenSent;
   // Whether a response has been overdue since the last complete one.
-  private boolean silent;
+  private boolean responseOverdue;
   // Whether any request has ever gone unanswered; the engine may still process it.
-  private boolean stalled;
+  private boolean everUnanswered;
   // Consecutive requests without a complete response.
-  private int broken;
+  private int consecutiveFailures;
   // Consecutive refused connections at the end of those.
-  private int refusals;
+  private int consecutiveRefusals;
   // Whether an established connection broke during a request since the last complete response.
-  private boolean reset;
-  private Timers.Timer callTimer;
+  private boolean connectionBroke;
+  private Timers.Timer requestTimer;
   private boolean cancelled;
-  private boolean over;
-  private long calledAt;
+  private boolean ended;
+  private long requestedAt;
   // When the last poll that may have reached the engine was sent.
-  private long askedAt;
+  private long lastPolledAt;
   // The path suffix of the last poll; null if the last request was the start request.
-  private String asking;
-  private long until;
-  private double cost;
-  private double memory;
+  private String openPollPath;
+  private long deadline;
+  private double workMs;
+  private double peakMb;
   private LoadReport report;
 
-  OpenForward(Manager manager, Timers timers, OpenTask task, int index, EngineLines engine) {
+  OpenForward(Manager manager, Timers timers, OpenTask task, int index, EngineConnections engine) {
     this.manager = manager;
     this.timers = timers;
     this.task = task;
     this.index = index;
     this.engine = engine;
-    at = timers.now();
-    askedAt = at;
+    createdAt = timers.now();
+    lastPolledAt = createdAt;
     path = "/o/" + task.id;
   }
 
   /** Returns the total size of the pages received so far. */
-  int bytes() {
-    return bytes;
+  int resultBytes() {
+    return resultBytes;
   }
 
   /** Sets the time by which the forward must end. */
-  void due(long by) {
-    until = by;
-    timer = timers.at(until, this::timeOut);
+  void setDeadline(long by) {
+    deadline = by;
+    timer = timers.schedule(deadline, this::deadlinePassed);
   }
 
   /**
@@ -111,94 +111,97 @@
    * forward is reported later, never within this method.
    */
   void start() {
-    postOpen(Long.MAX_VALUE);
+    sendStartIfValid(Long.MAX_VALUE);
   }
 
-  private void post() {
-    long wait = Math.max(1, (until - timers.now()) / 1_000_000);
+  private void sendStart() {
+    long wait = Math.max(1, (deadline - timers.now()) / 1_000_000);
     String fields =
         "X-Req: "
             + task.id
             + "\r\nX-Class: "
-            + task.grade
+            + task.queryClass
             + "\r\nX-Wait-Ms: "
             + wait
             + "\r\n"
-            + (task.stamp == null ? "" : "Idempotency-Key: " + task.stamp + "\r\n")
+            + (task.idempotencyKey == null
+                ? ""
+                : "Idempotency-Key: " + task.idempotencyKey + "\r\n")
             + (task.memoryMb > 0 ? "Grant-Mb: " + task.memoryMb + "\r\n" : "")
             + "Rank: "
             + task.priority
             + "\r\n";
-    asking = null;
-    called(engine.call("POST", "/o", fields, task.statement, this));
+    openPollPath = null;
+    requestMade(engine.send("POST", "/o", fields, task.statement, this));
   }
 
-  private void ask(String what) {
-    engine.whenAvailable(
+  private void poll(String what) {
+    engine.whenConnectionAvailable(
         () -> {
-          if (!over && !cancelled) {
-            asking = what;
-            called(engine.call("GET", path + what, this));
+          if (!ended && !cancelled) {
+            openPollPath = what;
+            requestMade(engine.send("GET", path + what, this));
           }
         });
   }
 
-  private void askRested(String what) {
-    long rests = engine.rests();
+  private void pollAfterReuseDelay(String what) {
+    long rests = engine.reuseDelay();
     if (rests == 0) {
-      ask(what);
+      poll(what);
     } else {
-      callTimer = timers.at(timers.now() + rests, () -> ask(what));
+      requestTimer = timers.schedule(timers.now() + rests, () -> poll(what));
     }
   }
 
-  private void called(HttpLine by) {
-    line = by;
-    calledAt = timers.now();
-    if (line != null) {
-      callTimer = timers.at(calledAt + OVERDUE, this::overdue);
-    } else if (left) {
-      manager.later(this::lost);
+  private void requestMade(HttpConnection by) {
+    connection = by;
+    requestedAt = timers.now();
+    if (connection != null) {
+      requestTimer = timers.schedule(requestedAt + RESPONSE_TIMEOUT_NANOS, this::requestTimedOut);
+    } else if (mayHaveBeenSent) {
+      manager.defer(this::cancelAsLost);
     } else {
-      manager.later(() -> end(Outcome.NEVER_SENT));
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     }
   }
 
   @Override
-  public void answered(Http.Answer answer) throws Junk {
+  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
     int status = answer.status();
     if (status != 200 && status != 202 && status != 500 && status != 503 && status != 504) {
-      throw new Junk("status " + status);
+      throw new ProtocolException("status " + status);
     }
-    boolean notRun = "1".equals(answer.field("x-not-run"));
-    LoadReport told = manager.report(answer);
+    boolean notRun = "1".equals(answer.header("x-not-run"));
+    LoadReport told = manager.parseLoadReport(answer);
     if (status == 200) {
-      page(answer);
+      addPage(answer);
     }
-    quiet();
-    engine.heard();
+    clearRequest();
+    engine.recordResponse();
     report = told == null ? report : told;
-    left = true;
-    heard |= status == 200 || status == 202;
-    askedAt = timers.now();
-    boolean again = broken > 0 || silent;
-    boolean wasSilent = silent;
-    broken = 0;
-    refusals = 0;
-    reset = false;
-    silent = false;
+    mayHaveBeenSent = true;
+    knownToEngine |= status == 200 || status == 202;
+    lastPolledAt = timers.now();
+    boolean again = consecutiveFailures > 0 || responseOverdue;
+    boolean wasSilent = responseOverdue;
+    consecutiveFailures = 0;
+    consecutiveRefusals = 0;
+    connectionBroke = false;
+    responseOverdue = false;
     if (status == 200 || status == 202) {
       if (status == 200 && pages.size() == pageCount) {
         end(Outcome.OK);
       } else {
         String next = "/" + pages.size();
         // Deferred, as the connection becomes idle only after this method returns.
-        manager.later(() -> askRested(next));
+        manager.defer(() -> pollAfterReuseDelay(next));
       }
-    } else if (again && asking != null && (wasSilent || !notRun)) {
+    } else if (again && openPollPath != null && (wasSilent || !notRun)) {
       // The engine does not know the query after a failed request. This must not end as an error:
-      // that would mean that the query has ended, and the next one of its key could start too early.
-      letGo(Outcome.RESET);
+      // that would mean that the query has ended, and the next one of its key could start too
+      // early.
+      cancelAtEngine(Outcome.RESET);
     } else if (status == 503) {
       end(notRun ? Outcome.FULL : Outcome.ERROR);
     } else {
@@ -206,10 +209,10 @@
     }
   }
 
-  private void quiet() {
-    line = null;
-    if (callTimer != null) {
-      callTimer.cancel();
+  private void clearRequest() {
+    connection = null;
+    if (requestTimer != null) {
+      requestTimer.cancel();
     }
   }
 
@@ -217,26 +220,27 @@
    * Adds a page to the result. If it is not complete or not the requested one, the response is
    * rejected and the state remains unchanged.
    */
-  private void page(Http.Answer answer) throws Junk {
+  private void addPage(HttpCodec.Response answer) throws ProtocolException {
     int count = pageCount;
     if (pages.isEmpty()) {
-      double told = answer.number("page-count", 0);
-      if (told < 1 || told > MOST_PAGES || told != Math.rint(told)) {
-        throw new Junk("a result of " + told + " pages");
+      double told = answer.numericHeader("page-count", 0);
+      if (told < 1 || told > MAX_PAGES || told != Math.rint(told)) {
+        throw new ProtocolException("a result of " + told + " pages");
       }
       count = (int) told;
-    } else if (answer.number("page-no", -1) != pages.size()) {
-      throw new Junk("another page than asked for");
+    } else if (answer.numericHeader("page-no", -1) != pages.size()) {
+      throw new ProtocolException("another page than asked for");
     }
-    if (bytes + answer.body().length > MOST_BYTES || !PgSession.holdsRows(answer.body(), COLUMNS)) {
-      throw new Junk("a page that does not hold whole rows, or too large a result");
+    if (resultBytes + answer.body().length > MAX_RESULT_BYTES
+        || !PgSession.hasWholeRows(answer.body(), COLUMNS)) {
+      throw new ProtocolException("a page that does not hold whole rows, or too large a result");
     }
     if (pages.isEmpty()) {
-      cost = answer.number("work-ms", 0);
-      memory = answer.number("peak-mb", 0);
+      workMs = answer.numericHeader("work-ms", 0);
+      peakMb = answer.numericHeader("peak-mb", 0);
     }
     pageCount = count;
-    bytes += answer.body().length;
+    resultBytes += answer.body().length;
     pages.add(answer.body());
   }
 
@@ -244,59 +248,63 @@
    * Handles a request without a complete response in time: the connection is closed, and the query,
    * which is not bound to a connection, is polled on another one.
    */
-  private void overdue() {
-    if (!over && line != null) {
-      manager.counters().add("calls.overdue");
-      HttpLine open = line;
-      stalled = true;
+  private void requestTimedOut() {
+    if (!ended && connection != null) {
+      manager.counters().increment("calls.overdue");
+      HttpConnection open = connection;
+      everUnanswered = true;
       // On an established connection the request may have reached the engine.
-      boolean up = open.up();
+      boolean up = open.connected();
       if (up) {
-        engine.unanswered(open);
+        engine.recordUnanswered(open);
       }
-      open.drop();
-      failed(up ? HttpLine.Failure.BROKEN : HttpLine.Failure.LATE);
+      open.abort();
+      requestFailed(up ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
     }
   }
 
   /**
    * Handles a request without a usable response. Malformed responses, resets and timeouts fail a
-   * request and not the task: the query is polled again while the engine may still have it. A refused
-   * connection proves only that this request was not processed: an engine that drains or is at its
-   * connection limit refuses new connections and continues to work.
+   * request and not the task: the query is polled again while the engine may still have it. A
+   * refused connection proves only that this request was not processed: an engine that drains or is
+   * at its connection limit refuses new connections and continues to work.
    */
   @Override
-  public void failed(HttpLine.Failure why) {
-    HttpLine on = line;
-    quiet();
-    if (over || cancelled) {
+  public void requestFailed(HttpConnection.Failure why) {
+    HttpConnection on = connection;
+    clearRequest();
+    if (ended || cancelled) {
       return;
     }
-    manager.counters().add("calls." + why);
-    broken++;
-    refusals = why == HttpLine.Failure.REFUSED ? refusals + 1 : 0;
-    if (why == HttpLine.Failure.BROKEN) {
-      left = true;
-      reset = true;
-      askedAt = on.begunAt();
+    manager.counters().increment("calls." + why);
+    consecutiveFailures++;
+    consecutiveRefusals = why == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
+    if (why == HttpConnection.Failure.BROKEN) {
+      mayHaveBeenSent = true;
+      connectionBroke = true;
+      lastPolledAt = on.requestStartedAt();
     }
-    boolean late = why == HttpLine.Failure.LATE || timers.now() - calledAt > HELD_OPEN + MARGIN;
-    silent |= late && left;
-    if (!left) {
-      notStarted(why);
-    } else if (processDied() || timers.now() > endsUnasked()) {
+    boolean late =
+        why == HttpConnection.Failure.LATE
+            || timers.now() - requestedAt > MAX_LONG_POLL_NANOS + TRANSIT_MARGIN_NANOS;
+    responseOverdue |= late && mayHaveBeenSent;
+    if (!mayHaveBeenSent) {
+      startFailed(why);
+    } else if (processDied() || timers.now() > unpolledEndTime()) {
       end(Outcome.RESET);
-    } else if (broken >= MOST_BROKEN && !silent && refusals == 0) {
-      lost();
+    } else if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
+        && !responseOverdue
+        && consecutiveRefusals == 0) {
+      cancelAsLost();
     } else {
       String again = "/" + pages.size();
-      callTimer = timers.at(timers.now() + pause(), () -> ask(again));
+      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(again));
     }
   }
 
-  private void notStarted(HttpLine.Failure why) {
-    if (why == HttpLine.Failure.UNSENT && broken < MOST_BROKEN) {
-      manager.later(() -> postOpen(LATEST));
+  private void startFailed(HttpConnection.Failure why) {
+    if (why == HttpConnection.Failure.UNSENT && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
+      manager.defer(() -> sendStartIfValid(MAX_START_DELAY_NANOS));
     } else {
       end(Outcome.UNREACHED); // no byte of the request was sent, so the query did not run
     }
@@ -304,32 +312,34 @@
 
   /**
    * Whether the engine's process has died. The connections of a dead process are reset and new ones
-   * are refused. Each sign alone has other causes, so all are required: a request that failed without
-   * a timeout, no established connection, new connections refused repeatedly, and an engine that is
-   * not draining, as a draining one refuses connections too.
+   * are refused. Each sign alone has other causes, so all are required: a request that failed
+   * without a timeout, no established connection, new connections refused repeatedly, and an engine
+   * that is not draining, as a draining one refuses connections too.
    */
   private boolean processDied() {
-    return reset
-        && refusals >= REFUSALS_OF_THE_DEAD
-        && !silent
-        && !stalled
-        && engine.takes()
+    return connectionBroke
+        && consecutiveRefusals >= MIN_REFUSALS_OF_DEAD_PROCESS
+        && !responseOverdue
+        && !everUnanswered
+        && engine.acceptsWork()
         && !engine.connected();
   }
 
-  private long endsUnasked() {
-    return AttemptCancellation.endsUnasked(engine, askedAt, until, task.ordered);
+  private long unpolledEndTime() {
+    return AttemptCancellation.unpolledEndTime(engine, lastPolledAt, deadline, task.ordered);
   }
 
-  private long pause() {
-    if (silent) {
-      return Math.max(PAUSE, calledAt + OVERDUE - timers.now());
+  private long retryDelay() {
+    if (responseOverdue) {
+      return Math.max(RETRY_DELAY_STEP_NANOS, requestedAt + RESPONSE_TIMEOUT_NANOS - timers.now());
     }
-    if (refusals > 0) {
+    if (consecutiveRefusals > 0) {
       // If connections are established, the next poll waits for one of them to become idle.
-      return engine.connected() ? 0 : Math.min(refusals, MOST_PAUSES) * REFUSED_PAUSE;
+      return engine.connected()
+          ? 0
+          : Math.min(consecutiveRefusals, MAX_REFUSED_DELAY_STEPS) * REFUSED_RETRY_DELAY_STEP_NANOS;
     }
-    return (broken - 1) * PAUSE;
+    return (consecutiveFailures - 1) * RETRY_DELAY_STEP_NANOS;
   }
 
   /**
@@ -338,14 +348,14 @@
    * could start too late; the forward ends as not sent, and the module decides again under all its
    * rules.
    */
-  private void postOpen(long latest) {
-    if (over || cancelled) {
+  private void sendStartIfValid(long latest) {
+    if (ended || cancelled) {
       return;
     }
-    if (task.answered() || !engine.takes() || timers.now() - at > latest) {
-      manager.later(() -> end(Outcome.NEVER_SENT));
+    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > latest) {
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     } else {
-      post();
+      sendStart();
     }
   }
 
@@ -353,9 +363,9 @@
    * Handles a change of the engine list: a query must not start at an engine that was set to drain
    * while the connection was being established.
    */
-  void undrained() {
-    if (!engine.takes()) {
-      takeBack();
+  void engineListChanged() {
+    if (!engine.acceptsWork()) {
+      withdrawUnsent();
     }
   }
 
@@ -364,92 +374,95 @@
    * not start after its task was answered. This also applies where running queries cannot be
    * cancelled.
    */
-  void takeBack() {
-    if (!over && !cancelled && !left && (line == null || !line.up())) {
-      if (line != null) {
-        line.drop();
+  void withdrawUnsent() {
+    if (!ended
+        && !cancelled
+        && !mayHaveBeenSent
+        && (connection == null || !connection.connected())) {
+      if (connection != null) {
+        connection.abort();
       }
-      quiet();
-      manager.later(() -> end(Outcome.NEVER_SENT));
+      clearRequest();
+      manager.defer(() -> end(Outcome.NEVER_SENT));
     }
   }
 
   /**
    * Handles the deadline of the forward. The client is answered at once, but the forward ends only
-   * when its query has certainly ended, as the cancellation may be delayed: until then the next task
-   * of its key must not be sent.
+   * when its query has certainly ended, as the cancellation may be delayed: until then the next
+   * task of its key must not be sent.
    */
-  private void timeOut() {
-    if (!over && timers.now() >= task.cutOffAt) {
-      manager.timeUp(task);
+  private void deadlinePassed() {
+    if (!ended && timers.now() >= task.deadline) {
+      manager.taskTimedOut(task);
     }
-    letGo(Outcome.TIME_OUT);
+    cancelAtEngine(Outcome.TIME_OUT);
   }
 
   /**
-   * Cancels the query at its engine. The forward ends once that is confirmed. If the engine cannot be
-   * reached, as when its machine has vanished, the forward ends only when the engine must have
+   * Cancels the query at its engine. The forward ends once that is confirmed. If the engine cannot
+   * be reached, as when its machine has vanished, the forward ends only when the engine must have
    * dropped the query for not being polled, so that no second forward runs next to this one.
    */
   void cancel() {
-    letGo(Outcome.CANCELLED);
+    cancelAtEngine(Outcome.CANCELLED);
   }
 
   /** Gives up a forward whose requests failed repeatedly. */
-  private void lost() {
-    letGo(Outcome.RESET);
+  private void cancelAsLost() {
+    cancelAtEngine(Outcome.RESET);
   }
 
   /** Cancels the query; the forward ends with the given outcome once the query has ended. */
-  private void letGo(Outcome outcome) {
-    if (!over && !cancelled) {
+  private void cancelAtEngine(Outcome outcome) {
+    if (!ended && !cancelled) {
       cancelled = true;
-      release();
+      abortRequest();
       AttemptCancellation.Attempt attempt =
           new AttemptCancellation.Attempt(
               path,
-              askedAt,
-              until,
-              heard,
-              silent || stalled,
+              lastPolledAt,
+              deadline,
+              knownToEngine,
+              responseOverdue || everUnanswered,
               task.ordered,
-              outcome == Outcome.RESET && (silent || stalled));
+              outcome == Outcome.RESET && (responseOverdue || everUnanswered));
       new AttemptCancellation(engine, timers, attempt, () -> end(outcome)).start();
     }
   }
 
-  private void release() {
-    if (line != null) {
-      askedAt = line.up() ? line.begunAt() : askedAt;
-      line.drop();
+  private void abortRequest() {
+    if (connection != null) {
+      lastPolledAt = connection.connected() ? connection.requestStartedAt() : lastPolledAt;
+      connection.abort();
     }
-    quiet();
+    clearRequest();
   }
 
   /** Sends a changed priority to the engine. */
-  void priority(int priority) {
-    if (!over && !cancelled) {
-      engine.aside(
+  void sendPriority(int priority) {
+    if (!ended && !cancelled) {
+      engine.sendInBackground(
           "PUT",
           path,
           Integer.toString(priority).getBytes(StandardCharsets.US_ASCII),
-          EngineLines.ANY_TIME,
+          EngineConnections.ANY_TIME,
           gone -> {});
     }
   }
 
   private void end(Outcome outcome) {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     timer.cancel();
-    quiet();
-    manager.ended(
+    clearRequest();
+    manager.forwardEnded(
         this,
         outcome,
-        Math.round(cost * 1e6),
-        memory,
+        Math.round(workMs * 1e6),
+        peakMb,
         report,
         outcome == Outcome.OK ? pages : null);
   }
--- a/src/main/java/tansytrack/state/OpenTask.java
+++ b/src/main/java/tansytrack/state/OpenTask.java
@@ -8,20 +8,20 @@
 final class OpenTask {
 
   final String id;
-  final String grade;
+  final String queryClass;
   final byte[] statement;
-  final long cutOffAt;
+  final long deadline;
   // Whether the tasks of its key run one at a time.
   final boolean ordered;
   // The client's key by which engines recognise a repeated statement, or null.
-  final String stamp;
+  final String idempotencyKey;
   // Null once the task is answered or abandoned.
   PgSession session;
   long memoryMb;
   int priority = 1;
   final List<OpenForward> forwards = new ArrayList<>(2);
   // The number of forwards that have not ended.
-  int out;
+  int openForwards;
 
   OpenTask(
       String id,
@@ -32,11 +32,11 @@
       String stamp,
       PgSession session) {
     this.id = id;
-    this.grade = grade;
+    this.queryClass = grade;
     this.statement = statement;
-    this.cutOffAt = cutOffAt;
+    this.deadline = cutOffAt;
     this.ordered = ordered;
-    this.stamp = stamp;
+    this.idempotencyKey = stamp;
     this.session = session;
   }
 
--- a/src/main/java/tansytrack/state/Siblings.java
+++ b/src/main/java/tansytrack/state/PeerManagers.java
@@ -7,22 +7,22 @@
  * The group of managers that share the engines, as known to this one. Called on the event loop's
  * thread; no method blocks.
  */
-public interface Siblings extends AutoCloseable {
+public interface PeerManagers extends AutoCloseable {
 
   /** Used where the membership protocol is not configured. */
-  Siblings NONE = new Siblings() {};
+  PeerManagers NONE = new PeerManagers() {};
 
   /** The columns of SHOW FLEET. Not to be modified; the session sends it without a copy. */
   @SuppressWarnings("MutablePublicArray")
-  String[] COLUMNS = {
+  String[] MEMBER_COLUMNS = {
     "name", "place", "standing", "stage", "since_s", "incarnation", "version", "settings", "facts"
   };
 
   /** Tells the others that this manager accepts tasks from now on. */
-  default void serving() {}
+  default void markServing() {}
 
   /** Tells the others that this manager is stopping. */
-  default void ending() {}
+  default void markLeaving() {}
 
   /** Returns the counters of the membership for SHOW STATS, by name. */
   default Map<String, Long> counts() {
--- a/src/main/java/tansytrack/state/TaskWatch.java
+++ b/src/main/java/tansytrack/state/TaskListener.java
@@ -3,16 +3,16 @@
 import java.util.Collection;
 import java.util.List;
 import tansytrack.api.Outcome;
-import tansytrack.api.TaskOffer;
+import tansytrack.api.TaskRequest;
 
 /**
  * Receives the events of tasks, on the event loop's thread. Implementations must not block, and do
  * not decide about tasks. Times are in nanoseconds.
  */
-public interface TaskWatch {
+public interface TaskListener {
 
   /** How a task ended for its client. */
-  enum End {
+  enum TaskEnd {
     HANDLED,
     BOUNCED,
     ABORTED,
@@ -21,24 +21,25 @@
   }
 
   /** A forward of a previous run of the manager whose outcome is unknown. */
-  record Left(String task, String engine) {}
+  record UnresolvedForward(String task, String engine) {}
 
   /** Ignores all events. */
-  TaskWatch NONE = new TaskWatch() {};
+  TaskListener NONE = new TaskListener() {};
 
   /** Called when a task was accepted. */
-  default void taken(long now, TaskOffer offer) {}
+  default void taskAccepted(long now, TaskRequest offer) {}
 
   /** Whether new tasks may be accepted, which requires that their records can be stored. */
-  default boolean admits() {
+  default boolean acceptsTasks() {
     return true;
   }
 
   /**
-   * Called when a forward is to be sent. The implementation runs {@code go} exactly once to send it,
-   * here or shortly after on the event loop.
+   * Called when a forward is to be sent. The implementation runs {@code go} exactly once to send
+   * it, here or shortly after on the event loop.
    */
-  default void sent(long now, String task, int index, String engine, long memoryMb, Runnable go) {
+  default void beforeForward(
+      long now, String task, int index, String engine, long memoryMb, Runnable go) {
     go.run();
   }
 
@@ -47,7 +48,7 @@
    *
    * @param served whether its result goes to the client
    */
-  default void ended(
+  default void forwardEnded(
       long now,
       String task,
       int index,
@@ -57,15 +58,15 @@
       boolean served) {}
 
   /**
-   * Called when a task has ended for its client. The implementation runs {@code say} exactly once to
-   * give the answer, here or shortly after on the event loop.
+   * Called when a task has ended for its client. The implementation runs {@code say} exactly once
+   * to give the answer, here or shortly after on the event loop.
    */
-  default void answered(long now, String task, End end, long bytes, Runnable say) {
+  default void beforeAnswer(long now, String task, TaskEnd end, long bytes, Runnable say) {
     say.run();
   }
 
   /** Returns the forwards about which engines are to be asked once, after the start. */
-  default Collection<Left> left() {
+  default Collection<UnresolvedForward> unresolvedForwards() {
     return List.of();
   }
 
@@ -74,11 +75,11 @@
    *
    * @param ended whether the query had ended, with the given work; otherwise it is cancelled now
    */
-  default void told(Left about, boolean ended, long work) {}
+  default void forwardResolved(UnresolvedForward about, boolean ended, long work) {}
 
   /**
-   * Called on the event loop's thread when the loop ends. No further events follow; answers that are
-   * still held back are given.
+   * Called on the event loop's thread when the loop ends. No further events follow; answers that
+   * are still held back are given.
    */
   default void close() {}
 }
--- a/src/main/java/tansytrack/state/Timers.java
+++ b/src/main/java/tansytrack/state/Timers.java
@@ -6,32 +6,34 @@
 public final class Timers {
 
   // A gap of this length between two readings of the clock, beyond sleep, counts as a stall.
-  private static final long STALL = 10_000_000L;
+  private static final long STALL_NANOS = 10_000_000L;
 
-  private final TreeSet<Timer> waiting = new TreeSet<>();
+  private final TreeSet<Timer> queue = new TreeSet<>();
   private long now;
-  private long calmSince;
-  private long count;
+  private long lastStallEnd;
+  private long nextSequence;
 
   /** An action to be run at a given time unless it is cancelled before. */
   public final class Timer implements Comparable<Timer> {
-    private final long at;
-    private final long number = count++;
-    private final Runnable what;
+    private final long dueAt;
+    private final long sequence = nextSequence++;
+    private final Runnable action;
 
     private Timer(long at, Runnable what) {
-      this.at = at;
-      this.what = what;
+      this.dueAt = at;
+      this.action = what;
     }
 
     /** Cancels the timer; has no effect if it has run. */
     public void cancel() {
-      waiting.remove(this);
+      queue.remove(this);
     }
 
     @Override
     public int compareTo(Timer other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+      return dueAt != other.dueAt
+          ? Long.compare(dueAt, other.dueAt)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -42,12 +44,12 @@
 
   /** Sets the time; the loop has not slept since the previous reading. */
   public void now(long time) {
-    slept(time, 0);
+    advanceAfterSleep(time, 0);
   }
 
   /** Sets the time after the loop has slept for up to the given time since the previous reading. */
-  public void slept(long time, long nap) {
-    calmSince = time - now - nap >= STALL ? time : calmSince;
+  public void advanceAfterSleep(long time, long nap) {
+    lastStallEnd = time - now - nap >= STALL_NANOS ? time : lastStallEnd;
     now = time;
   }
 
@@ -55,30 +57,30 @@
    * Returns the end of the last stall of the loop. During a stall, other threads of the process may
    * have got no processor time either.
    */
-  long calmSince() {
-    return calmSince;
+  long lastStallEnd() {
+    return lastStallEnd;
   }
 
   /** Schedules an action to run on the loop at the given time. */
-  public Timer at(long time, Runnable what) {
+  public Timer schedule(long time, Runnable what) {
     Timer timer = new Timer(time, what);
-    waiting.add(timer);
+    queue.add(timer);
     return timer;
   }
 
   /** Returns the time until the next timer is due, at most the given time. */
-  public long idle(long most) {
-    return waiting.isEmpty() ? most : Math.max(0, Math.min(most, waiting.first().at - now));
+  public long nanosUntilNext(long most) {
+    return queue.isEmpty() ? most : Math.max(0, Math.min(most, queue.first().dueAt - now));
   }
 
   /**
-   * Runs all timers that are due. Timers that are added meanwhile wait for the next iteration of the
-   * loop.
+   * Runs all timers that are due. Timers that are added meanwhile wait for the next iteration of
+   * the loop.
    */
-  public void run() {
-    long last = count;
-    while (!waiting.isEmpty() && waiting.first().at <= now && waiting.first().number < last) {
-      waiting.pollFirst().what.run();
+  public void runDue() {
+    long last = nextSequence;
+    while (!queue.isEmpty() && queue.first().dueAt <= now && queue.first().sequence < last) {
+      queue.pollFirst().action.run();
     }
   }
 }
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -21,10 +21,10 @@
      * @param at when the last of them were received
      * @throws Junk if the bytes violate the protocol; the connection is then closed
      */
-    void heard(long at) throws Junk;
+    void received(long at) throws ProtocolException;
 
     /** Called when the output buffer is empty and the operating system has taken all of it. */
-    default void written() {}
+    default void writeCompleted() {}
 
     /**
      * Called once when the connection has been closed or could not be established, but not if the
@@ -35,59 +35,59 @@
     void closed(boolean wasUp);
 
     /** Called once when the connection has released its resources, whoever closed it. */
-    default void over() {}
+    default void released() {}
   }
 
   // Bytes passed to the operating system at a time, which bounds the bytes queued there.
-  private static final int CHUNK = 1 << 15;
+  private static final int MAX_WRITE_BYTES = 1 << 15;
 
   /** With more bytes handed over to the loop and not yet processed, reading is suspended. */
-  static final int MOST_UNREAD = 1 << 15;
+  static final int MAX_UNREAD_BYTES = 1 << 15;
 
   /** Bytes that the I/O thread has handed over to the loop and that are not yet processed. */
-  final AtomicInteger unread = new AtomicInteger();
+  final AtomicInteger unreadBytes = new AtomicInteger();
 
   /** The bytes received and not yet consumed by the owner. */
-  public final Ring in;
+  public final RingBuffer input;
 
   /** The bytes to be sent. */
-  public final Ring out;
+  public final RingBuffer output;
 
   private final Sockets sockets;
   private Owner owner;
   // Null until the connection is established.
   private IoSession session;
-  private ConnectFuture coming;
+  private ConnectFuture connectFuture;
   private boolean writing;
   private boolean closing;
-  private boolean over;
+  private boolean released;
   private boolean refused;
   // Bytes passed to the operating system so far, whether or not it has taken them.
-  private long handed;
+  private long bytesSubmitted;
   // When the connection was established.
-  private long cameAt;
+  private long connectedAt;
   // Whether this side closed the connection, possibly during a write.
-  private boolean shutByUs;
+  private boolean closedLocally;
 
   Connection(Sockets sockets, int mostIn, int mostOut) {
     this.sockets = sockets;
-    in = new Ring(mostIn);
-    out = new Ring(mostOut);
+    input = new RingBuffer(mostIn);
+    output = new RingBuffer(mostOut);
   }
 
   /** Sets the owner, which receives all further events. */
-  public void own(Owner by) {
+  public void setOwner(Owner by) {
     owner = by;
   }
 
   /** Whether the connection can still be written to. */
   public boolean open() {
-    return !over && !closing;
+    return !released && !closing;
   }
 
   /** Whether the connection has released its resources. */
-  public boolean ended() {
-    return over;
+  public boolean isReleased() {
+    return released;
   }
 
   /** Whether the peer's machine refused the connection. */
@@ -96,96 +96,99 @@
   }
 
   /** Returns the number of bytes that the operating system has taken so far. */
-  public long taken() {
+  public long bytesWritten() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
   /**
-   * Returns the number of bytes that may have been sent so far. The count of written bytes is updated
-   * by the I/O thread only after the write itself. If this side closed the connection, all bytes
-   * passed to the I/O thread therefore count as possibly sent; if the I/O thread reported the end,
-   * its count is exact.
+   * Returns the number of bytes that may have been sent so far. The count of written bytes is
+   * updated by the I/O thread only after the write itself. If this side closed the connection, all
+   * bytes passed to the I/O thread therefore count as possibly sent; if the I/O thread reported the
+   * end, its count is exact.
    */
-  long left() {
-    return shutByUs ? handed : taken();
+  long bytesPossiblySent() {
+    return closedLocally ? bytesSubmitted : bytesWritten();
   }
 
   /** Whether the connection is established. */
-  public boolean up() {
+  public boolean connected() {
     return session != null;
   }
 
   /** Returns when the connection was established. */
-  long cameAt() {
-    return cameAt;
+  long connectedAt() {
+    return connectedAt;
   }
 
   /** Returns the peer's address, null before the connection is established. */
-  public InetSocketAddress peer() {
+  public InetSocketAddress remoteAddress() {
     return session == null ? null : (InetSocketAddress) session.getRemoteAddress();
   }
 
-  void coming(ConnectFuture future) {
-    coming = future;
+  void connectFuture(ConnectFuture future) {
+    connectFuture = future;
   }
 
   /** Handles a failure to establish the connection. */
-  void failed(Throwable why) {
-    // A connection reset while it is being established has the same exception type as a refused one.
+  void connectFailed(Throwable why) {
+    // A connection reset while it is being established has the same exception type as a refused
+    // one.
     refused =
         why instanceof java.net.ConnectException
             && why.getMessage() != null
             && why.getMessage().contains("refused");
-    drop();
+    closeAndNotify();
   }
 
-  void came(IoSession with) {
-    if (over) {
+  void sessionOpened(IoSession with) {
+    if (released) {
       with.closeNow();
       return;
     }
     session = with;
-    cameAt = sockets.time();
+    connectedAt = sockets.now();
     flush();
   }
 
-  void heard(IoBuffer bytes, long at) {
+  void received(IoBuffer bytes, long at) {
     int count = bytes.remaining();
-    if (unread.getAndAdd(-count) > MOST_UNREAD && unread.get() <= MOST_UNREAD && session != null) {
+    if (unreadBytes.getAndAdd(-count) > MAX_UNREAD_BYTES
+        && unreadBytes.get() <= MAX_UNREAD_BYTES
+        && session != null) {
       sockets.resumeRead(session);
     }
     if (!open()) {
       return;
     }
     try {
-      if (!in.put(bytes.buf())) {
-        throw new Junk("more bytes than the ring holds");
+      if (!input.put(bytes.buf())) {
+        throw new ProtocolException("more bytes than the ring holds");
       }
-      owner.heard(at);
-    } catch (Junk e) {
-      sockets.junk(this, e);
-      shutByUs = true;
-      drop();
+      owner.received(at);
+    } catch (ProtocolException e) {
+      sockets.protocolErrors(this, e);
+      closedLocally = true;
+      closeAndNotify();
     }
   }
 
-  void sent() {
+  void writeCompleted() {
     writing = false;
     flush();
-    if (!over && !writing && out.size() == 0) {
-      owner.written();
+    if (!released && !writing && output.size() == 0) {
+      owner.writeCompleted();
     }
   }
 
   /** Passes the next bytes to the operating system; the rest follows once those are written. */
   public void flush() {
-    if (over || session == null || writing) {
+    if (released || session == null || writing) {
       return;
     }
-    if (out.size() > 0) {
+    if (output.size() > 0) {
       writing = true;
-      byte[] bytes = out.take(Math.min(CHUNK, out.size()));
-      handed += bytes.length;
+      byte[] bytes = output.take(Math.min(MAX_WRITE_BYTES, output.size()));
+      bytesSubmitted += bytes.length;
       session.write(IoBuffer.wrap(bytes));
     } else if (closing) {
       close();
@@ -193,35 +196,35 @@
   }
 
   /** Closes the connection once the output buffer is written. */
-  public void finish() {
+  public void closeAfterFlush() {
     closing = true;
     flush();
   }
 
   /** Closes the connection now without notifying the owner. */
   public void close() {
-    if (!over) {
-      over();
+    if (!released) {
+      release();
     }
   }
 
   /** Closes the connection and notifies the owner as if the peer had closed it. */
-  void drop() {
-    if (!over) {
+  void closeAndNotify() {
+    if (!released) {
       boolean wasUp = session != null;
-      over();
+      release();
       owner.closed(wasUp);
     }
   }
 
-  private void over() {
-    over = true;
+  private void release() {
+    released = true;
     if (session != null) {
       session.closeNow();
-    } else if (coming != null) {
-      coming.cancel();
+    } else if (connectFuture != null) {
+      connectFuture.cancel();
     }
-    sockets.gone(this);
-    owner.over();
+    sockets.connectionReleased(this);
+    owner.released();
   }
 }
--- a/src/main/java/tansytrack/wire/HttpLine.java
+++ b/src/main/java/tansytrack/wire/HttpConnection.java
@@ -3,11 +3,9 @@
 import java.net.InetSocketAddress;
 
 /** A client connection for HTTP requests, one at a time. */
-public final class HttpLine implements Connection.Owner {
+public final class HttpConnection implements Connection.Owner {
 
-  /**
-   * Why a request gets no response. The names are part of counter names.
-   */
+  /** Why a request gets no response. The names are part of counter names. */
   public enum Failure {
     /** The peer's machine refused the connection. */
     REFUSED,
@@ -21,67 +19,67 @@
 
   /**
    * Receives the result of a request: exactly one of {@link #answered} and {@link #failed} is
-   * called, unless the connection is closed by {@link HttpLine#drop}.
+   * called, unless the connection is closed by {@link HttpConnection#abort}.
    */
-  public interface Caller {
+  public interface ResponseHandler {
     /**
      * Called with the complete response.
      *
      * @throws Junk if the response cannot be used; the connection is then closed and the request
      *     fails as {@link Failure#BROKEN}
      */
-    void answered(Http.Answer answer) throws Junk;
+    void responseReceived(HttpCodec.Response answer) throws ProtocolException;
 
     /**
      * Called when no response will come. Nothing was written unless the reason is {@link
      * Failure#BROKEN}.
      */
-    void failed(Failure why);
+    void requestFailed(Failure why);
 
     /** Called when the request has been written completely. */
-    default void written() {}
+    default void requestWritten() {}
 
     /** Called when a further part of the response was received that does not complete it. */
-    default void part() {}
+    default void responsePartReceived() {}
   }
 
   /** Keeps the connections that are not in use. */
-  public interface Holder {
+  public interface Pool {
     /** Called when the connection is available for the next request. */
-    void free(HttpLine line);
+    void connectionIdle(HttpConnection line);
 
     /** Called when the connection is closed and is of no further use. */
-    void lost(HttpLine line);
+    void connectionClosed(HttpConnection line);
   }
 
   private final Connection connection;
-  private final InetSocketAddress to;
+  private final InetSocketAddress address;
   private final String host;
-  private final Holder holder;
+  private final Pool pool;
   private final Sockets sockets;
-  private Caller caller;
-  private long calledAt;
+  private ResponseHandler handler;
+  private long requestedAt;
   // Bytes that had been sent before the open request.
-  private long leftBefore;
+  private long sentBeforeRequest;
   // Whether no byte of a response has been received since the open request was made.
-  private boolean fresh;
+  private boolean awaitingFirstByte;
 
   /**
    * Starts to establish a connection.
    *
    * @param mostIn size of the input buffer in bytes; the body of a response may take half of it
    */
-  public HttpLine(Sockets sockets, InetSocketAddress to, int mostIn, Holder holder) {
+  public HttpConnection(Sockets sockets, InetSocketAddress to, int mostIn, Pool holder) {
     this.sockets = sockets;
-    this.holder = holder;
-    this.to = to;
+    this.pool = holder;
+    this.address = to;
     host = to.getHostString() + ':' + to.getPort();
     connection = sockets.connect(to, mostIn, this);
   }
 
   /** Returns the address that the connection was opened to. */
-  public InetSocketAddress to() {
-    return to;
+  public InetSocketAddress address() {
+    return address;
   }
 
   Connection connection() {
@@ -89,13 +87,13 @@
   }
 
   /** Whether the connection is established. */
-  public boolean up() {
-    return connection.up();
+  public boolean connected() {
+    return connection.connected();
   }
 
   /** Returns when the connection was established. */
-  public long cameAt() {
-    return connection.cameAt();
+  public long connectedAt() {
+    return connection.connectedAt();
   }
 
   /**
@@ -107,11 +105,11 @@
   }
 
   /**
-   * Returns the earliest time at which the open request, or the last one, could be sent: when it was
-   * made, or when the connection was established.
+   * Returns the earliest time at which the open request, or the last one, could be sent: when it
+   * was made, or when the connection was established.
    */
-  public long begunAt() {
-    return Math.max(calledAt, connection.cameAt());
+  public long requestStartedAt() {
+    return Math.max(requestedAt, connection.connectedAt());
   }
 
   /**
@@ -119,73 +117,76 @@
    *
    * @param fields further header fields as complete lines, each with its line end
    */
-  public void call(String method, String path, String fields, byte[] body, Caller by) {
-    caller = by;
-    calledAt = sockets.time();
-    leftBefore = connection.left();
-    fresh = true;
-    Http.call(connection.out, method, path, host, fields, body);
+  public void send(String method, String path, String fields, byte[] body, ResponseHandler by) {
+    handler = by;
+    requestedAt = sockets.now();
+    sentBeforeRequest = connection.bytesPossiblySent();
+    awaitingFirstByte = true;
+    HttpCodec.writeRequest(connection.output, method, path, host, fields, body);
     connection.flush();
   }
 
   @Override
-  public void heard(long at) throws Junk {
-    if (caller == null) {
-      throw new Junk("an answer that nobody asked for");
+  public void received(long at) throws ProtocolException {
+    if (handler == null) {
+      throw new ProtocolException("an answer that nobody asked for");
     }
-    if (fresh && at < calledAt) {
-      throw new Junk("what came before the call");
+    if (awaitingFirstByte && at < requestedAt) {
+      throw new ProtocolException("what came before the call");
     }
-    fresh = false;
-    Http.Answer answer = Http.answer(connection.in);
+    awaitingFirstByte = false;
+    HttpCodec.Response answer = HttpCodec.readResponse(connection.input);
     if (answer == null) {
-      caller.part();
+      handler.responsePartReceived();
       return;
     }
-    // Bytes after the response belong to no request. A duplicate of the response does no harm; other
+    // Bytes after the response belong to no request. A duplicate of the response does no harm;
+    // other
     // bytes may be the rest of a response with a wrong length, which is then incomplete.
-    boolean more = connection.in.size() > 0;
-    if (more && answer.status() == 200 && connection.in.at(0) != 'H') {
-      throw new Junk("more bytes than the length that was told");
+    boolean more = connection.input.size() > 0;
+    if (more && answer.status() == 200 && connection.input.byteAt(0) != 'H') {
+      throw new ProtocolException("more bytes than the length that was told");
     }
-    Caller to = caller;
-    to.answered(answer);
-    caller = null;
+    ResponseHandler to = handler;
+    to.responseReceived(answer);
+    handler = null;
     if (!connection.open()) {
       return;
     }
-    if (answer.lasts() && !more) {
-      holder.free(this);
+    if (answer.keepAlive() && !more) {
+      pool.connectionIdle(this);
     } else {
       connection.close();
-      holder.lost(this);
+      pool.connectionClosed(this);
     }
   }
 
   @Override
-  public void written() {
-    if (caller != null) {
-      caller.written();
+  public void writeCompleted() {
+    if (handler != null) {
+      handler.requestWritten();
     }
   }
 
   @Override
   public void closed(boolean wasUp) {
-    Caller to = caller;
-    caller = null;
-    holder.lost(this);
+    ResponseHandler to = handler;
+    handler = null;
+    pool.connectionClosed(this);
     if (to != null) {
-      to.failed(
+      to.requestFailed(
           connection.refused()
               ? Failure.REFUSED
-              : connection.left() == leftBefore ? Failure.UNSENT : Failure.BROKEN);
+              : connection.bytesPossiblySent() == sentBeforeRequest
+                  ? Failure.UNSENT
+                  : Failure.BROKEN);
     }
   }
 
   /** Closes the connection without notifying the sender of the open request. */
-  public void drop() {
-    caller = null;
+  public void abort() {
+    handler = null;
     connection.close();
-    holder.lost(this);
+    pool.connectionClosed(this);
   }
 }
--- a/src/main/java/tansytrack/wire/Junk.java
+++ b/src/main/java/tansytrack/wire/ProtocolException.java
@@ -1,16 +1,16 @@
 package tansytrack.wire;
 
 /** Signals that a peer sent something that its protocol does not allow. */
-public final class Junk extends Exception {
+public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final boolean cutOff;
+  private final boolean truncated;
 
   /**
-   * Creates an exception for a message that violates the protocol. The text says how; it may be sent
-   * to clients, and its beginning labels a counter.
+   * Creates an exception for a message that violates the protocol. The text says how; it may be
+   * sent to clients, and its beginning labels a counter.
    */
-  public Junk(String what) {
+  public ProtocolException(String what) {
     this(what, false);
   }
 
@@ -19,13 +19,13 @@
    *
    * @param cutOff whether the message is valid so far and only ends too early
    */
-  public Junk(String what, boolean cutOff) {
+  public ProtocolException(String what, boolean cutOff) {
     super(what, null, false, false);
-    this.cutOff = cutOff;
+    this.truncated = cutOff;
   }
 
   /** Returns a counter label: the message without the numbers and values of the single case. */
-  String reason() {
+  String counterLabel() {
     StringBuilder reason = new StringBuilder();
     for (char c : getMessage().toCharArray()) {
       if (c == ':' || c == '\'' || Character.isDigit(c)) {
@@ -38,7 +38,7 @@
   }
 
   /** Whether the message is valid so far and only ends too early. */
-  public boolean cutOff() {
-    return cutOff;
+  public boolean truncated() {
+    return truncated;
   }
 }
--- a/src/main/java/tansytrack/wire/Ring.java
+++ b/src/main/java/tansytrack/wire/RingBuffer.java
@@ -6,26 +6,28 @@
  * A ring buffer for the bytes of one direction of a connection. It starts small, doubles when full,
  * and has a maximum capacity.
  */
-public final class Ring {
+public final class RingBuffer {
 
   // Most messages are shorter.
-  private static final int FIRST = 1 << 11;
+  private static final int INITIAL_CAPACITY_BYTES = 1 << 11;
 
   // An empty buffer that has grown further is shrunk, so that hundreds of sessions do not keep the
   // memory of their largest messages.
-  private static final int KEPT = 1 << 13;
+  private static final int MAX_RETAINED_CAPACITY_BYTES = 1 << 13;
 
-  private final int most;
-  private byte[] bytes = new byte[FIRST];
+  private final int maxCapacity;
+  private byte[] bytes = new byte[INITIAL_CAPACITY_BYTES];
   private int head;
   private int size;
 
   /** Creates a buffer with the given maximum capacity in bytes, a power of two. */
-  public Ring(int most) {
-    if (Integer.bitCount(most) != 1 || most < FIRST) {
-      throw new IllegalArgumentException("the maximum capacity of a ring buffer must be a power of two of at least " + FIRST);
+  public RingBuffer(int most) {
+    if (Integer.bitCount(most) != 1 || most < INITIAL_CAPACITY_BYTES) {
+      throw new IllegalArgumentException(
+          "the maximum capacity of a ring buffer must be a power of two of at least "
+              + INITIAL_CAPACITY_BYTES);
     }
-    this.most = most;
+    this.maxCapacity = most;
   }
 
   /** Returns the number of bytes in the buffer. */
@@ -34,17 +36,17 @@
   }
 
   /** Returns the maximum capacity in bytes. */
-  public int most() {
-    return most;
+  public int maxCapacity() {
+    return maxCapacity;
   }
 
   /** Returns the number of bytes that can be added up to the maximum capacity. */
-  public int space() {
-    return most - size;
+  public int freeSpace() {
+    return maxCapacity - size;
   }
 
   /** Returns the byte at an index, counted from the oldest. */
-  public byte at(int index) {
+  public byte byteAt(int index) {
     if (index < 0 || index >= size) {
       throw new IndexOutOfBoundsException(index);
     }
@@ -53,19 +55,19 @@
 
   /** Returns the big-endian integer of the four bytes at an index. */
   public int intAt(int index) {
-    return (at(index) & 255) << 24
-        | (at(index + 1) & 255) << 16
-        | (at(index + 2) & 255) << 8
-        | (at(index + 3) & 255);
+    return (byteAt(index) & 255) << 24
+        | (byteAt(index + 1) & 255) << 16
+        | (byteAt(index + 2) & 255) << 8
+        | (byteAt(index + 3) & 255);
   }
 
   /** Adds all remaining bytes of the source, or none; returns false if they do not fit. */
   public boolean put(ByteBuffer from) {
     int count = from.remaining();
-    if (count > space()) {
+    if (count > freeSpace()) {
       return false;
     }
-    room(count);
+    ensureCapacity(count);
     int tail = head + size & bytes.length - 1;
     int first = Math.min(count, bytes.length - tail);
     from.get(bytes, tail, first);
@@ -103,8 +105,8 @@
     }
     head = head + count & bytes.length - 1;
     size -= count;
-    if (size == 0 && bytes.length > KEPT) {
-      bytes = new byte[FIRST];
+    if (size == 0 && bytes.length > MAX_RETAINED_CAPACITY_BYTES) {
+      bytes = new byte[INITIAL_CAPACITY_BYTES];
       head = 0;
     }
   }
@@ -116,7 +118,7 @@
     return taken;
   }
 
-  private void room(int more) {
+  private void ensureCapacity(int more) {
     int wanted = bytes.length;
     while (wanted < size + more) {
       wanted *= 2;
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -39,22 +39,22 @@
   private static final int BACKLOG = 1024;
 
   // Initial size of the read buffer, and the limits within which MINA adapts it, in bytes.
-  private static final int READ_FIRST = 1 << 11;
-  private static final int READ_MOST = 1 << 14;
+  private static final int INITIAL_READ_BYTES = 1 << 11;
+  private static final int MAX_READ_BYTES = 1 << 14;
 
   // Holds the longest message of a client.
-  private static final int FRONT_IN = 1 << 16;
+  private static final int CLIENT_INPUT_BYTES = 1 << 16;
 
   // Holds a result of the maximum size with rows of the minimum size.
-  private static final int FRONT_OUT = 1 << 19;
+  private static final int CLIENT_OUTPUT_BYTES = 1 << 19;
 
   // Holds a request with a statement and its header.
-  private static final int CALL_OUT = 1 << 17;
+  private static final int REQUEST_OUTPUT_BYTES = 1 << 17;
 
   // Interval between log lines about closed connections.
-  private static final long SAID_EVERY = 1_000_000_000L;
+  private static final long WARNING_INTERVAL_NANOS = 1_000_000_000L;
 
-  private final Consumer<Runnable> hand;
+  private final Consumer<Runnable> eventLoop;
   private final LongSupplier clock;
   private final ExecutorService threads =
       Executors.newCachedThreadPool(
@@ -67,11 +67,11 @@
       new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, SelectorProvider.provider());
   private final Acceptor acceptor = new Acceptor();
   private final NioSocketConnector connector = new NioSocketConnector(threads, processors);
-  private Consumer<Connection> accepted;
-  private int open;
+  private Consumer<Connection> acceptHandler;
+  private int openConnections;
   private final Map<String, Long> junk = new TreeMap<>();
-  private int unsaid;
-  private long saidAt;
+  private int unloggedErrors;
+  private long lastWarningAt;
 
   /**
    * Creates the sockets.
@@ -80,7 +80,7 @@
    * @param clock time stamps of received data, in nanoseconds
    */
   public Sockets(Consumer<Runnable> hand, LongSupplier clock) {
-    this.hand = hand;
+    this.eventLoop = hand;
     this.clock = clock;
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
@@ -93,14 +93,14 @@
 
   private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setReadBufferSize(READ_FIRST);
-    config.setMinReadBufferSize(READ_FIRST);
-    config.setMaxReadBufferSize(READ_MOST);
+    config.setReadBufferSize(INITIAL_READ_BYTES);
+    config.setMinReadBufferSize(INITIAL_READ_BYTES);
+    config.setMaxReadBufferSize(MAX_READ_BYTES);
   }
 
   /** Sets the maximum number of accepted connections; further ones are closed at once. */
-  public void mostAccepted(int most) {
-    acceptor.most = most;
+  public void maxAccepted(int most) {
+    acceptor.maxAccepted = most;
   }
 
   /**
@@ -109,8 +109,8 @@
    * reached.
    */
   private final class Acceptor extends NioSocketAcceptor {
-    private final AtomicInteger held = new AtomicInteger();
-    private volatile int most = Integer.MAX_VALUE;
+    private final AtomicInteger accepted = new AtomicInteger();
+    private volatile int maxAccepted = Integer.MAX_VALUE;
 
     Acceptor() {
       super(threads, processors);
@@ -121,11 +121,11 @@
         throws Exception {
       // MINA's own count is updated later, on another thread, so a whole backlog could exceed the
       // limit.
-      if (held.get() < most) {
+      if (accepted.get() < maxAccepted) {
         NioSession session = super.accept(processor, from);
         if (session != null) {
-          held.incrementAndGet();
-          session.getCloseFuture().addListener(closed -> held.decrementAndGet());
+          accepted.incrementAndGet();
+          session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
         }
         return session;
       }
@@ -144,7 +144,7 @@
    */
   public InetSocketAddress listen(InetSocketAddress at, Consumer<Connection> to)
       throws IOException {
-    accepted = to;
+    acceptHandler = to;
     acceptor.bind(at);
     return acceptor.getLocalAddress();
   }
@@ -160,34 +160,34 @@
    * @param mostIn maximum size of the input buffer in bytes
    */
   public Connection connect(InetSocketAddress to, int mostIn, Connection.Owner owner) {
-    Connection connection = new Connection(this, mostIn, CALL_OUT);
-    connection.own(owner);
-    open++;
+    Connection connection = new Connection(this, mostIn, REQUEST_OUTPUT_BYTES);
+    connection.setOwner(owner);
+    openConnections++;
     ConnectFuture coming =
         connector.connect(to, (session, future) -> session.setAttribute(CONNECTION, connection));
-    connection.coming(coming);
+    connection.connectFuture(coming);
     coming.addListener(
         done -> {
           if (!coming.isConnected()) {
-            hand.accept(() -> connection.failed(coming.getException()));
+            eventLoop.accept(() -> connection.connectFailed(coming.getException()));
           }
         });
     return connection;
   }
 
   /** Returns the current time of the clock that time-stamps received data. */
-  long time() {
+  long now() {
     return clock.getAsLong();
   }
 
   /** Returns the number of connections that are open or being established. */
-  public int open() {
-    return open;
+  public int openConnections() {
+    return openConnections;
   }
 
   /**
-   * Resumes reading. MINA does not wake its selector for this, which waits up to a second: a list of
-   * one megabyte was received at 32 KiB a second. An empty flush wakes the selector.
+   * Resumes reading. MINA does not wake its selector for this, which waits up to a second: a list
+   * of one megabyte was received at 32 KiB a second. An empty flush wakes the selector.
    */
   void resumeRead(IoSession session) {
     session.resumeRead();
@@ -195,30 +195,30 @@
   }
 
   /** Called once for each connection that has been closed. */
-  void gone(Connection connection) {
-    open--;
+  void connectionReleased(Connection connection) {
+    openConnections--;
   }
 
   /** Returns the numbers of connections closed for protocol violations, by reason. */
-  public Map<String, Long> junk() {
+  public Map<String, Long> protocolErrors() {
     return junk;
   }
 
   /**
-   * Counts a connection that is closed for a protocol violation, and logs it, at most once a second,
-   * so that misbehaving peers do not take the time of the others.
+   * Counts a connection that is closed for a protocol violation, and logs it, at most once a
+   * second, so that misbehaving peers do not take the time of the others.
    */
-  void junk(Connection connection, Junk junk) {
-    this.junk.merge(junk.reason(), 1L, Long::sum);
-    unsaid++;
-    if (clock.getAsLong() - saidAt >= SAID_EVERY) {
-      saidAt = clock.getAsLong();
+  void protocolErrors(Connection connection, ProtocolException junk) {
+    this.junk.merge(junk.counterLabel(), 1L, Long::sum);
+    unloggedErrors++;
+    if (clock.getAsLong() - lastWarningAt >= WARNING_INTERVAL_NANOS) {
+      lastWarningAt = clock.getAsLong();
       Logger.warn(
           "connection with {} closed: {}{}",
-          connection.peer(),
+          connection.remoteAddress(),
           junk.getMessage(),
-          unsaid > 1 ? " (" + unsaid + " closed since the last such line)" : "");
-      unsaid = 0;
+          unloggedErrors > 1 ? " (" + unloggedErrors + " closed since the last such line)" : "");
+      unloggedErrors = 0;
     }
   }
 
@@ -242,16 +242,16 @@
     public void sessionOpened(IoSession session) {
       Connection known = (Connection) session.getAttribute(CONNECTION);
       if (known != null) {
-        hand.accept(() -> known.came(session));
+        eventLoop.accept(() -> known.sessionOpened(session));
         return;
       }
-      Connection fresh = new Connection(Sockets.this, FRONT_IN, FRONT_OUT);
+      Connection fresh = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
       session.setAttribute(CONNECTION, fresh);
-      hand.accept(
+      eventLoop.accept(
           () -> {
-            open++;
-            accepted.accept(fresh);
-            fresh.came(session);
+            openConnections++;
+            acceptHandler.accept(fresh);
+            fresh.sessionOpened(session);
           });
     }
 
@@ -260,27 +260,27 @@
       long at = clock.getAsLong();
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       IoBuffer bytes = (IoBuffer) message;
-      if (connection.unread.addAndGet(bytes.remaining()) > Connection.MOST_UNREAD) {
+      if (connection.unreadBytes.addAndGet(bytes.remaining()) > Connection.MAX_UNREAD_BYTES) {
         session.suspendRead();
-        if (connection.unread.get() <= Connection.MOST_UNREAD) {
+        if (connection.unreadBytes.get() <= Connection.MAX_UNREAD_BYTES) {
           // The loop has processed the bytes meanwhile, before reading was suspended.
           session.resumeRead();
         }
       }
-      hand.accept(() -> connection.heard(bytes, at));
+      eventLoop.accept(() -> connection.received(bytes, at));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
       Connection connection = (Connection) session.getAttribute(CONNECTION);
-      hand.accept(connection::sent);
+      eventLoop.accept(connection::writeCompleted);
     }
 
     @Override
     public void sessionClosed(IoSession session) {
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       if (connection != null) {
-        hand.accept(connection::drop);
+        eventLoop.accept(connection::closeAndNotify);
       }
     }
 
--- a/src/test/java/tansytrack/wire/HttpLineTest.java
+++ b/src/test/java/tansytrack/wire/HttpLineTest.java
@@ -15,42 +15,47 @@
  * Tests a connection whose session accepts written data and has not counted it yet, as when the I/O
  * thread is within the write.
  */
-class HttpLineTest implements HttpLine.Holder, HttpLine.Caller {
+class HttpLineTest implements HttpConnection.Pool, HttpConnection.ResponseHandler {
 
-  private final List<HttpLine.Failure> failures = new ArrayList<>();
+  private final List<HttpConnection.Failure> failures = new ArrayList<>();
 
   @Override
-  public void free(HttpLine line) {}
+  public void connectionIdle(HttpConnection line) {}
 
   @Override
-  public void lost(HttpLine line) {}
+  public void connectionClosed(HttpConnection line) {}
 
   @Override
-  public void answered(Http.Answer answer) {}
+  public void responseReceived(HttpCodec.Response answer) {}
 
   @Override
-  public void failed(HttpLine.Failure why) {
+  public void requestFailed(HttpConnection.Failure why) {
     failures.add(why);
   }
 
   /**
-   * A request that may have been sent must not be reported as unsent: it would be sent again, and the
-   * query would run twice.
+   * A request that may have been sent must not be reported as unsent: it would be sent again, and
+   * the query would run twice.
    */
   @ParameterizedTest(name = "connected: {0}, closed by {1}: {2}")
-  @CsvSource({"true, this side, BROKEN", "true, the I/O thread, UNSENT", "false, the I/O thread, UNSENT"})
-  void whatWasHandedOverMayHaveLeft(boolean up, String by, HttpLine.Failure told) {
+  @CsvSource({
+    "true, this side, BROKEN",
+    "true, the I/O thread, UNSENT",
+    "false, the I/O thread, UNSENT"
+  })
+  void whatWasHandedOverMayHaveLeft(boolean up, String by, HttpConnection.Failure told) {
     Sockets sockets = new Sockets(note -> {}, () -> 5);
-    HttpLine line = new HttpLine(sockets, new InetSocketAddress("127.0.0.1", 1), 1 << 16, this);
+    HttpConnection line =
+        new HttpConnection(sockets, new InetSocketAddress("127.0.0.1", 1), 1 << 16, this);
     if (up) {
-      line.connection().came(new DummySession());
+      line.connection().sessionOpened(new DummySession());
     }
-    line.call("POST", "/o", "", new byte[0], this);
+    line.send("POST", "/o", "", new byte[0], this);
     if (by.equals("this side")) {
       // Bytes received before the request, which the loop processes only now.
-      line.connection().heard(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
+      line.connection().received(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
     } else {
-      line.connection().drop();
+      line.connection().closeAndNotify();
     }
     assertThat(failures).containsExactly(told);
     sockets.close();
