--- a/src/main/java/tansytrack/state/AttemptCancellation.java
+++ b/src/main/java/tansytrack/state/AttemptCancellation.java
@@ -71,11 +71,11 @@
   private boolean deleteInProgress;
   private boolean finished;
 
-  AttemptCancellation(EngineConnections engine, Timers timers, Attempt attempt, Runnable ended) {
+  AttemptCancellation(EngineConnections engine, Timers timers, Attempt attempt, Runnable onEnd) {
     this.engine = engine;
     this.timers = timers;
     this.attempt = attempt;
-    this.onEnd = ended;
+    this.onEnd = onEnd;
     answeredSince = attempt.hadUnansweredRequest() ? timers.now() : EngineConnections.ANY_TIME;
   }
 
@@ -87,9 +87,10 @@
    * an ordered query the engine counts as stalled until the engine list says that it is gone.
    */
   static long unpolledEndTime(
-      EngineConnections engine, long askedAt, long deadline, boolean ordered) {
-    boolean mayStandStill = (ordered || engine.unresponsive()) && !engine.retired();
-    return (mayStandStill ? Math.max(askedAt, deadline) : askedAt) + MAX_UNPOLLED_LIFETIME_NANOS;
+      EngineConnections engine, long lastPolledAt, long deadline, boolean ordered) {
+    boolean mayBeStalled = (ordered || engine.unresponsive()) && !engine.retired();
+    return (mayBeStalled ? Math.max(lastPolledAt, deadline) : lastPolledAt)
+        + MAX_UNPOLLED_LIFETIME_NANOS;
   }
 
   void start() {
@@ -110,11 +111,11 @@
    * confirmed that it has the query: the DELETE may have overtaken the start request, which uses
    * another connection.
    */
-  private void deleteDone(boolean taken) {
+  private void deleteDone(boolean reached) {
     deleteInProgress = false;
-    if (!taken && timers.now() >= endsAt()) {
+    if (!reached && timers.now() >= endsAt()) {
       end();
-    } else if (!taken) {
+    } else if (!reached) {
       timers.schedule(timers.now() + retryDelay, this::delete);
       retryDelay = Math.min(MAX_RETRY_DELAY_NANOS, 2 * retryDelay);
     } else if (attempt.knownToEngine() || (confirmed && !attempt.startMayArriveLate())) {
--- a/src/main/java/tansytrack/state/Counters.java
+++ b/src/main/java/tansytrack/state/Counters.java
@@ -9,13 +9,13 @@
   private final Map<String, Long> counts = new TreeMap<>();
 
   /** Increments a counter, which starts at 0. */
-  public void increment(String kind) {
-    counts.merge(kind, 1L, Long::sum);
+  public void increment(String name) {
+    counts.merge(name, 1L, Long::sum);
   }
 
   /** Returns a counter's value, 0 if nothing was counted. */
-  public long get(String kind) {
-    return counts.getOrDefault(kind, 0L);
+  public long get(String name) {
+    return counts.getOrDefault(name, 0L);
   }
 
   /** Returns all counters, ordered by name. */
--- a/src/main/java/tansytrack/state/EngineConnections.java
+++ b/src/main/java/tansytrack/state/EngineConnections.java
@@ -93,12 +93,12 @@
    * Updates the engine from the list: its address, and whether new work may start there. Idle
    * connections to a previous address are closed.
    */
-  void updateListing(InetSocketAddress at, boolean ready) {
+  void updateListing(InetSocketAddress newAddress, boolean ready) {
     acceptsWork = ready;
     retired = false;
-    if (!at.equals(address)) {
+    if (!newAddress.equals(address)) {
       closeIdle();
-      address = at;
+      address = newAddress;
     }
   }
 
@@ -124,8 +124,8 @@
    * Whether the engine left the list more than the given time ago, so that the module no longer
    * refers to it.
    */
-  boolean retiredLongerThan(long after) {
-    return retired && timers.now() - retiredAt > after;
+  boolean retiredLongerThan(long time) {
+    return retired && timers.now() - retiredAt > time;
   }
 
   private void closeIdle() {
@@ -155,8 +155,8 @@
    * Records that a request on the given established connection has not been answered within its
    * time limit.
    */
-  void recordUnanswered(HttpConnection line) {
-    unresponsive |= line.connectedAt() > lastResponseAt;
+  void recordUnanswered(HttpConnection connection) {
+    unresponsive |= connection.connectedAt() > lastResponseAt;
   }
 
   /**
@@ -182,8 +182,8 @@
    * keeps contact with queries on an engine that refuses connections because it drains or is at its
    * connection limit. There, a request may have to wait for others.
    */
-  void whenConnectionAvailable(Runnable call) {
-    waitingRequests.add(call);
+  void whenConnectionAvailable(Runnable request) {
+    waitingRequests.add(request);
     runWaitingRequests();
   }
 
@@ -193,9 +193,9 @@
         if (idleConnections.isEmpty()) {
           return; // continues when a connection becomes idle
         }
-        long rests = reuseDelay();
-        if (rests > 0) {
-          timers.schedule(timers.now() + rests, this::runWaitingRequests);
+        long delay = reuseDelay();
+        if (delay > 0) {
+          timers.schedule(timers.now() + delay, this::runWaitingRequests);
           return;
         }
       }
@@ -211,12 +211,14 @@
    * required if no further connection may be opened.
    */
   private HttpConnection takeReusable(long answeredSince) {
-    for (Iterator<Idle> last = idleConnections.descendingIterator(); last.hasNext(); ) {
-      Idle one = last.next();
-      if (one.idleSince >= answeredSince
-          && (reuseDelay(one) <= 0 || sockets.openConnections() >= limits.maxOpenConnections)) {
-        last.remove();
-        return one.connection;
+    for (Iterator<Idle> newestFirst = idleConnections.descendingIterator();
+        newestFirst.hasNext(); ) {
+      Idle candidate = newestFirst.next();
+      if (candidate.idleSince >= answeredSince
+          && (reuseDelay(candidate) <= 0
+              || sockets.openConnections() >= limits.maxOpenConnections)) {
+        newestFirst.remove();
+        return candidate.connection;
       }
     }
     return null;
@@ -229,12 +231,12 @@
    * would open a new connection. The price is a delay of at most the reuse delay.
    */
   long reuseDelay() {
-    Idle first = idleConnections.peek();
-    return first == null ? 0 : Math.max(0, reuseDelay(first));
+    Idle oldest = idleConnections.peek();
+    return oldest == null ? 0 : Math.max(0, reuseDelay(oldest));
   }
 
-  private long reuseDelay(Idle one) {
-    return Math.max(one.idleSince, timers.lastStallEnd()) + REUSE_DELAY_NANOS - timers.now();
+  private long reuseDelay(Idle idle) {
+    return Math.max(idle.idleSince, timers.lastStallEnd()) + REUSE_DELAY_NANOS - timers.now();
   }
 
   /**
@@ -242,39 +244,44 @@
    * limit of open connections is reached.
    */
   HttpConnection send(
-      String method, String path, String fields, byte[] body, HttpConnection.ResponseHandler by) {
-    return send(method, path, fields, body, ANY_TIME, by);
+      String method,
+      String path,
+      String headers,
+      byte[] body,
+      HttpConnection.ResponseHandler handler) {
+    return send(method, path, headers, body, ANY_TIME, handler);
   }
 
   private HttpConnection send(
       String method,
       String path,
-      String fields,
+      String headers,
       byte[] body,
       long answeredSince,
-      HttpConnection.ResponseHandler by) {
+      HttpConnection.ResponseHandler handler) {
     closeExpiredIdle();
-    HttpConnection line = takeReusable(answeredSince);
-    if (line == null) {
+    HttpConnection connection = takeReusable(answeredSince);
+    if (connection == null) {
       if (sockets.openConnections() >= limits.maxOpenConnections) {
         counters.increment("calls.no_descriptor");
         return null;
       }
-      line = new HttpConnection(sockets, address, INPUT_BUFFER_BYTES, this);
-      connections.add(line);
+      connection = new HttpConnection(sockets, address, INPUT_BUFFER_BYTES, this);
+      connections.add(connection);
       counters.increment("connections.to_engines");
-      HttpConnection late = line;
+      HttpConnection newConnection = connection;
       connectTimers.put(
-          line,
+          connection,
           timers.schedule(
-              timers.now() + limits.connectTimeoutNanos, () -> connectTimedOut(late, by)));
+              timers.now() + limits.connectTimeoutNanos,
+              () -> connectTimedOut(newConnection, handler)));
     }
-    line.send(method, path, fields, body, by);
-    return line;
+    connection.send(method, path, headers, body, handler);
+    return connection;
   }
 
-  HttpConnection send(String method, String path, HttpConnection.ResponseHandler by) {
-    return send(method, path, "", EMPTY_BODY, by);
+  HttpConnection send(String method, String path, HttpConnection.ResponseHandler handler) {
+    return send(method, path, "", EMPTY_BODY, handler);
   }
 
   /**
@@ -289,11 +296,11 @@
    *
    * @param answeredSince only open connections that have delivered a response since this time are
    *     used, as the engine did not answer before
-   * @param done receives whether the request has reached the engine
+   * @param whenDone receives whether the request has reached the engine
    */
   void sendInBackground(
-      String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
-    new BackgroundRequest(method, path, body, answeredSince, done).start();
+      String method, String path, byte[] body, long answeredSince, Consumer<Boolean> whenDone) {
+    new BackgroundRequest(method, path, body, answeredSince, whenDone).start();
   }
 
   private final class BackgroundRequest implements HttpConnection.ResponseHandler {
@@ -313,12 +320,12 @@
     private int unansweredAttempts;
 
     BackgroundRequest(
-        String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
+        String method, String path, byte[] body, long answeredSince, Consumer<Boolean> whenDone) {
       this.method = method;
       this.path = path;
       this.body = body;
       this.answeredSince = answeredSince;
-      this.whenDone = done;
+      this.whenDone = whenDone;
     }
 
     void start() {
@@ -336,7 +343,7 @@
     }
 
     @Override
-    public void responseReceived(HttpCodec.Response answer) {
+    public void responseReceived(HttpCodec.Response response) {
       recordResponse();
       timer.cancel();
       whenDone.accept(true);
@@ -348,10 +355,11 @@
     }
 
     @Override
-    public void requestFailed(HttpConnection.Failure why) {
+    public void requestFailed(HttpConnection.Failure failure) {
       timer.cancel();
       if (attempts < MAX_ATTEMPTS
-          && (why == HttpConnection.Failure.BROKEN || why == HttpConnection.Failure.UNSENT)) {
+          && (failure == HttpConnection.Failure.BROKEN
+              || failure == HttpConnection.Failure.UNSENT)) {
         start();
       } else {
         whenDone.accept(false);
@@ -375,32 +383,32 @@
     }
   }
 
-  private void connectTimedOut(HttpConnection line, HttpConnection.ResponseHandler by) {
-    connectTimers.remove(line);
-    if (!line.connected()) {
-      line.abort();
-      by.requestFailed(HttpConnection.Failure.LATE);
+  private void connectTimedOut(HttpConnection connection, HttpConnection.ResponseHandler handler) {
+    connectTimers.remove(connection);
+    if (!connection.connected()) {
+      connection.abort();
+      handler.requestFailed(HttpConnection.Failure.LATE);
     }
   }
 
   @Override
-  public void connectionIdle(HttpConnection line) {
-    cancelConnectTimer(line);
-    refusesConnections &= line.connectedAt() <= refusedAt;
-    if (retired || !line.address().equals(address)) {
-      line.abort();
+  public void connectionIdle(HttpConnection connection) {
+    cancelConnectTimer(connection);
+    refusesConnections &= connection.connectedAt() <= refusedAt;
+    if (retired || !connection.address().equals(address)) {
+      connection.abort();
     } else {
-      idleConnections.add(new Idle(line, timers.now()));
+      idleConnections.add(new Idle(connection, timers.now()));
       runWaitingRequests();
     }
   }
 
   @Override
-  public void connectionClosed(HttpConnection line) {
-    cancelConnectTimer(line);
-    connections.remove(line);
-    idleConnections.removeIf(one -> one.connection == line);
-    if (line.refused()) {
+  public void connectionClosed(HttpConnection connection) {
+    cancelConnectTimer(connection);
+    connections.remove(connection);
+    idleConnections.removeIf(entry -> entry.connection == connection);
+    if (connection.refused()) {
       refusesConnections = true;
       refusedAt = timers.now();
     }
@@ -410,8 +418,8 @@
     }
   }
 
-  private void cancelConnectTimer(HttpConnection line) {
-    Timers.Timer timer = connectTimers.remove(line);
+  private void cancelConnectTimer(HttpConnection connection) {
+    Timers.Timer timer = connectTimers.remove(connection);
     if (timer != null) {
       timer.cancel();
     }
--- a/src/main/java/tansytrack/state/ForwardResolution.java
+++ b/src/main/java/tansytrack/state/ForwardResolution.java
@@ -27,27 +27,27 @@
   private final TaskListener listener;
   private final ArrayDeque<TaskListener.UnresolvedForward> unresolved = new ArrayDeque<>();
 
-  ForwardResolution(Manager manager, Timers timers, TaskListener watch) {
+  ForwardResolution(Manager manager, Timers timers, TaskListener listener) {
     this.manager = manager;
     this.timers = timers;
-    this.listener = watch;
+    this.listener = listener;
   }
 
   /** Asks about the given forwards; of too many, only about the most recent ones. */
-  void start(Collection<TaskListener.UnresolvedForward> all) {
-    List<TaskListener.UnresolvedForward> some = List.copyOf(all);
-    unresolved.addAll(some.subList(Math.max(0, some.size() - MAX_FORWARDS), some.size()));
+  void start(Collection<TaskListener.UnresolvedForward> forwards) {
+    List<TaskListener.UnresolvedForward> list = List.copyOf(forwards);
+    unresolved.addAll(list.subList(Math.max(0, list.size() - MAX_FORWARDS), list.size()));
     for (int i = 0; i < MAX_CONCURRENT_REQUESTS; i++) {
       next();
     }
   }
 
   private void next() {
-    TaskListener.UnresolvedForward one = unresolved.poll();
-    EngineConnections engine = one == null ? null : manager.engine(one.engine());
+    TaskListener.UnresolvedForward forward = unresolved.poll();
+    EngineConnections engine = forward == null ? null : manager.engine(forward.engine());
     if (engine != null) {
-      new StatusRequest(one, engine).send();
-    } else if (one != null) {
+      new StatusRequest(forward, engine).send();
+    } else if (forward != null) {
       manager.defer(this::next); // the engine is no longer listed
     }
   }
@@ -60,8 +60,8 @@
     private HttpConnection connection;
     private boolean ended;
 
-    StatusRequest(TaskListener.UnresolvedForward about, EngineConnections engine) {
-      this.forward = about;
+    StatusRequest(TaskListener.UnresolvedForward forward, EngineConnections engine) {
+      this.forward = forward;
       this.engine = engine;
       timer = timers.schedule(timers.now() + REQUEST_TIMEOUT_NANOS, this::timedOut);
     }
@@ -74,25 +74,25 @@
     }
 
     @Override
-    public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
+    public void responseReceived(HttpCodec.Response response) throws ProtocolException {
       manager.counters().increment("inquiries.answered");
-      if (answer.status() == 200) {
+      if (response.status() == 200) {
         listener.forwardResolved(
-            forward, true, Math.round(answer.numericHeader("work-ms", 0) * 1e6));
-      } else if (answer.status() == 202) {
+            forward, true, Math.round(response.numericHeader("work-ms", 0) * 1e6));
+      } else if (response.status() == 202) {
         engine.sendInBackground(
             "DELETE",
             "/o/" + forward.task(),
             EngineConnections.EMPTY_BODY,
             EngineConnections.ANY_TIME,
-            gone -> {});
+            reached -> {});
         listener.forwardResolved(forward, false, 0);
       }
       end();
     }
 
     @Override
-    public void requestFailed(HttpConnection.Failure why) {
+    public void requestFailed(HttpConnection.Failure failure) {
       end();
     }
 
--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -58,7 +58,7 @@
   // SQLSTATE system_error: unlike 53300, it does not promise that the statement has not run.
   private static final String SQLSTATE_FAILED = "58000";
 
-  // Counter names, indexed by the ordinals of TaskWatch.End.
+  // Counter names, indexed by the ordinals of TaskListener.TaskEnd.
   private static final String[] TASK_END_COUNTERS = {
     "tasks.handled", "tasks.bounced", "tasks.aborted", "tasks.abandoned", "tasks.time_up"
   };
@@ -104,12 +104,12 @@
       ManagerConfig config,
       Timers timers,
       Sockets sockets,
-      BiFunction<Settings, Actions, DecisionModule> start,
-      TaskListener watch,
-      PeerManagers siblings) {
+      BiFunction<Settings, Actions, DecisionModule> moduleFactory,
+      TaskListener listener,
+      PeerManagers peerManagers) {
     this.config = config;
-    this.listener = watch;
-    this.peerManagers = siblings;
+    this.listener = listener;
+    this.peerManagers = peerManagers;
     this.timers = timers;
     this.sockets = sockets;
     limits =
@@ -128,7 +128,7 @@
             .filter(QueryClass::serializedByKey)
             .map(QueryClass::name)
             .collect(toSet());
-    module = start.apply(config.settings(), this);
+    module = moduleFactory.apply(config.settings(), this);
     timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
@@ -163,9 +163,9 @@
   }
 
   /** Sets the number of file descriptors that the process may use in all. */
-  public void updateMaxDescriptors(int most) {
-    limits.maxOpenConnections = most - RESERVED_DESCRIPTORS;
-    maxSessions = most / 2;
+  public void updateMaxDescriptors(int max) {
+    limits.maxOpenConnections = max - RESERVED_DESCRIPTORS;
+    maxSessions = max / 2;
     sockets.maxAccepted(maxSessions + MIN_FREE_DESCRIPTORS);
   }
 
@@ -203,9 +203,9 @@
    * Tells the module that the manager is stopping and that no answer given after the given time is
    * delivered.
    */
-  public void beginShutdown(long until) {
+  public void beginShutdown(long deadline) {
     decisionPending = true;
-    module.onShutdown(timers.now(), until);
+    module.onShutdown(timers.now(), deadline);
   }
 
   /** Whether every task is answered and every answer has been sent. */
@@ -264,16 +264,16 @@
   /** Creates a session on an accepted connection; if there is no room, a session is rejected. */
   public void connectionAccepted(Connection connection) {
     counters.increment("clients.connections");
-    int number = ++lastProcessId;
-    PgSession session = new PgSession(connection, this, number, random.nextInt());
+    int processId = ++lastProcessId;
+    PgSession session = new PgSession(connection, this, processId, random.nextInt());
     if (sessions.size() >= maxSessions
         || sockets.openConnections()
             > limits.maxOpenConnections + RESERVED_DESCRIPTORS - MIN_FREE_DESCRIPTORS) {
       counters.increment("clients.too_many");
-      PgSession given = sessionToEvict();
-      (given == null ? session : given).rejectConnection();
+      PgSession evicted = sessionToEvict();
+      (evicted == null ? session : evicted).rejectConnection();
     }
-    sessions.put(number, session);
+    sessions.put(processId, session);
   }
 
   /**
@@ -281,23 +281,23 @@
    * connect and send nothing thus displace each other and not the clients that send queries.
    */
   private PgSession sessionToEvict() {
-    PgSession least = null;
-    for (PgSession one : sessions.values()) {
-      if (one.evictionPriority() > (least == null ? -1 : least.evictionPriority())) {
-        least = one;
+    PgSession candidate = null;
+    for (PgSession session : sessions.values()) {
+      if (session.evictionPriority() > (candidate == null ? -1 : candidate.evictionPriority())) {
+        candidate = session;
       }
     }
-    return least;
+    return candidate;
   }
 
   @Override
-  public void query(PgSession session, byte[] text, long at) {
+  public void query(PgSession session, byte[] sql, long receivedAt) {
     counters.increment("clients.queries");
     Statement statement;
     TaskRequest offer;
-    String stamp;
+    String idempotencyKey;
     try {
-      statement = Statement.parse(text);
+      statement = Statement.parse(sql);
       if (statement.equalsIgnoringCase(SHOW_STATS)) {
         session.sendRows(STATS_COLUMNS, List.of(statsRows()));
         return;
@@ -306,8 +306,8 @@
         session.sendRows(PeerManagers.MEMBER_COLUMNS, List.of(memberRows()));
         return;
       }
-      offer = taskParser.parseTask(statement, at);
-      stamp = TaskParser.idempotencyKey(statement);
+      offer = taskParser.parseTask(statement, receivedAt);
+      idempotencyKey = TaskParser.idempotencyKey(statement);
       if (tasks.containsKey(offer.id())) {
         throw new ProtocolException("field id: a task with this id is open");
       }
@@ -323,7 +323,7 @@
             statement.body(),
             offer.deadlineNanos(),
             offer.key() != null && orderedClasses.contains(offer.queryClass()),
-            stamp,
+            idempotencyKey,
             session);
     session.openQuery(task);
     unansweredTasks++;
@@ -344,11 +344,11 @@
 
   private byte[] statsRows() {
     StringBuilder rows = new StringBuilder();
-    counters.asMap().forEach((kind, count) -> appendRow(rows, kind, count));
+    counters.asMap().forEach((name, count) -> appendRow(rows, name, count));
     sockets
         .protocolErrors()
         .forEach((reason, count) -> appendRow(rows, "connections.junk." + reason, count));
-    peerManagers.counts().forEach((kind, count) -> appendRow(rows, kind, count));
+    peerManagers.counts().forEach((name, count) -> appendRow(rows, name, count));
     appendEngineStats(rows);
     return rows.toString().getBytes(StandardCharsets.UTF_8);
   }
@@ -360,10 +360,10 @@
    */
   private void appendEngineStats(StringBuilder rows) {
     appendRow(rows, "engines.known", engines.size());
-    int most = rows.length() + MAX_ENGINE_STATS_CHARS;
+    int maxLength = rows.length() + MAX_ENGINE_STATS_CHARS;
     int notShown = 0;
     for (EngineStatus view : module.engineStatuses(timers.now())) {
-      if (rows.length() > most) {
+      if (rows.length() > maxLength) {
         notShown++;
       } else {
         appendEngineStats(rows, view);
@@ -393,10 +393,10 @@
   }
 
   @Override
-  public void cancelRequested(int number, int secret) {
-    PgSession session = sessions.get(number);
+  public void cancelRequested(int processId, int secretKey) {
+    PgSession session = sessions.get(processId);
     if (session != null
-        && session.matchesSecretKey(secret)
+        && session.matchesSecretKey(secretKey)
         && session.openQuery() instanceof OpenTask task) {
       counters.increment("clients.cancels");
       abandon(
@@ -415,8 +415,8 @@
   }
 
   @Override
-  public void protocolViolated(String why) {
-    counters.increment("clients.malformed." + why.replace(' ', '_'));
+  public void protocolViolated(String reason) {
+    counters.increment("clients.malformed." + reason.replace(' ', '_'));
   }
 
   @Override
@@ -438,9 +438,9 @@
     }
   }
 
-  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable say) {
+  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable sendAnswer) {
     if (!task.answered()) {
-      endTask(task, end, 0, say);
+      endTask(task, end, 0, sendAnswer);
       decisionPending = true;
       module.onClientLeft(timers.now(), task.id);
     }
@@ -452,8 +452,8 @@
   void forwardEnded(
       OpenForward forward,
       Outcome outcome,
-      long cost,
-      double memory,
+      long work,
+      double memoryMb,
       LoadReport report,
       List<byte[]> pages) {
     OpenTask task = forward.task;
@@ -461,7 +461,7 @@
     forward.engine.openForwards--;
     counters.increment("forwards.ended." + outcome);
     boolean served = outcome == Outcome.OK && !task.answered();
-    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, cost, memory, served);
+    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, work, memoryMb, served);
     if (served) {
       PgSession session = task.session;
       endTask(
@@ -470,7 +470,7 @@
           forward.resultBytes(),
           () -> session.sendRows(RESULT_COLUMNS, pages));
     }
-    boolean over = task.answered();
+    boolean taskAnswered = task.answered();
     removeIfFinished(task);
     decisionPending = true;
     module.onForwardEnd(
@@ -480,21 +480,21 @@
         forward.engine.id,
         outcome,
         timers.now() - forward.createdAt,
-        over,
-        cost,
-        memory,
+        taskAnswered,
+        work,
+        memoryMb,
         report);
   }
 
   /** Ends a task. Every task is answered, or given up, through this method. */
-  private void endTask(OpenTask task, TaskListener.TaskEnd end, long bytes, Runnable say) {
+  private void endTask(OpenTask task, TaskListener.TaskEnd end, long bytes, Runnable sendAnswer) {
     unansweredTasks--;
     counters.increment(TASK_END_COUNTERS[end.ordinal()]);
     task.session.openQuery(null);
     task.session = null;
     task.forwards.forEach(OpenForward::withdrawUnsent);
     removeIfFinished(task);
-    listener.beforeAnswer(timers.now(), task.id, end, bytes, say);
+    listener.beforeAnswer(timers.now(), task.id, end, bytes, sendAnswer);
   }
 
   private void removeIfFinished(OpenTask task) {
@@ -511,26 +511,26 @@
   }
 
   /** Returns the load report of a response, or null if it has none. */
-  LoadReport parseLoadReport(HttpCodec.Response answer) throws ProtocolException {
-    String load = answer.header("x-load");
+  LoadReport parseLoadReport(HttpCodec.Response response) throws ProtocolException {
+    String load = response.header("x-load");
     return load == null ? null : config.toLoadReport(parseLoadFigures(load));
   }
 
-  private double[] parseLoadFigures(String told) throws ProtocolException {
+  private double[] parseLoadFigures(String report) throws ProtocolException {
     double[] figures = new double[config.reportColumns().size()];
     Arrays.fill(figures, Double.NaN);
-    for (int from = 0; from < told.length(); ) {
-      int end = told.indexOf(';', from);
-      end = end < 0 ? told.length() : end;
-      int colon = told.indexOf(':', from);
+    for (int start = 0; start < report.length(); ) {
+      int end = report.indexOf(';', start);
+      end = end < 0 ? report.length() : end;
+      int colon = report.indexOf(':', start);
       if (colon < 0 || colon > end) {
         throw new ProtocolException("a load report without a figure");
       }
-      int column = config.columnIndex(told.substring(from, colon).strip());
+      int column = config.columnIndex(report.substring(start, colon).strip());
       if (column >= 0) {
-        figures[column] = HttpCodec.parseNonNegative(told.substring(colon + 1, end).strip());
+        figures[column] = HttpCodec.parseNonNegative(report.substring(colon + 1, end).strip());
       }
-      from = end + 1;
+      start = end + 1;
     }
     return figures;
   }
@@ -538,7 +538,7 @@
   // ---- Actions ----
 
   @Override
-  public void forward(String id, String engine, long timeOut) {
+  public void forward(String id, String engine, long timeout) {
     OpenTask task = tasks.get(id);
     counters.increment("forwards.sent");
     OpenForward forward =
@@ -547,12 +547,12 @@
     task.openForwards++;
     forward.engine.openForwards++;
     forward.setDeadline(
-        timeOut > 0 ? Math.min(timers.now() + timeOut, task.deadline) : task.deadline);
+        timeout > 0 ? Math.min(timers.now() + timeout, task.deadline) : task.deadline);
     listener.beforeForward(timers.now(), id, forward.index, engine, task.memoryMb, forward::start);
   }
 
   @Override
-  public void reject(String id, long pause) {
+  public void reject(String id, long retryAfter) {
     OpenTask task = tasks.get(id);
     if (task != null && !task.answered()) {
       PgSession session = task.session;
@@ -563,8 +563,9 @@
           () ->
               session.sendError(
                   "53300",
-                  pause > 0
-                      ? "no room at present, after=" + (pause + NANOS_PER_MS - 1) / NANOS_PER_MS
+                  retryAfter > 0
+                      ? "no room at present, after="
+                          + (retryAfter + NANOS_PER_MS - 1) / NANOS_PER_MS
                       : "no room at present"));
     }
   }
@@ -609,9 +610,9 @@
   }
 
   @Override
-  public void scheduleWakeUp(long in, String token) {
+  public void scheduleWakeUp(long delay, String token) {
     timers.schedule(
-        timers.now() + in,
+        timers.now() + delay,
         () -> {
           decisionPending = true;
           module.onWakeUp(timers.now(), token);
--- a/src/main/java/tansytrack/state/OpenForward.java
+++ b/src/main/java/tansytrack/state/OpenForward.java
@@ -101,8 +101,8 @@
   }
 
   /** Sets the time by which the forward must end. */
-  void setDeadline(long by) {
-    deadline = by;
+  void setDeadline(long time) {
+    deadline = time;
     timer = timers.schedule(deadline, this::deadlinePassed);
   }
 
@@ -115,14 +115,14 @@
   }
 
   private void sendStart() {
-    long wait = Math.max(1, (deadline - timers.now()) / 1_000_000);
-    String fields =
+    long remainingMs = Math.max(1, (deadline - timers.now()) / 1_000_000);
+    String headers =
         "X-Req: "
             + task.id
             + "\r\nX-Class: "
             + task.queryClass
             + "\r\nX-Wait-Ms: "
-            + wait
+            + remainingMs
             + "\r\n"
             + (task.idempotencyKey == null
                 ? ""
@@ -132,30 +132,30 @@
             + task.priority
             + "\r\n";
     openPollPath = null;
-    requestMade(engine.send("POST", "/o", fields, task.statement, this));
+    requestMade(engine.send("POST", "/o", headers, task.statement, this));
   }
 
-  private void poll(String what) {
+  private void poll(String pagePath) {
     engine.whenConnectionAvailable(
         () -> {
           if (!ended && !cancelled) {
-            openPollPath = what;
-            requestMade(engine.send("GET", path + what, this));
+            openPollPath = pagePath;
+            requestMade(engine.send("GET", path + pagePath, this));
           }
         });
   }
 
-  private void pollAfterReuseDelay(String what) {
-    long rests = engine.reuseDelay();
-    if (rests == 0) {
-      poll(what);
+  private void pollAfterReuseDelay(String pagePath) {
+    long delay = engine.reuseDelay();
+    if (delay == 0) {
+      poll(pagePath);
     } else {
-      requestTimer = timers.schedule(timers.now() + rests, () -> poll(what));
+      requestTimer = timers.schedule(timers.now() + delay, () -> poll(pagePath));
     }
   }
 
-  private void requestMade(HttpConnection by) {
-    connection = by;
+  private void requestMade(HttpConnection requestConnection) {
+    connection = requestConnection;
     requestedAt = timers.now();
     if (connection != null) {
       requestTimer = timers.schedule(requestedAt + RESPONSE_TIMEOUT_NANOS, this::requestTimedOut);
@@ -167,24 +167,24 @@
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    int status = answer.status();
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    int status = response.status();
     if (status != 200 && status != 202 && status != 500 && status != 503 && status != 504) {
       throw new ProtocolException("status " + status);
     }
-    boolean notRun = "1".equals(answer.header("x-not-run"));
-    LoadReport told = manager.parseLoadReport(answer);
+    boolean notRun = "1".equals(response.header("x-not-run"));
+    LoadReport newReport = manager.parseLoadReport(response);
     if (status == 200) {
-      addPage(answer);
+      addPage(response);
     }
     clearRequest();
     engine.recordResponse();
-    report = told == null ? report : told;
+    report = newReport == null ? report : newReport;
     mayHaveBeenSent = true;
     knownToEngine |= status == 200 || status == 202;
     lastPolledAt = timers.now();
-    boolean again = consecutiveFailures > 0 || responseOverdue;
-    boolean wasSilent = responseOverdue;
+    boolean afterFailure = consecutiveFailures > 0 || responseOverdue;
+    boolean wasOverdue = responseOverdue;
     consecutiveFailures = 0;
     consecutiveRefusals = 0;
     connectionBroke = false;
@@ -193,11 +193,11 @@
       if (status == 200 && pages.size() == pageCount) {
         end(Outcome.OK);
       } else {
-        String next = "/" + pages.size();
+        String nextPage = "/" + pages.size();
         // Deferred, as the connection becomes idle only after this method returns.
-        manager.defer(() -> pollAfterReuseDelay(next));
+        manager.defer(() -> pollAfterReuseDelay(nextPage));
       }
-    } else if (again && openPollPath != null && (wasSilent || !notRun)) {
+    } else if (afterFailure && openPollPath != null && (wasOverdue || !notRun)) {
       // The engine does not know the query after a failed request. This must not end as an error:
       // that would mean that the query has ended, and the next one of its key could start too
       // early.
@@ -220,28 +220,30 @@
    * Adds a page to the result. If it is not complete or not the requested one, the response is
    * rejected and the state remains unchanged.
    */
-  private void addPage(HttpCodec.Response answer) throws ProtocolException {
+  private void addPage(HttpCodec.Response response) throws ProtocolException {
     int count = pageCount;
     if (pages.isEmpty()) {
-      double told = answer.numericHeader("page-count", 0);
-      if (told < 1 || told > MAX_PAGES || told != Math.rint(told)) {
-        throw new ProtocolException("a result of " + told + " pages");
+      double declaredCount = response.numericHeader("page-count", 0);
+      if (declaredCount < 1
+          || declaredCount > MAX_PAGES
+          || declaredCount != Math.rint(declaredCount)) {
+        throw new ProtocolException("a result of " + declaredCount + " pages");
       }
-      count = (int) told;
-    } else if (answer.numericHeader("page-no", -1) != pages.size()) {
+      count = (int) declaredCount;
+    } else if (response.numericHeader("page-no", -1) != pages.size()) {
       throw new ProtocolException("another page than asked for");
     }
-    if (resultBytes + answer.body().length > MAX_RESULT_BYTES
-        || !PgSession.hasWholeRows(answer.body(), COLUMNS)) {
+    if (resultBytes + response.body().length > MAX_RESULT_BYTES
+        || !PgSession.hasWholeRows(response.body(), COLUMNS)) {
       throw new ProtocolException("a page that does not hold whole rows, or too large a result");
     }
     if (pages.isEmpty()) {
-      workMs = answer.numericHeader("work-ms", 0);
-      peakMb = answer.numericHeader("peak-mb", 0);
+      workMs = response.numericHeader("work-ms", 0);
+      peakMb = response.numericHeader("peak-mb", 0);
     }
     pageCount = count;
-    resultBytes += answer.body().length;
-    pages.add(answer.body());
+    resultBytes += response.body().length;
+    pages.add(response.body());
   }
 
   /**
@@ -251,15 +253,15 @@
   private void requestTimedOut() {
     if (!ended && connection != null) {
       manager.counters().increment("calls.overdue");
-      HttpConnection open = connection;
+      HttpConnection unanswered = connection;
       everUnanswered = true;
       // On an established connection the request may have reached the engine.
-      boolean up = open.connected();
-      if (up) {
-        engine.recordUnanswered(open);
+      boolean wasConnected = unanswered.connected();
+      if (wasConnected) {
+        engine.recordUnanswered(unanswered);
       }
-      open.abort();
-      requestFailed(up ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
+      unanswered.abort();
+      requestFailed(wasConnected ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
     }
   }
 
@@ -270,26 +272,26 @@
    * at its connection limit refuses new connections and continues to work.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
-    HttpConnection on = connection;
+  public void requestFailed(HttpConnection.Failure failure) {
+    HttpConnection failedConnection = connection;
     clearRequest();
     if (ended || cancelled) {
       return;
     }
-    manager.counters().increment("calls." + why);
+    manager.counters().increment("calls." + failure);
     consecutiveFailures++;
-    consecutiveRefusals = why == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
-    if (why == HttpConnection.Failure.BROKEN) {
+    consecutiveRefusals = failure == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
+    if (failure == HttpConnection.Failure.BROKEN) {
       mayHaveBeenSent = true;
       connectionBroke = true;
-      lastPolledAt = on.requestStartedAt();
+      lastPolledAt = failedConnection.requestStartedAt();
     }
-    boolean late =
-        why == HttpConnection.Failure.LATE
+    boolean tooLate =
+        failure == HttpConnection.Failure.LATE
             || timers.now() - requestedAt > MAX_LONG_POLL_NANOS + TRANSIT_MARGIN_NANOS;
-    responseOverdue |= late && mayHaveBeenSent;
+    responseOverdue |= tooLate && mayHaveBeenSent;
     if (!mayHaveBeenSent) {
-      startFailed(why);
+      startFailed(failure);
     } else if (processDied() || timers.now() > unpolledEndTime()) {
       end(Outcome.RESET);
     } else if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
@@ -297,13 +299,14 @@
         && consecutiveRefusals == 0) {
       cancelAsLost();
     } else {
-      String again = "/" + pages.size();
-      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(again));
+      String pagePath = "/" + pages.size();
+      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(pagePath));
     }
   }
 
-  private void startFailed(HttpConnection.Failure why) {
-    if (why == HttpConnection.Failure.UNSENT && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
+  private void startFailed(HttpConnection.Failure failure) {
+    if (failure == HttpConnection.Failure.UNSENT
+        && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
       manager.defer(() -> sendStartIfValid(MAX_START_DELAY_NANOS));
     } else {
       end(Outcome.UNREACHED); // no byte of the request was sent, so the query did not run
@@ -348,11 +351,11 @@
    * could start too late; the forward ends as not sent, and the module decides again under all its
    * rules.
    */
-  private void sendStartIfValid(long latest) {
+  private void sendStartIfValid(long maxDelay) {
     if (ended || cancelled) {
       return;
     }
-    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > latest) {
+    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > maxDelay) {
       manager.defer(() -> end(Outcome.NEVER_SENT));
     } else {
       sendStart();
@@ -447,7 +450,7 @@
           path,
           Integer.toString(priority).getBytes(StandardCharsets.US_ASCII),
           EngineConnections.ANY_TIME,
-          gone -> {});
+          reached -> {});
     }
   }
 
--- a/src/main/java/tansytrack/state/OpenTask.java
+++ b/src/main/java/tansytrack/state/OpenTask.java
@@ -25,18 +25,18 @@
 
   OpenTask(
       String id,
-      String grade,
+      String queryClass,
       byte[] statement,
-      long cutOffAt,
+      long deadline,
       boolean ordered,
-      String stamp,
+      String idempotencyKey,
       PgSession session) {
     this.id = id;
-    this.queryClass = grade;
+    this.queryClass = queryClass;
     this.statement = statement;
-    this.deadline = cutOffAt;
+    this.deadline = deadline;
     this.ordered = ordered;
-    this.idempotencyKey = stamp;
+    this.idempotencyKey = idempotencyKey;
     this.session = session;
   }
 
--- a/src/main/java/tansytrack/state/Probe.java
+++ b/src/main/java/tansytrack/state/Probe.java
@@ -24,20 +24,22 @@
   }
 
   /** Sends the request. The end of the probe is reported later, never within this method. */
-  void start(Timers timers, long within) {
+  void start(Timers timers, long timeout) {
     connection = engine.send("GET", "/stats", this);
-    timer = timers.schedule(timers.now() + within, this::timedOut);
+    timer = timers.schedule(timers.now() + timeout, this::timedOut);
     if (connection == null) {
       manager.defer(() -> end(Outcome.NEVER_SENT, null));
     }
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    LoadReport report = manager.parseLoadReport(answer);
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    LoadReport report = manager.parseLoadReport(response);
     engine.recordResponse();
     end(
-        answer.status() == 200 ? Outcome.OK : answer.status() == 503 ? Outcome.FULL : Outcome.ERROR,
+        response.status() == 200
+            ? Outcome.OK
+            : response.status() == 503 ? Outcome.FULL : Outcome.ERROR,
         report);
   }
 
@@ -46,11 +48,12 @@
    * about the engine. The time limit of the probe stays the same.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
-    boolean again = why == HttpConnection.Failure.BROKEN || why == HttpConnection.Failure.UNSENT;
-    connection = again && retries++ < MAX_RETRIES ? engine.send("GET", "/stats", this) : null;
+  public void requestFailed(HttpConnection.Failure failure) {
+    boolean retry =
+        failure == HttpConnection.Failure.BROKEN || failure == HttpConnection.Failure.UNSENT;
+    connection = retry && retries++ < MAX_RETRIES ? engine.send("GET", "/stats", this) : null;
     if (connection == null) {
-      end(why == HttpConnection.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
+      end(failure == HttpConnection.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
     }
   }
 
--- a/src/main/java/tansytrack/state/TaskListener.java
+++ b/src/main/java/tansytrack/state/TaskListener.java
@@ -35,12 +35,12 @@
   }
 
   /**
-   * Called when a forward is to be sent. The implementation runs {@code go} exactly once to send
+   * Called when a forward is to be sent. The implementation runs {@code send} exactly once to send
    * it, here or shortly after on the event loop.
    */
   default void beforeForward(
-      long now, String task, int index, String engine, long memoryMb, Runnable go) {
-    go.run();
+      long now, String task, int index, String engine, long memoryMb, Runnable send) {
+    send.run();
   }
 
   /**
@@ -58,11 +58,11 @@
       boolean served) {}
 
   /**
-   * Called when a task has ended for its client. The implementation runs {@code say} exactly once
-   * to give the answer, here or shortly after on the event loop.
+   * Called when a task has ended for its client. The implementation runs {@code sendAnswer} exactly
+   * once to give the answer, here or shortly after on the event loop.
    */
-  default void beforeAnswer(long now, String task, TaskEnd end, long bytes, Runnable say) {
-    say.run();
+  default void beforeAnswer(long now, String task, TaskEnd end, long bytes, Runnable sendAnswer) {
+    sendAnswer.run();
   }
 
   /** Returns the forwards about which engines are to be asked once, after the start. */
@@ -75,7 +75,7 @@
    *
    * @param ended whether the query had ended, with the given work; otherwise it is cancelled now
    */
-  default void forwardResolved(UnresolvedForward about, boolean ended, long work) {}
+  default void forwardResolved(UnresolvedForward forward, boolean ended, long work) {}
 
   /**
    * Called on the event loop's thread when the loop ends. No further events follow; answers that
--- a/src/main/java/tansytrack/state/TaskParser.java
+++ b/src/main/java/tansytrack/state/TaskParser.java
@@ -19,17 +19,17 @@
   private final Set<String> queryClasses;
   private final Set<String> tenants;
 
-  TaskParser(Set<String> grades, Set<String> tenants) {
-    this.queryClasses = grades;
+  TaskParser(Set<String> queryClasses, Set<String> tenants) {
+    this.queryClasses = queryClasses;
     this.tenants = tenants;
   }
 
   /** Returns the task of a statement whose last byte was received at the given time. */
-  TaskRequest parseTask(Statement statement, long at) throws ProtocolException {
+  TaskRequest parseTask(Statement statement, long receivedAt) throws ProtocolException {
     String id = requiredField(statement, "id");
     parseHex("id", id);
-    String grade = requiredField(statement, "class");
-    if (!queryClasses.contains(grade)) {
+    String queryClass = requiredField(statement, "class");
+    if (!queryClasses.contains(queryClass)) {
       throw new ProtocolException("field class: no such class");
     }
     String tenant = statement.field("tenant");
@@ -37,17 +37,17 @@
       throw new ProtocolException("field tenant: no such tenant");
     }
     String key = statement.field("key");
-    double wait = parseAmount("wait", requiredField(statement, "wait"));
-    double cost = parseAmount("cost", statement.field("cost"));
-    double memory = parseAmount("mb", statement.field("mb"));
+    double maxWaitMs = parseAmount("wait", requiredField(statement, "wait"));
+    double costMs = parseAmount("cost", statement.field("cost"));
+    double memoryMb = parseAmount("mb", statement.field("mb"));
     return new TaskRequest(
         id,
-        grade,
+        queryClass,
         tenant == null ? "" : tenant,
         key == null ? null : parseHex("key", key),
-        at + Math.round(wait * NANOS_PER_MS),
-        Math.round(cost * NANOS_PER_MS),
-        memory,
+        receivedAt + Math.round(maxWaitMs * NANOS_PER_MS),
+        Math.round(costMs * NANOS_PER_MS),
+        memoryMb,
         statement.dataSet());
   }
 
@@ -57,11 +57,11 @@
    * -.
    */
   static String idempotencyKey(Statement statement) throws ProtocolException {
-    String stamp = statement.field("once");
-    if (stamp != null && !stamp.matches("[0-9A-Za-z_.-]{1,64}")) {
+    String key = statement.field("once");
+    if (key != null && !key.matches("[0-9A-Za-z_.-]{1,64}")) {
       throw new ProtocolException("field once: not a word of 1 to 64 letters and digits");
     }
-    return stamp;
+    return key;
   }
 
   private static String requiredField(Statement statement, String field) throws ProtocolException {
@@ -75,8 +75,8 @@
   private static long parseHex(String field, String value) throws ProtocolException {
     long bits = 0;
     for (int i = 0; i < 16; i++) {
-      char sign = value.length() == 16 ? value.charAt(i) : 0;
-      int digit = sign < 128 ? Character.digit(sign, 16) : -1;
+      char character = value.length() == 16 ? value.charAt(i) : 0;
+      int digit = character < 128 ? Character.digit(character, 16) : -1;
       if (digit < 0) {
         throw new ProtocolException("field " + field + ": not 16 hex digits");
       }
@@ -93,14 +93,16 @@
     if (value == null) {
       return 0;
     }
-    boolean plain = !value.isEmpty() && value.length() <= MAX_AMOUNT_DIGITS;
+    boolean valid = !value.isEmpty() && value.length() <= MAX_AMOUNT_DIGITS;
     int points = 0;
     for (int i = 0; i < value.length(); i++) {
-      char sign = value.charAt(i);
-      points += sign == '.' ? 1 : 0;
-      plain &= (sign >= '0' && sign <= '9') || (sign == '.' && i > 0 && i < value.length() - 1);
+      char character = value.charAt(i);
+      points += character == '.' ? 1 : 0;
+      valid &=
+          (character >= '0' && character <= '9')
+              || (character == '.' && i > 0 && i < value.length() - 1);
     }
-    double amount = plain && points <= 1 ? Double.parseDouble(value) : MAX_AMOUNT;
+    double amount = valid && points <= 1 ? Double.parseDouble(value) : MAX_AMOUNT;
     if (amount >= MAX_AMOUNT) {
       throw new ProtocolException("field " + field + ": not a number in range");
     }
--- a/src/main/java/tansytrack/state/Timers.java
+++ b/src/main/java/tansytrack/state/Timers.java
@@ -19,9 +19,9 @@
     private final long sequence = nextSequence++;
     private final Runnable action;
 
-    private Timer(long at, Runnable what) {
-      this.dueAt = at;
-      this.action = what;
+    private Timer(long dueAt, Runnable action) {
+      this.dueAt = dueAt;
+      this.action = action;
     }
 
     /** Cancels the timer; has no effect if it has run. */
@@ -48,8 +48,8 @@
   }
 
   /** Sets the time after the loop has slept for up to the given time since the previous reading. */
-  public void advanceAfterSleep(long time, long nap) {
-    lastStallEnd = time - now - nap >= STALL_NANOS ? time : lastStallEnd;
+  public void advanceAfterSleep(long time, long maxSleep) {
+    lastStallEnd = time - now - maxSleep >= STALL_NANOS ? time : lastStallEnd;
     now = time;
   }
 
@@ -62,15 +62,15 @@
   }
 
   /** Schedules an action to run on the loop at the given time. */
-  public Timer schedule(long time, Runnable what) {
-    Timer timer = new Timer(time, what);
+  public Timer schedule(long time, Runnable action) {
+    Timer timer = new Timer(time, action);
     queue.add(timer);
     return timer;
   }
 
   /** Returns the time until the next timer is due, at most the given time. */
-  public long nanosUntilNext(long most) {
-    return queue.isEmpty() ? most : Math.max(0, Math.min(most, queue.first().dueAt - now));
+  public long nanosUntilNext(long max) {
+    return queue.isEmpty() ? max : Math.max(0, Math.min(max, queue.first().dueAt - now));
   }
 
   /**
@@ -78,8 +78,8 @@
    * the loop.
    */
   public void runDue() {
-    long last = nextSequence;
-    while (!queue.isEmpty() && queue.first().dueAt <= now && queue.first().sequence < last) {
+    long endSequence = nextSequence;
+    while (!queue.isEmpty() && queue.first().dueAt <= now && queue.first().sequence < endSequence) {
       queue.pollFirst().action.run();
     }
   }
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -18,10 +18,10 @@
     /**
      * Called when bytes have been added to the input buffer.
      *
-     * @param at when the last of them were received
-     * @throws Junk if the bytes violate the protocol; the connection is then closed
+     * @param receivedAt when the last of them were received
+     * @throws ProtocolException if the bytes violate the protocol; the connection is then closed
      */
-    void received(long at) throws ProtocolException;
+    void received(long receivedAt) throws ProtocolException;
 
     /** Called when the output buffer is empty and the operating system has taken all of it. */
     default void writeCompleted() {}
@@ -30,9 +30,9 @@
      * Called once when the connection has been closed or could not be established, but not if the
      * owner itself closed it.
      *
-     * @param wasUp whether the connection had been established
+     * @param wasConnected whether the connection had been established
      */
-    void closed(boolean wasUp);
+    void closed(boolean wasConnected);
 
     /** Called once when the connection has released its resources, whoever closed it. */
     default void released() {}
@@ -69,15 +69,15 @@
   // Whether this side closed the connection, possibly during a write.
   private boolean closedLocally;
 
-  Connection(Sockets sockets, int mostIn, int mostOut) {
+  Connection(Sockets sockets, int maxInputBytes, int maxOutputBytes) {
     this.sockets = sockets;
-    input = new RingBuffer(mostIn);
-    output = new RingBuffer(mostOut);
+    input = new RingBuffer(maxInputBytes);
+    output = new RingBuffer(maxOutputBytes);
   }
 
   /** Sets the owner, which receives all further events. */
-  public void setOwner(Owner by) {
-    owner = by;
+  public void setOwner(Owner newOwner) {
+    owner = newOwner;
   }
 
   /** Whether the connection can still be written to. */
@@ -130,27 +130,27 @@
   }
 
   /** Handles a failure to establish the connection. */
-  void connectFailed(Throwable why) {
+  void connectFailed(Throwable cause) {
     // A connection reset while it is being established has the same exception type as a refused
     // one.
     refused =
-        why instanceof java.net.ConnectException
-            && why.getMessage() != null
-            && why.getMessage().contains("refused");
+        cause instanceof java.net.ConnectException
+            && cause.getMessage() != null
+            && cause.getMessage().contains("refused");
     closeAndNotify();
   }
 
-  void sessionOpened(IoSession with) {
+  void sessionOpened(IoSession openedSession) {
     if (released) {
-      with.closeNow();
+      openedSession.closeNow();
       return;
     }
-    session = with;
+    session = openedSession;
     connectedAt = sockets.now();
     flush();
   }
 
-  void received(IoBuffer bytes, long at) {
+  void received(IoBuffer bytes, long receivedAt) {
     int count = bytes.remaining();
     if (unreadBytes.getAndAdd(-count) > MAX_UNREAD_BYTES
         && unreadBytes.get() <= MAX_UNREAD_BYTES
@@ -164,7 +164,7 @@
       if (!input.put(bytes.buf())) {
         throw new ProtocolException("more bytes than the ring holds");
       }
-      owner.received(at);
+      owner.received(receivedAt);
     } catch (ProtocolException e) {
       sockets.protocolErrors(this, e);
       closedLocally = true;
@@ -211,9 +211,9 @@
   /** Closes the connection and notifies the owner as if the peer had closed it. */
   void closeAndNotify() {
     if (!released) {
-      boolean wasUp = session != null;
+      boolean wasConnected = session != null;
       release();
-      owner.closed(wasUp);
+      owner.closed(wasConnected);
     }
   }
 
--- a/src/main/java/tansytrack/wire/HttpCodec.java
+++ b/src/main/java/tansytrack/wire/HttpCodec.java
@@ -12,8 +12,8 @@
   /**
    * A complete response.
    *
-   * @param fields the header fields by name in lower case
-   * @param lasts whether the connection can be used for another request
+   * @param headers the header fields by name in lower case
+   * @param keepAlive whether the connection can be used for another request
    */
   public record Response(int status, Map<String, String> headers, byte[] body, boolean keepAlive) {
 
@@ -23,9 +23,9 @@
     }
 
     /** Returns a header field that is a non-negative number, or the default if it is absent. */
-    public double numericHeader(String name, double otherwise) throws ProtocolException {
+    public double numericHeader(String name, double defaultValue) throws ProtocolException {
       String value = headers.get(name);
-      return value == null ? otherwise : parseNonNegative(value);
+      return value == null ? defaultValue : parseNonNegative(value);
     }
   }
 
@@ -33,7 +33,7 @@
 
   /** Writes a request; the header fields are given as complete lines, each with its line end. */
   public static void writeRequest(
-      RingBuffer out, String method, String path, String host, String fields, byte[] body) {
+      RingBuffer out, String method, String path, String host, String headers, byte[] body) {
     String head =
         method
             + ' '
@@ -41,7 +41,7 @@
             + " HTTP/1.1\r\nHost: "
             + host
             + "\r\n"
-            + fields
+            + headers
             + (body.length > 0 || method.startsWith("P")
                 ? "Content-Length: " + body.length + "\r\n"
                 : "")
@@ -56,23 +56,23 @@
    */
   public static Response readResponse(RingBuffer in) throws ProtocolException {
     while (true) {
-      int end = findHeadEnd(in);
-      if (end < 0) {
+      int headEnd = findHeadEnd(in);
+      if (headEnd < 0) {
         return null;
       }
-      byte[] start = in.copy(0, Math.min(end, 10));
-      if (start.length < 10 || start[9] != '1') {
-        return readFinalResponse(in, end);
+      byte[] firstBytes = in.copy(0, Math.min(headEnd, 10));
+      if (firstBytes.length < 10 || firstBytes[9] != '1') {
+        return readFinalResponse(in, headEnd);
       }
-      statusLineLength(in.copy(0, end));
-      in.skip(end);
+      statusLineLength(in.copy(0, headEnd));
+      in.skip(headEnd);
     }
   }
 
   /** Checks the status line and returns its length. */
   private static int statusLineLength(byte[] head) throws ProtocolException {
-    int line = findLineEnd(head, 0);
-    if (line < 12
+    int length = findLineEnd(head, 0);
+    if (length < 12
         || head[0] != 'H'
         || head[1] != 'T'
         || head[2] != 'T'
@@ -81,19 +81,19 @@
         || head[5] != '1'
         || head[6] != '.'
         || head[8] != ' '
-        || (line > 12 && head[12] != ' ')) {
+        || (length > 12 && head[12] != ' ')) {
       throw new ProtocolException("not an HTTP/1 answer");
     }
-    return line;
+    return length;
   }
 
-  private static Response readFinalResponse(RingBuffer in, int end) throws ProtocolException {
-    int longest = in.maxCapacity() / 2;
-    byte[] head = in.copy(0, end);
-    int line = statusLineLength(head);
+  private static Response readFinalResponse(RingBuffer in, int headEnd) throws ProtocolException {
+    int maxBodyBytes = in.maxCapacity() / 2;
+    byte[] head = in.copy(0, headEnd);
+    int statusLineEnd = statusLineLength(head);
     int status = (int) parseDigits(head, 9, 12);
-    Map<String, String> fields = new TreeMap<>();
-    for (int from = line + 2; from < head.length - 2; ) {
+    Map<String, String> headers = new TreeMap<>();
+    for (int from = statusLineEnd + 2; from < head.length - 2; ) {
       int to = findLineEnd(head, from);
       int colon = from;
       while (colon < to && head[colon] != ':') {
@@ -103,45 +103,45 @@
         throw new ProtocolException("a field without a name");
       }
       String value = new String(head, colon + 1, to - colon - 1, StandardCharsets.UTF_8).strip();
-      String before = fields.put(lowerCaseAscii(head, from, colon), value);
-      if (before != null && !before.equals(value)) {
+      String previous = headers.put(lowerCaseAscii(head, from, colon), value);
+      if (previous != null && !previous.equals(value)) {
         throw new ProtocolException("a field with two values");
       }
       from = to + 2;
     }
-    boolean lasts = head[7] == '1' && !"close".equalsIgnoreCase(fields.get("connection"));
+    boolean keepAlive = head[7] == '1' && !"close".equalsIgnoreCase(headers.get("connection"));
     if (status == 204 || status == 304) {
-      in.skip(end);
-      return new Response(status, fields, new byte[0], lasts);
+      in.skip(headEnd);
+      return new Response(status, headers, new byte[0], keepAlive);
     }
-    String coding = fields.get("transfer-encoding");
-    if (coding != null) {
-      if (!coding.equalsIgnoreCase("chunked")) {
+    String transferEncoding = headers.get("transfer-encoding");
+    if (transferEncoding != null) {
+      if (!transferEncoding.equalsIgnoreCase("chunked")) {
         throw new ProtocolException("unknown transfer coding");
       }
-      return readChunked(in, end, status, fields, lasts);
+      return readChunked(in, headEnd, status, headers, keepAlive);
     }
-    String told = fields.get("content-length");
-    if (told == null) {
+    String contentLength = headers.get("content-length");
+    if (contentLength == null) {
       throw new ProtocolException("an answer without a length");
     }
-    byte[] digits = told.getBytes(StandardCharsets.US_ASCII);
+    byte[] digits = contentLength.getBytes(StandardCharsets.US_ASCII);
     long length = parseDigits(digits, 0, digits.length);
-    if (length > longest) {
-      throw new ProtocolException("an answer over " + longest + " bytes");
+    if (length > maxBodyBytes) {
+      throw new ProtocolException("an answer over " + maxBodyBytes + " bytes");
     }
-    if (in.size() < end + length) {
+    if (in.size() < headEnd + length) {
       return null;
     }
-    in.skip(end);
-    return new Response(status, fields, in.take((int) length), lasts);
+    in.skip(headEnd);
+    return new Response(status, headers, in.take((int) length), keepAlive);
   }
 
   private static Response readChunked(
-      RingBuffer in, int from, int status, Map<String, String> fields, boolean lasts)
+      RingBuffer in, int headEnd, int status, Map<String, String> headers, boolean keepAlive)
       throws ProtocolException {
     java.io.ByteArrayOutputStream body = new java.io.ByteArrayOutputStream();
-    int at = from;
+    int at = headEnd;
     while (true) {
       int length = 0;
       int digits = 0;
@@ -150,12 +150,12 @@
         if (at + 1 >= in.size()) {
           return null;
         }
-        byte sign = in.byteAt(at);
-        if (sign == '\r' && in.byteAt(at + 1) == '\n') {
+        byte character = in.byteAt(at);
+        if (character == '\r' && in.byteAt(at + 1) == '\n') {
           break;
         }
-        int digit = Character.digit(sign, 16);
-        extension |= sign == ';' || sign == ' ';
+        int digit = Character.digit(character, 16);
+        extension |= character == ';' || character == ' ';
         if (!extension && (digit < 0 || ++digits > 5)) {
           throw new ProtocolException("a chunk without a length");
         }
@@ -176,7 +176,7 @@
       at += 2;
       if (length == 0) {
         in.skip(at);
-        return new Response(status, fields, body.toByteArray(), lasts);
+        return new Response(status, headers, body.toByteArray(), keepAlive);
       }
     }
   }
--- a/src/main/java/tansytrack/wire/HttpConnection.java
+++ b/src/main/java/tansytrack/wire/HttpConnection.java
@@ -25,16 +25,16 @@
     /**
      * Called with the complete response.
      *
-     * @throws Junk if the response cannot be used; the connection is then closed and the request
-     *     fails as {@link Failure#BROKEN}
+     * @throws ProtocolException if the response cannot be used; the connection is then closed and
+     *     the request fails as {@link Failure#BROKEN}
      */
-    void responseReceived(HttpCodec.Response answer) throws ProtocolException;
+    void responseReceived(HttpCodec.Response response) throws ProtocolException;
 
     /**
      * Called when no response will come. Nothing was written unless the reason is {@link
      * Failure#BROKEN}.
      */
-    void requestFailed(Failure why);
+    void requestFailed(Failure failure);
 
     /** Called when the request has been written completely. */
     default void requestWritten() {}
@@ -46,10 +46,10 @@
   /** Keeps the connections that are not in use. */
   public interface Pool {
     /** Called when the connection is available for the next request. */
-    void connectionIdle(HttpConnection line);
+    void connectionIdle(HttpConnection connection);
 
     /** Called when the connection is closed and is of no further use. */
-    void connectionClosed(HttpConnection line);
+    void connectionClosed(HttpConnection connection);
   }
 
   private final Connection connection;
@@ -67,14 +67,15 @@
   /**
    * Starts to establish a connection.
    *
-   * @param mostIn size of the input buffer in bytes; the body of a response may take half of it
+   * @param maxInputBytes size of the input buffer in bytes; the body of a response may take half of
+   *     it
    */
-  public HttpConnection(Sockets sockets, InetSocketAddress to, int mostIn, Pool holder) {
+  public HttpConnection(Sockets sockets, InetSocketAddress address, int maxInputBytes, Pool pool) {
     this.sockets = sockets;
-    this.pool = holder;
-    this.address = to;
-    host = to.getHostString() + ':' + to.getPort();
-    connection = sockets.connect(to, mostIn, this);
+    this.pool = pool;
+    this.address = address;
+    host = address.getHostString() + ':' + address.getPort();
+    connection = sockets.connect(address, maxInputBytes, this);
   }
 
   /** Returns the address that the connection was opened to. */
@@ -115,45 +116,46 @@
   /**
    * Sends a request; it is written once the connection is established. There must be no open one.
    *
-   * @param fields further header fields as complete lines, each with its line end
+   * @param headers further header fields as complete lines, each with its line end
    */
-  public void send(String method, String path, String fields, byte[] body, ResponseHandler by) {
-    handler = by;
+  public void send(
+      String method, String path, String headers, byte[] body, ResponseHandler responseHandler) {
+    handler = responseHandler;
     requestedAt = sockets.now();
     sentBeforeRequest = connection.bytesPossiblySent();
     awaitingFirstByte = true;
-    HttpCodec.writeRequest(connection.output, method, path, host, fields, body);
+    HttpCodec.writeRequest(connection.output, method, path, host, headers, body);
     connection.flush();
   }
 
   @Override
-  public void received(long at) throws ProtocolException {
+  public void received(long receivedAt) throws ProtocolException {
     if (handler == null) {
       throw new ProtocolException("an answer that nobody asked for");
     }
-    if (awaitingFirstByte && at < requestedAt) {
+    if (awaitingFirstByte && receivedAt < requestedAt) {
       throw new ProtocolException("what came before the call");
     }
     awaitingFirstByte = false;
-    HttpCodec.Response answer = HttpCodec.readResponse(connection.input);
-    if (answer == null) {
+    HttpCodec.Response response = HttpCodec.readResponse(connection.input);
+    if (response == null) {
       handler.responsePartReceived();
       return;
     }
     // Bytes after the response belong to no request. A duplicate of the response does no harm;
     // other
     // bytes may be the rest of a response with a wrong length, which is then incomplete.
-    boolean more = connection.input.size() > 0;
-    if (more && answer.status() == 200 && connection.input.byteAt(0) != 'H') {
+    boolean surplus = connection.input.size() > 0;
+    if (surplus && response.status() == 200 && connection.input.byteAt(0) != 'H') {
       throw new ProtocolException("more bytes than the length that was told");
     }
-    ResponseHandler to = handler;
-    to.responseReceived(answer);
+    ResponseHandler current = handler;
+    current.responseReceived(response);
     handler = null;
     if (!connection.open()) {
       return;
     }
-    if (answer.keepAlive() && !more) {
+    if (response.keepAlive() && !surplus) {
       pool.connectionIdle(this);
     } else {
       connection.close();
@@ -169,12 +171,12 @@
   }
 
   @Override
-  public void closed(boolean wasUp) {
-    ResponseHandler to = handler;
+  public void closed(boolean wasConnected) {
+    ResponseHandler current = handler;
     handler = null;
     pool.connectionClosed(this);
-    if (to != null) {
-      to.requestFailed(
+    if (current != null) {
+      current.requestFailed(
           connection.refused()
               ? Failure.REFUSED
               : connection.bytesPossiblySent() == sentBeforeRequest
--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -40,55 +40,56 @@
   /**
    * Returns the value as an object.
    *
-   * @param what names the value in the error message
+   * @param name names the value in the error message
    */
   @SuppressWarnings("unchecked")
-  public static Map<String, Object> asObject(Object value, String what) throws ProtocolException {
+  public static Map<String, Object> asObject(Object value, String name) throws ProtocolException {
     if (value instanceof Map) {
       return (Map<String, Object>) value;
     }
-    throw new ProtocolException(what + " is not an object");
+    throw new ProtocolException(name + " is not an object");
   }
 
   /**
    * Returns the value as a list.
    *
-   * @param what names the value in the error message
+   * @param name names the value in the error message
    */
   @SuppressWarnings("unchecked")
-  public static List<Object> asList(Object value, String what) throws ProtocolException {
+  public static List<Object> asList(Object value, String name) throws ProtocolException {
     if (value instanceof List) {
       return (List<Object>) value;
     }
-    throw new ProtocolException(what + " is not a list");
+    throw new ProtocolException(name + " is not a list");
   }
 
   /**
    * Returns the value as a string.
    *
-   * @param what names the value in the error message
+   * @param name names the value in the error message
    */
-  public static String asString(Object value, String what) throws ProtocolException {
+  public static String asString(Object value, String name) throws ProtocolException {
     if (value instanceof String) {
       return (String) value;
     }
-    throw new ProtocolException(what + " is not a string");
+    throw new ProtocolException(name + " is not a string");
   }
 
   /**
    * Returns the value as a number.
    *
-   * @param what names the value in the error message
+   * @param name names the value in the error message
    */
-  public static double asDouble(Object value, String what) throws ProtocolException {
+  public static double asDouble(Object value, String name) throws ProtocolException {
     if (value instanceof Number) {
       return ((Number) value).doubleValue();
     }
-    throw new ProtocolException(what + " is not a number");
+    throw new ProtocolException(name + " is not a number");
   }
 
-  private ProtocolException malformed(String what) {
-    return new ProtocolException("JSON: " + what + " at byte " + position, position >= text.length);
+  private ProtocolException malformed(String problem) {
+    return new ProtocolException(
+        "JSON: " + problem + " at byte " + position, position >= text.length);
   }
 
   private void skipWhitespace() {
@@ -101,9 +102,9 @@
     }
   }
 
-  private boolean consumeIf(char wanted) {
+  private boolean consumeIf(char expected) {
     skipWhitespace();
-    if (position < text.length && text[position] == wanted) {
+    if (position < text.length && text[position] == expected) {
       position++;
       return true;
     }
@@ -187,16 +188,16 @@
     if (position < text.length && text[position] == '"') {
       return new String(text, from, position++ - from, StandardCharsets.UTF_8);
     }
-    StringBuilder made = new StringBuilder();
+    StringBuilder result = new StringBuilder();
     while (true) {
-      made.append(new String(text, from, position - from, StandardCharsets.UTF_8));
+      result.append(new String(text, from, position - from, StandardCharsets.UTF_8));
       if (position == text.length) {
         throw malformed("string without an end");
       }
       if (text[position++] == '"') {
-        return made.toString();
+        return result.toString();
       }
-      made.append(parseEscape());
+      result.append(parseEscape());
       from = position;
       while (position < text.length && text[position] != '"' && text[position] != '\\') {
         position++;
@@ -239,16 +240,16 @@
 
   private Number asDouble() throws ProtocolException {
     int from = position;
-    boolean whole = true;
+    boolean integral = true;
     while (position < text.length
         && (text[position] >= '0' && text[position] <= '9'
             || "+-.eE".indexOf(text[position]) >= 0)) {
-      whole &= text[position] >= '0' && text[position] <= '9' || text[position] == '-';
+      integral &= text[position] >= '0' && text[position] <= '9' || text[position] == '-';
       position++;
     }
     String digits = new String(text, from, position - from, StandardCharsets.US_ASCII);
     try {
-      if (whole && digits.length() < 19) {
+      if (integral && digits.length() < 19) {
         return Long.valueOf(digits);
       }
       Double value = Double.valueOf(digits);
--- a/src/main/java/tansytrack/wire/PgSession.java
+++ b/src/main/java/tansytrack/wire/PgSession.java
@@ -15,17 +15,17 @@
     /**
      * Called for each query; it must be answered exactly once.
      *
-     * @param at when the last byte of the query was received
+     * @param receivedAt when the last byte of the query was received
      */
-    void query(PgSession session, byte[] statement, long at);
+    void query(PgSession session, byte[] statement, long receivedAt);
 
     /**
      * Called for a cancel request.
      *
-     * @param number the number of the session whose query is to be cancelled
-     * @param secret the secret key that the request names
+     * @param processId the number of the session whose query is to be cancelled
+     * @param secretKey the secret key that the request names
      */
-    void cancelRequested(int number, int secret);
+    void cancelRequested(int processId, int secretKey);
 
     /** Called when the session ends, possibly with an open query. */
     void sessionEnded(PgSession session);
@@ -33,13 +33,13 @@
     /**
      * Called when a session is closed because its client violated the protocol or exceeded a limit.
      */
-    default void protocolViolated(String why) {}
+    default void protocolViolated(String reason) {}
 
     /** Called when the session's connection has released its resources. */
     void sessionReleased(PgSession session);
 
     /** Runs an action after the current event has been handled. */
-    void defer(Runnable what);
+    void defer(Runnable action);
   }
 
   private static final int PROTOCOL_VERSION_3 = 3 << 16;
@@ -109,14 +109,14 @@
   /**
    * Creates a session on an accepted connection.
    *
-   * @param number identifies the session in cancel requests (the process ID of the protocol)
-   * @param secret the secret key that a cancel request must name
+   * @param processId identifies the session in cancel requests (the process ID of the protocol)
+   * @param secretKey the secret key that a cancel request must name
    */
-  public PgSession(Connection connection, Handler front, int number, int secret) {
+  public PgSession(Connection connection, Handler handler, int processId, int secretKey) {
     this.connection = connection;
-    this.handler = front;
-    this.processId = number;
-    this.secretKey = secret;
+    this.handler = handler;
+    this.processId = processId;
+    this.secretKey = secretKey;
     connection.setOwner(this);
   }
 
@@ -126,8 +126,8 @@
   }
 
   /** Whether the secret key of a cancel request is the one of this session. */
-  public boolean matchesSecretKey(int secret) {
-    return this.secretKey == secret;
+  public boolean matchesSecretKey(int secretKey) {
+    return this.secretKey == secretKey;
   }
 
   /** Returns the handler's object for the open query, null if there is none. */
@@ -176,9 +176,9 @@
     }
     idleRounds = connection.bytesWritten() == bytesWrittenAtLastRound ? idleRounds + 1 : 1;
     bytesWrittenAtLastRound = connection.bytesWritten();
-    boolean stuck = connection.output.size() > 0 || !connection.open();
+    boolean outputPending = connection.output.size() > 0 || !connection.open();
     if (!isReleased()
-        && (stuck
+        && (outputPending
             ? idleRounds > STALLED_CLIENT_ROUNDS
             : !querying && !sentUsableQuery && idleRounds > UNUSED_SESSION_ROUNDS)) {
       closeNow();
@@ -197,24 +197,24 @@
   }
 
   @Override
-  public void received(long at) {
-    lastReceivedAt = at;
+  public void received(long receivedAt) {
+    lastReceivedAt = receivedAt;
     idleRounds = 0;
-    RingBuffer in = connection.input;
-    while (connection.open() && !querying && in.size() >= 4) {
-      int first = started ? 1 : 0;
-      if (in.size() < first + 4) {
+    RingBuffer input = connection.input;
+    while (connection.open() && !querying && input.size() >= 4) {
+      int lengthOffset = started ? 1 : 0;
+      if (input.size() < lengthOffset + 4) {
         return;
       }
-      int length = in.intAt(first);
+      int length = input.intAt(lengthOffset);
       if (length < (started ? 4 : MIN_STARTUP_MESSAGE_BYTES) || length > MAX_MESSAGE_BYTES) {
         sendFatalError("08P01", "invalid message length");
         return;
       }
-      if (in.size() < first + length) {
+      if (input.size() < lengthOffset + length) {
         return;
       }
-      byte[] message = in.take(first + length);
+      byte[] message = input.take(lengthOffset + length);
       incompleteRounds = 0;
       if (!started || message[0] != 'Q') {
         countUnproductiveMessage();
@@ -223,7 +223,7 @@
         return;
       }
       if (started) {
-        message(message, at);
+        message(message, receivedAt);
       } else {
         handleStartupMessage(ByteBuffer.wrap(message, 4, length - 4));
       }
@@ -268,14 +268,14 @@
   }
 
   /** Answers the open query with an error, as it cannot be used. */
-  public void rejectQuery(String why) {
-    sendError("22023", why);
+  public void rejectQuery(String reason) {
+    sendError("22023", reason);
     countUnproductiveMessage();
   }
 
-  private void message(byte[] message, long at) {
+  private void message(byte[] message, long receivedAt) {
     switch (message[0]) {
-      case 'Q' -> handleQuery(message, at);
+      case 'Q' -> handleQuery(message, receivedAt);
       case 'X' -> closeAfterFlush();
       case 'S' -> {
         skippingToSync = false;
@@ -295,16 +295,16 @@
     }
   }
 
-  private void handleQuery(byte[] message, long at) {
+  private void handleQuery(byte[] message, long receivedAt) {
     if (skippingToSync) {
       return;
     }
     int end = message.length - 1;
-    boolean whole = end >= 5 && message[end] == 0;
+    boolean valid = end >= 5 && message[end] == 0;
     for (int i = 5; i < end; i++) {
-      whole &= message[i] != 0;
+      valid &= message[i] != 0;
     }
-    if (!whole) {
+    if (!valid) {
       sendFatalError("08P01", "invalid string in message");
       return;
     }
@@ -323,7 +323,7 @@
       countUnproductiveMessage();
     } else {
       querying = true;
-      handler.query(this, java.util.Arrays.copyOfRange(message, 5, end), at);
+      handler.query(this, java.util.Arrays.copyOfRange(message, 5, end), receivedAt);
     }
   }
 
@@ -339,16 +339,16 @@
     for (String column : columns) {
       bytes += column.length() + 19;
     }
-    ByteBuffer names = ByteBuffer.allocate(bytes).putShort((short) columns.length);
+    ByteBuffer rowDescription = ByteBuffer.allocate(bytes).putShort((short) columns.length);
     for (String column : columns) {
-      names
+      rowDescription
           .put(column.getBytes(StandardCharsets.US_ASCII))
           .put((byte) 0)
           .putInt(0)
           .putShort((short) 0);
-      names.putInt(TEXT_TYPE_OID).putShort((short) -1).putInt(-1).putShort((short) 0);
+      rowDescription.putInt(TEXT_TYPE_OID).putShort((short) -1).putInt(-1).putShort((short) 0);
     }
-    message('T', names.array());
+    message('T', rowDescription.array());
     int count = 0;
     for (byte[] page : pages) {
       int from = 0;
--- a/src/main/java/tansytrack/wire/ProtocolException.java
+++ b/src/main/java/tansytrack/wire/ProtocolException.java
@@ -10,31 +10,31 @@
    * Creates an exception for a message that violates the protocol. The text says how; it may be
    * sent to clients, and its beginning labels a counter.
    */
-  public ProtocolException(String what) {
-    this(what, false);
+  public ProtocolException(String message) {
+    this(message, false);
   }
 
   /**
    * Creates an exception for a message that violates the protocol.
    *
-   * @param cutOff whether the message is valid so far and only ends too early
+   * @param truncated whether the message is valid so far and only ends too early
    */
-  public ProtocolException(String what, boolean cutOff) {
-    super(what, null, false, false);
-    this.truncated = cutOff;
+  public ProtocolException(String message, boolean truncated) {
+    super(message, null, false, false);
+    this.truncated = truncated;
   }
 
   /** Returns a counter label: the message without the numbers and values of the single case. */
   String counterLabel() {
-    StringBuilder reason = new StringBuilder();
+    StringBuilder prefix = new StringBuilder();
     for (char c : getMessage().toCharArray()) {
       if (c == ':' || c == '\'' || Character.isDigit(c)) {
         break;
       }
-      reason.append(c);
+      prefix.append(c);
     }
-    String plain = reason.toString().strip().replace(' ', '_');
-    return plain.isEmpty() ? "other" : plain;
+    String label = prefix.toString().strip().replace(' ', '_');
+    return label.isEmpty() ? "other" : label;
   }
 
   /** Whether the message is valid so far and only ends too early. */
--- a/src/main/java/tansytrack/wire/RingBuffer.java
+++ b/src/main/java/tansytrack/wire/RingBuffer.java
@@ -21,13 +21,13 @@
   private int size;
 
   /** Creates a buffer with the given maximum capacity in bytes, a power of two. */
-  public RingBuffer(int most) {
-    if (Integer.bitCount(most) != 1 || most < INITIAL_CAPACITY_BYTES) {
+  public RingBuffer(int maxCapacity) {
+    if (Integer.bitCount(maxCapacity) != 1 || maxCapacity < INITIAL_CAPACITY_BYTES) {
       throw new IllegalArgumentException(
           "the maximum capacity of a ring buffer must be a power of two of at least "
               + INITIAL_CAPACITY_BYTES);
     }
-    this.maxCapacity = most;
+    this.maxCapacity = maxCapacity;
   }
 
   /** Returns the number of bytes in the buffer. */
@@ -62,23 +62,23 @@
   }
 
   /** Adds all remaining bytes of the source, or none; returns false if they do not fit. */
-  public boolean put(ByteBuffer from) {
-    int count = from.remaining();
+  public boolean put(ByteBuffer source) {
+    int count = source.remaining();
     if (count > freeSpace()) {
       return false;
     }
     ensureCapacity(count);
     int tail = head + size & bytes.length - 1;
     int first = Math.min(count, bytes.length - tail);
-    from.get(bytes, tail, first);
-    from.get(bytes, 0, count - first);
+    source.get(bytes, tail, first);
+    source.get(bytes, 0, count - first);
     size += count;
     return true;
   }
 
   /** Adds all of the bytes, or none; returns false if they do not fit. */
-  public boolean put(byte[] from) {
-    return put(ByteBuffer.wrap(from));
+  public boolean put(byte[] source) {
+    return put(ByteBuffer.wrap(source));
   }
 
   /** Returns a copy of bytes, which remain in the buffer. */
@@ -118,13 +118,13 @@
     return taken;
   }
 
-  private void ensureCapacity(int more) {
-    int wanted = bytes.length;
-    while (wanted < size + more) {
-      wanted *= 2;
+  private void ensureCapacity(int additional) {
+    int capacity = bytes.length;
+    while (capacity < size + additional) {
+      capacity *= 2;
     }
-    if (wanted > bytes.length) {
-      byte[] grown = new byte[wanted];
+    if (capacity > bytes.length) {
+      byte[] grown = new byte[capacity];
       copyTo(grown, 0, size);
       bytes = grown;
       head = 0;
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -76,11 +76,11 @@
   /**
    * Creates the sockets.
    *
-   * @param hand runs actions on the event loop
+   * @param eventLoop runs actions on the event loop
    * @param clock time stamps of received data, in nanoseconds
    */
-  public Sockets(Consumer<Runnable> hand, LongSupplier clock) {
-    this.eventLoop = hand;
+  public Sockets(Consumer<Runnable> eventLoop, LongSupplier clock) {
+    this.eventLoop = eventLoop;
     this.clock = clock;
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
@@ -99,8 +99,8 @@
   }
 
   /** Sets the maximum number of accepted connections; further ones are closed at once. */
-  public void maxAccepted(int most) {
-    acceptor.maxAccepted = most;
+  public void maxAccepted(int max) {
+    acceptor.maxAccepted = max;
   }
 
   /**
@@ -117,19 +117,19 @@
     }
 
     @Override
-    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel from)
+    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel channel)
         throws Exception {
       // MINA's own count is updated later, on another thread, so a whole backlog could exceed the
       // limit.
       if (accepted.get() < maxAccepted) {
-        NioSession session = super.accept(processor, from);
+        NioSession session = super.accept(processor, channel);
         if (session != null) {
           accepted.incrementAndGet();
           session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
         }
         return session;
       }
-      SocketChannel surplus = from.accept();
+      SocketChannel surplus = channel.accept();
       if (surplus != null) {
         surplus.close();
       }
@@ -140,12 +140,12 @@
   /**
    * Listens on an address and returns the one it is bound to.
    *
-   * @param to receives each accepted connection on the event loop, and must set its owner
+   * @param handler receives each accepted connection on the event loop, and must set its owner
    */
-  public InetSocketAddress listen(InetSocketAddress at, Consumer<Connection> to)
+  public InetSocketAddress listen(InetSocketAddress address, Consumer<Connection> handler)
       throws IOException {
-    acceptHandler = to;
-    acceptor.bind(at);
+    acceptHandler = handler;
+    acceptor.bind(address);
     return acceptor.getLocalAddress();
   }
 
@@ -157,19 +157,20 @@
   /**
    * Starts to establish a connection. Data written before it is established is sent afterwards.
    *
-   * @param mostIn maximum size of the input buffer in bytes
+   * @param maxInputBytes maximum size of the input buffer in bytes
    */
-  public Connection connect(InetSocketAddress to, int mostIn, Connection.Owner owner) {
-    Connection connection = new Connection(this, mostIn, REQUEST_OUTPUT_BYTES);
+  public Connection connect(InetSocketAddress address, int maxInputBytes, Connection.Owner owner) {
+    Connection connection = new Connection(this, maxInputBytes, REQUEST_OUTPUT_BYTES);
     connection.setOwner(owner);
     openConnections++;
-    ConnectFuture coming =
-        connector.connect(to, (session, future) -> session.setAttribute(CONNECTION, connection));
-    connection.connectFuture(coming);
-    coming.addListener(
-        done -> {
-          if (!coming.isConnected()) {
-            eventLoop.accept(() -> connection.connectFailed(coming.getException()));
+    ConnectFuture connectFuture =
+        connector.connect(
+            address, (session, future) -> session.setAttribute(CONNECTION, connection));
+    connection.connectFuture(connectFuture);
+    connectFuture.addListener(
+        completed -> {
+          if (!connectFuture.isConnected()) {
+            eventLoop.accept(() -> connection.connectFailed(connectFuture.getException()));
           }
         });
     return connection;
@@ -208,15 +209,15 @@
    * Counts a connection that is closed for a protocol violation, and logs it, at most once a
    * second, so that misbehaving peers do not take the time of the others.
    */
-  void protocolErrors(Connection connection, ProtocolException junk) {
-    this.junk.merge(junk.counterLabel(), 1L, Long::sum);
+  void protocolErrors(Connection connection, ProtocolException error) {
+    this.junk.merge(error.counterLabel(), 1L, Long::sum);
     unloggedErrors++;
     if (clock.getAsLong() - lastWarningAt >= WARNING_INTERVAL_NANOS) {
       lastWarningAt = clock.getAsLong();
       Logger.warn(
           "connection with {} closed: {}{}",
           connection.remoteAddress(),
-          junk.getMessage(),
+          error.getMessage(),
           unloggedErrors > 1 ? " (" + unloggedErrors + " closed since the last such line)" : "");
       unloggedErrors = 0;
     }
@@ -240,24 +241,24 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-      Connection known = (Connection) session.getAttribute(CONNECTION);
-      if (known != null) {
-        eventLoop.accept(() -> known.sessionOpened(session));
+      Connection outgoing = (Connection) session.getAttribute(CONNECTION);
+      if (outgoing != null) {
+        eventLoop.accept(() -> outgoing.sessionOpened(session));
         return;
       }
-      Connection fresh = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
-      session.setAttribute(CONNECTION, fresh);
+      Connection incoming = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
+      session.setAttribute(CONNECTION, incoming);
       eventLoop.accept(
           () -> {
             openConnections++;
-            acceptHandler.accept(fresh);
-            fresh.sessionOpened(session);
+            acceptHandler.accept(incoming);
+            incoming.sessionOpened(session);
           });
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      long at = clock.getAsLong();
+      long receivedAt = clock.getAsLong();
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       IoBuffer bytes = (IoBuffer) message;
       if (connection.unreadBytes.addAndGet(bytes.remaining()) > Connection.MAX_UNREAD_BYTES) {
@@ -267,7 +268,7 @@
           session.resumeRead();
         }
       }
-      eventLoop.accept(() -> connection.received(bytes, at));
+      eventLoop.accept(() -> connection.received(bytes, receivedAt));
     }
 
     @Override
--- a/src/main/java/tansytrack/wire/Statement.java
+++ b/src/main/java/tansytrack/wire/Statement.java
@@ -60,9 +60,9 @@
     if (to + 1 >= text.length) {
       throw new ProtocolException("comment without an end");
     }
-    Statement made = new Statement(text, skipWhitespace(text, to + 2));
-    made.fields(from + 2, to);
-    return made;
+    Statement statement = new Statement(text, skipWhitespace(text, to + 2));
+    statement.fields(from + 2, to);
+    return statement;
   }
 
   /** Returns the value of a field in the leading comment, or null. */
@@ -71,9 +71,9 @@
   }
 
   /** Whether the statement is the given text, ignoring case and surrounding white space. */
-  public boolean equalsIgnoringCase(String words) {
-    return body.length < 2 * words.length()
-        && decode(text.length - body.length, text.length).strip().equalsIgnoreCase(words);
+  public boolean equalsIgnoringCase(String sql) {
+    return body.length < 2 * sql.length()
+        && decode(text.length - body.length, text.length).strip().equalsIgnoreCase(sql);
   }
 
   /** Returns the statement without the leading comment. */
@@ -82,15 +82,19 @@
   }
 
   private static int skipWhitespace(byte[] text, int from) {
-    int at = from;
-    while (at < text.length && isWhitespace(text[at])) {
-      at++;
+    int index = from;
+    while (index < text.length && isWhitespace(text[index])) {
+      index++;
     }
-    return at;
+    return index;
   }
 
-  private static boolean isWhitespace(byte sign) {
-    return sign == ' ' || sign == '\n' || sign == '\r' || sign == '\t' || sign == '\f';
+  private static boolean isWhitespace(byte character) {
+    return character == ' '
+        || character == '\n'
+        || character == '\r'
+        || character == '\t'
+        || character == '\f';
   }
 
   private void fields(int from, int to) {
@@ -118,54 +122,57 @@
    * precedence over any other, as an alias may look like a schema too.
    */
   public long dataSet() {
-    long other = -1;
-    boolean tables = false; // within a list of tables
-    boolean wanted = false; // a table's name may follow
-    String schema = null; // the last name, which a dot may follow
-    boolean dotted = false;
+    long fallback = -1;
+    boolean inTableList = false; // within a list of tables
+    boolean tableExpected = false; // a table's name may follow
+    String lastName = null; // the last name, which a dot may follow
+    boolean afterDot = false;
     while (nextToken()) {
       if (identifier == null) {
-        byte sign = text[position - 1];
-        wanted = sign == ',' ? tables : (sign == '.' && wanted) || (sign == '(' && wanted);
-        dotted = sign == '.' && schema != null;
-        schema = dotted ? schema : null;
+        byte character = text[position - 1];
+        tableExpected =
+            character == ','
+                ? inTableList
+                : (character == '.' && tableExpected) || (character == '(' && tableExpected);
+        afterDot = character == '.' && lastName != null;
+        lastName = afterDot ? lastName : null;
         continue;
       }
-      if (dotted) {
-        long group = dataSetOfSchema(schema);
-        if (group >= 0 && wanted) {
-          return group;
+      if (afterDot) {
+        long dataSet = dataSetOfSchema(lastName);
+        if (dataSet >= 0 && tableExpected) {
+          return dataSet;
         }
-        other = other < 0 ? group : other;
-        wanted = false;
-        schema = null;
-        dotted = false;
+        fallback = fallback < 0 ? dataSet : fallback;
+        tableExpected = false;
+        lastName = null;
+        afterDot = false;
       } else if (unquoted && KEYWORDS_BEFORE_TABLES.contains(identifier)) {
-        tables = true;
-        wanted = true;
-        schema = null;
+        inTableList = true;
+        tableExpected = true;
+        lastName = null;
       } else if (unquoted && KEYWORDS_AFTER_TABLES.contains(identifier)) {
-        tables = false;
-        wanted = false;
-        schema = null;
+        inTableList = false;
+        tableExpected = false;
+        lastName = null;
       } else {
-        wanted &= schema == null;
-        schema = identifier;
+        tableExpected &= lastName == null;
+        lastName = identifier;
       }
     }
-    return other;
+    return fallback;
   }
 
   private static long dataSetOfSchema(String schema) {
-    int under = schema.lastIndexOf('_');
-    if (under < 1
-        || under == schema.length() - 1
-        || schema.length() - under > 16
+    int underscore = schema.lastIndexOf('_');
+    if (underscore < 1
+        || underscore == schema.length() - 1
+        || schema.length() - underscore > 16
         || schema.equals(STAGING_SCHEMA)) {
       return -1;
     }
     long number = 0;
-    for (int i = under + 1; i < schema.length(); i++) {
+    for (int i = underscore + 1; i < schema.length(); i++) {
       char digit = schema.charAt(i);
       if (digit < '0' || digit > '9') {
         return -1;
@@ -186,29 +193,29 @@
   private boolean nextToken() {
     identifier = null;
     while (position < text.length) {
-      byte sign = text[position];
-      if (isWhitespace(sign)) {
+      byte character = text[position];
+      if (isWhitespace(character)) {
         position++;
-      } else if (sign == '-' && peek(1) == '-') {
+      } else if (character == '-' && peek(1) == '-') {
         while (position < text.length && text[position] != '\n') {
           position++;
         }
-      } else if (sign == '/' && peek(1) == '*') {
+      } else if (character == '/' && peek(1) == '*') {
         skipBlockComment();
-      } else if (sign == '\'') {
+      } else if (character == '\'') {
         skipQuoted('\'', false);
-      } else if ((sign == 'e' || sign == 'E') && peek(1) == '\'') {
+      } else if ((character == 'e' || character == 'E') && peek(1) == '\'') {
         position++;
         skipQuoted('\'', true);
-      } else if (sign == '$' && skipDollarQuoted()) {
+      } else if (character == '$' && skipDollarQuoted()) {
         // the string has been skipped
-      } else if (sign == '"') {
+      } else if (character == '"') {
         int from = position;
         skipQuoted('"', false);
         identifier = decode(from + 1, Math.max(from + 1, position - 1));
         unquoted = false;
         return true;
-      } else if (isIdentifierStart(sign)) {
+      } else if (isIdentifierStart(character)) {
         int from = position;
         while (position < text.length
             && (isIdentifierStart(text[position])
@@ -219,7 +226,7 @@
         identifier = decode(from, position).toLowerCase(Locale.ROOT);
         unquoted = true;
         return true;
-      } else if (isDigit(sign)) {
+      } else if (isDigit(character)) {
         while (position < text.length
             && (isIdentifierStart(text[position])
                 || isDigit(text[position])
@@ -234,12 +241,15 @@
     return false;
   }
 
-  private static boolean isIdentifierStart(byte sign) {
-    return (sign >= 'a' && sign <= 'z') || (sign >= 'A' && sign <= 'Z') || sign == '_' || sign < 0;
+  private static boolean isIdentifierStart(byte character) {
+    return (character >= 'a' && character <= 'z')
+        || (character >= 'A' && character <= 'Z')
+        || character == '_'
+        || character < 0;
   }
 
-  private static boolean isDigit(byte sign) {
-    return sign >= '0' && sign <= '9';
+  private static boolean isDigit(byte character) {
+    return character >= '0' && character <= '9';
   }
 
   private void skipBlockComment() {
@@ -260,14 +270,14 @@
   }
 
   /** Skips a string or a quoted name, in which a doubled quotation mark stands for itself. */
-  private void skipQuoted(char mark, boolean escapes) {
+  private void skipQuoted(char quotationMark, boolean escapes) {
     position++;
     while (position < text.length) {
       if (escapes && text[position] == '\\') {
         position += 2;
-      } else if (text[position] != mark) {
+      } else if (text[position] != quotationMark) {
         position++;
-      } else if (peek(1) == mark) {
+      } else if (peek(1) == quotationMark) {
         position += 2;
       } else {
         position++;
@@ -279,18 +289,18 @@
 
   /** Skips a dollar-quoted string if one starts here. */
   private boolean skipDollarQuoted() {
-    int end = position + 1;
-    while (end < text.length
-        && (isIdentifierStart(text[end]) || (isDigit(text[end]) && end > position + 1))) {
-      end++;
+    int tagEnd = position + 1;
+    while (tagEnd < text.length
+        && (isIdentifierStart(text[tagEnd]) || (isDigit(text[tagEnd]) && tagEnd > position + 1))) {
+      tagEnd++;
     }
-    if (end == text.length || text[end] != '$') {
+    if (tagEnd == text.length || text[tagEnd] != '$') {
       return false;
     }
-    int length = end + 1 - position;
-    for (int i = end + 1; i + length <= text.length; i++) {
-      if (Arrays.equals(text, i, i + length, text, position, position + length)) {
-        position = i + length;
+    int tagLength = tagEnd + 1 - position;
+    for (int i = tagEnd + 1; i + tagLength <= text.length; i++) {
+      if (Arrays.equals(text, i, i + tagLength, text, position, position + tagLength)) {
+        position = i + tagLength;
         return true;
       }
     }
--- a/src/test/java/tansytrack/state/EngineLinesTest.java
+++ b/src/test/java/tansytrack/state/EngineConnectionsTest.java
@@ -24,55 +24,55 @@
  * Tests the connections to one engine with a clock and an event queue under the test's control. The
  * I/O thread can be made to wait.
  */
-class EngineLinesTest {
+class EngineConnectionsTest {
 
   private static final long MS = 1_000_000L;
 
   private final AtomicLong clock = new AtomicLong(1000 * MS);
-  private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
   // If set, the I/O thread waits for it after handing over its next event.
-  private volatile CountDownLatch stop;
-  private final List<String> answers = new ArrayList<>();
+  private volatile CountDownLatch ioThreadPause;
+  private final List<String> results = new ArrayList<>();
 
-  private void hand(Runnable note) {
-    CountDownLatch until = stop;
-    inbox.add(note);
-    if (until != null) {
+  private void handOver(Runnable event) {
+    CountDownLatch pause = ioThreadPause;
+    events.add(event);
+    if (pause != null) {
       try {
-        until.await();
+        pause.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
   }
 
-  private HttpConnection.ResponseHandler caller() {
+  private HttpConnection.ResponseHandler recordingHandler() {
     return new HttpConnection.ResponseHandler() {
       @Override
       public void responseReceived(HttpCodec.Response answer) {
-        answers.add(new String(answer.body(), StandardCharsets.US_ASCII));
+        results.add(new String(answer.body(), StandardCharsets.US_ASCII));
       }
 
       @Override
       public void requestFailed(HttpConnection.Failure why) {
-        answers.add(why.name());
+        results.add(why.name());
       }
     };
   }
 
-  private void until(int count) throws InterruptedException {
-    while (answers.size() < count) {
-      inbox.poll(1, TimeUnit.MINUTES).run();
+  private void awaitResults(int count) throws InterruptedException {
+    while (results.size() < count) {
+      events.poll(1, TimeUnit.MINUTES).run();
     }
   }
 
-  private static void call(DataInputStream in) throws Exception {
+  private static void readRequest(DataInputStream in) throws Exception {
     for (String head = ""; !head.endsWith("\r\n\r\n"); ) {
       head += (char) in.readByte();
     }
   }
 
-  private static byte[] answer(String body) {
+  private static byte[] response(String body) {
     return ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
         .getBytes(StandardCharsets.US_ASCII);
   }
@@ -85,44 +85,44 @@
    */
   @ParameterizedTest(name = "{0} ms of sleep, {1} ms of stall: {2} connections")
   @CsvSource({"12, 0, 1", "0, 12, 2"})
-  void whatCameDuringAStallIsNoAnswerToTheNextCall(long slept, long stalled, int connections)
-      throws Exception {
+  void dataReceivedDuringAStallIsNotTheNextResponse(
+      long sleptMs, long stalledMs, int expectedConnections) throws Exception {
     Timers timers = new Timers();
     timers.now(clock.get());
-    Sockets sockets = new Sockets(this::hand, clock::get);
+    Sockets sockets = new Sockets(this::handOver, clock::get);
     try (ServerSocket engine = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
       Counters counters = new Counters();
       EngineConnections.Limits limits = new EngineConnections.Limits(1000 * MS, 9000 * MS);
       limits.maxOpenConnections = 9;
       engine.setSoTimeout(10_000);
-      EngineConnections lines = new EngineConnections("e", sockets, timers, limits, counters);
-      lines.updateListing((InetSocketAddress) engine.getLocalSocketAddress(), true);
-      lines.send("GET", "/one", caller());
+      EngineConnections connections = new EngineConnections("e", sockets, timers, limits, counters);
+      connections.updateListing((InetSocketAddress) engine.getLocalSocketAddress(), true);
+      connections.send("GET", "/one", recordingHandler());
       try (Socket first = engine.accept()) {
         DataInputStream in = new DataInputStream(first.getInputStream());
         while (in.available() == 0) {
-          Runnable note = inbox.poll(10, TimeUnit.MILLISECONDS);
-          if (note != null) {
-            note.run();
+          Runnable event = events.poll(10, TimeUnit.MILLISECONDS);
+          if (event != null) {
+            event.run();
           }
         }
-        call(in);
-        CountDownLatch goOn = new CountDownLatch(1);
-        stop = stalled > 0 ? goOn : null;
-        first.getOutputStream().write(answer("one"));
-        until(1);
-        if (stalled > 0) {
-          first.getOutputStream().write(answer("one")); // the duplicate, which is not read yet
+        readRequest(in);
+        CountDownLatch resume = new CountDownLatch(1);
+        ioThreadPause = stalledMs > 0 ? resume : null;
+        first.getOutputStream().write(response("one"));
+        awaitResults(1);
+        if (stalledMs > 0) {
+          first.getOutputStream().write(response("one")); // the duplicate, which is not read yet
         }
-        clock.addAndGet((slept + stalled) * MS);
-        timers.advanceAfterSleep(clock.get(), slept * MS);
-        lines.send("GET", "/two", caller());
-        stop = null;
-        goOn.countDown();
-        if (connections == 1) {
-          call(in);
-          first.getOutputStream().write(answer("two"));
-          until(2);
+        clock.addAndGet((sleptMs + stalledMs) * MS);
+        timers.advanceAfterSleep(clock.get(), sleptMs * MS);
+        connections.send("GET", "/two", recordingHandler());
+        ioThreadPause = null;
+        resume.countDown();
+        if (expectedConnections == 1) {
+          readRequest(in);
+          first.getOutputStream().write(response("two"));
+          awaitResults(2);
         } else {
           try (Socket second = engine.accept()) {
             clock.addAndGet(MS);
@@ -130,20 +130,20 @@
                 new Thread(
                     () -> {
                       try {
-                        call(new DataInputStream(second.getInputStream()));
-                        second.getOutputStream().write(answer("two"));
+                        readRequest(new DataInputStream(second.getInputStream()));
+                        second.getOutputStream().write(response("two"));
                       } catch (Exception e) {
                         // the assertion on the responses fails then
                       }
                     });
             reader.start();
-            until(2);
+            awaitResults(2);
             reader.join();
           }
         }
       }
-      assertThat(answers).containsExactly("one", "two");
-      assertThat(counters.get("connections.to_engines")).isEqualTo(connections);
+      assertThat(results).containsExactly("one", "two");
+      assertThat(counters.get("connections.to_engines")).isEqualTo(expectedConnections);
     } finally {
       sockets.close();
     }
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -25,7 +25,7 @@
 class ManagerTest {
 
   private static final long MS = 1_000_000L;
-  private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
   private static final String CONFIG =
       "{'name':'m','listen':'127.0.0.1:0','seed':'1','limits':{'sockets':256},"
           + "'channel':'127.0.0.1:1','settings':{'skus':['k'],'extra':{'cpu_of_kind':[4],"
@@ -53,7 +53,7 @@
             PeerManagers.NONE);
     Connection connection =
         sockets.connect(
-            NOBODY,
+            UNUSED_ADDRESS,
             1 << 16,
             new Connection.Owner() {
               @Override
@@ -63,7 +63,7 @@
               public void closed(boolean wasUp) {}
             });
     session = new PgSession(connection, manager, 1, 2);
-    list("READY");
+    listEngine("READY");
     manager.processPending();
   }
 
@@ -72,14 +72,14 @@
     sockets.close();
   }
 
-  private void list(String state) {
+  private void listEngine(String state) {
     manager.engines(
         false,
         List.of(new EngineEntry("e", 1, "", "k", 0, EngineEntry.State.valueOf(state), 0)),
-        Map.of("e", NOBODY));
+        Map.of("e", UNUSED_ADDRESS));
   }
 
-  private void ask() {
+  private void sendQuery() {
     manager.query(
         session,
         "/* class=safe,id=00000000000000a1,wait=9000 */ SELECT 1".getBytes(StandardCharsets.UTF_8),
@@ -92,8 +92,8 @@
    */
   @ParameterizedTest(name = "left before the decision: {0}")
   @CsvSource({"true, forwards.ended.NEVER_SENT", "false, forwards.ended.UNREACHED"})
-  void aTaskThatIsLeftInTheSameTurnIsNeverSent(boolean before, String end) {
-    ask();
+  void abandonedTaskEndsItsForwardInTheSameIteration(boolean before, String endCounter) {
+    sendQuery();
     if (before) {
       manager.sessionEnded(session);
     }
@@ -101,7 +101,7 @@
     // No connection is ever established: what was sent ends after the connect timeout.
     timers.now(timers.now() + 250 * MS);
     timers.runDue();
-    assertThat(manager.counters().get(end)).isEqualTo(1);
+    assertThat(manager.counters().get(endCounter)).isEqualTo(1);
     assertThat(manager.counters().get("tasks.taken")).isEqualTo(1);
     assertThat(manager.counters().get("tasks.abandoned")).isEqualTo(before ? 1 : 0);
     assertThat(manager.idle()).isEqualTo(before);
@@ -113,10 +113,10 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"GONE", "DRAINING"})
-  void anEngineMayGoInTheTurnInWhichItIsProbed(String state) {
+  void engineMayLeaveWhileItIsProbed(String state) {
     timers.now(timers.now() + 60_000 * MS);
     timers.runDue();
-    list(state);
+    listEngine(state);
     manager.processPending();
     assertThat(manager.counters().get("probes.sent")).isEqualTo(1);
   }
@@ -127,13 +127,13 @@
    */
   @ParameterizedTest(name = "{0} ms later")
   @ValueSource(longs = {0, 5000})
-  void anEngineMayComeBack(long later) {
-    list("GONE");
+  void engineMayBeListedAgain(long later) {
+    listEngine("GONE");
     manager.processPending();
     timers.now(timers.now() + later * MS);
     timers.runDue();
-    list("READY");
-    ask();
+    listEngine("READY");
+    sendQuery();
     manager.processPending();
     assertThat(manager.counters().get("forwards.sent")).isEqualTo(1);
     assertThat(manager.engineCount()).isEqualTo(1);
@@ -145,8 +145,8 @@
    */
   @ParameterizedTest(name = "after {0} ms: {1} ended")
   @CsvSource({"260, 0", "2010, 0", "2400, 0", "4010, 0", "4260, 0", "4400, 1"})
-  void whatCannotBeGivenUpStaysOutUntilItsEngineDropsIt(long after, long ended) {
-    ask();
+  void forwardThatCannotBeCancelledEndsWhenItsQueryExpires(long after, long ended) {
+    sendQuery();
     manager.processPending();
     manager.cancel("00000000000000a1", 0);
     long from = timers.now();
--- a/src/test/java/tansytrack/wire/HttpLineTest.java
+++ b/src/test/java/tansytrack/wire/HttpConnectionTest.java
@@ -15,7 +15,7 @@
  * Tests a connection whose session accepts written data and has not counted it yet, as when the I/O
  * thread is within the write.
  */
-class HttpLineTest implements HttpConnection.Pool, HttpConnection.ResponseHandler {
+class HttpConnectionTest implements HttpConnection.Pool, HttpConnection.ResponseHandler {
 
   private final List<HttpConnection.Failure> failures = new ArrayList<>();
 
@@ -43,21 +43,23 @@
     "true, the I/O thread, UNSENT",
     "false, the I/O thread, UNSENT"
   })
-  void whatWasHandedOverMayHaveLeft(boolean up, String by, HttpConnection.Failure told) {
+  void submittedBytesCountAsPossiblySent(boolean up, String by, HttpConnection.Failure expected) {
     Sockets sockets = new Sockets(note -> {}, () -> 5);
-    HttpConnection line =
+    HttpConnection connection =
         new HttpConnection(sockets, new InetSocketAddress("127.0.0.1", 1), 1 << 16, this);
     if (up) {
-      line.connection().sessionOpened(new DummySession());
+      connection.connection().sessionOpened(new DummySession());
     }
-    line.send("POST", "/o", "", new byte[0], this);
+    connection.send("POST", "/o", "", new byte[0], this);
     if (by.equals("this side")) {
       // Bytes received before the request, which the loop processes only now.
-      line.connection().received(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
+      connection
+          .connection()
+          .received(IoBuffer.wrap("HTTP/1.1".getBytes(StandardCharsets.US_ASCII)), 4);
     } else {
-      line.connection().closeAndNotify();
+      connection.connection().closeAndNotify();
     }
-    assertThat(failures).containsExactly(told);
+    assertThat(failures).containsExactly(expected);
     sockets.close();
   }
 }
--- a/src/test/java/tansytrack/wire/ParsersTest.java
+++ b/src/test/java/tansytrack/wire/ParsersTest.java
@@ -25,11 +25,11 @@
 
   @ParameterizedTest(name = "{0} at a time, {1} taken")
   @CsvSource({"1, 1", "700, 700", "1000, 999", "2048, 2000", "3000, 2999"})
-  void aRingKeepsItsBytesInOrderAtItsWrap(int put, int taken) {
+  void ringBufferKeepsOrderWhenItWraps(int put, int taken) {
     RingBuffer ring = new RingBuffer(1 << 13);
     int written = 0;
     int read = 0;
-    for (int turn = 0; turn < 50; turn++) {
+    for (int iteration = 0; iteration < 50; iteration++) {
       byte[] next = new byte[put];
       for (int i = 0; i < put; i++) {
         next[i] = (byte) (written + i);
@@ -59,7 +59,7 @@
         "\"\\/\\\\\" | /\\",
         "9223372036854775807 | 9.223372036854776E18"
       })
-  void jsonIsRead(String text, String value) throws ProtocolException {
+  void parsesJson(String text, String value) throws ProtocolException {
     assertThat(String.valueOf(Json.parse(bytes(text)))).isEqualTo(value.replace("\\n", "\n"));
   }
 
@@ -83,7 +83,7 @@
         "1e999",
         "nan"
       })
-  void junkIsNoJson(String text) {
+  void rejectsMalformedJson(String text) {
     assertThatThrownBy(() -> Json.parse(bytes(text))).isInstanceOf(ProtocolException.class);
   }
 
@@ -131,7 +131,7 @@
             + "\\n"
             + " | 200 | abc | true"
       })
-  void anAnswerIsWholeAtItsLastByteOnly(String text, int status, String body, boolean lasts)
+  void responseIsCompleteOnlyAtItsLastByte(String text, int status, String body, boolean keepAlive)
       throws ProtocolException {
     byte[] all = bytes(text.replace("\\r", "\r").replace("\\n", "\n"));
     RingBuffer ring = new RingBuffer(1 << 16);
@@ -139,10 +139,10 @@
       assertThat(HttpCodec.readResponse(ring)).as("after %s bytes", i).isNull();
       ring.put(new byte[] {all[i]});
     }
-    HttpCodec.Response answer = HttpCodec.readResponse(ring);
-    assertThat(answer.status()).isEqualTo(status);
-    assertThat(new String(answer.body(), StandardCharsets.UTF_8)).isEqualTo(body);
-    assertThat(answer.keepAlive()).isEqualTo(lasts);
+    HttpCodec.Response response = HttpCodec.readResponse(ring);
+    assertThat(response.status()).isEqualTo(status);
+    assertThat(new String(response.body(), StandardCharsets.UTF_8)).isEqualTo(body);
+    assertThat(response.keepAlive()).isEqualTo(keepAlive);
     assertThat(ring.size()).isZero();
   }
 
@@ -159,7 +159,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "\r\n\r\n"
       })
-  void junkIsNoAnswer(String text) {
+  void rejectsMalformedResponse(String text) {
     assertThatThrownBy(() -> HttpCodec.readResponse(ring(text)))
         .isInstanceOf(ProtocolException.class);
     assertThatThrownBy(() -> HttpCodec.readResponse(ring("x".repeat(9000))))
@@ -190,19 +190,19 @@
         "$1 | -1",
         " | -1"
       })
-  void theGroupIsInTheSchemasName(String text, long group) throws ProtocolException {
-    assertThat(Statement.parse(bytes(text == null ? "" : text)).dataSet()).isEqualTo(group);
+  void dataSetIsInTheSchemaName(String text, long dataSet) throws ProtocolException {
+    assertThat(Statement.parse(bytes(text == null ? "" : text)).dataSet()).isEqualTo(dataSet);
   }
 
   @Test
-  void fieldsStandInTheLeadingComment() throws ProtocolException {
-    Statement read =
+  void fieldsAreInTheLeadingComment() throws ProtocolException {
+    Statement statement =
         Statement.parse(
             bytes(" /* class=report, id=9b,wait=1500,odd,=x */ SELECT /* class=no */ 1"));
-    assertThat(read.field("class")).isEqualTo("report");
-    assertThat(read.field("id")).isEqualTo("9b");
-    assertThat(read.field("odd")).isNull();
-    assertThat(new String(read.body(), StandardCharsets.UTF_8))
+    assertThat(statement.field("class")).isEqualTo("report");
+    assertThat(statement.field("id")).isEqualTo("9b");
+    assertThat(statement.field("odd")).isNull();
+    assertThat(new String(statement.body(), StandardCharsets.UTF_8))
         .isEqualTo("SELECT /* class=no */ 1");
     assertThat(Statement.parse(bytes("SELECT 1")).field("class")).isNull();
     assertThatThrownBy(() -> Statement.parse(bytes("/* class=report")))
@@ -223,25 +223,25 @@
         "/* class=a,id=9b */ SELECT 'a''b', $x$ c $x$, E'\\' FROM \"s_1\".t /* /* */ */ , b_2.c --"
             + " e"
       })
-  void noBytesBreakAParser(String good) {
-    SplittableRandom chance = new SplittableRandom(good.length());
-    int junk = 0;
+  void parsersRejectAnyMalformedBytes(String valid) {
+    SplittableRandom random = new SplittableRandom(valid.length());
+    int rejected = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] bytes = bytes(good);
-      for (int k = chance.nextInt(4); k >= 0; k--) {
-        int at = chance.nextInt(bytes.length);
+      byte[] bytes = bytes(valid);
+      for (int k = random.nextInt(4); k >= 0; k--) {
+        int at = random.nextInt(bytes.length);
         bytes[at] =
-            chance.nextBoolean() ? (byte) chance.nextInt(256) : bytes[chance.nextInt(bytes.length)];
+            random.nextBoolean() ? (byte) random.nextInt(256) : bytes[random.nextInt(bytes.length)];
       }
-      byte[] cut = java.util.Arrays.copyOf(bytes, chance.nextInt(bytes.length + 1));
+      byte[] truncated = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
       try {
-        Statement.parse(cut).dataSet();
-        HttpCodec.readResponse(ring(new String(cut, StandardCharsets.ISO_8859_1)));
-        Json.parse(cut);
+        Statement.parse(truncated).dataSet();
+        HttpCodec.readResponse(ring(new String(truncated, StandardCharsets.ISO_8859_1)));
+        Json.parse(truncated);
       } catch (ProtocolException e) {
-        junk++;
+        rejected++;
       }
     }
-    assertThat(junk).isBetween(10_000, 20_000);
+    assertThat(rejected).isBetween(10_000, 20_000);
   }
 }
--- a/src/test/java/tansytrack/wire/PgSessionTest.java
+++ b/src/test/java/tansytrack/wire/PgSessionTest.java
@@ -17,9 +17,9 @@
   private final Connection connection =
       new Connection(new Sockets(note -> {}, () -> 0), 1 << 16, 1 << 12);
   private final PgSession session = new PgSession(connection, this, 1, 2);
-  private final List<Runnable> later = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
   private int queries;
-  private int gone;
+  private int endedSessions;
 
   @Override
   public void query(PgSession from, byte[] statement, long at) {
@@ -31,7 +31,7 @@
 
   @Override
   public void sessionEnded(PgSession from) {
-    gone++;
+    endedSessions++;
   }
 
   @Override
@@ -39,7 +39,7 @@
 
   @Override
   public void defer(Runnable what) {
-    later.add(what);
+    deferred.add(what);
   }
 
   private void send(String start, String query) {
@@ -60,7 +60,7 @@
    */
   @ParameterizedTest(name = "start {0}, query {1}: closed in round {2}")
   @CsvSource({"'', '', 5", "yes, '', 61", "yes, SELECT 1, 61", "half, '', 5", "yes, half, 5"})
-  void aClientThatDoesNothingIsCut(String start, String query, int round) {
+  void inactiveClientIsDisconnected(String start, String query, int round) {
     send(start.equals("half") ? "" : start, query.equals("half") ? "" : query);
     if (start.equals("half") || query.equals("half")) {
       connection.received(IoBuffer.wrap(new byte[] {0, 0, 0, 9, 0}), 7);
@@ -71,7 +71,7 @@
     }
     session.checkProgress();
     assertThat(connection.open()).isFalse();
-    assertThat(gone).isEqualTo(1);
+    assertThat(endedSessions).isEqualTo(1);
   }
 
   /**
@@ -89,7 +89,7 @@
     "60, unusable, 100, true",
     "60, tls, 100, true"
   })
-  void messagesThatAskForNothingAreBounded(int count, String what, int every, boolean ends) {
+  void unproductiveMessagesAreLimited(int count, String what, int every, boolean ends) {
     send(what.equals("tls") ? "" : "yes", "");
     for (int i = 1; i <= count && connection.open(); i++) {
       connection.output.skip(connection.output.size());
@@ -117,7 +117,7 @@
    * long task would be cut off at its first bytes.
    */
   @Test
-  void aLongWaitForAnAnswerIsNotTheClients() {
+  void timeUntilTheAnswerIsNotClientInactivity() {
     send("yes", "SELECT 1");
     connection.output.skip(connection.output.size());
     for (int i = 0; i < 100; i++) {
@@ -135,7 +135,7 @@
    */
   @ParameterizedTest
   @CsvSource({"10, false", "100, true"})
-  void answersThatPassTheRingEndTheSession(int rows, boolean ends) {
+  void answersBeyondTheOutputBufferEndTheSession(int rows, boolean ends) {
     send("yes", "SELECT 1");
     session.sendRows(
         new String[] {"a", "b"},
@@ -143,7 +143,7 @@
             "x\ty of some length, for more than one ring\n"
                 .repeat(rows)
                 .getBytes(StandardCharsets.UTF_8)));
-    new ArrayList<>(later).forEach(Runnable::run);
+    new ArrayList<>(deferred).forEach(Runnable::run);
     assertThat(queries).isEqualTo(1);
     assertThat(session.isReleased()).isEqualTo(ends);
   }
@@ -153,7 +153,7 @@
    * could not be sent.
    */
   @Test
-  void whatIsReadBehindTheEndOfASessionIsNotAsked() {
+  void queryAfterTheEndOfItsSessionIsIgnored() {
     send("yes", "");
     session.closeAfterFlush();
     send("", "SELECT 1");
--- a/src/test/java/tansytrack/wire/SocketsTest.java
+++ b/src/test/java/tansytrack/wire/SocketsTest.java
@@ -17,7 +17,7 @@
    * this test the loop processes no event at all.
    */
   @Test
-  void moreConnectionsThanThereMayBeAreClosedWhereTheyAreAccepted() throws IOException {
+  void surplusConnectionsAreClosedWhenAccepted() throws IOException {
     Sockets sockets = new Sockets(note -> {}, () -> 0);
     sockets.maxAccepted(2);
     InetSocketAddress at = sockets.listen(new InetSocketAddress("127.0.0.1", 0), connection -> {});
