--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -127,7 +127,7 @@
           case 't' -> parseLiteral("true", Boolean.TRUE);
           case 'f' -> parseLiteral("false", Boolean.FALSE);
           case 'n' -> parseLiteral("null", null);
-          default -> asDouble();
+          default -> parseNumber();
         };
     depth--;
     return value;
@@ -238,7 +238,7 @@
     }
   }
 
-  private Number asDouble() throws ProtocolException {
+  private Number parseNumber() throws ProtocolException {
     int from = position;
     boolean integral = true;
     while (position < text.length
--- a/src/main/java/tansytrack/wire/PgSession.java
+++ b/src/main/java/tansytrack/wire/PgSession.java
@@ -223,7 +223,7 @@
         return;
       }
       if (started) {
-        message(message, receivedAt);
+        handleMessage(message, receivedAt);
       } else {
         handleStartupMessage(ByteBuffer.wrap(message, 4, length - 4));
       }
@@ -245,14 +245,14 @@
           "0A000", "unsupported frontend protocol " + (code >>> 16) + "." + (code & 0xffff));
     } else {
       started = true;
-      message('R', ByteBuffer.allocate(4).putInt(0).array());
+      sendMessage('R', ByteBuffer.allocate(4).putInt(0).array());
       for (int i = 0; i < PARAMETER_STATUS.length; i += 2) {
-        message(
+        sendMessage(
             'S',
             (PARAMETER_STATUS[i] + '\0' + PARAMETER_STATUS[i + 1] + '\0')
                 .getBytes(StandardCharsets.UTF_8));
       }
-      message('K', ByteBuffer.allocate(8).putInt(processId).putInt(secretKey).array());
+      sendMessage('K', ByteBuffer.allocate(8).putInt(processId).putInt(secretKey).array());
       sendReadyForQuery();
     }
   }
@@ -273,7 +273,7 @@
     countUnproductiveMessage();
   }
 
-  private void message(byte[] message, long receivedAt) {
+  private void handleMessage(byte[] message, long receivedAt) {
     switch (message[0]) {
       case 'Q' -> handleQuery(message, receivedAt);
       case 'X' -> closeAfterFlush();
@@ -318,7 +318,7 @@
               || message[i] == '\t';
     }
     if (empty) {
-      message('I', new byte[0]);
+      sendMessage('I', new byte[0]);
       sendReadyForQuery();
       countUnproductiveMessage();
     } else {
@@ -348,7 +348,7 @@
           .putShort((short) 0);
       rowDescription.putInt(TEXT_TYPE_OID).putShort((short) -1).putInt(-1).putShort((short) 0);
     }
-    message('T', rowDescription.array());
+    sendMessage('T', rowDescription.array());
     int count = 0;
     for (byte[] page : pages) {
       int from = 0;
@@ -360,7 +360,7 @@
         }
       }
     }
-    message('C', ("SELECT " + count + '\0').getBytes(StandardCharsets.US_ASCII));
+    sendMessage('C', ("SELECT " + count + '\0').getBytes(StandardCharsets.US_ASCII));
     finishQuery();
   }
 
@@ -396,7 +396,7 @@
         start = i + 1;
       }
     }
-    message('D', row.array());
+    sendMessage('D', row.array());
   }
 
   /** Answers the open query with an error. The session continues. */
@@ -420,11 +420,11 @@
   // ---- Messages to the client ----
 
   private void sendReadyForQuery() {
-    message('Z', new byte[] {'I'});
+    sendMessage('Z', new byte[] {'I'});
   }
 
   private void sendError(String severity, String code, String text) {
-    message(
+    sendMessage(
         'E',
         ("S" + severity + "\0V" + severity + "\0C" + code + "\0M" + text + "\0\0")
             .getBytes(StandardCharsets.UTF_8));
@@ -436,7 +436,7 @@
     closeAfterFlush();
   }
 
-  private void message(char type, byte[] body) {
+  private void sendMessage(char type, byte[] body) {
     ByteBuffer head = ByteBuffer.allocate(5).put((byte) type).putInt(body.length + 4).flip();
     if (connection.output.freeSpace() < body.length + 5) {
       handler.defer(this::closeNow); // the client sends queries without reading the answers
