--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -135,8 +135,8 @@
   // ---- Called by the event loop ----
 
   @Override
-  public void defer(Runnable what) {
-    deferred.add(what);
+  public void defer(Runnable action) {
+    deferred.add(action);
   }
 
   /**
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -166,7 +166,7 @@
       }
       owner.received(receivedAt);
     } catch (ProtocolException e) {
-      sockets.protocolErrors(this, e);
+      sockets.recordProtocolError(this, e);
       closedLocally = true;
       closeAndNotify();
     }
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -69,7 +69,7 @@
   private final NioSocketConnector connector = new NioSocketConnector(threads, processors);
   private Consumer<Connection> acceptHandler;
   private int openConnections;
-  private final Map<String, Long> junk = new TreeMap<>();
+  private final Map<String, Long> protocolErrors = new TreeMap<>();
   private int unloggedErrors;
   private long lastWarningAt;
 
@@ -202,15 +202,15 @@
 
   /** Returns the numbers of connections closed for protocol violations, by reason. */
   public Map<String, Long> protocolErrors() {
-    return junk;
+    return protocolErrors;
   }
 
   /**
    * Counts a connection that is closed for a protocol violation, and logs it, at most once a
    * second, so that misbehaving peers do not take the time of the others.
    */
-  void protocolErrors(Connection connection, ProtocolException error) {
-    this.junk.merge(error.counterLabel(), 1L, Long::sum);
+  void recordProtocolError(Connection connection, ProtocolException error) {
+    protocolErrors.merge(error.counterLabel(), 1L, Long::sum);
     unloggedErrors++;
     if (clock.getAsLong() - lastWarningAt >= WARNING_INTERVAL_NANOS) {
       lastWarningAt = clock.getAsLong();
--- a/src/main/java/tansytrack/wire/Statement.java
+++ b/src/main/java/tansytrack/wire/Statement.java
@@ -61,7 +61,7 @@
       throw new ProtocolException("comment without an end");
     }
     Statement statement = new Statement(text, skipWhitespace(text, to + 2));
-    statement.fields(from + 2, to);
+    statement.parseFields(from + 2, to);
     return statement;
   }
 
@@ -97,7 +97,7 @@
         || character == '\f';
   }
 
-  private void fields(int from, int to) {
+  private void parseFields(int from, int to) {
     for (int i = from; i < to; ) {
       int end = i;
       int equals = -1;
