--- a/src/main/java/tansytrack/state/AttemptCancellation.java
+++ b/src/main/java/tansytrack/state/AttemptCancellation.java
@@ -7,7 +7,7 @@
  *
  * <p>This prevents a second attempt, or the next query of the same key, from running next to one
  * that still runs. The cost: the queries of an engine that is lost for good count as running for
- * the time that {@link #endsUnasked} gives.
+ * the time that {@link #endsAt} gives.
  */
 final class AttemptCancellation {
 
--- a/src/main/java/tansytrack/state/TaskParser.java
+++ b/src/main/java/tansytrack/state/TaskParser.java
@@ -5,7 +5,7 @@
 import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Statement;
 
-/** Makes a task from the fields of a statement, or rejects it naming the unusable field. */
+/** Makes a task from the fields of a statement, or rejects it and names the invalid field. */
 final class TaskParser {
 
   private static final double NANOS_PER_MS = 1e6;
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -9,7 +9,7 @@
 /**
  * One TCP connection with a ring buffer for each direction and an owner that receives its events.
  * Its methods run on the event loop's thread only; the I/O threads hand socket events over to the
- * loop. All its resources are released in one place, {@link #over()}.
+ * loop. All its resources are released in one place, {@link #release()}.
  */
 public final class Connection {
 
