--- a/src/main/java/tansytrack/wire/HttpConnection.java
+++ b/src/main/java/tansytrack/wire/HttpConnection.java
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Receives the result of a request: exactly one of {@link #answered} and {@link #failed} is
-   * called, unless the connection is closed by {@link HttpConnection#abort}.
+   * Receives the result of a request: exactly one of {@link #responseReceived} and {@link
+   * #requestFailed} is called, unless the connection is closed by {@link HttpConnection#abort}.
    */
   public interface ResponseHandler {
     /**
