--- a/src/main/java/tansytrack/state/AttemptCancellation.java
+++ b/src/main/java/tansytrack/state/AttemptCancellation.java
@@ -1,53 +1,54 @@
 package tansytrack.state;
 
 /**
- * Cancels an attempt at its engine and says, once, when it is sure to have ended there: by the
- * engine's word on {@code DELETE}, which is repeated until one comes through, or by time where the
- * engine cannot be reached.
+ * Cancels an attempt at its engine and reports, once, that the attempt has certainly ended there.
+ * That is known from the engine's response to {@code DELETE}, which is retried until one succeeds,
+ * or from the time that has passed if the engine cannot be reached.
  *
- * <p>Guards against a second attempt, or the next query of the same key, beside one that still
- * runs. It does harm where an engine is lost for good: its queries count as running for as long as
- * {@link #endsUnasked} says.
+ * <p>This prevents a second attempt, or the next query of the same key, from running next to one
+ * that still runs. The cost: the queries of an engine that is lost for good count as running for
+ * the time that {@link #endsAt} gives.
  */
 final class AttemptCancellation {
 
   private static final long NANOS_PER_MS = 1_000_000L;
 
-  /** How long an engine holds a question for news open at most. */
+  /** The longest time that an engine holds a long poll open. */
   static final long MAX_LONG_POLL_NANOS = 250 * NANOS_PER_MS;
 
-  /** For the way there and back, and for clocks. */
+  /** Allows for the network round trip and for clock differences. */
   static final long TRANSIT_MARGIN_NANOS = 150 * NANOS_PER_MS;
 
-  // An engine drops a query that was not asked for in 2 s. It looks for such every 2 s, so a query
-  // may run on for up to 4 s behind the last question, which may have been held open.
+  // An engine drops a query that was not polled for 2 s. It checks for such queries every 2 s, so
+  // a query may run for up to 4 s after its last poll, which may itself have been held open.
   private static final long UNPOLLED_EXPIRY_NANOS = 2000 * NANOS_PER_MS;
   private static final long UNPOLLED_CHECK_INTERVAL_NANOS = 2000 * NANOS_PER_MS;
 
-  /** Behind the last question a reachable engine has dropped the query. */
+  /** The time after the last poll by which a reachable engine has dropped the query. */
   static final long MAX_UNPOLLED_LIFETIME_NANOS =
       UNPOLLED_EXPIRY_NANOS
           + UNPOLLED_CHECK_INTERVAL_NANOS
           + MAX_LONG_POLL_NANOS
           + TRANSIT_MARGIN_NANOS;
 
-  // Far more than a connection takes to come up and carry a call.
+  // Far longer than it takes to establish a connection and send a request on it.
   private static final long SECOND_DELETE_DELAY_NANOS = 100 * NANOS_PER_MS;
   private static final long INITIAL_RETRY_DELAY_NANOS = 50 * NANOS_PER_MS;
   private static final long MAX_RETRY_DELAY_NANOS = 400 * NANOS_PER_MS;
 
   /**
-   * The attempt as far as its manager knows it.
+   * What the manager knows about the attempt.
    *
-   * @param path its query at the engine
-   * @param lastPolledAt the last question, or the start, that may have come to the engine
-   * @param deadline until when it may take
-   * @param knownToEngine the engine ever said that it has the query
-   * @param hadUnansweredRequest a call for it went without an answer; only connections that have
-   *     answered since may carry the cancellation
-   * @param ordered the next query of its key must not begin beside it
-   * @param startMayArriveLate the call that starts it may be taken up as late as engines keep a
-   *     query
+   * @param path the path of its query at the engine
+   * @param lastPolledAt when the last poll, or the start request, that may have reached the engine
+   *     was sent
+   * @param deadline the time by which the query must end
+   * @param knownToEngine whether the engine has ever confirmed that it has the query
+   * @param hadUnansweredRequest whether a request for the attempt went unanswered; the cancellation
+   *     then uses only connections that have delivered a response since
+   * @param ordered whether the next query of its key must not start before this one has ended
+   * @param startMayArriveLate whether the engine may process the start request as late as it would
+   *     still keep the query
    */
   record Attempt(
       String path,
@@ -64,29 +65,32 @@
   private final Runnable onEnd;
   private final long answeredSince;
   private long retryDelay = INITIAL_RETRY_DELAY_NANOS;
-  private boolean confirmed; // the engine has taken a DELETE before
-  private boolean deleteInProgress; // a DELETE is on its way
+  // Whether the engine has responded to an earlier DELETE.
+  private boolean confirmed;
+  // Whether a DELETE is in progress.
+  private boolean deleteInProgress;
   private boolean finished;
 
-  AttemptCancellation(EngineConnections engine, Timers timers, Attempt attempt, Runnable ended) {
+  AttemptCancellation(EngineConnections engine, Timers timers, Attempt attempt, Runnable onEnd) {
     this.engine = engine;
     this.timers = timers;
     this.attempt = attempt;
-    this.onEnd = ended;
+    this.onEnd = onEnd;
     answeredSince = attempt.hadUnansweredRequest() ? timers.now() : EngineConnections.ANY_TIME;
   }
 
   /**
-   * When a query that is not asked for any more has ended for sure. An engine that stands still
-   * drops nothing meanwhile: there only the query's own time counts. One that accepts connections
-   * and answers nothing shows that; one that takes no new connections either looks like a machine
-   * that is cut off, so a query that keeps an order counts as if it stood still until the list says
-   * that the engine has gone.
+   * Returns the time by which a query that is no longer polled has certainly ended. A stalled
+   * engine drops no query while it is stalled, so there only the query's own deadline counts. An
+   * engine that accepts connections and answers nothing is known to be stalled. One that accepts no
+   * connections either cannot be told from a machine that is disconnected from the network, so for
+   * an ordered query the engine counts as stalled until the engine list says that it is gone.
    */
   static long unpolledEndTime(
-      EngineConnections engine, long askedAt, long deadline, boolean ordered) {
-    boolean mayStandStill = (ordered || engine.unresponsive()) && !engine.retired();
-    return (mayStandStill ? Math.max(askedAt, deadline) : askedAt) + MAX_UNPOLLED_LIFETIME_NANOS;
+      EngineConnections engine, long lastPolledAt, long deadline, boolean ordered) {
+    boolean mayBeStalled = (ordered || engine.unresponsive()) && !engine.retired();
+    return (mayBeStalled ? Math.max(lastPolledAt, deadline) : lastPolledAt)
+        + MAX_UNPOLLED_LIFETIME_NANOS;
   }
 
   void start() {
@@ -103,14 +107,15 @@
   }
 
   /**
-   * A first DELETE proves nothing where the engine never said that it has the query: the call that
-   * starts it may be overtaken, as they go on different connections.
+   * Handles the result of a DELETE. A first successful DELETE proves nothing if the engine never
+   * confirmed that it has the query: the DELETE may have overtaken the start request, which uses
+   * another connection.
    */
-  private void deleteDone(boolean taken) {
+  private void deleteDone(boolean reached) {
     deleteInProgress = false;
-    if (!taken && timers.now() >= endsAt()) {
+    if (!reached && timers.now() >= endsAt()) {
       end();
-    } else if (!taken) {
+    } else if (!reached) {
       timers.schedule(timers.now() + retryDelay, this::delete);
       retryDelay = Math.min(MAX_RETRY_DELAY_NANOS, 2 * retryDelay);
     } else if (attempt.knownToEngine() || (confirmed && !attempt.startMayArriveLate())) {
@@ -119,7 +124,8 @@
       confirmed = true;
       timers.schedule(timers.now() + SECOND_DELETE_DELAY_NANOS, this::delete);
     } else {
-      expireLater(); // the time may have passed while this DELETE was on its way
+      // The expiry timer may have fired while this DELETE was in progress.
+      expireLater();
     }
   }
 
@@ -127,10 +133,14 @@
     timers.schedule(endsAt(), this::expire);
   }
 
-  /** Time counts where nothing can be reached, so not while a DELETE waits on a connection. */
+  /**
+   * Ends the cancellation by time, which counts only for an unreachable engine, so not while a
+   * DELETE is in progress on an established connection.
+   */
   private void expire() {
     if (timers.now() < endsAt()) {
-      expireLater(); // the engine has shown meanwhile that it may stand still
+      // The engine has turned out in the meantime to be possibly stalled.
+      expireLater();
     } else if (!deleteInProgress || !engine.connected()) {
       end();
     }
--- a/src/main/java/tansytrack/state/EngineConnections.java
+++ b/src/main/java/tansytrack/state/EngineConnections.java
@@ -13,49 +13,65 @@
 import tansytrack.wire.Sockets;
 
 /**
- * The connections to one engine: they belong to its id, as an address can pass to another engine.
+ * The connections to one engine. They belong to the engine's id and not to its address, as an
+ * address can be reassigned to another engine.
  */
 final class EngineConnections implements HttpConnection.Pool {
 
   static final byte[] EMPTY_BODY = new byte[0];
+
+  /** Earlier than any response: permits connections that have not delivered one recently. */
   static final long ANY_TIME = Long.MIN_VALUE;
-  private static final int INPUT_BUFFER_BYTES =
-      1 << 16; // twice a page with its head, and what may come before it
-  private static final long REUSE_DELAY_NANOS =
-      10_000_000L; // of a connection before its next call: what else belongs
-  // to the last answer comes by then
-  private static final int MAX_ATTEMPTS = 4; // of a call that connections break under
-  private static final int TYPICAL_CONNECTIONS =
-      2; // connections: of thousands of engines few have more
+
+  // Twice a page with its header, and the informational responses that may precede it.
+  private static final int INPUT_BUFFER_BYTES = 1 << 16;
+
+  // How long a connection stays unused between two requests. Surplus bytes that belong to the last
+  // response arrive within this time.
+  private static final long REUSE_DELAY_NANOS = 10_000_000L;
+
+  // Attempts at a request whose connections break.
+  private static final int MAX_ATTEMPTS = 4;
+
+  // Initial size of the collections of connections. Few of thousands of engines have more.
+  private static final int TYPICAL_CONNECTIONS = 2;
 
   final String id;
   private final Sockets sockets;
   private final Timers timers;
   private final Limits limits;
   private final Counters counters;
-  private final ArrayDeque<Idle> idleConnections =
-      new ArrayDeque<>(TYPICAL_CONNECTIONS); // the last used at the end
+  // Ordered by time of last use, the most recent one last.
+  private final ArrayDeque<Idle> idleConnections = new ArrayDeque<>(TYPICAL_CONNECTIONS);
+  // Timeouts of the connections that are being established.
   private final Map<HttpConnection, Timers.Timer> connectTimers =
-      new IdentityHashMap<>(TYPICAL_CONNECTIONS); // until up, or given up
+      new IdentityHashMap<>(TYPICAL_CONNECTIONS);
   private final Set<HttpConnection> connections =
       Collections.newSetFromMap(new IdentityHashMap<>(TYPICAL_CONNECTIONS));
-  private final ArrayDeque<Runnable> waitingRequests =
-      new ArrayDeque<>(TYPICAL_CONNECTIONS); // for a connection to be free
-  private boolean refusesConnections; // the last connection that was tried was refused
+  // Requests that wait for an idle connection.
+  private final ArrayDeque<Runnable> waitingRequests = new ArrayDeque<>(TYPICAL_CONNECTIONS);
+  // Whether the last attempt to connect was refused.
+  private boolean refusesConnections;
   private long refusedAt;
-  private long lastResponseAt = ANY_TIME; // the last whole answer to any call
-  private boolean unresponsive; // a connection came up since then and stayed silent
+  // When the last complete response to any request came.
+  private long lastResponseAt = ANY_TIME;
+  // Whether a connection established since then has left a request unanswered.
+  private boolean unresponsive;
   private InetSocketAddress address;
-  int openForwards; // out, as the connections hold them
-  private boolean acceptsWork; // ready, as last listed: something new may begin there
-  private boolean retired; // gone from the list: what is out ends, nothing is kept
+  // Forwards that have not ended, counted here and not by the module.
+  int openForwards;
+  // Whether the engine is ready according to the latest list, so that new work may start there.
+  private boolean acceptsWork;
+  // Whether the engine has left the list: open requests complete, no connection is kept after them.
+  private boolean retired;
   private long retiredAt;
 
-  /** What bounds connections: times in nanoseconds, and how many descriptors engines may take. */
+  /** Limits for connections: timeouts in nanoseconds, and a maximum of open connections. */
   static final class Limits {
     final long connectTimeoutNanos;
     final long idleTimeoutNanos;
-    int maxOpenConnections; // may change with a new configuration
+    // May change when the configuration is reloaded.
+    int maxOpenConnections;
 
     Limits(long connectTime, long idleTime) {
       this.connectTimeoutNanos = connectTime;
@@ -74,18 +90,19 @@
   }
 
   /**
-   * Its address, as listed, and whether anything new may begin there; connections to an old address
-   * are of no use.
+   * Updates the engine from the list: its address, and whether new work may start there. Idle
+   * connections to a previous address are closed.
    */
-  void updateListing(InetSocketAddress at, boolean ready) {
+  void updateListing(InetSocketAddress newAddress, boolean ready) {
     acceptsWork = ready;
     retired = false;
-    if (!at.equals(address)) {
+    if (!newAddress.equals(address)) {
       closeIdle();
-      address = at;
+      address = newAddress;
     }
   }
 
+  /** Marks the engine as gone from the list and closes its idle connections. */
   void retire() {
     acceptsWork = false;
     retiredAt = retired ? retiredAt : timers.now();
@@ -93,18 +110,22 @@
     closeIdle();
   }
 
-  /** It has left the list: its machine is gone, or will be within moments. */
+  /** Whether the engine has left the list: its machine is gone, or will be shortly. */
   boolean retired() {
     return retired;
   }
 
+  /** Whether new work may start at the engine. */
   boolean acceptsWork() {
     return acceptsWork;
   }
 
-  /** It left the list so long ago that the module cannot have it in mind any more. */
-  boolean retiredLongerThan(long after) {
-    return retired && timers.now() - retiredAt > after;
+  /**
+   * Whether the engine left the list more than the given time ago, so that the module no longer
+   * refers to it.
+   */
+  boolean retiredLongerThan(long time) {
+    return retired && timers.now() - retiredAt > time;
   }
 
   private void closeIdle() {
@@ -113,7 +134,10 @@
     }
   }
 
-  /** Closes what the engine would soon close itself: a call must not cross that. */
+  /**
+   * Closes connections before the engine closes them for being idle, so that no request is sent
+   * while the engine closes its connection.
+   */
   void closeExpiredIdle() {
     while (!idleConnections.isEmpty()
         && timers.now() - idleConnections.peek().idleSince > limits.idleTimeoutNanos) {
@@ -121,38 +145,45 @@
     }
   }
 
-  /** A whole answer came from it, to whatever call. */
+  /** Records that a complete response to any request came from the engine. */
   void recordResponse() {
     lastResponseAt = timers.now();
     unresponsive = false;
   }
 
-  /** A call on that connection, which is up, was left without an answer for longer than allowed. */
-  void recordUnanswered(HttpConnection line) {
-    unresponsive |= line.connectedAt() > lastResponseAt;
+  /**
+   * Records that a request on the given established connection has not been answered within its
+   * time limit.
+   */
+  void recordUnanswered(HttpConnection connection) {
+    unresponsive |= connection.connectedAt() > lastResponseAt;
   }
 
   /**
-   * Does it accept connections and answer nothing? Then its process may stand still, and with it
-   * the clock by which it drops what nobody asks for. A machine that is cut off accepts none.
+   * Whether the engine accepts connections and answers nothing. Then its process may be stalled,
+   * and so may the timer by which it drops queries that are not polled. A machine that is
+   * disconnected from the network accepts no connections.
    */
   boolean unresponsive() {
     return unresponsive;
   }
 
-  /** Is any connection to it up? Then its process lives, or its machine has fallen silent. */
+  /**
+   * Whether any connection to the engine is established. Then its process is alive, or its machine
+   * has become unreachable without closing connections.
+   */
   boolean connected() {
     return connections.stream().anyMatch(HttpConnection::connected);
   }
 
   /**
-   * Runs a call as soon as there is a connection for it: at once, or, where the engine refuses new
-   * connections and some are up, in turn as those become free. Guards against losing touch with
-   * what an engine still runs that takes no new connections, as it drains or holds all it can; a
-   * call may wait behind others there.
+   * Runs an action that sends a request once a connection is available: immediately, or, if the
+   * engine refuses new connections and some are established, in order as those become idle. This
+   * keeps contact with queries on an engine that refuses connections because it drains or is at its
+   * connection limit. There, a request may have to wait for others.
    */
-  void whenConnectionAvailable(Runnable call) {
-    waitingRequests.add(call);
+  void whenConnectionAvailable(Runnable request) {
+    waitingRequests.add(request);
     runWaitingRequests();
   }
 
@@ -160,11 +191,11 @@
     while (!waitingRequests.isEmpty()) {
       if (refusesConnections && connected()) {
         if (idleConnections.isEmpty()) {
-          return; // the next connection that becomes free serves it
+          return; // continues when a connection becomes idle
         }
-        long rests = reuseDelay();
-        if (rests > 0) {
-          timers.schedule(timers.now() + rests, this::runWaitingRequests);
+        long delay = reuseDelay();
+        if (delay > 0) {
+          timers.schedule(timers.now() + delay, this::runWaitingRequests);
           return;
         }
       }
@@ -173,88 +204,103 @@
   }
 
   /**
-   * The free connection that was used last, of those that have rested and have brought an answer
-   * since the given time. Rest counts from the end of a stall: what came on it meanwhile may not
-   * have been read yet, and would pass for the answer to the next call.
+   * Takes the most recently used idle connection among those that have been unused for the reuse
+   * delay and have delivered a response since the given time; null if there is none. The delay
+   * starts again at the end of a stall of the event loop: data that arrived during the stall may
+   * not have been read yet, and would be taken for the response to the next request. No delay is
+   * required if no further connection may be opened.
    */
   private HttpConnection takeReusable(long answeredSince) {
-    for (Iterator<Idle> last = idleConnections.descendingIterator(); last.hasNext(); ) {
-      Idle one = last.next();
-      if (one.idleSince >= answeredSince
-          && (reuseDelay(one) <= 0 || sockets.openConnections() >= limits.maxOpenConnections)) {
-        last.remove();
-        return one.connection;
+    for (Iterator<Idle> newestFirst = idleConnections.descendingIterator();
+        newestFirst.hasNext(); ) {
+      Idle candidate = newestFirst.next();
+      if (candidate.idleSince >= answeredSince
+          && (reuseDelay(candidate) <= 0
+              || sockets.openConnections() >= limits.maxOpenConnections)) {
+        newestFirst.remove();
+        return candidate.connection;
       }
     }
     return null;
   }
 
   /**
-   * How long a call that can wait should, so that it finds a connection which is free but rests: 0
-   * where one has rested or none is free. Guards against a new connection for each further call of
-   * a task, right behind the answer to the one before; it costs that call the rest at most.
+   * Returns how long a request that can wait should be delayed so that it can use an idle
+   * connection whose reuse delay has not passed; 0 if there is a reusable connection or no idle
+   * one. Without this, each follow-up request of a task, sent right after the previous response,
+   * would open a new connection. The price is a delay of at most the reuse delay.
    */
   long reuseDelay() {
-    Idle first = idleConnections.peek();
-    return first == null ? 0 : Math.max(0, reuseDelay(first));
+    Idle oldest = idleConnections.peek();
+    return oldest == null ? 0 : Math.max(0, reuseDelay(oldest));
   }
 
-  private long reuseDelay(Idle one) {
-    return Math.max(one.idleSince, timers.lastStallEnd()) + REUSE_DELAY_NANOS - timers.now();
+  private long reuseDelay(Idle idle) {
+    return Math.max(idle.idleSince, timers.lastStallEnd()) + REUSE_DELAY_NANOS - timers.now();
   }
 
-  /** Makes a call on a free connection or a new one; null where there are no descriptors left. */
+  /**
+   * Sends a request on an idle connection or a new one; returns null, and sends nothing, if the
+   * limit of open connections is reached.
+   */
   HttpConnection send(
-      String method, String path, String fields, byte[] body, HttpConnection.ResponseHandler by) {
-    return send(method, path, fields, body, ANY_TIME, by);
+      String method,
+      String path,
+      String headers,
+      byte[] body,
+      HttpConnection.ResponseHandler handler) {
+    return send(method, path, headers, body, ANY_TIME, handler);
   }
 
   private HttpConnection send(
       String method,
       String path,
-      String fields,
+      String headers,
       byte[] body,
       long answeredSince,
-      HttpConnection.ResponseHandler by) {
+      HttpConnection.ResponseHandler handler) {
     closeExpiredIdle();
-    HttpConnection line = takeReusable(answeredSince);
-    if (line == null) {
+    HttpConnection connection = takeReusable(answeredSince);
+    if (connection == null) {
       if (sockets.openConnections() >= limits.maxOpenConnections) {
         counters.increment("calls.no_descriptor");
         return null;
       }
-      line = new HttpConnection(sockets, address, INPUT_BUFFER_BYTES, this);
-      connections.add(line);
+      connection = new HttpConnection(sockets, address, INPUT_BUFFER_BYTES, this);
+      connections.add(connection);
       counters.increment("connections.to_engines");
-      HttpConnection late = line;
+      HttpConnection newConnection = connection;
       connectTimers.put(
-          line,
+          connection,
           timers.schedule(
-              timers.now() + limits.connectTimeoutNanos, () -> connectTimedOut(late, by)));
+              timers.now() + limits.connectTimeoutNanos,
+              () -> connectTimedOut(newConnection, handler)));
     }
-    line.send(method, path, fields, body, by);
-    return line;
+    connection.send(method, path, headers, body, handler);
+    return connection;
   }
 
-  HttpConnection send(String method, String path, HttpConnection.ResponseHandler by) {
-    return send(method, path, "", EMPTY_BODY, by);
+  HttpConnection send(String method, String path, HttpConnection.ResponseHandler handler) {
+    return send(method, path, "", EMPTY_BODY, handler);
   }
 
   /**
-   * A call that nobody has to wait for: whatever becomes of it is said once, as whether it has come
-   * to the engine: it was answered, or has twice gone out whole on connections that came up for it
-   * and stayed up. One that breaks is made again, as a connection may be reset before the call was
-   * read, and so is one that stays silent for the time that a connection may take to come up, as a
-   * call may never be taken up. Guards against taking the silence of a machine that is cut off for
-   * that of one that hangs: its old connections stay open and swallow all, but no new one comes up.
-   * Silence counts only while the engine answers nobody; else it is that connection's fault.
+   * Sends a request whose response is not needed, and reports once whether the request has reached
+   * the engine: it was answered, or it was twice sent completely on connections that were
+   * established for it and stayed open. The request is retried if its connection breaks, as that
+   * may happen before the engine has read it, and if it is not answered within the connect timeout,
+   * as the engine may never process it. An unreachable machine must not be mistaken for a process
+   * that hangs: its old connections stay open and accept data, but no new one can be established,
+   * so only new connections count. A missing response counts only while the engine answers no
+   * request at all; otherwise the fault lies with that connection.
    *
-   * @param answeredSince of the connections that are open only those are of use that have brought
-   *     an answer since, as the engine was silent before
+   * @param answeredSince only open connections that have delivered a response since this time are
+   *     used, as the engine did not answer before
+   * @param whenDone receives whether the request has reached the engine
    */
   void sendInBackground(
-      String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
-    new BackgroundRequest(method, path, body, answeredSince, done).start();
+      String method, String path, byte[] body, long answeredSince, Consumer<Boolean> whenDone) {
+    new BackgroundRequest(method, path, body, answeredSince, whenDone).start();
   }
 
   private final class BackgroundRequest implements HttpConnection.ResponseHandler {
@@ -266,19 +312,20 @@
     private Timers.Timer timer;
     private final long startedAt = timers.now();
     private long answeredSince;
-    private boolean newConnection; // the connection came up for this call
+    // Whether the connection is established for this request.
+    private boolean newConnection;
     private boolean written;
     private int attempts;
-    private int
-        unansweredAttempts; // whole calls without a word, on connections that came up for them
+    // Requests sent completely and not answered, on connections established for them.
+    private int unansweredAttempts;
 
     BackgroundRequest(
-        String method, String path, byte[] body, long answeredSince, Consumer<Boolean> done) {
+        String method, String path, byte[] body, long answeredSince, Consumer<Boolean> whenDone) {
       this.method = method;
       this.path = path;
       this.body = body;
       this.answeredSince = answeredSince;
-      this.whenDone = done;
+      this.whenDone = whenDone;
     }
 
     void start() {
@@ -296,7 +343,7 @@
     }
 
     @Override
-    public void responseReceived(HttpCodec.Response answer) {
+    public void responseReceived(HttpCodec.Response response) {
       recordResponse();
       timer.cancel();
       whenDone.accept(true);
@@ -308,10 +355,11 @@
     }
 
     @Override
-    public void requestFailed(HttpConnection.Failure why) {
+    public void requestFailed(HttpConnection.Failure failure) {
       timer.cancel();
       if (attempts < MAX_ATTEMPTS
-          && (why == HttpConnection.Failure.BROKEN || why == HttpConnection.Failure.UNSENT)) {
+          && (failure == HttpConnection.Failure.BROKEN
+              || failure == HttpConnection.Failure.UNSENT)) {
         start();
       } else {
         whenDone.accept(false);
@@ -335,43 +383,43 @@
     }
   }
 
-  private void connectTimedOut(HttpConnection line, HttpConnection.ResponseHandler by) {
-    connectTimers.remove(line);
-    if (!line.connected()) {
-      line.abort();
-      by.requestFailed(HttpConnection.Failure.LATE);
+  private void connectTimedOut(HttpConnection connection, HttpConnection.ResponseHandler handler) {
+    connectTimers.remove(connection);
+    if (!connection.connected()) {
+      connection.abort();
+      handler.requestFailed(HttpConnection.Failure.LATE);
     }
   }
 
   @Override
-  public void connectionIdle(HttpConnection line) {
-    cancelConnectTimer(line);
-    refusesConnections &= line.connectedAt() <= refusedAt;
-    if (retired || !line.address().equals(address)) {
-      line.abort();
+  public void connectionIdle(HttpConnection connection) {
+    cancelConnectTimer(connection);
+    refusesConnections &= connection.connectedAt() <= refusedAt;
+    if (retired || !connection.address().equals(address)) {
+      connection.abort();
     } else {
-      idleConnections.add(new Idle(line, timers.now()));
+      idleConnections.add(new Idle(connection, timers.now()));
       runWaitingRequests();
     }
   }
 
   @Override
-  public void connectionClosed(HttpConnection line) {
-    cancelConnectTimer(line);
-    connections.remove(line);
-    idleConnections.removeIf(one -> one.connection == line);
-    if (line.refused()) {
+  public void connectionClosed(HttpConnection connection) {
+    cancelConnectTimer(connection);
+    connections.remove(connection);
+    idleConnections.removeIf(entry -> entry.connection == connection);
+    if (connection.refused()) {
       refusesConnections = true;
       refusedAt = timers.now();
     }
     if (!waitingRequests.isEmpty()) {
-      timers.schedule(
-          timers.now(), this::runWaitingRequests); // not within the end of another's call
+      // Deferred, as this runs within the handling of another request's failure.
+      timers.schedule(timers.now(), this::runWaitingRequests);
     }
   }
 
-  private void cancelConnectTimer(HttpConnection line) {
-    Timers.Timer timer = connectTimers.remove(line);
+  private void cancelConnectTimer(HttpConnection connection) {
+    Timers.Timer timer = connectTimers.remove(connection);
     if (timer != null) {
       timer.cancel();
     }
--- a/src/main/java/tansytrack/state/ForwardResolution.java
+++ b/src/main/java/tansytrack/state/ForwardResolution.java
@@ -8,48 +8,51 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * Asks engines, after a start, what became of forwards that the life before left out: an engine
- * knows a query until it was not asked for in 2 s. One that has ended tells its work; one that
- * still runs is given up, as nobody waits for it. Some are asked at a time, so that a start does
- * not take the connections that tasks need.
+ * Asks engines, after a start, about the forwards that the previous run of this manager left
+ * unresolved. An engine keeps a query until it has not been polled for 2 s. The engine reports the
+ * work of a query that has ended; one that still runs is cancelled, as no client waits for it. The
+ * number of concurrent requests is limited, so that a start does not use up the connections that
+ * tasks need.
  */
 final class ForwardResolution {
 
   private static final int MAX_CONCURRENT_REQUESTS = 8;
   private static final int MAX_FORWARDS = 4096;
-  private static final long REQUEST_TIMEOUT_NANOS =
-      600_000_000L; // an engine holds a question open for 250 ms at most
+
+  // An engine holds a long poll open for 250 ms at most.
+  private static final long REQUEST_TIMEOUT_NANOS = 600_000_000L;
 
   private final Manager manager;
   private final Timers timers;
   private final TaskListener listener;
   private final ArrayDeque<TaskListener.UnresolvedForward> unresolved = new ArrayDeque<>();
 
-  ForwardResolution(Manager manager, Timers timers, TaskListener watch) {
+  ForwardResolution(Manager manager, Timers timers, TaskListener listener) {
     this.manager = manager;
     this.timers = timers;
-    this.listener = watch;
+    this.listener = listener;
   }
 
-  void start(Collection<TaskListener.UnresolvedForward> all) {
-    List<TaskListener.UnresolvedForward> some = List.copyOf(all);
-    unresolved.addAll(some.subList(Math.max(0, some.size() - MAX_FORWARDS), some.size()));
+  /** Asks about the given forwards; of too many, only about the most recent ones. */
+  void start(Collection<TaskListener.UnresolvedForward> forwards) {
+    List<TaskListener.UnresolvedForward> list = List.copyOf(forwards);
+    unresolved.addAll(list.subList(Math.max(0, list.size() - MAX_FORWARDS), list.size()));
     for (int i = 0; i < MAX_CONCURRENT_REQUESTS; i++) {
       next();
     }
   }
 
   private void next() {
-    TaskListener.UnresolvedForward one = unresolved.poll();
-    EngineConnections engine = one == null ? null : manager.engine(one.engine());
+    TaskListener.UnresolvedForward forward = unresolved.poll();
+    EngineConnections engine = forward == null ? null : manager.engine(forward.engine());
     if (engine != null) {
-      new StatusRequest(one, engine).send();
-    } else if (one != null) {
-      manager.defer(this::next); // it is no engine of ours any more
+      new StatusRequest(forward, engine).send();
+    } else if (forward != null) {
+      manager.defer(this::next); // the engine is no longer listed
     }
   }
 
-  /** One of them. */
+  /** The request about one forward. */
   private final class StatusRequest implements HttpConnection.ResponseHandler {
     private final TaskListener.UnresolvedForward forward;
     private final EngineConnections engine;
@@ -57,8 +60,8 @@
     private HttpConnection connection;
     private boolean ended;
 
-    StatusRequest(TaskListener.UnresolvedForward about, EngineConnections engine) {
-      this.forward = about;
+    StatusRequest(TaskListener.UnresolvedForward forward, EngineConnections engine) {
+      this.forward = forward;
       this.engine = engine;
       timer = timers.schedule(timers.now() + REQUEST_TIMEOUT_NANOS, this::timedOut);
     }
@@ -71,25 +74,25 @@
     }
 
     @Override
-    public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
+    public void responseReceived(HttpCodec.Response response) throws ProtocolException {
       manager.counters().increment("inquiries.answered");
-      if (answer.status() == 200) {
+      if (response.status() == 200) {
         listener.forwardResolved(
-            forward, true, Math.round(answer.numericHeader("work-ms", 0) * 1e6));
-      } else if (answer.status() == 202) {
+            forward, true, Math.round(response.numericHeader("work-ms", 0) * 1e6));
+      } else if (response.status() == 202) {
         engine.sendInBackground(
             "DELETE",
             "/o/" + forward.task(),
             EngineConnections.EMPTY_BODY,
             EngineConnections.ANY_TIME,
-            gone -> {});
+            reached -> {});
         listener.forwardResolved(forward, false, 0);
       }
       end();
     }
 
     @Override
-    public void requestFailed(HttpConnection.Failure why) {
+    public void requestFailed(HttpConnection.Failure failure) {
       end();
     }
 
--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -33,31 +33,43 @@
 import tansytrack.wire.Statement;
 
 /**
- * What a running workload manager holds, between the module on one side and the sockets on the
- * other.
+ * The state of a running workload manager: client sessions, open tasks and connections to engines.
+ * It passes events from the sockets to the decision module and carries out the module's actions.
+ * All methods run on the event loop's thread.
  */
 public final class Manager implements Actions, PgSession.Handler {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final int RESERVED_DESCRIPTORS =
-      64; // files of the program itself, its listener and channel,
-  // and clients that come while all others are in use
-  private static final int MIN_FREE_DESCRIPTORS =
-      24; // of those: with no more left no client is taken in
-  private static final long IDLE_TIMEOUT_MARGIN_NANOS =
-      3000 * NANOS_PER_MS; // a call leaves so long before its connection is closed as idle
-  private static final long ROUND_INTERVAL_NANOS =
-      500 * NANOS_PER_MS; // between rounds over sessions and idle connections
+
+  // For the files of the program itself, its listener and command channel, and for clients that
+  // connect while all other descriptors are in use.
+  private static final int RESERVED_DESCRIPTORS = 64;
+
+  // Of those, the ones that clients may not use: with no more left, a new client is rejected.
+  private static final int MIN_FREE_DESCRIPTORS = 24;
+
+  // A request is sent at least this long before the engine closes its connection as idle.
+  private static final long IDLE_TIMEOUT_MARGIN_NANOS = 3000 * NANOS_PER_MS;
+
+  // Interval of the checks of sessions and idle connections.
+  private static final long ROUND_INTERVAL_NANOS = 500 * NANOS_PER_MS;
   private static final String[] RESULT_COLUMNS = {"c1", "c2", "c3"};
-  private static final String SQLSTATE_FAILED = "58000"; // no refusal: it promises nothing
+
+  // SQLSTATE system_error: unlike 53300, it does not promise that the statement has not run.
+  private static final String SQLSTATE_FAILED = "58000";
+
+  // Counter names, indexed by the ordinals of TaskListener.TaskEnd.
   private static final String[] TASK_END_COUNTERS = {
     "tasks.handled", "tasks.bounced", "tasks.aborted", "tasks.abandoned", "tasks.time_up"
-  }; // by TaskWatch.End
+  };
   private static final String SHOW_STATS = "show stats";
   private static final String SHOW_FLEET = "show fleet";
   private static final String[] STATS_COLUMNS = {"counter", "count"};
 
-  /** Characters of the counters by engine: their messages have to fit what a session may hold. */
+  /**
+   * Limit for the counters by engine in SHOW STATS, in characters, as the answer has to fit into a
+   * session's output buffer.
+   */
   private static final int MAX_ENGINE_STATS_CHARS = 1 << 17;
 
   private final ManagerConfig config;
@@ -71,27 +83,33 @@
   private int maxSessions;
   private final SecureRandom random = new SecureRandom();
   private final TaskParser taskParser;
-  private final Set<String> orderedClasses; // whose queries run one at a time, by key
+  // Classes whose queries run one at a time for each key.
+  private final Set<String> orderedClasses;
   private final Map<String, OpenTask> tasks = new HashMap<>();
   private final Map<String, EngineConnections> engines = new LinkedHashMap<>();
-  private final Map<Integer, PgSession> sessions = new LinkedHashMap<>(); // the oldest first
+  // In the order of their creation.
+  private final Map<Integer, PgSession> sessions = new LinkedHashMap<>();
   private final ArrayDeque<OpenTask> finished = new ArrayDeque<>();
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
   private int lastProcessId;
-  private boolean admitting = true; // as the module was last told
-  private int unansweredTasks; // answers
-  private boolean decisionPending; // the module has heard something and not yet decided
-
+  // Whether the module was last told that new tasks are admitted.
+  private boolean admitting = true;
+  // The number of tasks that have not been answered.
+  private int unansweredTasks;
+  // Whether the module has received events since its last decision.
+  private boolean decisionPending;
+
+  /** Creates the manager and, through the given factory, its decision module. */
   public Manager(
       ManagerConfig config,
       Timers timers,
       Sockets sockets,
-      BiFunction<Settings, Actions, DecisionModule> start,
-      TaskListener watch,
-      PeerManagers siblings) {
+      BiFunction<Settings, Actions, DecisionModule> moduleFactory,
+      TaskListener listener,
+      PeerManagers peerManagers) {
     this.config = config;
-    this.listener = watch;
-    this.peerManagers = siblings;
+    this.listener = listener;
+    this.peerManagers = peerManagers;
     this.timers = timers;
     this.sockets = sockets;
     limits =
@@ -110,18 +128,21 @@
             .filter(QueryClass::serializedByKey)
             .map(QueryClass::name)
             .collect(toSet());
-    module = start.apply(config.settings(), this);
+    module = moduleFactory.apply(config.settings(), this);
     timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
-  // ---- The loop's side ----
+  // ---- Called by the event loop ----
 
   @Override
-  public void defer(Runnable what) {
-    deferred.add(what);
+  public void defer(Runnable action) {
+    deferred.add(action);
   }
 
-  /** Lets the module decide on all that it has heard, until nothing is left to be told. */
+  /**
+   * Runs deferred actions and lets the module decide on the events it has received, until neither
+   * is left.
+   */
   public void processPending() {
     while (decisionPending || !deferred.isEmpty()) {
       for (int i = deferred.size(); i > 0; i--) {
@@ -130,8 +151,8 @@
       if (decisionPending) {
         decisionPending = false;
         module.decide(timers.now());
-        // Only now: the module may act on a task in the very turn in which it hears that it is
-        // over.
+        // Removed only after the decision, as the module may still act on a task in the same
+        // decision in which it learns that the task is over.
         for (OpenTask task = finished.poll(); task != null; task = finished.poll()) {
           if (task.openForwards == 0) {
             tasks.remove(task.id, task);
@@ -141,23 +162,26 @@
     }
   }
 
-  /** How many descriptors there are in all. */
-  public void updateMaxDescriptors(int most) {
-    limits.maxOpenConnections = most - RESERVED_DESCRIPTORS;
-    maxSessions = most / 2;
+  /** Sets the number of file descriptors that the process may use in all. */
+  public void updateMaxDescriptors(int max) {
+    limits.maxOpenConnections = max - RESERVED_DESCRIPTORS;
+    maxSessions = max / 2;
     sockets.maxAccepted(maxSessions + MIN_FREE_DESCRIPTORS);
   }
 
+  /** Returns the event counters of this manager. */
   public Counters counters() {
     return counters;
   }
 
+  /** Returns the number of known engines. */
   public int engineCount() {
     return engines.size();
   }
 
   /**
-   * Asks what became of the forwards that the life before left out; the engines are known by then.
+   * Asks the engines about the forwards that the previous run left unresolved. Called once the
+   * engines are known.
    */
   public void resolveForwards() {
     if (!listener.unresolvedForwards().isEmpty()) {
@@ -169,24 +193,27 @@
     return engines.get(id);
   }
 
-  /** So many managers share the engines from now on. */
+  /** Tells the module how many managers share the engines from now on. */
   public void managerCountChanged(int count) {
     decisionPending = true;
     module.onManagerCount(timers.now(), count);
   }
 
-  /** The manager is to end, and no answer given after that time will count. */
-  public void beginShutdown(long until) {
+  /**
+   * Tells the module that the manager is stopping and that no answer given after the given time is
+   * delivered.
+   */
+  public void beginShutdown(long deadline) {
     decisionPending = true;
-    module.onShutdown(timers.now(), until);
+    module.onShutdown(timers.now(), deadline);
   }
 
-  /** Is no answer owed, and none still being read? */
+  /** Whether every task is answered and every answer has been sent. */
   public boolean idle() {
     return unansweredTasks == 0 && sessions.values().stream().noneMatch(PgSession::busy);
   }
 
-  /** Ends all sessions, and each connection to an engine once its call has ended. */
+  /** Ends all sessions, and each connection to an engine once its open request has ended. */
   public void close() {
     engines.values().forEach(EngineConnections::retire);
     new ArrayList<>(sessions.values()).forEach(PgSession::closeAfterFlush);
@@ -194,16 +221,21 @@
 
   private void checkSessionsAndEngines() {
     new ArrayList<>(sessions.values()).forEach(PgSession::checkProgress);
-    // Not at once: the module may act on an engine in the very turn in which it hears that it has
-    // gone.
+    // Not removed at once, as the module may still act on an engine in the same decision in which
+    // it learns that the engine is gone.
     engines.values().removeIf(engine -> engine.retiredLongerThan(2 * ROUND_INTERVAL_NANOS));
     engines.values().forEach(EngineConnections::closeExpiredIdle);
     timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
-  // ---- The command channel's side ----
+  // ---- Called by the command channel ----
 
-  /** Engines as listed, and where those are that have not gone. */
+  /**
+   * Takes over a list of engines.
+   *
+   * @param complete whether the list is complete; otherwise it holds only changes
+   * @param addresses the addresses of the engines that are not gone, by their ids
+   */
   public void engines(
       boolean complete, List<EngineEntry> entries, Map<String, InetSocketAddress> addresses) {
     counters.increment("channel.lists");
@@ -227,44 +259,45 @@
     module.onEngineList(timers.now(), complete, entries);
   }
 
-  // ---- The clients' side ----
+  // ---- Called for clients ----
 
+  /** Creates a session on an accepted connection; if there is no room, a session is rejected. */
   public void connectionAccepted(Connection connection) {
     counters.increment("clients.connections");
-    int number = ++lastProcessId;
-    PgSession session = new PgSession(connection, this, number, random.nextInt());
+    int processId = ++lastProcessId;
+    PgSession session = new PgSession(connection, this, processId, random.nextInt());
     if (sessions.size() >= maxSessions
         || sockets.openConnections()
             > limits.maxOpenConnections + RESERVED_DESCRIPTORS - MIN_FREE_DESCRIPTORS) {
       counters.increment("clients.too_many");
-      PgSession given = sessionToEvict();
-      (given == null ? session : given).rejectConnection();
+      PgSession evicted = sessionToEvict();
+      (evicted == null ? session : evicted).rejectConnection();
     }
-    sessions.put(number, session);
+    sessions.put(processId, session);
   }
 
   /**
-   * Guards against crowds that connect and say nothing: they make room for each other, and for the
-   * usual clients.
+   * Returns the session to close when there is no room for a new one, or null. Many clients that
+   * connect and send nothing thus displace each other and not the clients that send queries.
    */
   private PgSession sessionToEvict() {
-    PgSession least = null;
-    for (PgSession one : sessions.values()) {
-      if (one.evictionPriority() > (least == null ? -1 : least.evictionPriority())) {
-        least = one;
+    PgSession candidate = null;
+    for (PgSession session : sessions.values()) {
+      if (session.evictionPriority() > (candidate == null ? -1 : candidate.evictionPriority())) {
+        candidate = session;
       }
     }
-    return least;
+    return candidate;
   }
 
   @Override
-  public void query(PgSession session, byte[] text, long at) {
+  public void query(PgSession session, byte[] sql, long receivedAt) {
     counters.increment("clients.queries");
     Statement statement;
     TaskRequest offer;
-    String stamp;
+    String idempotencyKey;
     try {
-      statement = Statement.parse(text);
+      statement = Statement.parse(sql);
       if (statement.equalsIgnoringCase(SHOW_STATS)) {
         session.sendRows(STATS_COLUMNS, List.of(statsRows()));
         return;
@@ -273,8 +306,8 @@
         session.sendRows(PeerManagers.MEMBER_COLUMNS, List.of(memberRows()));
         return;
       }
-      offer = taskParser.parseTask(statement, at);
-      stamp = TaskParser.idempotencyKey(statement);
+      offer = taskParser.parseTask(statement, receivedAt);
+      idempotencyKey = TaskParser.idempotencyKey(statement);
       if (tasks.containsKey(offer.id())) {
         throw new ProtocolException("field id: a task with this id is open");
       }
@@ -290,7 +323,7 @@
             statement.body(),
             offer.deadlineNanos(),
             offer.key() != null && orderedClasses.contains(offer.queryClass()),
-            stamp,
+            idempotencyKey,
             session);
     session.openQuery(task);
     unansweredTasks++;
@@ -311,25 +344,26 @@
 
   private byte[] statsRows() {
     StringBuilder rows = new StringBuilder();
-    counters.asMap().forEach((kind, count) -> appendRow(rows, kind, count));
+    counters.asMap().forEach((name, count) -> appendRow(rows, name, count));
     sockets
         .protocolErrors()
         .forEach((reason, count) -> appendRow(rows, "connections.junk." + reason, count));
-    peerManagers.counts().forEach((kind, count) -> appendRow(rows, kind, count));
+    peerManagers.counts().forEach((name, count) -> appendRow(rows, name, count));
     appendEngineStats(rows);
     return rows.toString().getBytes(StandardCharsets.UTF_8);
   }
 
   /**
-   * The module's view beside what is on the sockets: they differ only by news that it has not yet
-   * been told. Of thousands of engines the first ones are shown, and how many are not.
+   * Appends the module's view of the engines next to the numbers of forwards on the sockets. They
+   * differ only by events that the module has not yet received. Of thousands of engines only the
+   * first ones are shown, with the number of those that are not.
    */
   private void appendEngineStats(StringBuilder rows) {
     appendRow(rows, "engines.known", engines.size());
-    int most = rows.length() + MAX_ENGINE_STATS_CHARS;
+    int maxLength = rows.length() + MAX_ENGINE_STATS_CHARS;
     int notShown = 0;
     for (EngineStatus view : module.engineStatuses(timers.now())) {
-      if (rows.length() > most) {
+      if (rows.length() > maxLength) {
         notShown++;
       } else {
         appendEngineStats(rows, view);
@@ -359,10 +393,10 @@
   }
 
   @Override
-  public void cancelRequested(int number, int secret) {
-    PgSession session = sessions.get(number);
+  public void cancelRequested(int processId, int secretKey) {
+    PgSession session = sessions.get(processId);
     if (session != null
-        && session.matchesSecretKey(secret)
+        && session.matchesSecretKey(secretKey)
         && session.openQuery() instanceof OpenTask task) {
       counters.increment("clients.cancels");
       abandon(
@@ -381,8 +415,8 @@
   }
 
   @Override
-  public void protocolViolated(String why) {
-    counters.increment("clients.malformed." + why.replace(' ', '_'));
+  public void protocolViolated(String reason) {
+    counters.increment("clients.malformed." + reason.replace(' ', '_'));
   }
 
   @Override
@@ -391,7 +425,8 @@
   }
 
   /**
-   * The client waits no longer: it is told so, and the module that nobody needs an answer any more.
+   * Ends a task whose deadline has passed: the client gets an error, and the module is told that no
+   * answer is needed any more.
    */
   void taskTimedOut(OpenTask task) {
     if (!task.answered()) {
@@ -403,21 +438,22 @@
     }
   }
 
-  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable say) {
+  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable sendAnswer) {
     if (!task.answered()) {
-      endTask(task, end, 0, say);
+      endTask(task, end, 0, sendAnswer);
       decisionPending = true;
       module.onClientLeft(timers.now(), task.id);
     }
   }
 
-  // ---- What has become of a forward ----
+  // ---- Results of forwards and probes ----
 
+  /** Handles the end of a forward; the pages are null unless its outcome is OK. */
   void forwardEnded(
       OpenForward forward,
       Outcome outcome,
-      long cost,
-      double memory,
+      long work,
+      double memoryMb,
       LoadReport report,
       List<byte[]> pages) {
     OpenTask task = forward.task;
@@ -425,7 +461,7 @@
     forward.engine.openForwards--;
     counters.increment("forwards.ended." + outcome);
     boolean served = outcome == Outcome.OK && !task.answered();
-    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, cost, memory, served);
+    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, work, memoryMb, served);
     if (served) {
       PgSession session = task.session;
       endTask(
@@ -434,7 +470,7 @@
           forward.resultBytes(),
           () -> session.sendRows(RESULT_COLUMNS, pages));
     }
-    boolean over = task.answered();
+    boolean taskAnswered = task.answered();
     removeIfFinished(task);
     decisionPending = true;
     module.onForwardEnd(
@@ -444,21 +480,21 @@
         forward.engine.id,
         outcome,
         timers.now() - forward.createdAt,
-        over,
-        cost,
-        memory,
+        taskAnswered,
+        work,
+        memoryMb,
         report);
   }
 
-  /** The one place where a task stops being owed an answer. */
-  private void endTask(OpenTask task, TaskListener.TaskEnd end, long bytes, Runnable say) {
+  /** Ends a task. Every task is answered, or given up, through this method. */
+  private void endTask(OpenTask task, TaskListener.TaskEnd end, long bytes, Runnable sendAnswer) {
     unansweredTasks--;
     counters.increment(TASK_END_COUNTERS[end.ordinal()]);
     task.session.openQuery(null);
     task.session = null;
     task.forwards.forEach(OpenForward::withdrawUnsent);
     removeIfFinished(task);
-    listener.beforeAnswer(timers.now(), task.id, end, bytes, say);
+    listener.beforeAnswer(timers.now(), task.id, end, bytes, sendAnswer);
   }
 
   private void removeIfFinished(OpenTask task) {
@@ -467,34 +503,34 @@
     }
   }
 
-  /** What has come of a probe. */
+  /** Handles the end of a probe. */
   void probeEnded(EngineConnections engine, Outcome outcome, LoadReport report) {
     counters.increment("probes.ended." + outcome);
     decisionPending = true;
     module.onProbeEnd(timers.now(), engine.id, outcome, report);
   }
 
-  /** The load that an answer told, or null. */
-  LoadReport parseLoadReport(HttpCodec.Response answer) throws ProtocolException {
-    String load = answer.header("x-load");
+  /** Returns the load report of a response, or null if it has none. */
+  LoadReport parseLoadReport(HttpCodec.Response response) throws ProtocolException {
+    String load = response.header("x-load");
     return load == null ? null : config.toLoadReport(parseLoadFigures(load));
   }
 
-  private double[] parseLoadFigures(String told) throws ProtocolException {
+  private double[] parseLoadFigures(String report) throws ProtocolException {
     double[] figures = new double[config.reportColumns().size()];
     Arrays.fill(figures, Double.NaN);
-    for (int from = 0; from < told.length(); ) {
-      int end = told.indexOf(';', from);
-      end = end < 0 ? told.length() : end;
-      int colon = told.indexOf(':', from);
+    for (int start = 0; start < report.length(); ) {
+      int end = report.indexOf(';', start);
+      end = end < 0 ? report.length() : end;
+      int colon = report.indexOf(':', start);
       if (colon < 0 || colon > end) {
         throw new ProtocolException("a load report without a figure");
       }
-      int column = config.columnIndex(told.substring(from, colon).strip());
+      int column = config.columnIndex(report.substring(start, colon).strip());
       if (column >= 0) {
-        figures[column] = HttpCodec.parseNonNegative(told.substring(colon + 1, end).strip());
+        figures[column] = HttpCodec.parseNonNegative(report.substring(colon + 1, end).strip());
       }
-      from = end + 1;
+      start = end + 1;
     }
     return figures;
   }
@@ -502,7 +538,7 @@
   // ---- Actions ----
 
   @Override
-  public void forward(String id, String engine, long timeOut) {
+  public void forward(String id, String engine, long timeout) {
     OpenTask task = tasks.get(id);
     counters.increment("forwards.sent");
     OpenForward forward =
@@ -511,12 +547,12 @@
     task.openForwards++;
     forward.engine.openForwards++;
     forward.setDeadline(
-        timeOut > 0 ? Math.min(timers.now() + timeOut, task.deadline) : task.deadline);
+        timeout > 0 ? Math.min(timers.now() + timeout, task.deadline) : task.deadline);
     listener.beforeForward(timers.now(), id, forward.index, engine, task.memoryMb, forward::start);
   }
 
   @Override
-  public void reject(String id, long pause) {
+  public void reject(String id, long retryAfter) {
     OpenTask task = tasks.get(id);
     if (task != null && !task.answered()) {
       PgSession session = task.session;
@@ -527,8 +563,9 @@
           () ->
               session.sendError(
                   "53300",
-                  pause > 0
-                      ? "no room at present, after=" + (pause + NANOS_PER_MS - 1) / NANOS_PER_MS
+                  retryAfter > 0
+                      ? "no room at present, after="
+                          + (retryAfter + NANOS_PER_MS - 1) / NANOS_PER_MS
                       : "no room at present"));
     }
   }
@@ -573,9 +610,9 @@
   }
 
   @Override
-  public void scheduleWakeUp(long in, String token) {
+  public void scheduleWakeUp(long delay, String token) {
     timers.schedule(
-        timers.now() + in,
+        timers.now() + delay,
         () -> {
           decisionPending = true;
           module.onWakeUp(timers.now(), token);
--- a/src/main/java/tansytrack/state/OpenForward.java
+++ b/src/main/java/tansytrack/state/OpenForward.java
@@ -11,31 +11,38 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * One forward: the call that starts it, the questions after it, the pages of its result. All pages
- * are gathered before the first row goes to the client, as a page that is lost with its engine
- * could not be made good afterwards.
+ * One forward: the request that starts the query, the polls after it, and the pages of its result.
+ * All pages are collected before the first row goes to the client: if the engine failed in between,
+ * the missing pages could not be delivered, and the rows already sent could not be withdrawn.
  */
 final class OpenForward implements HttpConnection.ResponseHandler {
 
   static final int COLUMNS = 3;
-  private static final int MAX_PAGES = 64; // a result is 48,000 bytes, a page 6,000 at most
+
+  // A result has at most 48,000 bytes, a page at most 6,000.
+  private static final int MAX_PAGES = 64;
   private static final int MAX_RESULT_BYTES = 1 << 16;
   private static final long MAX_LONG_POLL_NANOS = AttemptCancellation.MAX_LONG_POLL_NANOS;
   private static final long TRANSIT_MARGIN_NANOS = AttemptCancellation.TRANSIT_MARGIN_NANOS;
-  private static final long RESPONSE_TIMEOUT_NANOS =
-      MAX_LONG_POLL_NANOS
-          + 2 * TRANSIT_MARGIN_NANOS; // a call without its answer by then has lost it
-  private static final int MAX_CONSECUTIVE_FAILURES =
-      8; // calls in a row: one in four spoilt makes this one in 65,000
-  private static final long MAX_START_DELAY_NANOS =
-      50_000_000L; // a starting call is made again up to so long behind its decision
-  private static final long RETRY_DELAY_STEP_NANOS =
-      10_000_000L; // before each further one, by how many came before
-  private static final long REFUSED_RETRY_DELAY_STEP_NANOS =
-      50_000_000L; // likewise, before one that may be refused
+
+  // A request that is not answered within this time counts as lost.
+  private static final long RESPONSE_TIMEOUT_NANOS = MAX_LONG_POLL_NANOS + 2 * TRANSIT_MARGIN_NANOS;
+
+  // Consecutive failed requests. If one in four fails, 8 in a row occur once in 65,000 times.
+  private static final int MAX_CONSECUTIVE_FAILURES = 8;
+
+  // The start request is retried only within this time after the decision to forward.
+  private static final long MAX_START_DELAY_NANOS = 50_000_000L;
+
+  // Delay before a retry, multiplied by the number of retries before it.
+  private static final long RETRY_DELAY_STEP_NANOS = 10_000_000L;
+
+  // The same for a retry after refused connections, up to a maximum number of steps.
+  private static final long REFUSED_RETRY_DELAY_STEP_NANOS = 50_000_000L;
   private static final int MAX_REFUSED_DELAY_STEPS = 5;
-  private static final int MIN_REFUSALS_OF_DEAD_PROCESS =
-      3; // in a row, behind a reset: its process died
+
+  // Consecutive refused connections after a reset that show that the engine's process has died.
+  private static final int MIN_REFUSALS_OF_DEAD_PROCESS = 3;
 
   final OpenTask task;
   final int index;
@@ -46,23 +53,32 @@
   private final String path;
   private final List<byte[]> pages = new ArrayList<>();
   private Timers.Timer timer;
-  private HttpConnection connection; // with the open call
+  // The connection of the open request, null if there is none.
+  private HttpConnection connection;
   private int resultBytes;
   private int pageCount;
-  private boolean knownToEngine; // its engine ever said that it has the query
-  private boolean mayHaveBeenSent; // a byte of the call that starts it was written
-  private boolean responseOverdue; // an answer was overdue since the last whole one
-  private boolean everUnanswered; // a call ever went without an answer: it may yet be taken up
-  private int consecutiveFailures; // calls in a row that brought nothing whole
-  private int consecutiveRefusals; // of those, the last ones in a row that were refused
-  private boolean
-      connectionBroke; // a call ever broke since the last whole answer, on a connection that was up
+  // Whether the engine has ever confirmed that it has the query.
+  private boolean knownToEngine;
+  // Whether any byte of the start request may have been sent.
+  private boolean mayHaveBeenSent;
+  // Whether a response has been overdue since the last complete one.
+  private boolean responseOverdue;
+  // Whether any request has ever gone unanswered; the engine may still process it.
+  private boolean everUnanswered;
+  // Consecutive requests without a complete response.
+  private int consecutiveFailures;
+  // Consecutive refused connections at the end of those.
+  private int consecutiveRefusals;
+  // Whether an established connection broke during a request since the last complete response.
+  private boolean connectionBroke;
   private Timers.Timer requestTimer;
   private boolean cancelled;
   private boolean ended;
   private long requestedAt;
-  private long lastPolledAt; // the last question that may have come to the engine
-  private String openPollPath; // what was asked last; null: the call that starts it
+  // When the last poll that may have reached the engine was sent.
+  private long lastPolledAt;
+  // The path suffix of the last poll; null if the last request was the start request.
+  private String openPollPath;
   private long deadline;
   private double workMs;
   private double peakMb;
@@ -79,31 +95,34 @@
     path = "/o/" + task.id;
   }
 
-  /** Of the pages that it has brought so far. */
+  /** Returns the total size of the pages received so far. */
   int resultBytes() {
     return resultBytes;
   }
 
-  /** Sets until when it may take. */
-  void setDeadline(long by) {
-    deadline = by;
+  /** Sets the time by which the forward must end. */
+  void setDeadline(long time) {
+    deadline = time;
     timer = timers.schedule(deadline, this::deadlinePassed);
   }
 
-  /** Sends it, if it was not given up meanwhile; its end comes later, never within this call. */
+  /**
+   * Sends the start request unless the forward has been cancelled in the meantime. The end of the
+   * forward is reported later, never within this method.
+   */
   void start() {
     sendStartIfValid(Long.MAX_VALUE);
   }
 
   private void sendStart() {
-    long wait = Math.max(1, (deadline - timers.now()) / 1_000_000);
-    String fields =
+    long remainingMs = Math.max(1, (deadline - timers.now()) / 1_000_000);
+    String headers =
         "X-Req: "
             + task.id
             + "\r\nX-Class: "
             + task.queryClass
             + "\r\nX-Wait-Ms: "
-            + wait
+            + remainingMs
             + "\r\n"
             + (task.idempotencyKey == null
                 ? ""
@@ -113,30 +132,30 @@
             + task.priority
             + "\r\n";
     openPollPath = null;
-    requestMade(engine.send("POST", "/o", fields, task.statement, this));
+    requestMade(engine.send("POST", "/o", headers, task.statement, this));
   }
 
-  private void poll(String what) {
+  private void poll(String pagePath) {
     engine.whenConnectionAvailable(
         () -> {
           if (!ended && !cancelled) {
-            openPollPath = what;
-            requestMade(engine.send("GET", path + what, this));
+            openPollPath = pagePath;
+            requestMade(engine.send("GET", path + pagePath, this));
           }
         });
   }
 
-  private void pollAfterReuseDelay(String what) {
-    long rests = engine.reuseDelay();
-    if (rests == 0) {
-      poll(what);
+  private void pollAfterReuseDelay(String pagePath) {
+    long delay = engine.reuseDelay();
+    if (delay == 0) {
+      poll(pagePath);
     } else {
-      requestTimer = timers.schedule(timers.now() + rests, () -> poll(what));
+      requestTimer = timers.schedule(timers.now() + delay, () -> poll(pagePath));
     }
   }
 
-  private void requestMade(HttpConnection by) {
-    connection = by;
+  private void requestMade(HttpConnection requestConnection) {
+    connection = requestConnection;
     requestedAt = timers.now();
     if (connection != null) {
       requestTimer = timers.schedule(requestedAt + RESPONSE_TIMEOUT_NANOS, this::requestTimedOut);
@@ -148,24 +167,24 @@
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    int status = answer.status();
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    int status = response.status();
     if (status != 200 && status != 202 && status != 500 && status != 503 && status != 504) {
       throw new ProtocolException("status " + status);
     }
-    boolean notRun = "1".equals(answer.header("x-not-run"));
-    LoadReport told = manager.parseLoadReport(answer);
+    boolean notRun = "1".equals(response.header("x-not-run"));
+    LoadReport newReport = manager.parseLoadReport(response);
     if (status == 200) {
-      addPage(answer);
+      addPage(response);
     }
     clearRequest();
     engine.recordResponse();
-    report = told == null ? report : told;
+    report = newReport == null ? report : newReport;
     mayHaveBeenSent = true;
     knownToEngine |= status == 200 || status == 202;
     lastPolledAt = timers.now();
-    boolean again = consecutiveFailures > 0 || responseOverdue;
-    boolean wasSilent = responseOverdue;
+    boolean afterFailure = consecutiveFailures > 0 || responseOverdue;
+    boolean wasOverdue = responseOverdue;
     consecutiveFailures = 0;
     consecutiveRefusals = 0;
     connectionBroke = false;
@@ -174,13 +193,14 @@
       if (status == 200 && pages.size() == pageCount) {
         end(Outcome.OK);
       } else {
-        String next = "/" + pages.size();
-        // Not within this call: the connection that brought the answer is free only behind it.
-        manager.defer(() -> pollAfterReuseDelay(next));
+        String nextPage = "/" + pages.size();
+        // Deferred, as the connection becomes idle only after this method returns.
+        manager.defer(() -> pollAfterReuseDelay(nextPage));
       }
-    } else if (again && openPollPath != null && (wasSilent || !notRun)) {
-      // Not known after a break. Not an error: that would say it runs no more, and a key would not
-      // rest.
+    } else if (afterFailure && openPollPath != null && (wasOverdue || !notRun)) {
+      // The engine does not know the query after a failed request. This must not end as an error:
+      // that would mean that the query has ended, and the next one of its key could start too
+      // early.
       cancelAtEngine(Outcome.RESET);
     } else if (status == 503) {
       end(notRun ? Outcome.FULL : Outcome.ERROR);
@@ -196,76 +216,82 @@
     }
   }
 
-  /** Takes a page that is whole and the one asked for; else it is junk and nothing has changed. */
-  private void addPage(HttpCodec.Response answer) throws ProtocolException {
+  /**
+   * Adds a page to the result. If it is not complete or not the requested one, the response is
+   * rejected and the state remains unchanged.
+   */
+  private void addPage(HttpCodec.Response response) throws ProtocolException {
     int count = pageCount;
     if (pages.isEmpty()) {
-      double told = answer.numericHeader("page-count", 0);
-      if (told < 1 || told > MAX_PAGES || told != Math.rint(told)) {
-        throw new ProtocolException("a result of " + told + " pages");
+      double declaredCount = response.numericHeader("page-count", 0);
+      if (declaredCount < 1
+          || declaredCount > MAX_PAGES
+          || declaredCount != Math.rint(declaredCount)) {
+        throw new ProtocolException("a result of " + declaredCount + " pages");
       }
-      count = (int) told;
-    } else if (answer.numericHeader("page-no", -1) != pages.size()) {
+      count = (int) declaredCount;
+    } else if (response.numericHeader("page-no", -1) != pages.size()) {
       throw new ProtocolException("another page than asked for");
     }
-    if (resultBytes + answer.body().length > MAX_RESULT_BYTES
-        || !PgSession.hasWholeRows(answer.body(), COLUMNS)) {
+    if (resultBytes + response.body().length > MAX_RESULT_BYTES
+        || !PgSession.hasWholeRows(response.body(), COLUMNS)) {
       throw new ProtocolException("a page that does not hold whole rows, or too large a result");
     }
     if (pages.isEmpty()) {
-      workMs = answer.numericHeader("work-ms", 0);
-      peakMb = answer.numericHeader("peak-mb", 0);
+      workMs = response.numericHeader("work-ms", 0);
+      peakMb = response.numericHeader("peak-mb", 0);
     }
     pageCount = count;
-    resultBytes += answer.body().length;
-    pages.add(answer.body());
+    resultBytes += response.body().length;
+    pages.add(response.body());
   }
 
   /**
-   * No whole answer in time: the connection is given up, and the query, which belongs to none,
-   * asked for on another.
+   * Handles a request without a complete response in time: the connection is closed, and the query,
+   * which is not bound to a connection, is polled on another one.
    */
   private void requestTimedOut() {
     if (!ended && connection != null) {
       manager.counters().increment("calls.overdue");
-      HttpConnection open = connection;
+      HttpConnection unanswered = connection;
       everUnanswered = true;
-      boolean up = open.connected(); // then the call may have come to the engine
-      if (up) {
-        engine.recordUnanswered(open);
+      // On an established connection the request may have reached the engine.
+      boolean wasConnected = unanswered.connected();
+      if (wasConnected) {
+        engine.recordUnanswered(unanswered);
       }
-      open.abort();
-      requestFailed(up ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
+      unanswered.abort();
+      requestFailed(wasConnected ? HttpConnection.Failure.BROKEN : HttpConnection.Failure.LATE);
     }
   }
 
   /**
-   * Guards against spoilt answers, resets and silence, which cost a call and not the task: the
-   * query is asked for again while its engine may still have it. A refused connection proves that
-   * this call did not run, no more: an engine that drains, or holds all the connections that it
-   * can, refuses new ones and works on.
+   * Handles a request without a usable response. Malformed responses, resets and timeouts fail a
+   * request and not the task: the query is polled again while the engine may still have it. A
+   * refused connection proves only that this request was not processed: an engine that drains or is
+   * at its connection limit refuses new connections and continues to work.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
-    HttpConnection on = connection;
+  public void requestFailed(HttpConnection.Failure failure) {
+    HttpConnection failedConnection = connection;
     clearRequest();
     if (ended || cancelled) {
       return;
     }
-    manager.counters().increment("calls." + why);
+    manager.counters().increment("calls." + failure);
     consecutiveFailures++;
-    consecutiveRefusals = why == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
-    if (why == HttpConnection.Failure.BROKEN) {
+    consecutiveRefusals = failure == HttpConnection.Failure.REFUSED ? consecutiveRefusals + 1 : 0;
+    if (failure == HttpConnection.Failure.BROKEN) {
       mayHaveBeenSent = true;
       connectionBroke = true;
-      lastPolledAt = on.requestStartedAt();
+      lastPolledAt = failedConnection.requestStartedAt();
     }
-    boolean late =
-        why == HttpConnection.Failure.LATE
+    boolean tooLate =
+        failure == HttpConnection.Failure.LATE
             || timers.now() - requestedAt > MAX_LONG_POLL_NANOS + TRANSIT_MARGIN_NANOS;
-    responseOverdue |= late && mayHaveBeenSent;
+    responseOverdue |= tooLate && mayHaveBeenSent;
     if (!mayHaveBeenSent) {
-      startFailed(why);
+      startFailed(failure);
     } else if (processDied() || timers.now() > unpolledEndTime()) {
       end(Outcome.RESET);
     } else if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
@@ -273,24 +299,25 @@
         && consecutiveRefusals == 0) {
       cancelAsLost();
     } else {
-      String again = "/" + pages.size();
-      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(again));
+      String pagePath = "/" + pages.size();
+      requestTimer = timers.schedule(timers.now() + retryDelay(), () -> poll(pagePath));
     }
   }
 
-  private void startFailed(HttpConnection.Failure why) {
-    if (why == HttpConnection.Failure.UNSENT && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
+  private void startFailed(HttpConnection.Failure failure) {
+    if (failure == HttpConnection.Failure.UNSENT
+        && consecutiveFailures < MAX_CONSECUTIVE_FAILURES) {
       manager.defer(() -> sendStartIfValid(MAX_START_DELAY_NANOS));
     } else {
-      end(Outcome.UNREACHED); // the call itself never left: nothing ran
+      end(Outcome.UNREACHED); // no byte of the request was sent, so the query did not run
     }
   }
 
   /**
-   * A process that dies resets its connections, and nothing listens there any more. Each sign alone
-   * has other causes, so all have to be there: a call that broke promptly, no connection that is
-   * up, new ones refused again and again, and an engine that is not told to drain, as such refuse
-   * new ones too.
+   * Whether the engine's process has died. The connections of a dead process are reset and new ones
+   * are refused. Each sign alone has other causes, so all are required: a request that failed
+   * without a timeout, no established connection, new connections refused repeatedly, and an engine
+   * that is not draining, as a draining one refuses connections too.
    */
   private boolean processDied() {
     return connectionBroke
@@ -310,7 +337,7 @@
       return Math.max(RETRY_DELAY_STEP_NANOS, requestedAt + RESPONSE_TIMEOUT_NANOS - timers.now());
     }
     if (consecutiveRefusals > 0) {
-      // Where connections are up, the next question waits for one of them.
+      // If connections are established, the next poll waits for one of them to become idle.
       return engine.connected()
           ? 0
           : Math.min(consecutiveRefusals, MAX_REFUSED_DELAY_STEPS) * REFUSED_RETRY_DELAY_STEP_NANOS;
@@ -319,15 +346,16 @@
   }
 
   /**
-   * Guards against a query that begins behind its time: this is no new decision, so it holds only
-   * while nobody could have decided otherwise. Else the module hears that nothing was sent, and
-   * decides again under all its rules.
+   * Sends the start request if the decision to forward still holds: the task is unanswered, the
+   * engine accepts work, and the decision is not older than the given time. Otherwise the query
+   * could start too late; the forward ends as not sent, and the module decides again under all its
+   * rules.
    */
-  private void sendStartIfValid(long latest) {
+  private void sendStartIfValid(long maxDelay) {
     if (ended || cancelled) {
       return;
     }
-    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > latest) {
+    if (task.answered() || !engine.acceptsWork() || timers.now() - createdAt > maxDelay) {
       manager.defer(() -> end(Outcome.NEVER_SENT));
     } else {
       sendStart();
@@ -335,8 +363,8 @@
   }
 
   /**
-   * The list has changed. Guards against a call that begins at an engine told to drain while its
-   * connection came up.
+   * Handles a change of the engine list: a query must not start at an engine that was set to drain
+   * while the connection was being established.
    */
   void engineListChanged() {
     if (!engine.acceptsWork()) {
@@ -345,8 +373,8 @@
   }
 
   /**
-   * It is not to begin any more. Guards against a query that begins behind its client's back: a
-   * call whose connection is still coming up is taken back, also where nothing that runs can be
+   * Withdraws the start request if its connection has not been established, so that the query does
+   * not start after its task was answered. This also applies where running queries cannot be
    * cancelled.
    */
   void withdrawUnsent() {
@@ -363,9 +391,9 @@
   }
 
   /**
-   * Its time is up. Guards against a key whose next task is sent beside this one: the client is
-   * answered at once, but the forward stays out until it is given up for sure, as the call for that
-   * may not be taken up.
+   * Handles the deadline of the forward. The client is answered at once, but the forward ends only
+   * when its query has certainly ended, as the cancellation may be delayed: until then the next
+   * task of its key must not be sent.
    */
   private void deadlinePassed() {
     if (!ended && timers.now() >= task.deadline) {
@@ -375,20 +403,20 @@
   }
 
   /**
-   * Gives it up at its engine: its end comes once the call for that has gone out whole. Guards
-   * against a second forward beside this one: where the call cannot leave, as on a machine that
-   * vanished, the forward stays out until its engine must have dropped it for not being asked.
+   * Cancels the query at its engine. The forward ends once that is confirmed. If the engine cannot
+   * be reached, as when its machine has vanished, the forward ends only when the engine must have
+   * dropped the query for not being polled, so that no second forward runs next to this one.
    */
   void cancel() {
     cancelAtEngine(Outcome.CANCELLED);
   }
 
-  /** Its connections broke and it was not found again. */
+  /** Gives up a forward whose requests failed repeatedly. */
   private void cancelAsLost() {
     cancelAtEngine(Outcome.RESET);
   }
 
-  /** From now on it is only to end; how it ended is said once that is sure. */
+  /** Cancels the query; the forward ends with the given outcome once the query has ended. */
   private void cancelAtEngine(Outcome outcome) {
     if (!ended && !cancelled) {
       cancelled = true;
@@ -414,6 +442,7 @@
     clearRequest();
   }
 
+  /** Sends a changed priority to the engine. */
   void sendPriority(int priority) {
     if (!ended && !cancelled) {
       engine.sendInBackground(
@@ -421,7 +450,7 @@
           path,
           Integer.toString(priority).getBytes(StandardCharsets.US_ASCII),
           EngineConnections.ANY_TIME,
-          gone -> {});
+          reached -> {});
     }
   }
 
--- a/src/main/java/tansytrack/state/OpenTask.java
+++ b/src/main/java/tansytrack/state/OpenTask.java
@@ -4,39 +4,43 @@
 import java.util.List;
 import tansytrack.wire.PgSession;
 
-/** A task that is owed an answer, or has forwards out. */
+/** A task that is not answered yet, or that has forwards which have not ended. */
 final class OpenTask {
 
   final String id;
   final String queryClass;
   final byte[] statement;
   final long deadline;
-  final boolean ordered; // one at a time with the others of its key
-  final String
-      idempotencyKey; // a mark by which engines know a repeat, as its client gave it; or null
-  PgSession session; // null once it is answered or abandoned
+  // Whether the tasks of its key run one at a time.
+  final boolean ordered;
+  // The client's key by which engines recognise a repeated statement, or null.
+  final String idempotencyKey;
+  // Null once the task is answered or abandoned.
+  PgSession session;
   long memoryMb;
   int priority = 1;
   final List<OpenForward> forwards = new ArrayList<>(2);
+  // The number of forwards that have not ended.
   int openForwards;
 
   OpenTask(
       String id,
-      String grade,
+      String queryClass,
       byte[] statement,
-      long cutOffAt,
+      long deadline,
       boolean ordered,
-      String stamp,
+      String idempotencyKey,
       PgSession session) {
     this.id = id;
-    this.queryClass = grade;
+    this.queryClass = queryClass;
     this.statement = statement;
-    this.deadline = cutOffAt;
+    this.deadline = deadline;
     this.ordered = ordered;
-    this.idempotencyKey = stamp;
+    this.idempotencyKey = idempotencyKey;
     this.session = session;
   }
 
+  /** Whether the task needs no answer any more. */
   boolean answered() {
     return session == null;
   }
--- a/src/main/java/tansytrack/state/Probe.java
+++ b/src/main/java/tansytrack/state/Probe.java
@@ -6,10 +6,10 @@
 import tansytrack.wire.HttpConnection;
 import tansytrack.wire.ProtocolException;
 
-/** A question for an engine's load. */
+/** A request for an engine's load report. */
 final class Probe implements HttpConnection.ResponseHandler {
 
-  private static final int MAX_RETRIES = 2; // further ones
+  private static final int MAX_RETRIES = 2;
 
   private final Manager manager;
   private final EngineConnections engine;
@@ -23,34 +23,37 @@
     this.engine = engine;
   }
 
-  /** Asks; its end comes later, never within this call. */
-  void start(Timers timers, long within) {
+  /** Sends the request. The end of the probe is reported later, never within this method. */
+  void start(Timers timers, long timeout) {
     connection = engine.send("GET", "/stats", this);
-    timer = timers.schedule(timers.now() + within, this::timedOut);
+    timer = timers.schedule(timers.now() + timeout, this::timedOut);
     if (connection == null) {
       manager.defer(() -> end(Outcome.NEVER_SENT, null));
     }
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    LoadReport report = manager.parseLoadReport(answer);
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    LoadReport report = manager.parseLoadReport(response);
     engine.recordResponse();
     end(
-        answer.status() == 200 ? Outcome.OK : answer.status() == 503 ? Outcome.FULL : Outcome.ERROR,
+        response.status() == 200
+            ? Outcome.OK
+            : response.status() == 503 ? Outcome.FULL : Outcome.ERROR,
         report);
   }
 
   /**
-   * One spoilt answer or reset connection says nothing of the engine: it is asked again, within the
-   * same time.
+   * Retries after a malformed response or a broken connection, as one such failure says nothing
+   * about the engine. The time limit of the probe stays the same.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
-    boolean again = why == HttpConnection.Failure.BROKEN || why == HttpConnection.Failure.UNSENT;
-    connection = again && retries++ < MAX_RETRIES ? engine.send("GET", "/stats", this) : null;
+  public void requestFailed(HttpConnection.Failure failure) {
+    boolean retry =
+        failure == HttpConnection.Failure.BROKEN || failure == HttpConnection.Failure.UNSENT;
+    connection = retry && retries++ < MAX_RETRIES ? engine.send("GET", "/stats", this) : null;
     if (connection == null) {
-      end(why == HttpConnection.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
+      end(failure == HttpConnection.Failure.BROKEN ? Outcome.RESET : Outcome.UNREACHED, null);
     }
   }
 
--- a/src/main/java/tansytrack/state/TaskParser.java
+++ b/src/main/java/tansytrack/state/TaskParser.java
@@ -5,28 +5,31 @@
 import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Statement;
 
-/** Makes a task of a statement's fields, or says which field is of no use. */
+/** Makes a task from the fields of a statement, or rejects it and names the invalid field. */
 final class TaskParser {
 
   private static final double NANOS_PER_MS = 1e6;
-  private static final double MAX_AMOUNT = 1e9; // of any amount: keeps sums of times in range
 
-  private static final int MAX_AMOUNT_DIGITS = 24; // digits of a double, and some
+  // Upper bound of every amount, which keeps sums of times within the range of a long.
+  private static final double MAX_AMOUNT = 1e9;
+
+  // Enough for all digits of a double.
+  private static final int MAX_AMOUNT_DIGITS = 24;
 
   private final Set<String> queryClasses;
   private final Set<String> tenants;
 
-  TaskParser(Set<String> grades, Set<String> tenants) {
-    this.queryClasses = grades;
+  TaskParser(Set<String> queryClasses, Set<String> tenants) {
+    this.queryClasses = queryClasses;
     this.tenants = tenants;
   }
 
-  /** The task, whose last byte came at that time. */
-  TaskRequest parseTask(Statement statement, long at) throws ProtocolException {
+  /** Returns the task of a statement whose last byte was received at the given time. */
+  TaskRequest parseTask(Statement statement, long receivedAt) throws ProtocolException {
     String id = requiredField(statement, "id");
     parseHex("id", id);
-    String grade = requiredField(statement, "class");
-    if (!queryClasses.contains(grade)) {
+    String queryClass = requiredField(statement, "class");
+    if (!queryClasses.contains(queryClass)) {
       throw new ProtocolException("field class: no such class");
     }
     String tenant = statement.field("tenant");
@@ -34,30 +37,31 @@
       throw new ProtocolException("field tenant: no such tenant");
     }
     String key = statement.field("key");
-    double wait = parseAmount("wait", requiredField(statement, "wait"));
-    double cost = parseAmount("cost", statement.field("cost"));
-    double memory = parseAmount("mb", statement.field("mb"));
+    double maxWaitMs = parseAmount("wait", requiredField(statement, "wait"));
+    double costMs = parseAmount("cost", statement.field("cost"));
+    double memoryMb = parseAmount("mb", statement.field("mb"));
     return new TaskRequest(
         id,
-        grade,
+        queryClass,
         tenant == null ? "" : tenant,
         key == null ? null : parseHex("key", key),
-        at + Math.round(wait * NANOS_PER_MS),
-        Math.round(cost * NANOS_PER_MS),
-        memory,
+        receivedAt + Math.round(maxWaitMs * NANOS_PER_MS),
+        Math.round(costMs * NANOS_PER_MS),
+        memoryMb,
         statement.dataSet());
   }
 
   /**
-   * The mark by which engines know a repeat, or null: passed on as it is, so it must be a plain
-   * word.
+   * Returns the key by which engines recognise a repeated statement, or null. It is passed on
+   * unchanged in a header field, so it may hold only letters, digits, and the characters _, . and
+   * -.
    */
   static String idempotencyKey(Statement statement) throws ProtocolException {
-    String stamp = statement.field("once");
-    if (stamp != null && !stamp.matches("[0-9A-Za-z_.-]{1,64}")) {
+    String key = statement.field("once");
+    if (key != null && !key.matches("[0-9A-Za-z_.-]{1,64}")) {
       throw new ProtocolException("field once: not a word of 1 to 64 letters and digits");
     }
-    return stamp;
+    return key;
   }
 
   private static String requiredField(Statement statement, String field) throws ProtocolException {
@@ -71,8 +75,8 @@
   private static long parseHex(String field, String value) throws ProtocolException {
     long bits = 0;
     for (int i = 0; i < 16; i++) {
-      char sign = value.length() == 16 ? value.charAt(i) : 0;
-      int digit = sign < 128 ? Character.digit(sign, 16) : -1;
+      char character = value.length() == 16 ? value.charAt(i) : 0;
+      int digit = character < 128 ? Character.digit(character, 16) : -1;
       if (digit < 0) {
         throw new ProtocolException("field " + field + ": not 16 hex digits");
       }
@@ -82,21 +86,23 @@
   }
 
   /**
-   * A plain decimal from 0 on: what Java's own reader takes besides (1d, 0x1p3, 1e3) no engine
-   * would.
+   * Parses a non-negative decimal number, 0 if absent. Further forms that {@link
+   * Double#parseDouble} accepts (1d, 0x1p3, 1e3) are rejected, as no engine accepts them.
    */
   static double parseAmount(String field, String value) throws ProtocolException {
     if (value == null) {
       return 0;
     }
-    boolean plain = !value.isEmpty() && value.length() <= MAX_AMOUNT_DIGITS;
+    boolean valid = !value.isEmpty() && value.length() <= MAX_AMOUNT_DIGITS;
     int points = 0;
     for (int i = 0; i < value.length(); i++) {
-      char sign = value.charAt(i);
-      points += sign == '.' ? 1 : 0;
-      plain &= (sign >= '0' && sign <= '9') || (sign == '.' && i > 0 && i < value.length() - 1);
+      char character = value.charAt(i);
+      points += character == '.' ? 1 : 0;
+      valid &=
+          (character >= '0' && character <= '9')
+              || (character == '.' && i > 0 && i < value.length() - 1);
     }
-    double amount = plain && points <= 1 ? Double.parseDouble(value) : MAX_AMOUNT;
+    double amount = valid && points <= 1 ? Double.parseDouble(value) : MAX_AMOUNT;
     if (amount >= MAX_AMOUNT) {
       throw new ProtocolException("field " + field + ": not a number in range");
     }
--- a/src/main/java/tansytrack/state/Timers.java
+++ b/src/main/java/tansytrack/state/Timers.java
@@ -2,9 +2,10 @@
 
 import java.util.TreeSet;
 
-/** The present time, as the loop last read it, and all that is to happen later, in one order. */
+/** The event loop's clock, read once in each iteration, and its queue of timers. */
 public final class Timers {
 
+  // A gap of this length between two readings of the clock, beyond sleep, counts as a stall.
   private static final long STALL_NANOS = 10_000_000L;
 
   private final TreeSet<Timer> queue = new TreeSet<>();
@@ -12,18 +13,18 @@
   private long lastStallEnd;
   private long nextSequence;
 
-  /** Something to be done at a time, unless it is cancelled first. */
+  /** An action to be run at a given time unless it is cancelled before. */
   public final class Timer implements Comparable<Timer> {
     private final long dueAt;
     private final long sequence = nextSequence++;
     private final Runnable action;
 
-    private Timer(long at, Runnable what) {
-      this.dueAt = at;
-      this.action = what;
+    private Timer(long dueAt, Runnable action) {
+      this.dueAt = dueAt;
+      this.action = action;
     }
 
-    /** Takes the timer back; nothing happens if it has run. */
+    /** Cancels the timer; has no effect if it has run. */
     public void cancel() {
       queue.remove(this);
     }
@@ -36,46 +37,49 @@
     }
   }
 
-  /** The time of the loop's current round. */
+  /** Returns the time of the loop's current iteration, in nanoseconds. */
   public long now() {
     return now;
   }
 
-  /** The loop has been at work since it read the time before. */
+  /** Sets the time; the loop has not slept since the previous reading. */
   public void now(long time) {
     advanceAfterSleep(time, 0);
   }
 
-  /** Or it wanted to sleep so long since then. */
-  public void advanceAfterSleep(long time, long nap) {
-    lastStallEnd = time - now - nap >= STALL_NANOS ? time : lastStallEnd;
+  /** Sets the time after the loop has slept for up to the given time since the previous reading. */
+  public void advanceAfterSleep(long time, long maxSleep) {
+    lastStallEnd = time - now - maxSleep >= STALL_NANOS ? time : lastStallEnd;
     now = time;
   }
 
   /**
-   * Since when the loop has got the time that it needs; what else runs beside it may have got none
-   * before that either.
+   * Returns the end of the last stall of the loop. During a stall, other threads of the process may
+   * have got no processor time either.
    */
   long lastStallEnd() {
     return lastStallEnd;
   }
 
-  /** Runs something on the loop once that time has come. */
-  public Timer schedule(long time, Runnable what) {
-    Timer timer = new Timer(time, what);
+  /** Schedules an action to run on the loop at the given time. */
+  public Timer schedule(long time, Runnable action) {
+    Timer timer = new Timer(time, action);
     queue.add(timer);
     return timer;
   }
 
-  /** How long until the next one is due, at most the given time. */
-  public long nanosUntilNext(long most) {
-    return queue.isEmpty() ? most : Math.max(0, Math.min(most, queue.first().dueAt - now));
+  /** Returns the time until the next timer is due, at most the given time. */
+  public long nanosUntilNext(long max) {
+    return queue.isEmpty() ? max : Math.max(0, Math.min(max, queue.first().dueAt - now));
   }
 
-  /** Does all that is due by now; what is added meanwhile waits for the next turn of the loop. */
+  /**
+   * Runs all timers that are due. Timers that are added meanwhile wait for the next iteration of
+   * the loop.
+   */
   public void runDue() {
-    long last = nextSequence;
-    while (!queue.isEmpty() && queue.first().dueAt <= now && queue.first().sequence < last) {
+    long endSequence = nextSequence;
+    while (!queue.isEmpty() && queue.first().dueAt <= now && queue.first().sequence < endSequence) {
       queue.pollFirst().action.run();
     }
   }
--- a/src/main/java/tansytrack/wire/Connection.java
+++ b/src/main/java/tansytrack/wire/Connection.java
@@ -7,100 +7,120 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One TCP connection: a ring a direction, and the owner that is called back. Only the loop's thread
- * calls it; what the sockets see comes as notes. It gives back all that it holds in one place,
- * {@link #over}.
+ * One TCP connection with a ring buffer for each direction and an owner that receives its events.
+ * Its methods run on the event loop's thread only; the I/O threads hand socket events over to the
+ * loop. All its resources are released in one place, {@link #release()}.
  */
 public final class Connection {
 
-  /** Whose connection it is. */
+  /** Receives the events of a connection. */
   public interface Owner {
-    /** More bytes are in the ring; the last ones came at that time. */
-    void received(long at) throws ProtocolException;
-
-    /** All that was to be written has been handed to the system. */
+    /**
+     * Called when bytes have been added to the input buffer.
+     *
+     * @param receivedAt when the last of them were received
+     * @throws ProtocolException if the bytes violate the protocol; the connection is then closed
+     */
+    void received(long receivedAt) throws ProtocolException;
+
+    /** Called when the output buffer is empty and the operating system has taken all of it. */
     default void writeCompleted() {}
 
-    /** It is over, or never came up; said once, and not when the owner itself closed it. */
-    void closed(boolean wasUp);
+    /**
+     * Called once when the connection has been closed or could not be established, but not if the
+     * owner itself closed it.
+     *
+     * @param wasConnected whether the connection had been established
+     */
+    void closed(boolean wasConnected);
 
-    /** It has given back what it held, whoever closed it; said once. */
+    /** Called once when the connection has released its resources, whoever closed it. */
     default void released() {}
   }
 
-  private static final int MAX_WRITE_BYTES =
-      1 << 15; // handed to the system at once: bounds what lies there
-  static final int MAX_UNREAD_BYTES =
-      1 << 15; // handed over and not yet read: then reading stops for a while
+  // Bytes passed to the operating system at a time, which bounds the bytes queued there.
+  private static final int MAX_WRITE_BYTES = 1 << 15;
+
+  /** With more bytes handed over to the loop and not yet processed, reading is suspended. */
+  static final int MAX_UNREAD_BYTES = 1 << 15;
 
+  /** Bytes that the I/O thread has handed over to the loop and that are not yet processed. */
   final AtomicInteger unreadBytes = new AtomicInteger();
+
+  /** The bytes received and not yet consumed by the owner. */
   public final RingBuffer input;
+
+  /** The bytes to be sent. */
   public final RingBuffer output;
+
   private final Sockets sockets;
   private Owner owner;
-  private IoSession session; // null until it is up
+  // Null until the connection is established.
+  private IoSession session;
   private ConnectFuture connectFuture;
   private boolean writing;
   private boolean closing;
   private boolean released;
   private boolean refused;
-  private long
-      bytesSubmitted; // bytes handed to the system so far, whether or not it has taken them
-  private long connectedAt; // when it came up
-  private boolean
-      closedLocally; // it was closed on this side, perhaps while the system was taking bytes
-
-  Connection(Sockets sockets, int mostIn, int mostOut) {
+  // Bytes passed to the operating system so far, whether or not it has taken them.
+  private long bytesSubmitted;
+  // When the connection was established.
+  private long connectedAt;
+  // Whether this side closed the connection, possibly during a write.
+  private boolean closedLocally;
+
+  Connection(Sockets sockets, int maxInputBytes, int maxOutputBytes) {
     this.sockets = sockets;
-    input = new RingBuffer(mostIn);
-    output = new RingBuffer(mostOut);
+    input = new RingBuffer(maxInputBytes);
+    output = new RingBuffer(maxOutputBytes);
   }
 
-  /** Names who is told of what comes in and of the end. */
-  public void setOwner(Owner by) {
-    owner = by;
+  /** Sets the owner, which receives all further events. */
+  public void setOwner(Owner newOwner) {
+    owner = newOwner;
   }
 
-  /** Whether it may still be written to. */
+  /** Whether the connection can still be written to. */
   public boolean open() {
     return !released && !closing;
   }
 
-  /** It has given back all that it held. */
+  /** Whether the connection has released its resources. */
   public boolean isReleased() {
     return released;
   }
 
-  /** The machine it was to go to refused it: nothing listens there. */
+  /** Whether the peer's machine refused the connection. */
   public boolean refused() {
     return refused;
   }
 
-  /** Bytes that the system has taken so far. */
+  /** Returns the number of bytes that the operating system has taken so far. */
   public long bytesWritten() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
   /**
-   * Bytes that may have left so far. The system counts what it has taken only behind the write
-   * itself, on a thread of its own; so for a connection that was closed on this side all that was
-   * handed over counts, and the system's own count only where it was the one to say that the
-   * connection is over.
+   * Returns the number of bytes that may have been sent so far. The count of written bytes is
+   * updated by the I/O thread only after the write itself. If this side closed the connection, all
+   * bytes passed to the I/O thread therefore count as possibly sent; if the I/O thread reported the
+   * end, its count is exact.
    */
   long bytesPossiblySent() {
     return closedLocally ? bytesSubmitted : bytesWritten();
   }
 
-  /** Whether the socket is connected. */
+  /** Whether the connection is established. */
   public boolean connected() {
     return session != null;
   }
 
+  /** Returns when the connection was established. */
   long connectedAt() {
     return connectedAt;
   }
 
-  /** The address of the other side, null before it is connected. */
+  /** Returns the peer's address, null before the connection is established. */
   public InetSocketAddress remoteAddress() {
     return session == null ? null : (InetSocketAddress) session.getRemoteAddress();
   }
@@ -109,27 +129,28 @@
     connectFuture = future;
   }
 
-  /** It did not come up. */
-  void connectFailed(Throwable why) {
-    // A connection that is reset while it comes up is no other type than one that is refused.
+  /** Handles a failure to establish the connection. */
+  void connectFailed(Throwable cause) {
+    // A connection reset while it is being established has the same exception type as a refused
+    // one.
     refused =
-        why instanceof java.net.ConnectException
-            && why.getMessage() != null
-            && why.getMessage().contains("refused");
+        cause instanceof java.net.ConnectException
+            && cause.getMessage() != null
+            && cause.getMessage().contains("refused");
     closeAndNotify();
   }
 
-  void sessionOpened(IoSession with) {
+  void sessionOpened(IoSession openedSession) {
     if (released) {
-      with.closeNow();
+      openedSession.closeNow();
       return;
     }
-    session = with;
+    session = openedSession;
     connectedAt = sockets.now();
     flush();
   }
 
-  void received(IoBuffer bytes, long at) {
+  void received(IoBuffer bytes, long receivedAt) {
     int count = bytes.remaining();
     if (unreadBytes.getAndAdd(-count) > MAX_UNREAD_BYTES
         && unreadBytes.get() <= MAX_UNREAD_BYTES
@@ -143,9 +164,9 @@
       if (!input.put(bytes.buf())) {
         throw new ProtocolException("more bytes than the ring holds");
       }
-      owner.received(at);
+      owner.received(receivedAt);
     } catch (ProtocolException e) {
-      sockets.protocolErrors(this, e);
+      sockets.recordProtocolError(this, e);
       closedLocally = true;
       closeAndNotify();
     }
@@ -159,7 +180,7 @@
     }
   }
 
-  /** Hands the next bytes to the system; the rest follows as those have gone. */
+  /** Passes the next bytes to the operating system; the rest follows once those are written. */
   public void flush() {
     if (released || session == null || writing) {
       return;
@@ -174,25 +195,25 @@
     }
   }
 
-  /** Closes it once all is written. */
+  /** Closes the connection once the output buffer is written. */
   public void closeAfterFlush() {
     closing = true;
     flush();
   }
 
-  /** Closes it now; the owner is not told. */
+  /** Closes the connection now without notifying the owner. */
   public void close() {
     if (!released) {
       release();
     }
   }
 
-  /** As if the peer had closed it. */
+  /** Closes the connection and notifies the owner as if the peer had closed it. */
   void closeAndNotify() {
     if (!released) {
-      boolean wasUp = session != null;
+      boolean wasConnected = session != null;
       release();
-      owner.closed(wasUp);
+      owner.closed(wasConnected);
     }
   }
 
--- a/src/main/java/tansytrack/wire/HttpConnection.java
+++ b/src/main/java/tansytrack/wire/HttpConnection.java
@@ -2,41 +2,54 @@
 
 import java.net.InetSocketAddress;
 
-/** A connection that carries HTTP calls, one at a time. */
+/** A client connection for HTTP requests, one at a time. */
 public final class HttpConnection implements Connection.Owner {
 
-  /**
-   * Why no answer will come: the machine refused the connection; it did not come up in time; it
-   * ended before a byte of the call was written; or it broke, or brought what cannot be read, after
-   * that.
-   */
+  /** Why a request gets no response. The names are part of counter names. */
   public enum Failure {
+    /** The peer's machine refused the connection. */
     REFUSED,
+    /** The connection was not established in time. */
     LATE,
+    /** The connection ended before any byte of the request was written. */
     UNSENT,
+    /** The connection broke, or delivered a malformed response, after that. */
     BROKEN
   }
 
-  /** Who made the call; one of answered and failed comes, once, unless the call was dropped. */
+  /**
+   * Receives the result of a request: exactly one of {@link #responseReceived} and {@link
+   * #requestFailed} is called, unless the connection is closed by {@link HttpConnection#abort}.
+   */
   public interface ResponseHandler {
-    /** Junk: it cannot be used; the connection is closed, and the call counts as broken. */
-    void responseReceived(HttpCodec.Response answer) throws ProtocolException;
-
-    /** No answer will come; nothing was written unless the connection broke. */
-    void requestFailed(Failure why);
-
-    /** The call has gone out whole. */
+    /**
+     * Called with the complete response.
+     *
+     * @throws ProtocolException if the response cannot be used; the connection is then closed and
+     *     the request fails as {@link Failure#BROKEN}
+     */
+    void responseReceived(HttpCodec.Response response) throws ProtocolException;
+
+    /**
+     * Called when no response will come. Nothing was written unless the reason is {@link
+     * Failure#BROKEN}.
+     */
+    void requestFailed(Failure failure);
+
+    /** Called when the request has been written completely. */
     default void requestWritten() {}
 
-    /** More of the answer has come, and it is not whole yet. */
+    /** Called when a further part of the response was received that does not complete it. */
     default void responsePartReceived() {}
   }
 
-  /** Who owns the line: told when it is free for the next call, or of no more use. */
+  /** Keeps the connections that are not in use. */
   public interface Pool {
-    void connectionIdle(HttpConnection line);
+    /** Called when the connection is available for the next request. */
+    void connectionIdle(HttpConnection connection);
 
-    void connectionClosed(HttpConnection line);
+    /** Called when the connection is closed and is of no further use. */
+    void connectionClosed(HttpConnection connection);
   }
 
   private final Connection connection;
@@ -46,18 +59,26 @@
   private final Sockets sockets;
   private ResponseHandler handler;
   private long requestedAt;
-  private long sentBeforeRequest; // bytes of earlier calls
-  private boolean awaitingFirstByte; // no answer has ever begun for the open call
+  // Bytes that had been sent before the open request.
+  private long sentBeforeRequest;
+  // Whether no byte of a response has been received since the open request was made.
+  private boolean awaitingFirstByte;
 
-  /** Answers with their heads may take half of the given bytes. */
-  public HttpConnection(Sockets sockets, InetSocketAddress to, int mostIn, Pool holder) {
+  /**
+   * Starts to establish a connection.
+   *
+   * @param maxInputBytes size of the input buffer in bytes; the body of a response may take half of
+   *     it
+   */
+  public HttpConnection(Sockets sockets, InetSocketAddress address, int maxInputBytes, Pool pool) {
     this.sockets = sockets;
-    this.pool = holder;
-    this.address = to;
-    host = to.getHostString() + ':' + to.getPort();
-    connection = sockets.connect(to, mostIn, this);
+    this.pool = pool;
+    this.address = address;
+    host = address.getHostString() + ':' + address.getPort();
+    connection = sockets.connect(address, maxInputBytes, this);
   }
 
+  /** Returns the address that the connection was opened to. */
   public InetSocketAddress address() {
     return address;
   }
@@ -66,65 +87,75 @@
     return connection;
   }
 
+  /** Whether the connection is established. */
   public boolean connected() {
     return connection.connected();
   }
 
-  /** When it came up. */
+  /** Returns when the connection was established. */
   public long connectedAt() {
     return connection.connectedAt();
   }
 
-  /** The machine refused it: nothing listens there, or it takes no more connections. */
+  /**
+   * Whether the peer's machine refused the connection: no process listens there, or it accepts no
+   * more connections.
+   */
   public boolean refused() {
     return connection.refused();
   }
 
   /**
-   * When the open call, or the last one, could leave: as it was made, or once the connection was
-   * up.
+   * Returns the earliest time at which the open request, or the last one, could be sent: when it
+   * was made, or when the connection was established.
    */
   public long requestStartedAt() {
     return Math.max(requestedAt, connection.connectedAt());
   }
 
-  public void send(String method, String path, String fields, byte[] body, ResponseHandler by) {
-    handler = by;
+  /**
+   * Sends a request; it is written once the connection is established. There must be no open one.
+   *
+   * @param headers further header fields as complete lines, each with its line end
+   */
+  public void send(
+      String method, String path, String headers, byte[] body, ResponseHandler responseHandler) {
+    handler = responseHandler;
     requestedAt = sockets.now();
     sentBeforeRequest = connection.bytesPossiblySent();
     awaitingFirstByte = true;
-    HttpCodec.writeRequest(connection.output, method, path, host, fields, body);
+    HttpCodec.writeRequest(connection.output, method, path, host, headers, body);
     connection.flush();
   }
 
   @Override
-  public void received(long at) throws ProtocolException {
+  public void received(long receivedAt) throws ProtocolException {
     if (handler == null) {
       throw new ProtocolException("an answer that nobody asked for");
     }
-    if (awaitingFirstByte && at < requestedAt) {
+    if (awaitingFirstByte && receivedAt < requestedAt) {
       throw new ProtocolException("what came before the call");
     }
     awaitingFirstByte = false;
-    HttpCodec.Response answer = HttpCodec.readResponse(connection.input);
-    if (answer == null) {
+    HttpCodec.Response response = HttpCodec.readResponse(connection.input);
+    if (response == null) {
       handler.responsePartReceived();
       return;
     }
-    // More behind it belongs to no call. A second copy does no harm; anything else may be the rest
-    // of an answer whose
-    // length was wrong, so that this one is not whole.
-    boolean more = connection.input.size() > 0;
-    if (more && answer.status() == 200 && connection.input.byteAt(0) != 'H') {
+    // Bytes after the response belong to no request. A duplicate of the response does no harm;
+    // other
+    // bytes may be the rest of a response with a wrong length, which is then incomplete.
+    boolean surplus = connection.input.size() > 0;
+    if (surplus && response.status() == 200 && connection.input.byteAt(0) != 'H') {
       throw new ProtocolException("more bytes than the length that was told");
     }
-    ResponseHandler to = handler;
-    to.responseReceived(answer);
+    ResponseHandler current = handler;
+    current.responseReceived(response);
     handler = null;
     if (!connection.open()) {
       return;
     }
-    if (answer.keepAlive() && !more) {
+    if (response.keepAlive() && !surplus) {
       pool.connectionIdle(this);
     } else {
       connection.close();
@@ -140,12 +171,12 @@
   }
 
   @Override
-  public void closed(boolean wasUp) {
-    ResponseHandler to = handler;
+  public void closed(boolean wasConnected) {
+    ResponseHandler current = handler;
     handler = null;
     pool.connectionClosed(this);
-    if (to != null) {
-      to.requestFailed(
+    if (current != null) {
+      current.requestFailed(
           connection.refused()
               ? Failure.REFUSED
               : connection.bytesPossiblySent() == sentBeforeRequest
@@ -154,7 +185,7 @@
     }
   }
 
-  /** Closes it; who made the open call is not told. */
+  /** Closes the connection without notifying the sender of the open request. */
   public void abort() {
     handler = null;
     connection.close();
--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -8,15 +8,17 @@
 import java.util.Map;
 
 /**
- * Reads JSON from bytes into maps, lists, strings, booleans, null, and numbers as Long or Double.
+ * Parses JSON into maps, lists, strings, booleans, null, and numbers as Long or Double. Static
+ * methods check the type of a parsed value.
  */
 public final class Json {
 
-  private static final int MAX_DEPTH = 32; // far deeper than any message here
+  // Far more than any message of the command channel or configuration uses.
+  private static final int MAX_DEPTH = 32;
 
   private final byte[] text;
-  private final Map<String, String> memberNames =
-      new HashMap<>(); // of members: each once in memory
+  // Member names by themselves, so that equal names share one string.
+  private final Map<String, String> memberNames = new HashMap<>();
   private int position;
   private int depth;
 
@@ -24,6 +26,7 @@
     this.text = text;
   }
 
+  /** Parses a complete JSON text. */
   public static Object parse(byte[] text) throws ProtocolException {
     Json json = new Json(text);
     Object value = json.parseValue();
@@ -34,38 +37,59 @@
     return value;
   }
 
+  /**
+   * Returns the value as an object.
+   *
+   * @param name names the value in the error message
+   */
   @SuppressWarnings("unchecked")
-  public static Map<String, Object> asObject(Object value, String what) throws ProtocolException {
+  public static Map<String, Object> asObject(Object value, String name) throws ProtocolException {
     if (value instanceof Map) {
       return (Map<String, Object>) value;
     }
-    throw new ProtocolException(what + " is not an object");
+    throw new ProtocolException(name + " is not an object");
   }
 
+  /**
+   * Returns the value as a list.
+   *
+   * @param name names the value in the error message
+   */
   @SuppressWarnings("unchecked")
-  public static List<Object> asList(Object value, String what) throws ProtocolException {
+  public static List<Object> asList(Object value, String name) throws ProtocolException {
     if (value instanceof List) {
       return (List<Object>) value;
     }
-    throw new ProtocolException(what + " is not a list");
+    throw new ProtocolException(name + " is not a list");
   }
 
-  public static String asString(Object value, String what) throws ProtocolException {
+  /**
+   * Returns the value as a string.
+   *
+   * @param name names the value in the error message
+   */
+  public static String asString(Object value, String name) throws ProtocolException {
     if (value instanceof String) {
       return (String) value;
     }
-    throw new ProtocolException(what + " is not a string");
+    throw new ProtocolException(name + " is not a string");
   }
 
-  public static double asDouble(Object value, String what) throws ProtocolException {
+  /**
+   * Returns the value as a number.
+   *
+   * @param name names the value in the error message
+   */
+  public static double asDouble(Object value, String name) throws ProtocolException {
     if (value instanceof Number) {
       return ((Number) value).doubleValue();
     }
-    throw new ProtocolException(what + " is not a number");
+    throw new ProtocolException(name + " is not a number");
   }
 
-  private ProtocolException malformed(String what) {
-    return new ProtocolException("JSON: " + what + " at byte " + position, position >= text.length);
+  private ProtocolException malformed(String problem) {
+    return new ProtocolException(
+        "JSON: " + problem + " at byte " + position, position >= text.length);
   }
 
   private void skipWhitespace() {
@@ -78,9 +102,9 @@
     }
   }
 
-  private boolean consumeIf(char wanted) {
+  private boolean consumeIf(char expected) {
     skipWhitespace();
-    if (position < text.length && text[position] == wanted) {
+    if (position < text.length && text[position] == expected) {
       position++;
       return true;
     }
@@ -103,7 +127,7 @@
           case 't' -> parseLiteral("true", Boolean.TRUE);
           case 'f' -> parseLiteral("false", Boolean.FALSE);
           case 'n' -> parseLiteral("null", null);
-          default -> asDouble();
+          default -> parseNumber();
         };
     depth--;
     return value;
@@ -164,16 +188,16 @@
     if (position < text.length && text[position] == '"') {
       return new String(text, from, position++ - from, StandardCharsets.UTF_8);
     }
-    StringBuilder made = new StringBuilder();
+    StringBuilder result = new StringBuilder();
     while (true) {
-      made.append(new String(text, from, position - from, StandardCharsets.UTF_8));
+      result.append(new String(text, from, position - from, StandardCharsets.UTF_8));
       if (position == text.length) {
         throw malformed("string without an end");
       }
       if (text[position++] == '"') {
-        return made.toString();
+        return result.toString();
       }
-      made.append(parseEscape());
+      result.append(parseEscape());
       from = position;
       while (position < text.length && text[position] != '"' && text[position] != '\\') {
         position++;
@@ -214,18 +238,18 @@
     }
   }
 
-  private Number asDouble() throws ProtocolException {
+  private Number parseNumber() throws ProtocolException {
     int from = position;
-    boolean whole = true;
+    boolean integral = true;
     while (position < text.length
         && (text[position] >= '0' && text[position] <= '9'
             || "+-.eE".indexOf(text[position]) >= 0)) {
-      whole &= text[position] >= '0' && text[position] <= '9' || text[position] == '-';
+      integral &= text[position] >= '0' && text[position] <= '9' || text[position] == '-';
       position++;
     }
     String digits = new String(text, from, position - from, StandardCharsets.US_ASCII);
     try {
-      if (whole && digits.length() < 19) {
+      if (integral && digits.length() < 19) {
         return Long.valueOf(digits);
       }
       Double value = Double.valueOf(digits);
--- a/src/main/java/tansytrack/wire/PgSession.java
+++ b/src/main/java/tansytrack/wire/PgSession.java
@@ -4,47 +4,67 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One client's session in the PostgreSQL protocol 3.0: simple queries, one after the other. */
+/**
+ * A client session of the PostgreSQL frontend/backend protocol 3.0. It serves only simple queries,
+ * one at a time.
+ */
 public final class PgSession implements Connection.Owner {
 
-  /** What sessions are for; one query is open at a time. */
+  /** Handles the queries and events of sessions. A session has one open query at a time. */
   public interface Handler {
-    /** A statement has come whole at that time; it is owed one answer. */
-    void query(PgSession session, byte[] statement, long at);
-
-    /** Somebody wants the query of the session with this key given up. */
-    void cancelRequested(int number, int secret);
-
-    /** The session ends; a query may have been open. */
+    /**
+     * Called for each query; it must be answered exactly once.
+     *
+     * @param receivedAt when the last byte of the query was received
+     */
+    void query(PgSession session, byte[] statement, long receivedAt);
+
+    /**
+     * Called for a cancel request.
+     *
+     * @param processId the number of the session whose query is to be cancelled
+     * @param secretKey the secret key that the request names
+     */
+    void cancelRequested(int processId, int secretKey);
+
+    /** Called when the session ends, possibly with an open query. */
     void sessionEnded(PgSession session);
 
-    /** A client spoke what the protocol does not allow, or past a bound, and is closed. */
-    default void protocolViolated(String why) {}
+    /**
+     * Called when a session is closed because its client violated the protocol or exceeded a limit.
+     */
+    default void protocolViolated(String reason) {}
 
-    /** Its connection has given back what it held. */
+    /** Called when the session's connection has released its resources. */
     void sessionReleased(PgSession session);
 
-    /** To be done when the present news has been dealt with. */
-    void defer(Runnable what);
+    /** Runs an action after the current event has been handled. */
+    void defer(Runnable action);
   }
 
   private static final int PROTOCOL_VERSION_3 = 3 << 16;
   private static final int CANCEL_REQUEST_CODE = 80877102;
   private static final int SSL_REQUEST_CODE = 80877103;
   private static final int GSSENC_REQUEST_CODE = 80877104;
-  private static final int MAX_MESSAGE_BYTES =
-      1 << 15; // a message; statements here are far shorter
+
+  // The statements of clients are far shorter.
+  private static final int MAX_MESSAGE_BYTES = 1 << 15;
   private static final int MIN_STARTUP_MESSAGE_BYTES = 8;
-  private static final int STALLED_CLIENT_ROUNDS =
-      60; // rounds without a byte read by a client that is owed some:
-  // longer than any waits, as a cut before loses its answer
-  private static final int UNUSED_SESSION_ROUNDS =
-      120; // rounds without a word, for one that never asked anything
-  private static final int INCOMPLETE_MESSAGE_ROUNDS =
-      4; // rounds without a whole message since its first byte, or since
-  // the connection came: far more than a round trip
-  private static final int MAX_UNPRODUCTIVE_MESSAGES_PER_ROUND =
-      50; // messages in a round that ask for nothing or cannot be used
+
+  // Rounds in which a client reads nothing of a pending answer before its session is closed. This
+  // is
+  // longer than any client waits, as closing earlier would lose the answer.
+  private static final int STALLED_CLIENT_ROUNDS = 60;
+
+  // Rounds without any message before a session that has sent no usable query is closed.
+  private static final int UNUSED_SESSION_ROUNDS = 120;
+
+  // Rounds without a complete message since its first byte, or since the connection was accepted.
+  // Far longer than a round trip.
+  private static final int INCOMPLETE_MESSAGE_ROUNDS = 4;
+
+  // Messages in a round that request nothing or cannot be used.
+  private static final int MAX_UNPRODUCTIVE_MESSAGES_PER_ROUND = 50;
   private static final String[] PARAMETER_STATUS = {
     "server_version",
     "15.0",
@@ -59,7 +79,9 @@
     "standard_conforming_strings",
     "on"
   };
-  private static final int TEXT_TYPE_OID = 25; // the type of every column
+
+  // The type of every column.
+  private static final int TEXT_TYPE_OID = 25;
 
   private final Connection connection;
   private final Handler handler;
@@ -67,66 +89,80 @@
   private final int secretKey;
   private boolean started;
   private boolean querying;
-  private boolean skippingToSync; // to the next Sync, after a message of the extended protocol
-  private long lastReceivedAt; // when the last bytes came
-  private long bytesWrittenAtLastRound; // of what was written, by the last round
-  private int idleRounds; // rounds since anything was heard or written
-  private boolean sentUsableQuery; // something that could be used
-  private int incompleteRounds; // rounds since a message was due that is not whole
-  private int unproductiveMessages; // messages in this round that asked for nothing
-  private Object openQuery; // what the owner of the query keeps with it
-
-  /** A session on an accepted connection, with the key that a cancel request must name. */
-  public PgSession(Connection connection, Handler front, int number, int secret) {
+  // Whether messages are ignored up to the next Sync, after one of the extended query protocol.
+  private boolean skippingToSync;
+  // When the last bytes were received.
+  private long lastReceivedAt;
+  // Bytes written to the client as of the last round.
+  private long bytesWrittenAtLastRound;
+  // Rounds since anything was received or written.
+  private int idleRounds;
+  // Whether the client has ever sent a usable query.
+  private boolean sentUsableQuery;
+  // Rounds for which a message has been due and incomplete.
+  private int incompleteRounds;
+  // Messages in this round that requested nothing.
+  private int unproductiveMessages;
+  // The handler's object for the open query, null if there is none.
+  private Object openQuery;
+
+  /**
+   * Creates a session on an accepted connection.
+   *
+   * @param processId identifies the session in cancel requests (the process ID of the protocol)
+   * @param secretKey the secret key that a cancel request must name
+   */
+  public PgSession(Connection connection, Handler handler, int processId, int secretKey) {
     this.connection = connection;
-    this.handler = front;
-    this.processId = number;
-    this.secretKey = secret;
+    this.handler = handler;
+    this.processId = processId;
+    this.secretKey = secretKey;
     connection.setOwner(this);
   }
 
-  /** The session's number, the public part of its cancel key. */
+  /** Returns the number that identifies the session in cancel requests. */
   public int processId() {
     return processId;
   }
 
-  /** Whether a cancel request names this session's secret. */
-  public boolean matchesSecretKey(int secret) {
-    return this.secretKey == secret;
+  /** Whether the secret key of a cancel request is the one of this session. */
+  public boolean matchesSecretKey(int secretKey) {
+    return this.secretKey == secretKey;
   }
 
-  /** The query that is waited for, null between queries. */
+  /** Returns the handler's object for the open query, null if there is none. */
   public Object openQuery() {
     return openQuery;
   }
 
-  /** Sets the query that is waited for; null: it is answered. */
+  /** Sets the handler's object for the open query; null if the query is answered. */
   public void openQuery(Object query) {
     openQuery = query;
     sentUsableQuery |= query != null;
   }
 
-  /** Has the connection given back what it held? */
+  /** Whether the session's connection has released its resources. */
   public boolean isReleased() {
     return connection.isReleased();
   }
 
-  /** Is an answer owed, or still being read by the client? */
+  /** Whether a query is open, or its answer has not been written completely. */
   public boolean busy() {
     return querying || connection.output.size() > 0;
   }
 
   /**
-   * How soon it is closed for a new one when there is no room: one that has not started first, then
-   * one that never asked, then an idle one; -1: not at all, as it is owed an answer.
+   * Returns the priority with which the session is closed to make room for a new one: 2 if its
+   * startup is not complete, 1 if it has sent no usable query, 0 if it is idle, and -1 if it must
+   * not be closed because an answer is pending.
    */
   public int evictionPriority() {
     return busy() || !connection.open() ? -1 : !started ? 2 : !sentUsableQuery ? 1 : 0;
   }
 
   /**
-   * One round, some time after the last: a client that stopped reading or speaking must not hold
-   * anything, nor one that never comes to the end of a message.
+   * Called periodically. Closes the session if its client has stopped reading or sending, or does
+   * not complete a message, so that such clients do not hold resources.
    */
   public void checkProgress() {
     unproductiveMessages = 0;
@@ -140,16 +176,16 @@
     }
     idleRounds = connection.bytesWritten() == bytesWrittenAtLastRound ? idleRounds + 1 : 1;
     bytesWrittenAtLastRound = connection.bytesWritten();
-    boolean stuck = connection.output.size() > 0 || !connection.open();
+    boolean outputPending = connection.output.size() > 0 || !connection.open();
     if (!isReleased()
-        && (stuck
+        && (outputPending
             ? idleRounds > STALLED_CLIENT_ROUNDS
             : !querying && !sentUsableQuery && idleRounds > UNUSED_SESSION_ROUNDS)) {
       closeNow();
     }
   }
 
-  /** For a session that there is no room for. */
+  /** Rejects the session because there is no room for it. */
   public void rejectConnection() {
     sendError("FATAL", "53300", "too many connections");
     closeAfterFlush();
@@ -161,24 +197,24 @@
   }
 
   @Override
-  public void received(long at) {
-    lastReceivedAt = at;
+  public void received(long receivedAt) {
+    lastReceivedAt = receivedAt;
     idleRounds = 0;
-    RingBuffer in = connection.input;
-    while (connection.open() && !querying && in.size() >= 4) {
-      int first = started ? 1 : 0;
-      if (in.size() < first + 4) {
+    RingBuffer input = connection.input;
+    while (connection.open() && !querying && input.size() >= 4) {
+      int lengthOffset = started ? 1 : 0;
+      if (input.size() < lengthOffset + 4) {
         return;
       }
-      int length = in.intAt(first);
+      int length = input.intAt(lengthOffset);
       if (length < (started ? 4 : MIN_STARTUP_MESSAGE_BYTES) || length > MAX_MESSAGE_BYTES) {
         sendFatalError("08P01", "invalid message length");
         return;
       }
-      if (in.size() < first + length) {
+      if (input.size() < lengthOffset + length) {
         return;
       }
-      byte[] message = in.take(first + length);
+      byte[] message = input.take(lengthOffset + length);
       incompleteRounds = 0;
       if (!started || message[0] != 'Q') {
         countUnproductiveMessage();
@@ -187,7 +223,7 @@
         return;
       }
       if (started) {
-        message(message, at);
+        handleMessage(message, receivedAt);
       } else {
         handleStartupMessage(ByteBuffer.wrap(message, 4, length - 4));
       }
@@ -209,21 +245,21 @@
           "0A000", "unsupported frontend protocol " + (code >>> 16) + "." + (code & 0xffff));
     } else {
       started = true;
-      message('R', ByteBuffer.allocate(4).putInt(0).array());
+      sendMessage('R', ByteBuffer.allocate(4).putInt(0).array());
       for (int i = 0; i < PARAMETER_STATUS.length; i += 2) {
-        message(
+        sendMessage(
             'S',
             (PARAMETER_STATUS[i] + '\0' + PARAMETER_STATUS[i + 1] + '\0')
                 .getBytes(StandardCharsets.UTF_8));
       }
-      message('K', ByteBuffer.allocate(8).putInt(processId).putInt(secretKey).array());
+      sendMessage('K', ByteBuffer.allocate(8).putInt(processId).putInt(secretKey).array());
       sendReadyForQuery();
     }
   }
 
   /**
-   * Guards against streams without end of messages that ask for nothing: they take the loop's time
-   * from the others.
+   * Counts a message that requests nothing, and closes the session if there are too many of them,
+   * as an endless stream of them takes the event loop's time from other clients.
    */
   private void countUnproductiveMessage() {
     if (++unproductiveMessages > MAX_UNPRODUCTIVE_MESSAGES_PER_ROUND) {
@@ -231,15 +267,15 @@
     }
   }
 
-  /** The open query could not be used. */
-  public void rejectQuery(String why) {
-    sendError("22023", why);
+  /** Answers the open query with an error, as it cannot be used. */
+  public void rejectQuery(String reason) {
+    sendError("22023", reason);
     countUnproductiveMessage();
   }
 
-  private void message(byte[] message, long at) {
+  private void handleMessage(byte[] message, long receivedAt) {
     switch (message[0]) {
-      case 'Q' -> handleQuery(message, at);
+      case 'Q' -> handleQuery(message, receivedAt);
       case 'X' -> closeAfterFlush();
       case 'S' -> {
         skippingToSync = false;
@@ -254,21 +290,21 @@
           sendReadyForQuery();
         }
       }
-      case 'd', 'c', 'f' -> {} // the rest of a copy that was refused
+      case 'd', 'c', 'f' -> {} // the rest of a COPY that was rejected
       default -> sendFatalError("08P01", "invalid frontend message type " + (message[0] & 255));
     }
   }
 
-  private void handleQuery(byte[] message, long at) {
+  private void handleQuery(byte[] message, long receivedAt) {
     if (skippingToSync) {
       return;
     }
     int end = message.length - 1;
-    boolean whole = end >= 5 && message[end] == 0;
+    boolean valid = end >= 5 && message[end] == 0;
     for (int i = 5; i < end; i++) {
-      whole &= message[i] != 0;
+      valid &= message[i] != 0;
     }
-    if (!whole) {
+    if (!valid) {
       sendFatalError("08P01", "invalid string in message");
       return;
     }
@@ -282,33 +318,37 @@
               || message[i] == '\t';
     }
     if (empty) {
-      message('I', new byte[0]);
+      sendMessage('I', new byte[0]);
       sendReadyForQuery();
       countUnproductiveMessage();
     } else {
       querying = true;
-      handler.query(this, java.util.Arrays.copyOfRange(message, 5, end), at);
+      handler.query(this, java.util.Arrays.copyOfRange(message, 5, end), receivedAt);
     }
   }
 
   // ---- Answers to the open query; each ends it ----
 
-  /** Rows as text, a tab between columns and a line feed after each row. */
+  /**
+   * Answers the open query with rows.
+   *
+   * @param pages rows as text with a tab between columns and a line feed after each row
+   */
   public void sendRows(String[] columns, List<byte[]> pages) {
     int bytes = 2;
     for (String column : columns) {
       bytes += column.length() + 19;
     }
-    ByteBuffer names = ByteBuffer.allocate(bytes).putShort((short) columns.length);
+    ByteBuffer rowDescription = ByteBuffer.allocate(bytes).putShort((short) columns.length);
     for (String column : columns) {
-      names
+      rowDescription
           .put(column.getBytes(StandardCharsets.US_ASCII))
           .put((byte) 0)
           .putInt(0)
           .putShort((short) 0);
-      names.putInt(TEXT_TYPE_OID).putShort((short) -1).putInt(-1).putShort((short) 0);
+      rowDescription.putInt(TEXT_TYPE_OID).putShort((short) -1).putInt(-1).putShort((short) 0);
     }
-    message('T', names.array());
+    sendMessage('T', rowDescription.array());
     int count = 0;
     for (byte[] page : pages) {
       int from = 0;
@@ -320,11 +360,14 @@
         }
       }
     }
-    message('C', ("SELECT " + count + '\0').getBytes(StandardCharsets.US_ASCII));
+    sendMessage('C', ("SELECT " + count + '\0').getBytes(StandardCharsets.US_ASCII));
     finishQuery();
   }
 
-  /** Does every row of the page hold so many columns, and does it end with a row? */
+  /**
+   * Whether every row of the page has the given number of columns and the page ends with a complete
+   * row.
+   */
   public static boolean hasWholeRows(byte[] page, int columns) {
     int tabs = 0;
     for (byte b : page) {
@@ -353,10 +396,10 @@
         start = i + 1;
       }
     }
-    message('D', row.array());
+    sendMessage('D', row.array());
   }
 
-  /** An error ends the query, not the session. */
+  /** Answers the open query with an error. The session continues. */
   public void sendError(String code, String text) {
     sendError("ERROR", code, text);
     finishQuery();
@@ -364,24 +407,24 @@
 
   private void finishQuery() {
     sendReadyForQuery();
-    idleRounds = 0; // the wait for the answer was not the client's
+    idleRounds = 0; // the time until the answer does not count as the client's silence
     querying = false;
     openQuery = null;
     connection.flush();
-    // What came behind the query has waited in the ring.
+    // Messages received after the query have been kept in the input buffer.
     if (connection.input.size() > 0) {
       handler.defer(() -> received(lastReceivedAt));
     }
   }
 
-  // ---- What is written ----
+  // ---- Messages to the client ----
 
   private void sendReadyForQuery() {
-    message('Z', new byte[] {'I'});
+    sendMessage('Z', new byte[] {'I'});
   }
 
   private void sendError(String severity, String code, String text) {
-    message(
+    sendMessage(
         'E',
         ("S" + severity + "\0V" + severity + "\0C" + code + "\0M" + text + "\0\0")
             .getBytes(StandardCharsets.UTF_8));
@@ -393,17 +436,17 @@
     closeAfterFlush();
   }
 
-  private void message(char type, byte[] body) {
+  private void sendMessage(char type, byte[] body) {
     ByteBuffer head = ByteBuffer.allocate(5).put((byte) type).putInt(body.length + 4).flip();
     if (connection.output.freeSpace() < body.length + 5) {
-      handler.defer(this::closeNow); // asks on, but does not read what it is answered
+      handler.defer(this::closeNow); // the client sends queries without reading the answers
       return;
     }
     connection.output.put(head);
     connection.output.put(body);
   }
 
-  /** Closes the session once all is written; an open query is given up. */
+  /** Closes the session once the output is written. An open query is abandoned. */
   public void closeAfterFlush() {
     connection.closeAfterFlush();
     handler.sessionEnded(this);
--- a/src/main/java/tansytrack/wire/ProtocolException.java
+++ b/src/main/java/tansytrack/wire/ProtocolException.java
@@ -1,36 +1,43 @@
 package tansytrack.wire;
 
-/** A peer said what its protocol does not allow. */
+/** Signals that a peer sent something that its protocol does not allow. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final boolean truncated;
 
-  /** A message that breaks the protocol; the text names how. */
-  public ProtocolException(String what) {
-    this(what, false);
+  /**
+   * Creates an exception for a message that violates the protocol. The text says how; it may be
+   * sent to clients, and its beginning labels a counter.
+   */
+  public ProtocolException(String message) {
+    this(message, false);
   }
 
-  /** As above; cutOff: the message just ended too early. */
-  public ProtocolException(String what, boolean cutOff) {
-    super(what, null, false, false);
-    this.truncated = cutOff;
+  /**
+   * Creates an exception for a message that violates the protocol.
+   *
+   * @param truncated whether the message is valid so far and only ends too early
+   */
+  public ProtocolException(String message, boolean truncated) {
+    super(message, null, false, false);
+    this.truncated = truncated;
   }
 
-  /** What was wrong, without the figures and words of this one case. */
+  /** Returns a counter label: the message without the numbers and values of the single case. */
   String counterLabel() {
-    StringBuilder reason = new StringBuilder();
+    StringBuilder prefix = new StringBuilder();
     for (char c : getMessage().toCharArray()) {
       if (c == ':' || c == '\'' || Character.isDigit(c)) {
         break;
       }
-      reason.append(c);
+      prefix.append(c);
     }
-    String plain = reason.toString().strip().replace(' ', '_');
-    return plain.isEmpty() ? "other" : plain;
+    String label = prefix.toString().strip().replace(' ', '_');
+    return label.isEmpty() ? "other" : label;
   }
 
-  /** Is all right as far as it goes, and only its end is missing? */
+  /** Whether the message is valid so far and only ends too early. */
   public boolean truncated() {
     return truncated;
   }
--- a/src/main/java/tansytrack/wire/RingBuffer.java
+++ b/src/main/java/tansytrack/wire/RingBuffer.java
@@ -3,46 +3,49 @@
 import java.nio.ByteBuffer;
 
 /**
- * The bytes of one direction of a connection: a ring that starts small, doubles when full, and has
- * a bound.
+ * A ring buffer for the bytes of one direction of a connection. It starts small, doubles when full,
+ * and has a maximum capacity.
  */
 public final class RingBuffer {
 
-  private static final int INITIAL_CAPACITY_BYTES = 1 << 11; // most messages are shorter
+  // Most messages are shorter.
+  private static final int INITIAL_CAPACITY_BYTES = 1 << 11;
 
-  private static final int MAX_RETAINED_CAPACITY_BYTES =
-      1 << 13; // by an empty ring: hundreds of sessions must not keep their largest
+  // An empty buffer that has grown further is shrunk, so that hundreds of sessions do not keep the
+  // memory of their largest messages.
+  private static final int MAX_RETAINED_CAPACITY_BYTES = 1 << 13;
 
   private final int maxCapacity;
   private byte[] bytes = new byte[INITIAL_CAPACITY_BYTES];
   private int head;
   private int size;
 
-  /** A ring that holds at most so many bytes; a power of two. */
-  public RingBuffer(int most) {
-    if (Integer.bitCount(most) != 1 || most < INITIAL_CAPACITY_BYTES) {
+  /** Creates a buffer with the given maximum capacity in bytes, a power of two. */
+  public RingBuffer(int maxCapacity) {
+    if (Integer.bitCount(maxCapacity) != 1 || maxCapacity < INITIAL_CAPACITY_BYTES) {
       throw new IllegalArgumentException(
-          "the bound of a ring is a power of two from " + INITIAL_CAPACITY_BYTES);
+          "the maximum capacity of a ring buffer must be a power of two of at least "
+              + INITIAL_CAPACITY_BYTES);
     }
-    this.maxCapacity = most;
+    this.maxCapacity = maxCapacity;
   }
 
-  /** How many bytes it holds. */
+  /** Returns the number of bytes in the buffer. */
   public int size() {
     return size;
   }
 
-  /** How many bytes it may hold. */
+  /** Returns the maximum capacity in bytes. */
   public int maxCapacity() {
     return maxCapacity;
   }
 
-  /** What more it could hold. */
+  /** Returns the number of bytes that can be added up to the maximum capacity. */
   public int freeSpace() {
     return maxCapacity - size;
   }
 
-  /** The byte at an index, counted from the oldest. */
+  /** Returns the byte at an index, counted from the oldest. */
   public byte byteAt(int index) {
     if (index < 0 || index >= size) {
       throw new IndexOutOfBoundsException(index);
@@ -50,7 +53,7 @@
     return bytes[head + index & bytes.length - 1];
   }
 
-  /** Four bytes, the highest first. */
+  /** Returns the big-endian integer of the four bytes at an index. */
   public int intAt(int index) {
     return (byteAt(index) & 255) << 24
         | (byteAt(index + 1) & 255) << 16
@@ -58,27 +61,27 @@
         | (byteAt(index + 3) & 255);
   }
 
-  /** Takes all of the buffer, or nothing: false if it does not fit. */
-  public boolean put(ByteBuffer from) {
-    int count = from.remaining();
+  /** Adds all remaining bytes of the source, or none; returns false if they do not fit. */
+  public boolean put(ByteBuffer source) {
+    int count = source.remaining();
     if (count > freeSpace()) {
       return false;
     }
     ensureCapacity(count);
     int tail = head + size & bytes.length - 1;
     int first = Math.min(count, bytes.length - tail);
-    from.get(bytes, tail, first);
-    from.get(bytes, 0, count - first);
+    source.get(bytes, tail, first);
+    source.get(bytes, 0, count - first);
     size += count;
     return true;
   }
 
-  /** Takes all of the bytes, or nothing: false if they do not fit. */
-  public boolean put(byte[] from) {
-    return put(ByteBuffer.wrap(from));
+  /** Adds all of the bytes, or none; returns false if they do not fit. */
+  public boolean put(byte[] source) {
+    return put(ByteBuffer.wrap(source));
   }
 
-  /** A copy of some bytes, which stay in the buffer. */
+  /** Returns a copy of bytes, which remain in the buffer. */
   public byte[] copy(int from, int count) {
     if (from < 0 || count < 0 || from + count > size) {
       throw new IndexOutOfBoundsException(from + count);
@@ -95,7 +98,7 @@
     System.arraycopy(bytes, 0, copy, first, count - first);
   }
 
-  /** Drops the oldest bytes. */
+  /** Removes the oldest bytes. */
   public void skip(int count) {
     if (count < 0 || count > size) {
       throw new IndexOutOfBoundsException(count);
@@ -108,20 +111,20 @@
     }
   }
 
-  /** Takes the first bytes out. */
+  /** Removes the oldest bytes and returns them. */
   public byte[] take(int count) {
     byte[] taken = copy(0, count);
     skip(count);
     return taken;
   }
 
-  private void ensureCapacity(int more) {
-    int wanted = bytes.length;
-    while (wanted < size + more) {
-      wanted *= 2;
+  private void ensureCapacity(int additional) {
+    int capacity = bytes.length;
+    while (capacity < size + additional) {
+      capacity *= 2;
     }
-    if (wanted > bytes.length) {
-      byte[] grown = new byte[wanted];
+    if (capacity > bytes.length) {
+      byte[] grown = new byte[capacity];
       copyTo(grown, 0, size);
       bytes = grown;
       head = 0;
--- a/src/main/java/tansytrack/wire/Sockets.java
+++ b/src/main/java/tansytrack/wire/Sockets.java
@@ -28,21 +28,30 @@
 import org.tinylog.Logger;
 
 /**
- * All sockets, on Apache MINA: its threads only hand notes over to the loop, which alone touches
- * connections.
+ * All sockets of the process, based on Apache MINA. Its I/O threads only hand events over to the
+ * event loop; only the loop's thread accesses connections.
  */
 public final class Sockets {
 
   private static final AttributeKey CONNECTION = new AttributeKey(Sockets.class, "connection");
-  private static final int BACKLOG = 1024; // as many as there can be descriptors
-  private static final int INITIAL_READ_BYTES =
-      1 << 11; // bytes of a first read, and bounds to what MINA adapts it
+
+  // As many as there can be descriptors.
+  private static final int BACKLOG = 1024;
+
+  // Initial size of the read buffer, and the limits within which MINA adapts it, in bytes.
+  private static final int INITIAL_READ_BYTES = 1 << 11;
   private static final int MAX_READ_BYTES = 1 << 14;
-  private static final int CLIENT_INPUT_BYTES = 1 << 16; // the longest message of a client
-  private static final int CLIENT_OUTPUT_BYTES =
-      1 << 19; // a result of the most bytes, in the shortest rows
-  private static final int REQUEST_OUTPUT_BYTES = 1 << 17; // a statement, with its header
 
+  // Holds the longest message of a client.
+  private static final int CLIENT_INPUT_BYTES = 1 << 16;
+
+  // Holds a result of the maximum size with rows of the minimum size.
+  private static final int CLIENT_OUTPUT_BYTES = 1 << 19;
+
+  // Holds a request with a statement and its header.
+  private static final int REQUEST_OUTPUT_BYTES = 1 << 17;
+
+  // Interval between log lines about closed connections.
   private static final long WARNING_INTERVAL_NANOS = 1_000_000_000L;
 
   private final Consumer<Runnable> eventLoop;
@@ -60,18 +69,23 @@
   private final NioSocketConnector connector = new NioSocketConnector(threads, processors);
   private Consumer<Connection> acceptHandler;
   private int openConnections;
-  private final Map<String, Long> junk = new TreeMap<>();
+  private final Map<String, Long> protocolErrors = new TreeMap<>();
   private int unloggedErrors;
   private long lastWarningAt;
 
-  /** All connections of the process; what their threads have to tell is handed to the loop. */
-  public Sockets(Consumer<Runnable> hand, LongSupplier clock) {
-    this.eventLoop = hand;
+  /**
+   * Creates the sockets.
+   *
+   * @param eventLoop runs actions on the event loop
+   * @param clock time stamps of received data, in nanoseconds
+   */
+  public Sockets(Consumer<Runnable> eventLoop, LongSupplier clock) {
+    this.eventLoop = eventLoop;
     this.clock = clock;
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
     acceptor.setReuseAddress(true);
-    acceptor.setCloseOnDeactivation(false); // or the end of listening would end all sessions
+    acceptor.setCloseOnDeactivation(false); // sessions stay open when listening ends
     acceptor.setBacklog(BACKLOG);
     acceptor.setHandler(new Handler());
     connector.setHandler(new Handler());
@@ -84,14 +98,15 @@
     config.setMaxReadBufferSize(MAX_READ_BYTES);
   }
 
-  /** More accepted connections than that are closed at once. */
-  public void maxAccepted(int most) {
-    acceptor.maxAccepted = most;
+  /** Sets the maximum number of accepted connections; further ones are closed at once. */
+  public void maxAccepted(int max) {
+    acceptor.maxAccepted = max;
   }
 
   /**
-   * Guards against crowds that connect faster than the loop can turn them away: with no descriptor
-   * left nothing could be accepted and no engine reached.
+   * Closes surplus connections on the I/O thread. Clients can connect faster than the event loop
+   * could reject them, and without free descriptors no connection could be accepted and no engine
+   * reached.
    */
   private final class Acceptor extends NioSocketAcceptor {
     private final AtomicInteger accepted = new AtomicInteger();
@@ -102,19 +117,19 @@
     }
 
     @Override
-    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel from)
+    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel channel)
         throws Exception {
-      // MINA's own count follows only as its other thread takes the sessions: a whole backlog would
-      // slip through.
+      // MINA's own count is updated later, on another thread, so a whole backlog could exceed the
+      // limit.
       if (accepted.get() < maxAccepted) {
-        NioSession session = super.accept(processor, from);
+        NioSession session = super.accept(processor, channel);
         if (session != null) {
           accepted.incrementAndGet();
           session.getCloseFuture().addListener(closed -> accepted.decrementAndGet());
         }
         return session;
       }
-      SocketChannel surplus = from.accept();
+      SocketChannel surplus = channel.accept();
       if (surplus != null) {
         surplus.close();
       }
@@ -122,80 +137,93 @@
     }
   }
 
-  /** Listens there; each connection comes as a note, and is to get its owner at once. */
-  public InetSocketAddress listen(InetSocketAddress at, Consumer<Connection> to)
+  /**
+   * Listens on an address and returns the one it is bound to.
+   *
+   * @param handler receives each accepted connection on the event loop, and must set its owner
+   */
+  public InetSocketAddress listen(InetSocketAddress address, Consumer<Connection> handler)
       throws IOException {
-    acceptHandler = to;
-    acceptor.bind(at);
+    acceptHandler = handler;
+    acceptor.bind(address);
     return acceptor.getLocalAddress();
   }
 
-  /** Accepts no more connections; those that are open stay. */
+  /** Stops accepting connections; open ones stay open. */
   public void stopListening() {
     acceptor.unbind();
   }
 
-  /** A connection that is on its way; what is written meanwhile goes out once it is up. */
-  public Connection connect(InetSocketAddress to, int mostIn, Connection.Owner owner) {
-    Connection connection = new Connection(this, mostIn, REQUEST_OUTPUT_BYTES);
+  /**
+   * Starts to establish a connection. Data written before it is established is sent afterwards.
+   *
+   * @param maxInputBytes maximum size of the input buffer in bytes
+   */
+  public Connection connect(InetSocketAddress address, int maxInputBytes, Connection.Owner owner) {
+    Connection connection = new Connection(this, maxInputBytes, REQUEST_OUTPUT_BYTES);
     connection.setOwner(owner);
     openConnections++;
-    ConnectFuture coming =
-        connector.connect(to, (session, future) -> session.setAttribute(CONNECTION, connection));
-    connection.connectFuture(coming);
-    coming.addListener(
-        done -> {
-          if (!coming.isConnected()) {
-            eventLoop.accept(() -> connection.connectFailed(coming.getException()));
+    ConnectFuture connectFuture =
+        connector.connect(
+            address, (session, future) -> session.setAttribute(CONNECTION, connection));
+    connection.connectFuture(connectFuture);
+    connectFuture.addListener(
+        completed -> {
+          if (!connectFuture.isConnected()) {
+            eventLoop.accept(() -> connection.connectFailed(connectFuture.getException()));
           }
         });
     return connection;
   }
 
-  /** The time now, by the clock that stamps what is heard. */
+  /** Returns the current time of the clock that time-stamps received data. */
   long now() {
     return clock.getAsLong();
   }
 
-  /** Connections open or on their way. */
+  /** Returns the number of connections that are open or being established. */
   public int openConnections() {
     return openConnections;
   }
 
   /**
-   * Reads on. Guards against a selector that waits up to a second, as MINA does not wake it for
-   * this: a list of a megabyte came in steps of 32 KiB a second. A flush of nothing wakes it.
+   * Resumes reading. MINA does not wake its selector for this, which waits up to a second: a list
+   * of one megabyte was received at 32 KiB a second. An empty flush wakes the selector.
    */
   void resumeRead(IoSession session) {
     session.resumeRead();
     processors.flush((NioSession) session);
   }
 
+  /** Called once for each connection that has been closed. */
   void connectionReleased(Connection connection) {
     openConnections--;
   }
 
-  /** Connections closed for what came on them, by reason. */
+  /** Returns the numbers of connections closed for protocol violations, by reason. */
   public Map<String, Long> protocolErrors() {
-    return junk;
+    return protocolErrors;
   }
 
-  /** Said once a second at most: bad peers must not take the time of the others. */
-  void protocolErrors(Connection connection, ProtocolException junk) {
-    this.junk.merge(junk.counterLabel(), 1L, Long::sum);
+  /**
+   * Counts a connection that is closed for a protocol violation, and logs it, at most once a
+   * second, so that misbehaving peers do not take the time of the others.
+   */
+  void recordProtocolError(Connection connection, ProtocolException error) {
+    protocolErrors.merge(error.counterLabel(), 1L, Long::sum);
     unloggedErrors++;
     if (clock.getAsLong() - lastWarningAt >= WARNING_INTERVAL_NANOS) {
       lastWarningAt = clock.getAsLong();
       Logger.warn(
           "connection with {} closed: {}{}",
           connection.remoteAddress(),
-          junk.getMessage(),
+          error.getMessage(),
           unloggedErrors > 1 ? " (" + unloggedErrors + " closed since the last such line)" : "");
       unloggedErrors = 0;
     }
   }
 
-  /** Closes all connections and ends the threads. */
+  /** Closes all connections and stops the I/O threads. */
   public void close() {
     acceptor.dispose(false);
     connector.dispose(false);
@@ -208,38 +236,39 @@
     }
   }
 
-  /** Runs on MINA's threads: nothing here but handing over. */
+  /** Runs on MINA's threads and only hands events over to the event loop. */
   private final class Handler extends IoHandlerAdapter {
 
     @Override
     public void sessionOpened(IoSession session) {
-      Connection known = (Connection) session.getAttribute(CONNECTION);
-      if (known != null) {
-        eventLoop.accept(() -> known.sessionOpened(session));
+      Connection outgoing = (Connection) session.getAttribute(CONNECTION);
+      if (outgoing != null) {
+        eventLoop.accept(() -> outgoing.sessionOpened(session));
         return;
       }
-      Connection fresh = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
-      session.setAttribute(CONNECTION, fresh);
+      Connection incoming = new Connection(Sockets.this, CLIENT_INPUT_BYTES, CLIENT_OUTPUT_BYTES);
+      session.setAttribute(CONNECTION, incoming);
       eventLoop.accept(
           () -> {
             openConnections++;
-            acceptHandler.accept(fresh);
-            fresh.sessionOpened(session);
+            acceptHandler.accept(incoming);
+            incoming.sessionOpened(session);
           });
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      long at = clock.getAsLong();
+      long receivedAt = clock.getAsLong();
       Connection connection = (Connection) session.getAttribute(CONNECTION);
       IoBuffer bytes = (IoBuffer) message;
       if (connection.unreadBytes.addAndGet(bytes.remaining()) > Connection.MAX_UNREAD_BYTES) {
         session.suspendRead();
         if (connection.unreadBytes.get() <= Connection.MAX_UNREAD_BYTES) {
-          session.resumeRead(); // the loop has taken it meanwhile, and saw nothing to resume
+          // The loop has processed the bytes meanwhile, before reading was suspended.
+          session.resumeRead();
         }
       }
-      eventLoop.accept(() -> connection.received(bytes, at));
+      eventLoop.accept(() -> connection.received(bytes, receivedAt));
     }
 
     @Override
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -19,11 +19,13 @@
 import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 
-/** News that cross: what the module still does with a task or an engine that is gone by then. */
+/**
+ * Tests events that cross each other: the module acts on a task or an engine that is gone by then.
+ */
 class ManagerTest {
 
   private static final long MS = 1_000_000L;
-  private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress("127.0.0.1", 1);
   private static final String CONFIG =
       "{'name':'m','listen':'127.0.0.1:0','seed':'1','limits':{'sockets':256},"
           + "'channel':'127.0.0.1:1','settings':{'skus':['k'],'extra':{'cpu_of_kind':[4],"
@@ -51,7 +53,7 @@
             PeerManagers.NONE);
     Connection connection =
         sockets.connect(
-            NOBODY,
+            UNUSED_ADDRESS,
             1 << 16,
             new Connection.Owner() {
               @Override
@@ -61,7 +63,7 @@
               public void closed(boolean wasUp) {}
             });
     session = new PgSession(connection, manager, 1, 2);
-    list("READY");
+    listEngine("READY");
     manager.processPending();
   }
 
@@ -70,74 +72,81 @@
     sockets.close();
   }
 
-  private void list(String state) {
+  private void listEngine(String state) {
     manager.engines(
         false,
         List.of(new EngineEntry("e", 1, "", "k", 0, EngineEntry.State.valueOf(state), 0)),
-        Map.of("e", NOBODY));
+        Map.of("e", UNUSED_ADDRESS));
   }
 
-  private void ask() {
+  private void sendQuery() {
     manager.query(
         session,
         "/* class=safe,id=00000000000000a1,wait=9000 */ SELECT 1".getBytes(StandardCharsets.UTF_8),
         timers.now());
   }
 
-  /** Guards against a manager that dies of a client which leaves in the same turn of the loop. */
-  @ParameterizedTest(name = "left before the turn: {0}")
+  /**
+   * The manager must not fail if a client leaves in the iteration of the loop in which its task is
+   * forwarded.
+   */
+  @ParameterizedTest(name = "left before the decision: {0}")
   @CsvSource({"true, forwards.ended.NEVER_SENT", "false, forwards.ended.UNREACHED"})
-  void aTaskThatIsLeftInTheSameTurnIsNeverSent(boolean before, String end) {
-    ask();
+  void abandonedTaskEndsItsForwardInTheSameIteration(boolean before, String endCounter) {
+    sendQuery();
     if (before) {
       manager.sessionEnded(session);
     }
     manager.processPending();
-    // Nothing ever comes up: what was sent is given up after its time.
+    // No connection is ever established: what was sent ends after the connect timeout.
     timers.now(timers.now() + 250 * MS);
     timers.runDue();
-    assertThat(manager.counters().get(end)).isEqualTo(1);
+    assertThat(manager.counters().get(endCounter)).isEqualTo(1);
     assertThat(manager.counters().get("tasks.taken")).isEqualTo(1);
     assertThat(manager.counters().get("tasks.abandoned")).isEqualTo(before ? 1 : 0);
     assertThat(manager.idle()).isEqualTo(before);
   }
 
   /**
-   * Guards against a manager that dies of an engine which goes in the turn in which it is probed.
+   * The manager must not fail if an engine leaves in the iteration of the loop in which it is
+   * probed.
    */
   @ParameterizedTest
   @ValueSource(strings = {"GONE", "DRAINING"})
-  void anEngineMayGoInTheTurnInWhichItIsProbed(String state) {
+  void engineMayLeaveWhileItIsProbed(String state) {
     timers.now(timers.now() + 60_000 * MS);
     timers.runDue();
-    list(state);
+    listEngine(state);
     manager.processPending();
     assertThat(manager.counters().get("probes.sent")).isEqualTo(1);
   }
 
-  /** Guards against an engine that is listed again in the turn of a sweep which forgets it. */
+  /**
+   * An engine that is listed again must be usable, also if that happens in the iteration of the
+   * loop in which the periodic check would remove it.
+   */
   @ParameterizedTest(name = "{0} ms later")
   @ValueSource(longs = {0, 5000})
-  void anEngineMayComeBack(long later) {
-    list("GONE");
+  void engineMayBeListedAgain(long later) {
+    listEngine("GONE");
     manager.processPending();
     timers.now(timers.now() + later * MS);
     timers.runDue();
-    list("READY");
-    ask();
+    listEngine("READY");
+    sendQuery();
     manager.processPending();
     assertThat(manager.counters().get("forwards.sent")).isEqualTo(1);
     assertThat(manager.engineCount()).isEqualTo(1);
   }
 
   /**
-   * Guards against a second copy: what a silent machine was never told to drop stays out until it
-   * must have.
+   * A forward that cannot be cancelled, as its machine does not respond, must not end before the
+   * engine has certainly dropped the query. Otherwise a second query could run next to it.
    */
   @ParameterizedTest(name = "after {0} ms: {1} ended")
   @CsvSource({"260, 0", "2010, 0", "2400, 0", "4010, 0", "4260, 0", "4400, 1"})
-  void whatCannotBeGivenUpStaysOutUntilItsEngineDropsIt(long after, long ended) {
-    ask();
+  void forwardThatCannotBeCancelledEndsWhenItsQueryExpires(long after, long ended) {
+    sendQuery();
     manager.processPending();
     manager.cancel("00000000000000a1", 0);
     long from = timers.now();
--- a/src/test/java/tansytrack/wire/PgSessionTest.java
+++ b/src/test/java/tansytrack/wire/PgSessionTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A session whose connection never sends: nobody reads what it is answered. */
+/** Tests a session whose connection never sends, as if the client did not read. */
 class PgSessionTest implements PgSession.Handler {
 
   private final Connection connection =
       new Connection(new Sockets(note -> {}, () -> 0), 1 << 16, 1 << 12);
   private final PgSession session = new PgSession(connection, this, 1, 2);
-  private final List<Runnable> later = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
   private int queries;
-  private int gone;
+  private int endedSessions;
 
   @Override
   public void query(PgSession from, byte[] statement, long at) {
@@ -31,7 +31,7 @@
 
   @Override
   public void sessionEnded(PgSession from) {
-    gone++;
+    endedSessions++;
   }
 
   @Override
@@ -39,7 +39,7 @@
 
   @Override
   public void defer(Runnable what) {
-    later.add(what);
+    deferred.add(what);
   }
 
   private void send(String start, String query) {
@@ -55,11 +55,12 @@
   }
 
   /**
-   * Guards against clients that hold a descriptor and do nothing with it, or never end a message.
+   * A client that holds a descriptor without using it, or never completes a message, is
+   * disconnected.
    */
-  @ParameterizedTest(name = "start {0}, query {1}: given up in round {2}")
+  @ParameterizedTest(name = "start {0}, query {1}: closed in round {2}")
   @CsvSource({"'', '', 5", "yes, '', 61", "yes, SELECT 1, 61", "half, '', 5", "yes, half, 5"})
-  void aClientThatDoesNothingIsCut(String start, String query, int round) {
+  void inactiveClientIsDisconnected(String start, String query, int round) {
     send(start.equals("half") ? "" : start, query.equals("half") ? "" : query);
     if (start.equals("half") || query.equals("half")) {
       connection.received(IoBuffer.wrap(new byte[] {0, 0, 0, 9, 0}), 7);
@@ -70,12 +71,12 @@
     }
     session.checkProgress();
     assertThat(connection.open()).isFalse();
-    assertThat(gone).isEqualTo(1);
+    assertThat(endedSessions).isEqualTo(1);
   }
 
   /**
-   * Guards against streams without end that cost the loop's time: 50 in a round, then the session
-   * ends.
+   * An endless stream of messages that request nothing must not take the event loop's time: after
+   * 50 in a round the session ends.
    */
   @ParameterizedTest(name = "{0} messages of {1}, a round after every {2}: ends {3}")
   @CsvSource({
@@ -88,7 +89,7 @@
     "60, unusable, 100, true",
     "60, tls, 100, true"
   })
-  void messagesThatAskForNothingAreBounded(int count, String what, int every, boolean ends) {
+  void unproductiveMessagesAreLimited(int count, String what, int every, boolean ends) {
     send(what.equals("tls") ? "" : "yes", "");
     for (int i = 1; i <= count && connection.open(); i++) {
       connection.output.skip(connection.output.size());
@@ -112,11 +113,11 @@
   }
 
   /**
-   * Guards against a long answer that is cut at its first bytes, as its task took long and nothing
-   * was said before.
+   * The time until the answer does not count as the client's inactivity. Otherwise the answer of a
+   * long task would be cut off at its first bytes.
    */
   @Test
-  void aLongWaitForAnAnswerIsNotTheClients() {
+  void timeUntilTheAnswerIsNotClientInactivity() {
     send("yes", "SELECT 1");
     connection.output.skip(connection.output.size());
     for (int i = 0; i < 100; i++) {
@@ -130,12 +131,11 @@
   }
 
   /**
-   * Guards against a client that asks on without reading: its answers must not pile up past the
-   * ring.
+   * The answers for a client that sends queries without reading must not exceed the output buffer.
    */
   @ParameterizedTest
   @CsvSource({"10, false", "100, true"})
-  void answersThatPassTheRingEndTheSession(int rows, boolean ends) {
+  void answersBeyondTheOutputBufferEndTheSession(int rows, boolean ends) {
     send("yes", "SELECT 1");
     session.sendRows(
         new String[] {"a", "b"},
@@ -143,17 +143,17 @@
             "x\ty of some length, for more than one ring\n"
                 .repeat(rows)
                 .getBytes(StandardCharsets.UTF_8)));
-    new ArrayList<>(later).forEach(Runnable::run);
+    new ArrayList<>(deferred).forEach(Runnable::run);
     assertThat(queries).isEqualTo(1);
     assertThat(session.isReleased()).isEqualTo(ends);
   }
 
   /**
-   * A query crosses the end of its session: read behind that it must not be sent on, as its answer
-   * could not leave.
+   * A query that is received after the end of its session must not be passed on, as its answer
+   * could not be sent.
    */
   @Test
-  void whatIsReadBehindTheEndOfASessionIsNotAsked() {
+  void queryAfterTheEndOfItsSessionIsIgnored() {
     send("yes", "");
     session.closeAfterFlush();
     send("", "SELECT 1");
