--- a/src/main/java/tansytrack/Main.java
+++ b/src/main/java/tansytrack/Main.java
@@ -12,7 +12,7 @@
 import tansytrack.command.Command;
 import tansytrack.service.Service;
 
-/** The command line. */
+/** Entry point: parses the command line and runs the selected command. */
 public final class Main {
 
   private static final String PROGRAM = "java -jar tansytrack.jar ";
@@ -36,19 +36,19 @@
 
   private Main() {}
 
-  /** The workload manager. */
+  /** Runs the workload manager. */
   public static final class Serve extends Command {
     @Option(
         name = "--operator",
         metaVar = "FILE",
-        usage = "the operators' file (protobuf text format): what is switched on besides")
+        usage = "operator file (protobuf text format): optional features to switch on")
     private String operator;
 
     @Override
     public String about() {
-      return "serve: runs one workload manager as the file that ROUTER_CONFIG names says, until"
-          + " SIGTERM.\n"
-          + "Exit code 2: the configuration cannot be used; 3: a failure inside.";
+      return "serve: runs one workload manager with the configuration that ROUTER_CONFIG names,"
+          + " until SIGTERM.\n"
+          + "Exit code 2: the configuration cannot be used; 3: internal failure.";
     }
 
     @Override
@@ -57,11 +57,12 @@
     }
   }
 
-  /** The decisions on the simulator's wire. */
+  /** Runs the decision code behind the simulator's protocol. */
   public static final class Bench extends Command {
     @Override
     public String about() {
-      return "adapter: the same decisions on the simulator's wire, on standard input and output.";
+      return "adapter: runs the same decision code behind the simulator's protocol, on standard"
+          + " input and output.";
     }
 
     @Override
@@ -70,23 +71,23 @@
     }
   }
 
-  /** Reads a configuration. */
+  /** Checks a configuration. */
   public static final class Check extends Command {
     @Argument(
         metaVar = "FILE",
-        usage = "the configuration; absent: the one that ROUTER_CONFIG names")
+        usage = "configuration file; default: the one that ROUTER_CONFIG names")
     private String file = System.getenv("ROUTER_CONFIG");
 
     @Option(
         name = "--operator",
         metaVar = "FILE",
-        usage = "the operators' file, to be checked as well")
+        usage = "operator file, which is checked as well")
     private String operator;
 
     @Override
     public String about() {
-      return "check: reads a configuration and says what is wrong with it. Exit code 2: it cannot"
-          + " be used.";
+      return "check: reads a configuration and reports errors in it. Exit code 2: it cannot be"
+          + " used.";
     }
 
     @Override
@@ -95,19 +96,19 @@
     }
   }
 
-  /** Runs the whole manager on loopback for a moment. */
+  /** Runs the whole manager on loopback for a short time. */
   public static final class Rehearse extends Command {
     @Argument(
         metaVar = "FILE",
-        usage = "the configuration; absent: the one that ROUTER_CONFIG names")
+        usage = "configuration file; default: the one that ROUTER_CONFIG names")
     private String file = System.getenv("ROUTER_CONFIG");
 
     @Override
     public String about() {
-      return "rehearse: serves some made-up tasks on loopback with the settings of a configuration,"
-          + " and ends. The\n"
-          + "build makes its class-data archive of this. Exit code 2: the configuration"
-          + " cannot be used.";
+      return "rehearse: serves generated tasks on loopback with the settings of a configuration,"
+          + " and exits.\n"
+          + "The build creates its class data sharing archive from this run. Exit code 2: the"
+          + " configuration cannot be used.";
     }
 
     @Override
@@ -116,11 +117,11 @@
     }
   }
 
-  /** Names the version. */
+  /** Prints the version. */
   public static final class Version extends Command {
     @Override
     public String about() {
-      return "version: names the program and its version.";
+      return "version: prints the program's name and version.";
     }
 
     @Override
@@ -131,11 +132,12 @@
     }
   }
 
-  /** Runs the command that the arguments name and ends with its exit code. */
+  /** Runs the command that the arguments name and exits with its exit code. */
   public static void main(String[] args) throws IOException {
     System.exit(run(args));
   }
 
+  /** Runs the command that the arguments name and returns its exit code. */
   static int run(String... args) throws IOException {
     Main main = new Main();
     CmdLineParser parser = new CmdLineParser(main);
--- a/src/main/java/tansytrack/command/Command.java
+++ b/src/main/java/tansytrack/command/Command.java
@@ -3,29 +3,33 @@
 import java.io.IOException;
 import org.kohsuke.args4j.Option;
 
-/** A sub-command, with its help. */
+/** A command of the command line, with its help text. */
 public abstract class Command {
 
-  /** Exit codes that all share: done, but something is missing or differs; and cannot be used. */
+  /** Exit code of a command that ran, but found something missing or different. */
   public static final int DIFFERS = 1;
 
+  /** Exit code for input that cannot be used. */
   public static final int UNUSABLE = 2;
 
-  @Option(name = "--help", aliases = "-h", help = true, usage = "say what this command does")
+  @Option(name = "--help", aliases = "-h", help = true, usage = "print what this command does")
   private boolean help;
 
-  /** What `--help` prints before the options. */
+  /** Returns the text that `--help` prints before the options. */
   public abstract String about();
 
-  /** Runs the command and gives its exit code. */
+  /** Runs the command and returns its exit code. */
   public abstract int run() throws IOException;
 
-  /** Whether `--help` was among the options. */
+  /** Returns whether `--help` was among the options. */
   public final boolean helpAsked() {
     return help;
   }
 
-  /** The one whose help is asked for, or that is to run. */
+  /**
+   * Returns the command whose help was requested or that is to run: this one, or a subcommand of
+   * it.
+   */
   public Command asked() {
     return this;
   }
--- a/src/main/java/tansytrack/command/Group.java
+++ b/src/main/java/tansytrack/command/Group.java
@@ -2,9 +2,10 @@
 
 import java.io.IOException;
 
-/** Commands under one name. */
+/** A command that consists of subcommands. */
 public abstract class Group extends Command {
 
+  /** Returns the subcommand that the arguments name. */
   protected abstract Command inner();
 
   @Override
--- a/src/main/java/tansytrack/command/Guarded.java
+++ b/src/main/java/tansytrack/command/Guarded.java
@@ -3,9 +3,10 @@
 import java.io.IOException;
 import tansytrack.settings.Unusable;
 
-/** A command that says in one line what cannot be used, and ends with code 2. */
+/** A command that reports unusable input in one line and exits with {@link #UNUSABLE}. */
 public abstract class Guarded extends Command {
 
+  /** Does the work of the command and returns its exit code. */
   protected abstract int work() throws IOException;
 
   @Override
--- a/src/main/java/tansytrack/log/Event.java
+++ b/src/main/java/tansytrack/log/Event.java
@@ -5,26 +5,28 @@
 import org.tinylog.provider.ProviderRegistry;
 
 /**
- * A log line with a name and named fields beside its text: plain lines show the text, JSON lines
- * all of it. Names and fields are for programs and stay; texts are for people.
+ * Logs structured events: a name and named fields in addition to the text. Plain log lines show
+ * only the text, JSON lines show everything. Event names and field names are a stable interface for
+ * programs; texts are for people and may change.
  */
 public final class Event {
 
+  /** Stack depth of the code that calls info, warn or error, which tinylog names as the origin. */
   private static final int CALLER = 3;
 
   private Event() {}
 
-  /** Logs an event at level INFO; the pairs are field names and values in turn. */
+  /** Logs an event at level INFO; `pairs` alternates field names and values. */
   public static void info(String name, String text, Object... pairs) {
     log(Level.INFO, name, text, pairs);
   }
 
-  /** Logs an event at level WARN; the pairs are field names and values in turn. */
+  /** Logs an event at level WARN; `pairs` alternates field names and values. */
   public static void warn(String name, String text, Object... pairs) {
     log(Level.WARN, name, text, pairs);
   }
 
-  /** Logs an event at level ERROR; the pairs are field names and values in turn. */
+  /** Logs an event at level ERROR; `pairs` alternates field names and values. */
   public static void error(String name, String text, Object... pairs) {
     log(Level.ERROR, name, text, pairs);
   }
@@ -42,7 +44,10 @@
     }
   }
 
-  /** Chooses JSON lines; before the first line is logged. */
+  /**
+   * Switches the log to JSON lines. It must be called before the first line is logged, because
+   * tinylog freezes its configuration then.
+   */
   public static void jsonLines() {
     org.tinylog.configuration.Configuration.set("writer", "json lines");
     org.tinylog.configuration.Configuration.set("writer.level", "info");
--- a/src/main/java/tansytrack/log/JsonLinesWriter.java
+++ b/src/main/java/tansytrack/log/JsonLinesWriter.java
@@ -10,16 +10,17 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Log lines as JSON objects on standard error, a line each: time, level, event, its fields,
- * message, and the trace of a failure.
+ * A tinylog writer that prints each log entry to standard error as a JSON object on a line of its
+ * own: time, level, event, the event's fields, message, and the stack trace of an exception.
  */
 public final class JsonLinesWriter implements Writer {
 
+  /** Key of the event's name, both in the thread context and in the JSON object. */
   static final String EVENT = "event";
 
   private final PrintStream out;
 
-  /** For tinylog, which makes it by its name. */
+  /** Called by tinylog, which creates the writer by its service name. */
   public JsonLinesWriter(Map<String, String> properties) {
     this(System.err);
   }
@@ -73,7 +74,7 @@
         .append(quoted(value));
   }
 
-  /** A text as a JSON string. */
+  /** Returns the text as a JSON string literal, with its quotation marks. */
   public static String quoted(String text) {
     StringBuilder made = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -33,8 +33,8 @@
 import tansytrack.settings.Unusable;
 
 /**
- * The operators' file, read and checked; what it does not name is off. Errors name file, line,
- * column, field, what is allowed.
+ * The operator file, parsed and validated. A section that the file does not contain is off. Error
+ * messages name the file, line, column and field, and the allowed values.
  */
 public final class OperatorFile {
 
@@ -42,7 +42,17 @@
   private static final long HOUR = 3_600_000_000_000L;
   private static final int LONGEST_DECIMAL = 24;
 
-  /** The ledger's section; times in nanoseconds. */
+  /**
+   * The ledger's section; times are in nanoseconds.
+   *
+   * @param afterCommit whether answers wait for the commit of the task's entry
+   * @param intentsFirst whether forwards wait for the commit of their intent
+   * @param bounces whether new tasks are bounced while the queue to the disk is full
+   * @param mostWait how long an answer or a forward waits for the disk at most
+   * @param mostUnwritten how many lines may be on their way to the disk
+   * @param billingText the billing section and the waste setting as text, stored with a closed
+   *     period
+   */
   public record LedgerSection(
       Path folder,
       boolean afterCommit,
@@ -57,10 +67,10 @@
       List<QuotaLine> quotas,
       String billingText) {}
 
-  /** Use in a period that is worth a warning; 0: no bound. */
+  /** Usage of a tenant in a billing period that triggers a warning; 0 means no limit. */
   public record QuotaLine(String tenant, long tasks, long work) {}
 
-  /** The other managers; times in nanoseconds, addresses as they stand. */
+  /** The fleet section: the other managers. Times are in nanoseconds, addresses are text. */
   public record FleetSection(
       String name,
       String place,
@@ -70,7 +80,7 @@
       int mostBytes,
       long settle) {}
 
-  /** One of them. */
+  /** Another manager of the fleet; seeds are contacted first at a start. */
   public record PeerLine(String name, String address, boolean seed) {}
 
   private final LedgerSection ledger;
@@ -83,22 +93,26 @@
     this.fleet = fleet;
   }
 
-  /** The section on the other managers, or null. */
+  /** Returns the fleet section, or null if the file has none. */
   public FleetSection fleet() {
     return fleet;
   }
 
-  /** The ledger's section, or null. */
+  /** Returns the ledger section, or null if the file has none. */
   public LedgerSection ledger() {
     return ledger;
   }
 
-  /** Are log lines JSON objects? */
+  /** Returns whether log lines are JSON objects. */
   public boolean jsonLines() {
     return jsonLines;
   }
 
-  /** Reads and checks a file on disk; an error names the file, the line and the column. */
+  /**
+   * Reads and validates a file on disk.
+   *
+   * @throws Unusable if the file cannot be read or is invalid; its message names file, line, column
+   */
   public static OperatorFile read(String file) {
     String text;
     try {
@@ -109,7 +123,7 @@
     return of(file, text);
   }
 
-  /** Checks the given text; the file's name is used in error messages alone. */
+  /** Parses and validates the text; the file name is used only in error messages. */
   public static OperatorFile of(String file, String text) {
     Operator.Builder made = Operator.newBuilder();
     TextFormatParseInfoTree.Builder places = TextFormatParseInfoTree.builder();
@@ -131,7 +145,7 @@
             : null);
   }
 
-  /** Where a section stands, to name its fields by line and column. */
+  /** Location of a section in the file, to report its fields by line and column. */
   private record Place(String file, TextFormatParseInfoTree tree) {
 
     Place in(FieldDescriptor field, int index) {
@@ -160,7 +174,7 @@
           field(Ledger.getDescriptor(), "folder"),
           0,
           from.getFolder(),
-          "a folder on a disk that lasts");
+          "a folder on a persistent disk");
     }
     int every =
         ranged(
@@ -182,7 +196,7 @@
     Periods periods = periods(billing, billingPlace);
     if (billing.getGraceHours() < 0) {
       throw billingPlace.wrong(
-          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "0 and more");
+          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "at least 0");
     }
     return new LedgerSection(
         Path.of(from.getFolder()),
@@ -207,7 +221,10 @@
       Quota quota = billing.getQuotas(i);
       if (quota.getTasks() < 0 || quota.getWorkSeconds() < 0) {
         throw billingPlace.wrong(
-            field(Billing.getDescriptor(), "quotas"), i, quota.getTenant(), "amounts from 0 on");
+            field(Billing.getDescriptor(), "quotas"),
+            i,
+            quota.getTenant(),
+            "amounts of at least 0");
       }
       quotas.add(
           new QuotaLine(
@@ -233,19 +250,19 @@
             field(Peer.getDescriptor(), "name"),
             0,
             peer.getName(),
-            "each manager once, this one left out");
+            "the unique names of the other managers, without this one");
       }
       if (!addresses.add(address(peer.getAddress(), Peer.getDescriptor(), at))) {
         throw at.wrong(
             field(Peer.getDescriptor(), "address"),
             0,
             peer.getAddress(),
-            "an address of its own for each manager");
+            "a unique address for each manager");
       }
       peers.add(new PeerLine(peer.getName(), peer.getAddress(), peer.getSeed()));
     }
     if (peers.isEmpty()) {
-      throw place.wrong(field(section, "peers"), 0, "", "one and more");
+      throw place.wrong(field(section, "peers"), 0, "", "at least one");
     }
     return new FleetSection(
         from.getName(),
@@ -270,7 +287,7 @@
           field(of, "name"),
           0,
           name,
-          "1 to 48 of letters, digits, '.', '_' and '-', a letter or digit first");
+          "1 to 48 letters, digits, '.', '_' or '-', starting with a letter or digit");
     }
     return name;
   }
@@ -349,7 +366,7 @@
             field(Rate.getDescriptor(), "from_date"),
             0,
             rate.getFromDate(),
-            "a day, as in 2026-12-01");
+            "a date, as in 2026-12-01");
       }
       Rates.Rate made =
           new Rates.Rate(
@@ -368,7 +385,7 @@
               field(Billing.getDescriptor(), "rates"),
               i,
               rate.getTenant() + '/' + rate.getGrade() + " from " + from,
-              "one rate for a tenant, grade and day");
+              "one rate per tenant, grade and date");
         }
       }
       rates.add(made);
@@ -384,6 +401,9 @@
       return new BigDecimal(text);
     }
     throw place.wrong(
-        field(Rate.getDescriptor(), name), 0, text, "a plain decimal from 0 on, as in \"0.0125\"");
+        field(Rate.getDescriptor(), name),
+        0,
+        text,
+        "a plain decimal of at least 0, as in \"0.0125\"");
   }
 }
--- a/src/test/java/tansytrack/log/EventTest.java
+++ b/src/test/java/tansytrack/log/EventTest.java
@@ -13,6 +13,7 @@
 import tansytrack.wire.Json;
 import tansytrack.wire.Junk;
 
+/** The JSON form of log lines. */
 class EventTest {
 
   @Test
--- a/src/test/java/tansytrack/operator/OperatorFileTest.java
+++ b/src/test/java/tansytrack/operator/OperatorFileTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.settings.Unusable;
 
-/** The operators' file: what it gives, and how its faults are said. */
+/** The operator file: its values and defaults, and the error messages for invalid files. */
 class OperatorFileTest {
 
   @Test
@@ -60,19 +60,19 @@
             + " plain decimal",
         "ledger { folder: 'x' billing { rates { per_task: '-1' } } } | per_task: '-1'",
         "ledger { folder: 'x' billing { rates { from_date: 'soon' } } } | from_date: 'soon';"
-            + " allowed: a day",
+            + " allowed: a date",
         "ledger { folder: 'x' billing { rates { tenant: 'a' } rates { tenant: 'a' } } } | one rate"
-            + " for a tenant",
+            + " per tenant, grade and date",
         "fleet { } | address: missing; allowed: an IPv4 address",
         "fleet { address: 'host:1' } | address: 'host:1'; allowed: an IPv4 address with a port",
         "fleet { address: '10.0.0.256:1' } | '10.0.0.256:1'",
-        "fleet { address: '10.0.0.1:7' } | peers: missing; allowed: one and more",
+        "fleet { address: '10.0.0.1:7' } | peers: missing; allowed: at least one",
         "fleet { address: '10.0.0.1:7'@ peers { name: 'a b' address: '10.0.0.2:7' } } | f:2:10:"
-            + " name: 'a b'; allowed: 1 to 48 of letters",
-        "fleet { address: '10.0.0.1:7' peers { name: 'a' address: '10.0.0.1:7' } } | an address of"
-            + " its own for each manager",
+            + " name: 'a b'; allowed: 1 to 48 letters",
+        "fleet { address: '10.0.0.1:7' peers { name: 'a' address: '10.0.0.1:7' } } | a unique"
+            + " address for each manager",
         "fleet { name: 'a' address: '10.0.0.1:7' peers { name: 'a' address: '10.0.0.2:7' } } |"
-            + " name: 'a'; allowed: each manager once",
+            + " name: 'a'; allowed: the unique names of the other managers",
         "fleet { address: '10.0.0.1:7' probe_every_ms: 5 peers { name: 'a' address: '10.0.0.2:7' }"
             + " } | probe_every_ms: '5'; allowed: 100 to 10000"
       })
