--- a/src/main/java/tansytrack/service/Channel.java
+++ b/src/main/java/tansytrack/service/Channel.java
@@ -15,19 +15,29 @@
 import tansytrack.wire.Junk;
 import tansytrack.wire.Sockets;
 
-/** The command channel: one long poll after the other, resumed by number. */
+/**
+ * Client of the command channel, which reports the engine list: sends one long poll after another,
+ * each of which resumes behind the last event that was applied.
+ */
 final class Channel implements HttpLine.Holder, HttpLine.Caller {
 
   private static final long MS = 1_000_000L;
-  private static final long BLOCK = 1000; // short, so that a silent connection is soon noticed
-  private static final long AT_ONCE =
-      1; // the first one: what has come since the known list was written
-  private static final long SILENT = 500 * MS; // over the block: then the connection is given up
-  private static final long PAUSE = 50 * MS; // before a new connection after one that failed
+
+  /** How long the server may hold a poll; short, so that a dead connection is noticed soon. */
+  private static final long BLOCK = 1000;
+
+  /** The first poll asks only for the events since the configuration was written. */
+  private static final long AT_ONCE = 1;
+
+  /** Time without an answer beyond the block after which the connection is dropped. */
+  private static final long SILENT = 500 * MS;
+
+  /** Delay before the next poll after repeated failures, or after an early answer without events. */
+  private static final long PAUSE = 50 * MS;
 
   /**
-   * Bytes of the ring; a list may take half of it: 2 MiB, some 11,000 engines of 190 bytes each.
-   * The ring grows only as far as a list fills it.
+   * Size limit of the receive ring. An engine list may take half of it, 2 MiB, which is some 11,000
+   * engines of 190 bytes each. The ring grows only as far as a list fills it.
    */
   private static final int LONGEST = 1 << 22;
 
@@ -39,9 +49,15 @@
   private Timers.Timer timer;
   private long cursor;
   private long askedAt;
-  private int failures; // running
+
+  /** Failures since the last usable answer. */
+  private int failures;
+
+  /** Whether a warning was logged since the last usable answer. */
   private boolean complained;
-  private boolean current; // it has answered since the start
+
+  /** Whether the channel has answered a poll since the start. */
+  private boolean current;
 
   Channel(Sockets sockets, Timers timers, InetSocketAddress address, Manager manager) {
     this.sockets = sockets;
@@ -50,7 +66,10 @@
     this.manager = manager;
   }
 
-  /** Applies events; those known already are skipped. */
+  /**
+   * Applies the events of an answer or of the configuration's `known` field; events up to the cursor
+   * are skipped.
+   */
   void take(Object told) throws Junk {
     Map<String, Object> all = Json.map(told, "the channel's answer");
     for (Object event : Json.list(all.get("cmds"), "cmds")) {
@@ -70,7 +89,8 @@
   private void nodes(Map<String, Object> nodes) throws Junk {
     List<EngineEntry> entries = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    Map<String, String> words = new HashMap<>(); // places and kinds: each once in memory
+    // Shares one string among all engines of the same place or kind.
+    Map<String, String> words = new HashMap<>();
     for (Object member : Json.list(nodes.get("members"), "members")) {
       Map<String, Object> one = Json.map(member, "a member");
       String id = Json.text(one.get("id"), "id");
@@ -107,8 +127,8 @@
   }
 
   /**
-   * Asks there from now on, for what follows the last event that it has: the numbers go on, and
-   * what the old address was about to tell is told again by the new one.
+   * Switches to another address of the channel. Polling resumes behind the last event applied: the
+   * new address continues the numbering, and repeats what the old one had not yet delivered.
    */
   void move(InetSocketAddress to, Object known) {
     try {
@@ -122,8 +142,8 @@
   }
 
   /**
-   * Takes the events that a file holds and that follow on from the last one; behind a gap the
-   * channel tells all.
+   * Applies the events of a configuration file that directly follow the last one applied. After a
+   * gap in the numbers the rest is left to the channel, which delivers all events.
    */
   private void follow(Object known) throws Junk {
     for (Object event : Json.list(Json.map(known, "known").get("cmds"), "cmds")) {
@@ -134,13 +154,14 @@
   }
 
   /**
-   * Does the manager know what the channel had to tell by now, and not only what its file held at
-   * the start?
+   * Returns whether the channel has answered since the start, so that the engine list is not only
+   * that of the configuration file.
    */
   boolean current() {
     return current;
   }
 
+  /** Sends the next poll, on a new connection if there is none. */
   void ask() {
     if (line == null) {
       line = new HttpLine(sockets, address, LONGEST, this);
@@ -151,6 +172,7 @@
     line.call("GET", "/cmd/next?resume=" + cursor + "&block=" + block, "", new byte[0], this);
   }
 
+  /** Stops polling and closes the connection. */
   void close() {
     timer.cancel();
     if (line != null) {
@@ -172,18 +194,17 @@
     long before = cursor;
     take(Json.read(answer.body()));
     timer.cancel();
-    // Guards against a channel that answers at once with nothing: asking it again at once would
-    // never end.
+    // A channel that answers at once without new events would otherwise be polled in a busy loop.
     boolean early = current && cursor == before && timers.now() - askedAt < PAUSE;
     current = true;
     failures = 0;
     complained = false;
     manager.counters().add("channel.answers");
-    // Not within this call: the connection is free for the next one only behind it.
+    // Not within this call: the connection accepts the next request only after it returns.
     timer = timers.at(timers.now() + (early ? PAUSE : 0), this::ask);
   }
 
-  /** A list that is still coming is no silence, however long it takes. */
+  /** Restarts the timeout: a list that is still arriving may take any time. */
   @Override
   public void part() {
     timer.cancel();
@@ -191,21 +212,21 @@
   }
 
   /**
-   * Asked again at once, as what breaks counts as told soon; a failure right behind another waits a
-   * little.
+   * Polls again at once after a first failure, because events count as delivered soon after a break;
+   * a failure that directly follows another is retried after a delay.
    */
   @Override
   public void failed(HttpLine.Failure why) {
     timer.cancel();
-    complain("connection lost, or an answer of no use");
+    complain("connection lost or unusable answer");
     timer = timers.at(timers.now() + (failures++ == 0 ? 0 : PAUSE), this::ask);
   }
 
-  /** Once for each time that it goes wrong. */
+  /** Counts a failure; warns only on the first one since the last usable answer. */
   private void complain(String what) {
     manager.counters().add("channel.failed");
     if (!complained) {
-      Logger.warn("command channel: {}; asking again, the known list stays", what);
+      Logger.warn("command channel: {}; polling again, the known engine list stays in use", what);
     }
     complained = true;
   }
--- a/src/main/java/tansytrack/service/Clock.java
+++ b/src/main/java/tansytrack/service/Clock.java
@@ -4,13 +4,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Nanoseconds of the Unix clock, going forward evenly: the machine's steady clock, led after the
- * Unix clock in steps too small to matter.
+ * Unix time in nanoseconds that advances evenly: the monotonic clock plus an offset, which is slewed
+ * toward the Unix clock in small steps.
  */
 final class Clock implements LongSupplier {
 
   private static final long LED_EVERY = 1_000_000_000L;
-  private static final long STEP = 1_000_000L; // at most, each time
+
+  /** Limit of the correction in one interval. */
+  private static final long STEP = 1_000_000L;
 
   private volatile long offset = unix() - System.nanoTime();
   private long ledAt = System.nanoTime();
@@ -25,7 +27,7 @@
     return System.nanoTime() + offset;
   }
 
-  /** Called by the loop alone. */
+  /** Corrects the offset if the interval has passed; called only by the event loop. */
   void lead() {
     long steady = System.nanoTime();
     if (steady - ledAt >= LED_EVERY) {
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -14,15 +14,17 @@
 import tansytrack.wire.Junk;
 
 /**
- * The file that holds the configuration, which others replace while managers start and run. Guards
- * against the moment in which it is missing, empty, cut off or changing: it is read again for a
- * while. A wrong value in a whole file is final at once. Harm: where the file is wrong for good in
- * one of those ways, that is said only after the while.
+ * The configuration file, which may be replaced by others while managers start and run. While it is
+ * missing, empty, truncated or changing, it is read again until a timeout; a wrong value in a
+ * complete file is an error at once. The disadvantage: a file that stays missing or truncated is
+ * reported only after the timeout.
  */
 final class ConfigFile {
 
   private static final long MS = 1_000_000L;
-  private static final long PAUSE = 20 * MS; // between two looks
+
+  /** Time between two attempts to read the file. */
+  private static final long PAUSE = 20 * MS;
 
   private final Path path;
 
@@ -33,10 +35,15 @@
     this.path = Path.of(path);
   }
 
-  /** A configuration that was read whole, where its channel is, and what was read. */
+  /**
+   * A configuration that was read completely.
+   *
+   * @param channel the resolved address of the command channel
+   * @param from the file and its size, for error messages
+   */
   record Whole(Config config, InetSocketAddress channel, String from) {}
 
-  /** It cannot be used, but may be whole a moment later. */
+  /** The file cannot be used now, but may be complete a moment later. */
   static final class Unsettled extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -45,7 +52,10 @@
     }
   }
 
-  /** Reads it, again and again where it is not settled, until that time of the steady clock. */
+  /**
+   * Reads the file, repeatedly while it is incomplete, until `until`, a value of {@link
+   * System#nanoTime}.
+   */
   Whole read(long until) throws IOException {
     boolean said = false;
     while (true) {
@@ -58,23 +68,29 @@
         }
         if (!said) {
           said = true;
-          Logger.warn("{}; read again for up to {} ms", e.getMessage(), left / MS);
+          Logger.warn("{}; retrying for up to {} ms", e.getMessage(), left / MS);
         }
         nap(Math.min(PAUSE, left));
       }
     }
   }
 
-  /** Waits on a thread that is not the loop's. */
+  /** Sleeps; must not be called by the event loop's thread. */
   static void nap(long time) throws IOException {
     try {
       Thread.sleep(time / MS, (int) (time % MS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("told to end while waiting", e);
+      throw new IOException("interrupted while waiting", e);
     }
   }
 
+  /**
+   * Reads the file once.
+   *
+   * @throws Unsettled if the file is missing, empty, truncated or changing
+   * @throws Unusable if the file is complete and its content is wrong, or if it may not be read
+   */
   Whole readOnce() throws IOException {
     BasicFileAttributes before;
     byte[] bytes;
@@ -89,7 +105,7 @@
     } catch (NoSuchFileException e) {
       throw new Unsettled(path + " is missing");
     } catch (AccessDeniedException e) {
-      throw new Unusable(path + " may not be read");
+      throw new Unusable(path + " cannot be read: permission denied");
     } catch (IOException e) {
       throw new Unsettled(path + " cannot be read: " + e.getMessage());
     }
@@ -108,6 +124,7 @@
     }
   }
 
+  /** Returns the error of a file that may be whole later; throws that of a file that is wrong. */
   private static IOException unusable(
       String what,
       Exception why,
@@ -116,7 +133,7 @@
       BasicFileAttributes after,
       int size) {
     if (cutOff) {
-      return new Unsettled(what + " is cut off: " + why.getMessage());
+      return new Unsettled(what + " is truncated: " + why.getMessage());
     }
     if (before.size() != size
         || after.size() != size
--- a/src/main/java/tansytrack/service/ConfigurationFilePoller.java
+++ b/src/main/java/tansytrack/service/ConfigurationFilePoller.java
@@ -8,28 +8,28 @@
 import org.tinylog.Logger;
 
 /**
- * Looks at the configuration file in place of SIGHUP. Guards against a start under nohup or the
- * like: a signal that was ignored when a JVM started stays ignored, so that a manager would go on
- * asking a command channel that has moved, and send to engines drained since. Harm: a file that is
- * replaced is taken without a word from whoever replaced it.
+ * Polls the configuration file, in place of SIGHUP, when the process was started under nohup or the
+ * like. A signal that is ignored when a JVM starts stays ignored, so the manager would keep polling
+ * a command channel that has moved, and send to engines drained since. The disadvantage: a replaced
+ * file takes effect without a signal from the operator.
  */
 final class ConfigurationFilePoller implements Runnable {
 
-  private static final long PAUSE =
-      250_000_000L; // between two looks; the platform counts 4 s from the signal on
+  /** Far below the 4 s after the signal in which the platform expects the change to take effect. */
+  private static final long PAUSE = 250_000_000L;
 
   private final Path path;
   private final Runnable changed;
   private List<Object> seen;
 
-  /** What changes from now on counts. */
+  /** Creates a poller that reports changes of the file from now on. */
   ConfigurationFilePoller(String path, Runnable changed) {
     this.path = Path.of(path);
     this.changed = changed;
     seen = look();
   }
 
-  /** What tells one state of the file from the next; empty where there is none. */
+  /** Returns attributes that differ between versions of the file; empty if it does not exist. */
   private List<Object> look() {
     try {
       BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
@@ -39,13 +39,14 @@
     }
   }
 
+  /** Starts polling on a daemon thread. */
   void start() {
     Logger.warn(
-        "SIGHUP was ignored when this program was started (nohup?) and stays so; {} is looked at"
+        "SIGHUP was ignored when this process was started (nohup?) and stays ignored; polling {}"
             + " every {} ms instead",
         path,
         PAUSE / 1_000_000L);
-    Thread thread = new Thread(this, "looks");
+    Thread thread = new Thread(this, "config-poller");
     thread.setDaemon(true);
     thread.start();
   }
@@ -64,7 +65,7 @@
         }
       }
     } catch (IOException e) {
-      // told to end
+      // interrupted: the process is exiting
     }
   }
 }
--- a/src/main/java/tansytrack/service/ConfigurationReload.java
+++ b/src/main/java/tansytrack/service/ConfigurationReload.java
@@ -7,27 +7,33 @@
 import tansytrack.settings.Unusable;
 
 /**
- * What SIGHUP sets off, on the thread that the machine starts for each signal: the file is read
- * there, the loop gets what was made of it, in the order read. The last whole file wins: a signal
- * that comes while the file is being read has it read once more behind that, however many come.
+ * Reloads the configuration on SIGHUP. The file is read on the thread that the JVM starts for each
+ * signal; the results are handed to the event loop in the order read. The last complete file wins:
+ * signals that arrive while the file is being read cause one more read after it, however many there
+ * are.
  */
 final class ConfigurationReload {
 
-  static final long PATIENCE =
-      2_000_000_000L; // for a file that is not settled; the platform counts 4 s
+  /** Limit for an incomplete file; the platform expects the change to take effect within 4 s. */
+  static final long PATIENCE = 2_000_000_000L;
 
   private final ConfigFile file;
   private final AtomicBoolean asked = new AtomicBoolean();
-  private Consumer<ConfigFile.Whole> to; // null until there is a manager
+
+  /** Receives configurations; null until a manager listens. */
+  private Consumer<ConfigFile.Whole> to;
+
+  /** Whether a signal arrived while there was no consumer. */
   private boolean missed;
 
   ConfigurationReload(ConfigFile file) {
     this.file = file;
   }
 
+  /** Reads the file and hands it on; called on the thread of a signal or of the poller. */
   void signalled() {
     if (asked.getAndSet(true)) {
-      return; // one that waits its turn will read what this one asks for
+      return; // another thread waits to read the file, and will see this change as well
     }
     synchronized (this) {
       asked.set(false);
@@ -38,14 +44,16 @@
       try {
         to.accept(file.read(System.nanoTime() + PATIENCE));
       } catch (IOException | Unusable e) {
-        Logger.warn("the new configuration cannot be used, the old one stays: {}", e.getMessage());
+        Logger.warn(
+            "the new configuration cannot be used, the old one stays in effect: {}",
+            e.getMessage());
       }
     }
   }
 
   /**
-   * From here on there is a manager that can take a new one; what was signalled before is made up
-   * for.
+   * Sets the consumer of new configurations. If a signal arrived before, the file is read now, on a
+   * new thread.
    */
   void to(Consumer<ConfigFile.Whole> manager) {
     synchronized (this) {
@@ -54,7 +62,7 @@
         return;
       }
     }
-    Thread thread = new Thread(this::signalled, "reread");
+    Thread thread = new Thread(this::signalled, "config-reload");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/main/java/tansytrack/service/Installed.java
+++ b/src/main/java/tansytrack/service/Installed.java
@@ -19,14 +19,14 @@
 import tansytrack.settings.Config;
 import tansytrack.settings.Unusable;
 
-/** What the operators' file switches on; loaded only where there is one. */
+/** Creates the features that the operator file switches on; loaded only if there is such a file. */
 final class Installed {
 
   private static final int DIGEST_BYTES = 6;
 
   private Installed() {}
 
-  /** Reads the file; before the first line is logged, as it chooses their form. */
+  /** Reads the file. Must run before the first line is logged, as it selects the log's format. */
   static Service.Extras extras(String file) {
     OperatorFile all = OperatorFile.read(file);
     if (all.jsonLines()) {
@@ -59,7 +59,7 @@
             file
                 + ": fleet: peers: '"
                 + name
-                + "' is this manager's own name; allowed: the others");
+                + "' is this manager's own name; allowed: the names of the others");
       }
       String version = Installed.class.getPackage().getImplementationVersion();
       try {
@@ -115,7 +115,7 @@
     return parts.toString();
   }
 
-  /** Reads it and says what is on; opens nothing. */
+  /** Reads the file and returns a summary of what it switches on; opens nothing. */
   static String said(String file) {
     OperatorFile all = OperatorFile.read(file);
     OperatorFile.LedgerSection ledger = all.ledger();
@@ -132,6 +132,6 @@
             + (fleet == null
                 ? ""
                 : "; fleet of " + (fleet.peers().size() + 1) + " at " + fleet.address());
-    return said.isEmpty() ? "; nothing more is switched on" : said;
+    return said.isEmpty() ? "; no optional feature is switched on" : said;
   }
 }
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -13,22 +13,24 @@
 import tansytrack.wire.Junk;
 
 /**
- * One short run of the whole manager on loopback, between an engine and a client made up here, so
- * that an archive of class data made at its end holds what serving needs: a manager on part of a
- * core loads and links for seconds otherwise.
+ * A short run of the whole manager on loopback, between a simulated engine and a simulated client. A
+ * class data sharing archive that is created when it exits contains the classes that serving needs;
+ * without it, a manager on a fraction of a core loads and links classes for seconds.
  */
 final class Rehearsal {
 
   private static final int TASKS = 200;
-  private static final int PATIENCE_MS =
-      2000; // for one answer; then the rehearsal ends with what it has
+
+  /** Limit for one answer; after it the rehearsal ends early. */
+  private static final int PATIENCE_MS = 2000;
+
   private static final String PAGE = "a\tb\tc\n".repeat(40);
 
   private Rehearsal() {}
 
   /**
-   * Plays it with the settings of that configuration and gives the tasks handled; few only make the
-   * archive smaller.
+   * Runs the rehearsal with the settings of the configuration and returns the number of tasks
+   * handled. If only some are handled, the archive is smaller, but valid.
    */
   static long play(Config config) throws Junk, InterruptedException {
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -64,7 +66,7 @@
       loop.join();
       return service.handled();
     } catch (IOException e) {
-      System.err.println("tansytrack: the rehearsal ended early: " + e);
+      System.err.println("tansytrack: rehearsal ended early: " + e);
       return 0;
     }
   }
@@ -83,13 +85,13 @@
         start(() -> serve(one));
       }
     } catch (IOException e) {
-      // the rehearsal is over
+      // the server socket was closed at the end of the rehearsal
     }
   }
 
   /**
-   * Each query is said to run on at first; its result has two pages. The command channel has
-   * nothing new.
+   * Answers as an engine and as the command channel. Each query is reported as still running at
+   * first; its result has two pages. The command channel reports no new events.
    */
   private static void serve(Socket one) {
     try (one) {
@@ -112,11 +114,11 @@
         one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException e) {
-      // closed
+      // the connection was closed
     }
   }
 
-  /** The head of the next call, up to its blank line. */
+  /** Reads the head of the next request, with the blank line that ends it. */
   static String head(DataInputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
@@ -125,12 +127,13 @@
     return head.toString();
   }
 
-  /** The length of the body behind it. */
+  /** Returns the length of the body that follows the head. */
   static int length(String head) {
     int at = head.indexOf("Content-Length: ");
     return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
   }
 
+  /** Returns an HTTP response; each of the header fields ends with CR LF. */
   static String say(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
@@ -142,6 +145,7 @@
         + body;
   }
 
+  /** Runs the client: a session that sends an empty query, SHOW STATS, and then tasks. */
   private static void ask(InetSocketAddress at, Config config) {
     try (Socket socket = new Socket()) {
       socket.connect(at);
@@ -180,11 +184,11 @@
         answer(in);
       }
     } catch (IOException e) {
-      System.err.println("tansytrack: the rehearsal's client ended early: " + e);
+      System.err.println("tansytrack: client of the rehearsal ended early: " + e);
     }
   }
 
-  /** Reads up to the next ReadyForQuery. */
+  /** Reads messages up to the next ReadyForQuery. */
   private static void answer(DataInputStream in) throws IOException {
     int type;
     do {
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -29,33 +29,54 @@
 import tansytrack.wire.Junk;
 import tansytrack.wire.Sockets;
 
-/** One workload manager from start to stop, and the one loop that all its parts run in. */
+/** One workload manager from start to stop, with the event loop that all its parts run in. */
 public final class Service {
 
   private static final long MS = 1_000_000L;
   private static final int UNUSABLE = 2;
   private static final int FAILED = 3;
-  private static final long LONGEST_NAP = 1000 * MS; // of the loop, with nothing due
-  private static final int MOST_NOTES =
-      2048; // taken before timers and decisions have their turn: what came
-  // in time must not be judged as late, whatever the lag
-
-  // After SIGTERM, by the platform: new connections for 0.4 s, requests on open ones for 0.2 s
-  // more; the rest of COMING
-  // is for the lag of a manager on part of a core, which reads late what came in time. SIGKILL
-  // after the longest
-  // deadline, 3 s of it at most, and 0.7 s more.
+
+  /** How long the loop waits for an event at most when no timer is due. */
+  private static final long LONGEST_NAP = 1000 * MS;
+
+  /**
+   * Events that are processed before timers and decisions run. Large, so that events which arrived
+   * in time are not judged as late when the loop lags.
+   */
+  private static final int MOST_NOTES = 2048;
+
+  /**
+   * How long the manager listens after SIGTERM. The platform opens new connections for 0.4 s, and
+   * sends requests on open ones for 0.2 s more; the rest allows for the lag of a manager on a
+   * fraction of a core, which reads late what arrived in time.
+   */
   private static final long COMING = 1000 * MS;
-  private static final long LAST_CALL =
-      100 * MS; // before that, in which those that came last are answered
+
+  /** Time before the kill that stays for answers to the requests that arrived last. */
+  private static final long LAST_CALL = 100 * MS;
+
+  /**
+   * The platform sends SIGKILL after the longest deadline, of which it counts at most this much, and
+   * {@link #KILL_MARGIN}.
+   */
   private static final long LONGEST_TO_KILL = 3000 * MS;
+
   private static final long KILL_MARGIN = 700 * MS;
-  private static final String IN_USE = "in use"; // the machine's words for EADDRINUSE
+
+  /** Part of the operating system's message for EADDRINUSE. */
+  private static final String IN_USE = "in use";
+
   private static final long BIND_PAUSE = 50 * MS;
-  private static final long START_PATIENCE =
-      5000 * MS; // for the file and the address of the start together
-  private static final long FIRST_NEWS = 500 * MS; // what the channel's first answer is waited for
-  private static final long POLL = 10 * MS; // between looks whether all is answered
+
+  /** Limit for reading the configuration file and binding the address, together. */
+  private static final long START_PATIENCE = 5000 * MS;
+
+  /** How long a start waits for the command channel's first answer. */
+  private static final long FIRST_NEWS = 500 * MS;
+
+  /** Time between checks, during shutdown, whether all requests are answered. */
+  private static final long POLL = 10 * MS;
+
 
   private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
   private final Clock clock = new Clock();
@@ -66,12 +87,18 @@
   private final TaskWatch watch;
   private final Siblings siblings;
   private final CountDownLatch ended = new CountDownLatch(1);
-  private Config config; // as last read
+
+  /** The configuration as last read. */
+  private Config config;
+
   private boolean stopping;
-  private boolean parting; // its sessions are closed: it needs no list any more
+
+  /** Whether the sessions are closed, so that the engine list is no longer needed. */
+  private boolean parting;
+
   private boolean stopped;
 
-  /** Makes what listens to the tasks of one manager. */
+  /** Creates the listener to the tasks of one manager. */
   interface WatchMaker {
     WatchMaker NONE = (config, timers, inbox) -> TaskWatch.NONE;
 
@@ -79,8 +106,8 @@
   }
 
   /**
-   * Makes what keeps in touch with the other managers; how many there are goes to the given one, on
-   * any thread.
+   * Creates the link to the other managers. It reports the number of managers to `count`, on any
+   * thread.
    */
   interface SiblingsMaker {
     SiblingsMaker NONE = (config, count) -> Siblings.NONE;
@@ -88,7 +115,7 @@
     Siblings make(Config config, IntConsumer count);
   }
 
-  /** What the operators' file switches on. */
+  /** The features that the operator file switches on. */
   record Extras(WatchMaker watch, SiblingsMaker siblings) {
     static final Extras NONE = new Extras(WatchMaker.NONE, SiblingsMaker.NONE);
   }
@@ -113,15 +140,15 @@
     manager.siblings(count);
   }
 
-  /** From here on it can decide, so it may answer. */
+  /** Starts to listen, with a single attempt to bind the address. */
   InetSocketAddress listen() throws IOException, Junk {
     return listen(System.nanoTime());
   }
 
   /**
-   * Guards against an address that the process before has not yet given back: it is tried again
-   * until that time of the steady clock. Harm: an address that is another's for good is said only
-   * then.
+   * Starts to listen. While the address is in use, because the previous process has not yet released
+   * it, binding is retried until `until`, a value of {@link System#nanoTime}. The disadvantage: an
+   * address that another process keeps is reported only then.
    */
   InetSocketAddress listen(long until) throws IOException, Junk {
     InetSocketAddress wanted = address(config.listen());
@@ -152,7 +179,7 @@
         }
         if (!said) {
           said = true;
-          Logger.warn("{}; tried again for up to {} ms", what, left / MS);
+          Logger.warn("{}; retrying for up to {} ms", what, left / MS);
         }
         ConfigFile.nap(Math.min(BIND_PAUSE, left));
       }
@@ -160,15 +187,15 @@
   }
 
   /**
-   * Asks the channel for what it has told since the file was written, before any client can come.
-   * Guards against sends to engines that were told to be draining while this process was starting:
-   * that takes a second, and the rule allows no more. Harm: where the channel is out of reach, the
-   * start takes longer by the time that it is waited for.
+   * Polls the channel for the events since the file was written, before any client can connect.
+   * Otherwise the manager would send to engines that began to drain while this process was starting,
+   * which takes a second; that is all the time that the platform allows. The disadvantage: while the
+   * channel is unreachable, a start takes longer by {@link #FIRST_NEWS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
     long until = timers.now() + FIRST_NEWS;
-    timers.at(until, () -> {}); // the loop naps no longer than that
+    timers.at(until, () -> {}); // wakes the loop at that time
     channel.ask();
     try {
       while (!channel.current() && timers.now() < until) {
@@ -176,12 +203,13 @@
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("told to end while starting", e);
+      throw new IOException("interrupted while starting", e);
     }
   }
 
   /**
-   * Serves until SIGTERM: 0, 2 for a configuration that cannot be used, 3 after a failure inside.
+   * Serves until SIGTERM. Returns exit code 0, 2 for a configuration that cannot be used, or 3 after
+   * an internal failure.
    */
   public static int serve(String path, String operator) {
     long until = System.nanoTime() + START_PATIENCE;
@@ -189,7 +217,7 @@
     ConfigurationReload reload;
     try {
       ConfigFile file = new ConfigFile(path);
-      // Before all else: SIGHUP would end a JVM that has nothing for it.
+      // Before all else: SIGHUP ends a JVM that has no handler for it.
       reload = new ConfigurationReload(file);
       if (!SighupHandler.take(reload::signalled)) {
         new ConfigurationFilePoller(path, reload::signalled).start();
@@ -199,8 +227,8 @@
     } catch (IOException | Unusable e) {
       return unusable(e);
     }
-    // Before it listens: SIGTERM would end the program at once, with clients that have been
-    // accepted.
+    // Before it listens: without the hook, SIGTERM would end the process at once and cut off clients
+    // that have been accepted.
     Runtime.getRuntime().addShutdownHook(new Thread(service::terminated, "stop"));
     try {
       service.listen(until);
@@ -220,7 +248,10 @@
     return 0;
   }
 
-  /** Not swallowed, not waited out: what a half-told module would decide is worth nothing. */
+  /**
+   * Halts the process without running its shutdown hooks: after a failure inside, the decision code
+   * may have missed events, and its decisions are not reliable.
+   */
   private static int broken(Throwable why) {
     Logger.error(why, "a failure inside ends the workload manager");
     Runtime.getRuntime().halt(FAILED);
@@ -236,8 +267,8 @@
   }
 
   /**
-   * Starts as far as that goes without a socket, and waits for nothing: 0, or 2 for what cannot be
-   * used.
+   * Checks a configuration: starts as far as possible without a socket, and waits for nothing.
+   * Returns exit code 0, or 2 for input that cannot be used.
    */
   public static int check(String path, String operator, PrintStream out) {
     try {
@@ -262,7 +293,9 @@
     }
   }
 
-  /** Rehearses serving on loopback: 0, or 2 for a configuration that cannot be used. */
+  /**
+   * Rehearses serving on loopback. Returns exit code 0, or 2 for a configuration that cannot be used.
+   */
   public static int rehearse(String path, PrintStream out) {
     try {
       out.println(
@@ -283,13 +316,13 @@
     return UNUSABLE;
   }
 
-  /** What SIGHUP brought; on the thread that read it. */
+  /** Passes a new configuration to the event loop; called on the thread that read it. */
   void reread(ConfigFile.Whole next) {
     inbox.add(() -> reconfigure(next.config(), next.channel()));
   }
 
   /**
-   * What can change while tasks are open does; for the rest a line says that it takes a restart.
+   * Applies what can change while tasks are open, and logs which other changes require a restart.
    */
   private void reconfigure(Config next, InetSocketAddress to) {
     if (parting) {
@@ -300,12 +333,13 @@
     Logger.info(
         "new configuration: command channel at {}{}",
         next.channel(),
-        rest.isEmpty() ? "" : "; takes a restart: " + rest);
+        rest.isEmpty() ? "" : "; changes that require a restart: " + rest);
     config = next.withoutKnown();
     manager.descriptors(next.mostDescriptors());
     channel.move(to, next.known());
   }
 
+  /** Parses and resolves an address of the form host:port. */
   static InetSocketAddress address(String text) throws Junk {
     int colon = text.lastIndexOf(':');
     try {
@@ -317,12 +351,12 @@
         }
       }
     } catch (NumberFormatException e) {
-      // said below
+      // reported below
     }
     throw new Junk("'" + text + "' is not an address with a port");
   }
 
-  /** The loop; it ends some time after it was told to, with all given back. */
+  /** Runs the event loop until shutdown is complete, then closes all resources. */
   void run() throws InterruptedException {
     try {
       while (!stopped) {
@@ -336,14 +370,17 @@
     }
   }
 
+  /** Returns the number of tasks that ended as handled. */
   long handled() {
     return manager.counters().of("tasks.handled");
   }
 
+  /** Returns the number of open file descriptors of sockets. */
   int descriptors() {
     return sockets.open();
   }
 
+  /** Runs one iteration of the event loop: waits, processes events and timers, then decides. */
   private void turn() throws InterruptedException {
     timers.now(clock.getAsLong());
     long nap = timers.idle(LONGEST_NAP);
@@ -361,11 +398,12 @@
     manager.turn();
   }
 
+  /** Begins shutdown; may be called on any thread. */
   void terminate() {
     inbox.add(this::stop);
   }
 
-  /** Runs on the thread that the machine starts for SIGTERM: the program ends when it returns. */
+  /** Runs as the shutdown hook for SIGTERM: the process ends when it returns. */
   private void terminated() {
     terminate();
     try {
@@ -375,7 +413,10 @@
     }
   }
 
-  /** SIGTERM: tasks come for a while yet, and are served or given back as the module decides. */
+  /**
+   * Begins shutdown: new tasks are accepted for a while, and are served or bounced as the decision
+   * code chooses.
+   */
   private void stop() {
     if (stopping) {
       return;
@@ -384,7 +425,7 @@
     long until = timers.now() + Math.min(longest, LONGEST_TO_KILL) + KILL_MARGIN;
     Event.info(
         "ending",
-        "told to end; answers count for " + (until - timers.now()) / MS + " ms more",
+        "shutting down; answers are accepted for " + (until - timers.now()) / MS + " ms more",
         "for_ms",
         (until - timers.now()) / MS);
     stopping = true;
@@ -398,11 +439,12 @@
         });
   }
 
+  /** Closes the sessions when all requests are answered or the time is up; ends the loop then. */
   private void endWhenIdle(long until) {
     boolean late = timers.now() > until;
     if (late || manager.idle()) {
       parting = true;
-      // What tells engines that nobody waits any more still goes out.
+      // Cancellations to engines are still sent after this.
       channel.close();
       manager.close();
       stopped = sockets.open() == 0 || timers.now() > until + KILL_MARGIN;
--- a/src/main/java/tansytrack/service/SighupHandler.java
+++ b/src/main/java/tansytrack/service/SighupHandler.java
@@ -4,16 +4,16 @@
 import org.tinylog.Logger;
 
 /**
- * SIGHUP, which would end a JVM that has nothing for it. Only sun.misc.Signal can take it; it is
- * called by name, as javac's warning of it cannot be suppressed for one file.
+ * Installs a handler for SIGHUP, which ends a JVM that has none. Only sun.misc.Signal can do so; it
+ * is called by reflection, because javac's warning about it cannot be suppressed in one file.
  */
 final class SighupHandler {
 
   private SighupHandler() {}
 
   /**
-   * From now on runs it for each SIGHUP, on a thread that the machine starts for it; false where
-   * the signal was ignored when the JVM started, as it leaves that so.
+   * Runs the handler for each SIGHUP from now on, on a thread that the JVM starts for the signal.
+   * Returns false if the signal was ignored when the JVM started, because the JVM leaves it ignored.
    */
   static boolean take(Runnable what) {
     try {
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -9,8 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which package may know which: the table of arrows, and that modules that decide touch nothing
- * outside.
+ * Allowed dependencies between packages, and that decision code uses no I/O, clock or threads.
  */
 class ArchitectureTest {
 
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -11,8 +11,8 @@
 import tansytrack.service.ServiceTest.Client;
 
 /**
- * What proves that an attempt has ended at its engine, and what does not, over real connections: a
- * key's next query must not begin beside one that still runs.
+ * Which events prove that an attempt has ended at its engine, tested over real connections. The next
+ * query of a key must not start while an earlier one of the key still runs.
  */
 class AttemptEndTest {
 
@@ -61,7 +61,7 @@
     return client;
   }
 
-  /** A client that has sent a query of the class that keeps order; all of them are of one key. */
+  /** Returns a client that has sent a query of the class that is serial by key; all share one key. */
   private Client ordered(String id) throws IOException {
     Client client = client();
     client.send(Client.message('Q', Client.task("once", id, "ok")));
@@ -74,7 +74,7 @@
     return call;
   }
 
-  /** Does another query begin in that time? Further calls for the first one may come. */
+  /** Returns whether another query starts in that time; other requests are skipped. */
   private boolean beginsWithin(long ms) throws InterruptedException {
     long end = System.nanoTime() + ms * 1_000_000;
     for (long left = ms; left > 0; left = (end - System.nanoTime()) / 1_000_000) {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Answers each question for the first query, also those on connections that were given up while
-   * they waited to be accepted, until the next query begins.
+   * Answers each status request for the first query until the next query starts, and returns that.
+   * Some status requests are on connections that the manager dropped before they were accepted.
    */
   private ScriptedPeer.Call answerUntilBegun() throws InterruptedException {
     while (true) {
@@ -100,7 +100,7 @@
       try {
         call.answer(GOOD);
       } catch (IOException e) {
-        // the connection was given up
+        // the manager had dropped the connection
       }
     }
   }
@@ -113,8 +113,8 @@
   }
 
   /**
-   * An engine that drains refuses new connections and works on: what it runs is asked for on the
-   * connections that are up, in turn with the other calls there.
+   * A draining engine refuses new connections, but completes its queries. Their status is requested
+   * on connections that are open, interleaved with the other requests there.
    */
   @Test
   void anEngineThatRefusesNewConnectionsIsAskedOnThoseThatAreUp() throws Exception {
@@ -139,7 +139,7 @@
     assertThat(other.answer()).endsWith("SELECT 1");
   }
 
-  /** A refused connection proves that this call did not run, not that the query has ended. */
+  /** A refused connection proves that this request did not run, not that the query has ended. */
   @Test
   void aRefusedConnectionEndsNothing() throws Exception {
     Client first = ordered(FIRST);
@@ -157,7 +157,7 @@
   }
 
   /**
-   * A DELETE that did not get through is repeated, and the key's next query waits for its answer.
+   * A DELETE that was not delivered is repeated, and the key's next query waits for its answer.
    */
   @Test
   void aCancellationIsRepeatedUntilItComesThrough() throws Exception {
@@ -167,7 +167,7 @@
     Client second = ordered(SECOND);
     engine.refusing();
     first.close();
-    // Its start, and DELETE twice at least, each on a connection of its own.
+    // One for the POST, and at least two for DELETE, each on a connection of its own.
     until(client(), "connections.to_engines,3;");
     engine.listening();
     ScriptedPeer.Call delete = next("DELETE /o/" + FIRST);
@@ -178,15 +178,15 @@
   }
 
   /**
-   * An engine that accepts connections and answers nothing may stand still, and then drops nothing
-   * by time; nor does it once it accepts no more of them.
+   * An engine that accepts connections but does not answer may be suspended. It then drops no query
+   * after a time, so elapsed time proves no end, also after it stops accepting connections.
    */
   @Test
   void timeEndsNothingAtAnEngineThatStandsStill() throws Exception {
     Client first = ordered(FIRST);
     next("POST /o").answer(NOT_OVER);
     next("GET /o/" + FIRST + "/0");
-    // Left without an answer it is asked again, on a connection that comes up.
+    // Without an answer the request is repeated, on a new connection.
     next("GET /o/" + FIRST + "/0");
     Client second = ordered(SECOND);
     engine.full();
@@ -199,14 +199,14 @@
   }
 
   /**
-   * An engine that stands still and takes no new connections looks like a machine that is cut off:
-   * the next query of a key waits all the same.
+   * A suspended engine that accepts no new connections looks like a machine that is partitioned from
+   * the network. The next query of a key waits in that case too.
    */
   @Test
   void timeEndsNothingOfAKeyWhereNoConnectionComesUp() throws Exception {
     Client first = ordered(FIRST);
     next("POST /o").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0"); // on the connection that is up; it stays without an answer
+    next("GET /o/" + FIRST + "/0"); // on the open connection; it stays unanswered
     engine.full();
     Client second = ordered(SECOND);
     assertThat(beginsWithin(6000)).as("the next query of the key begins").isFalse();
@@ -217,7 +217,7 @@
     assertThat(second.answer()).endsWith("SELECT 1");
   }
 
-  /** A process that dies resets its connections and refuses new ones: that ends what it ran. */
+  /** A crashed process resets its connections and refuses new ones: its queries have ended. */
   @Test
   void aProcessThatDiesEndsWhatItRan() throws Exception {
     Client first = ordered(FIRST);
@@ -227,7 +227,7 @@
     engine.die();
     assertThat(first.answer()).startsWith("58000");
     assertThat(System.nanoTime() - diedAt)
-        .as("under the 4.4 s in which a query that nobody asks for ends")
+        .as("less than the 4.4 s after which a query without status requests ends")
         .isLessThan(2_000_000_000L);
   }
 }
--- a/src/test/java/tansytrack/service/CrossingsTest.java
+++ b/src/test/java/tansytrack/service/CrossingsTest.java
@@ -12,8 +12,7 @@
 import tansytrack.service.ServiceTest.Client;
 
 /**
- * Two events that cross, each in the order that does harm, over real connections: peers that do
- * only what the test says.
+ * Races between two events, each in the harmful order, over real connections with scripted peers.
  */
 class CrossingsTest {
 
@@ -66,8 +65,8 @@
   }
 
   /**
-   * A client leaves while the connection for its query comes up: the query must not begin, also
-   * where nothing can be cancelled.
+   * A client disconnects while the connection for its query is being established: the query must not
+   * start, even where queries cannot be cancelled.
    */
   @Test
   void aConnectionThatComesUpBehindItsClientCarriesNothing() throws Exception {
@@ -80,7 +79,7 @@
       }
       until(other, "clients.left,1;");
       engine.accepting();
-      // The machine tries a connection again a second later, and then it comes up.
+      // TCP repeats its SYN a second later, and then the connection is established.
       assertThat(engine.next(2500)).isNull();
       assertThat(until(other, "engine.e.forwards.sockets,0;"))
           .contains("forwards.ended.NEVER_SENT,1;");
@@ -88,8 +87,8 @@
   }
 
   /**
-   * An engine is told to drain while the connection for a query to it comes up: the query must not
-   * begin there.
+   * An engine begins to drain while the connection for a query to it is being established: the query
+   * must not start there.
    */
   @Test
   void aConnectionThatComesUpBehindTheDrainCarriesNothing() throws Exception {
@@ -104,7 +103,7 @@
                   channel.next(MINUTE).answer(Rehearsal.say("200 OK", "", news.get()));
                 }
               } catch (Exception e) {
-                // the test is over
+                // the test has ended
               }
             });
     teller.setDaemon(true);
@@ -117,8 +116,8 @@
       news.set(
           ("{'cursor':2,'cmds':[" + ServiceTest.listed(2, "e", engine.address(), "draining") + "]}")
               .replace('\'', '"'));
-      // Taken back as the news comes, and refused once its budget of a fifth of its time, 4 s, has
-      // passed.
+      // The forward is withdrawn when the event arrives. The task is refused once its budget of 4 s,
+      // which is a fifth of its time, has passed.
       until(other, "forwards.ended.NEVER_SENT,1;");
       engine.accepting();
       assertThat(engine.next(2500)).isNull();
@@ -127,8 +126,8 @@
   }
 
   /**
-   * A machine is cut off as a query is given up: old connections swallow the calls for that, and
-   * prove no end of the query.
+   * A machine is partitioned from the network while a query is being cancelled. Old connections
+   * accept the DELETE requests without delivering them, which does not prove that the query ended.
    */
   @Test
   void oldConnectionsThatSwallowAllProveNoEnd() throws Exception {
@@ -150,7 +149,7 @@
       for (Client one : List.of(client, second, third)) {
         assertThat(one.answer()).endsWith("SELECT 1");
       }
-      Thread.sleep(50); // the three connections rest
+      Thread.sleep(50); // until the three connections are idle
       client.send(Client.message('Q', Client.task("safe", "00000000000000b7", "ok")));
       assertThat(engine.next(MINUTE).answer(NOT_OVER).text()).startsWith("POST");
       assertThat(engine.next(MINUTE).text()).isEqualTo("GET /o/00000000000000b7/0");
@@ -159,14 +158,14 @@
       client.socket.close();
       until(second, "engine.e.forwards.sockets,0;");
       assertThat(System.nanoTime() - asked)
-          .as("twice 2 s in which nobody asked for it")
+          .as("two periods of 2 s without a status request")
           .isGreaterThan(4_000_000_000L);
     }
   }
 
   /**
-   * A watch stands open and silent as an engine is told to drain: it is given up in time, and
-   * nothing is sent behind the news.
+   * A long poll hangs while an engine begins to drain. The poll times out early enough, and nothing
+   * is sent to the engine after the event was received.
    */
   @Test
   void aSilentWatchIsGivenUpAndTheDrainBehindItIsKept() throws Exception {
@@ -191,11 +190,11 @@
     long asked = System.nanoTime();
     ScriptedPeer.Call again = channel.next(MINUTE);
     assertThat(System.nanoTime() - asked)
-        .as("under the requested wait and 2 s, when the news counts as told")
+        .as("less than the block and 2 s, after which events count as delivered")
         .isLessThan(2_500_000_000L);
     assertThat(again.text()).startsWith("GET /cmd/next?resume=1&block=1000");
     assertThat(again.on()).isNotSameAs(silent.on());
-    // What the silent one says now belongs to nothing any more.
+    // An answer to the poll that timed out has no effect any more.
     try {
       silent.answer(
           Rehearsal.say(
@@ -206,7 +205,7 @@
                       + "]}")
                   .replace('\'', '"')));
     } catch (IOException e) {
-      // it may be closed already
+      // the connection may be closed already
     }
     again.answer(
         Rehearsal.say(
@@ -224,8 +223,8 @@
   }
 
   /**
-   * SIGTERM and a new configuration cross: the list is followed to its new place for as long as
-   * tasks are served.
+   * A new configuration arrives after SIGTERM: the manager polls the new command channel while it
+   * still serves tasks.
    */
   @Test
   void aManagerThatEndsStillFollowsTheList() throws Exception {
--- a/src/test/java/tansytrack/service/LongListTest.java
+++ b/src/test/java/tansytrack/service/LongListTest.java
@@ -16,16 +16,17 @@
 import tansytrack.lab.footprint.EngineList;
 import tansytrack.wire.Junk;
 
-/** A list of thousands of engines, told by the command channel or read from the file. */
+/** Lists of thousands of engines, from the command channel or from the configuration file. */
 class LongListTest {
 
   private static final int ENGINES = 6200;
   private static final long PATIENCE_NANOS = 20_000_000_000L;
   private static final long PAUSE_MS = 20;
-  private static final long QUIET_MS =
-      3000; // far more than a list takes, and the channel's patience
 
-  /** Addresses where nothing listens: no task is sent here, and the settings allow no probe. */
+  /** Far longer than the transfer of a list and the channel's timeout. */
+  private static final long QUIET_MS = 3000;
+
+  /** No server listens at these addresses: the tests send no task, the settings allow no probes. */
   private static final EngineList LIST =
       new EngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
 
@@ -40,7 +41,7 @@
         channel.tell(LIST.whole());
         String stats = statsWith(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
-        // The engine of the file has left the list, and is forgotten a little later.
+        // The engine of the file is no longer listed, and is removed a little later.
         stats = statsWith(client, "engines.known,6200;");
         assertThat(stats).contains("engines.not_shown,");
       } finally {
@@ -50,8 +51,8 @@
   }
 
   /**
-   * Guards against reading that is suspended and goes on only as something else wakes the selector:
-   * here nothing does, until the list must have come.
+   * Guards against suspended reads that resume only when something else wakes the selector. Here
+   * nothing else wakes it until the list must have arrived.
    */
   @Test
   void aLongListComesInOneGoThoughNothingElseHappens()
@@ -75,7 +76,7 @@
     }
   }
 
-  /** The counters once they contain that text, or the last ones before patience ends. */
+  /** Polls SHOW STATS until it contains the text, and fails after a timeout. */
   private static String statsWith(ServiceTest.Client client, String text)
       throws IOException, InterruptedException {
     long until = System.nanoTime() + PATIENCE_NANOS;
--- a/src/test/java/tansytrack/service/RestartTest.java
+++ b/src/test/java/tansytrack/service/RestartTest.java
@@ -27,12 +27,14 @@
 import tansytrack.wire.Junk;
 
 /**
- * Starts and signals while the file or the address is not yet what it will be a moment later; real
- * processes.
+ * Starts, SIGHUP and SIGTERM while the configuration file is incomplete or the address is in use,
+ * with real processes.
  */
 class RestartTest {
 
-  private static final int TERMINATED = 128 + 15; // as the JVM ends behind its hooks
+  /** Exit code of a JVM that ends on SIGTERM, after its shutdown hooks. */
+  private static final int TERMINATED = 128 + 15;
+
   private static final long SECOND = 1_000_000_000L;
   private static final String WHOLE =
       "{'name':'m','listen':'127.0.0.1:0','seed':'a7','limits':{'sockets':256},"
@@ -55,7 +57,7 @@
     return WHOLE.replace("'m'", '\'' + name + '\'').replace('\'', '"');
   }
 
-  /** Whole at once, as a careful operator does it. */
+  /** Replaces the file atomically. */
   private void replace(String text) throws IOException {
     Path next = Files.writeString(folder.resolve("next"), text);
     Files.move(next, file(), StandardCopyOption.ATOMIC_MOVE);
@@ -65,7 +67,7 @@
     switch (how) {
       case "missing" -> Files.deleteIfExists(file());
       case "empty" -> Files.writeString(file(), "");
-      case "cut off" -> Files.writeString(file(), config("m").substring(0, 250));
+      case "truncated" -> Files.writeString(file(), config("m").substring(0, 250));
       case "bad list" ->
           Files.writeString(
               file(),
@@ -120,12 +122,12 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"missing", "empty", "cut off"})
+  @ValueSource(strings = {"missing", "empty", "truncated"})
   void aFileThatIsWholeAMomentLaterIsServed(String how) throws IOException, InterruptedException {
     spoil(how);
     serve();
-    assertThat(line("config.json")).contains(how, "read again for up to");
-    signal("HUP"); // while there is no manager yet
+    assertThat(line("config.json")).contains(how, "retrying for up to");
+    signal("HUP"); // before there is a manager
     replace(config("late"));
     assertThat(line("listens at")).contains("late listens at");
     assertThat(line("new configuration")).isNotNull();
@@ -138,7 +140,7 @@
       delimiter = '|',
       value = {
         "missing | config.json is missing | true",
-        "cut off | (250 bytes) is cut off: JSON: | true",
+        "truncated | (250 bytes) is truncated: JSON: | true",
         "nowhere | channel: 'nowhere' is not an address | false",
         "bad list | known: unknown phase | false"
       })
@@ -162,7 +164,7 @@
     String address = "127.0.0.1:" + other.getLocalPort();
     replace(config("m").replace("127.0.0.1:0", address));
     serve();
-    assertThat(line("in use")).contains("cannot listen at " + address, "tried again for up to");
+    assertThat(line("in use")).contains("cannot listen at " + address, "retrying for up to");
     if (givenBack) {
       other.close();
       assertThat(line("listens at")).contains(address);
@@ -175,7 +177,8 @@
   }
 
   /**
-   * Told from the others by its trace or the machine's words: no file or address is blamed for it.
+   * When file descriptors run out at the start, the output names that cause, by a stack trace or the
+   * operating system's message, and does not blame a file or an address.
    */
   @ParameterizedTest
   @ValueSource(ints = {12, 20})
@@ -202,12 +205,12 @@
             "NoClassDefFoundError",
             "ClassNotFoundException",
             "UnsatisfiedLinkError")
-        .doesNotContain("cut off", "in use");
+        .doesNotContain("truncated", "in use");
   }
 
   /**
-   * Guards against SIGHUP ignored from before the start, which no JVM can undo: the channel of
-   * before would be asked on.
+   * Under nohup SIGHUP is ignored from before the start, which a JVM cannot undo. The manager would
+   * keep polling the old command channel.
    */
   @Test
   void aStartUnderNohupTakesNewConfigurationsAllTheSame() throws IOException, InterruptedException {
@@ -220,7 +223,7 @@
             System.getProperty("java.class.path"),
             "tansytrack.Main",
             "serve"));
-    assertThat(line("SIGHUP was ignored")).contains("config.json is looked at every 250 ms");
+    assertThat(line("SIGHUP was ignored")).contains("config.json every 250 ms");
     line("listens at");
     spoil("127.0.0.1:7");
     signal("HUP");
@@ -261,8 +264,8 @@
   }
 
   /**
-   * The list is followed to its new place for as long as tasks are served; the end is no later for
-   * it.
+   * A configuration that arrives during shutdown still takes effect while tasks are served, and does
+   * not delay the end.
    */
   @Test
   void sigtermWhileTheFileIsWaitedForEndsItAndTheListIsFollowedUntilThen()
@@ -270,11 +273,11 @@
     replace(config("m"));
     serve();
     line("listens at");
-    spoil("cut off");
+    spoil("truncated");
     signal("HUP");
-    assertThat(line("cut off")).contains("read again for up to");
+    assertThat(line("truncated")).contains("retrying for up to");
     signal("TERM");
-    line("told to end");
+    line("shutting down");
     replace(config("m"));
     assertThat(line("counters:")).contains("configurations.read=1");
     assertThat(process.waitFor()).isEqualTo(TERMINATED);
@@ -282,7 +285,7 @@
 
   @Test
   void theLastWholeFileWinsHoweverSignalsMeet() throws IOException, InterruptedException {
-    spoil("cut off");
+    spoil("truncated");
     ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
     List<String> taken = new CopyOnWriteArrayList<>();
     CountDownLatch inFirst = new CountDownLatch(1);
@@ -308,7 +311,7 @@
       Thread.onSpinWait();
     }
     replace(config("three"));
-    reload.signalled(); // one waits already: comes back at once
+    reload.signalled(); // returns at once, because one thread waits already
     goOn.countDown();
     first.join();
     second.join();
@@ -330,10 +333,10 @@
 
   @Test
   void theFilesFaultsNameFileSizeAndPlace() throws IOException {
-    spoil("cut off");
+    spoil("truncated");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
         .isInstanceOf(ConfigFile.Unsettled.class)
-        .hasMessageMatching(".*config.json \\(250 bytes\\) is cut off: JSON: .* at byte 250");
+        .hasMessageMatching(".*config.json \\(250 bytes\\) is truncated: JSON: .* at byte 250");
     Files.writeString(file(), config("m") + "}");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
         .isInstanceOf(Unusable.class)
--- a/src/test/java/tansytrack/service/ScriptedPeer.java
+++ b/src/test/java/tansytrack/service/ScriptedPeer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An engine or a channel on loopback that does only what the test says, and answers nothing by
+ * An engine or a command channel on loopback that is controlled by the test, and answers nothing by
  * itself.
  */
 final class ScriptedPeer implements AutoCloseable {
@@ -27,14 +27,15 @@
   private volatile ServerSocket socket;
   private volatile boolean cut;
 
-  /** A call that has come whole, and the connection that it may be answered on. */
+  /** A request that was received completely, and the connection for its response. */
   record Call(Socket on, String text) {
+    /** Sends the response. */
     Call answer(String with) throws IOException {
       on.getOutputStream().write(with.getBytes(StandardCharsets.UTF_8));
       return this;
     }
 
-    /** Answers, and ends the connection behind the answer. */
+    /** Sends the response, and closes the connection after it. */
     void answerLast(String with) throws IOException {
       answer(with);
       on.close();
@@ -54,7 +55,7 @@
     return at.getHostString() + ":" + at.getPort();
   }
 
-  /** From now on, or again, connections to it come up. */
+  /** Accepts connections from now on. */
   ScriptedPeer accepting() {
     cut = false;
     ServerSocket from = socket;
@@ -71,7 +72,7 @@
         new Thread(() -> serve(one)).start();
       }
     } catch (IOException e) {
-      // closed
+      // the server socket was closed
     }
   }
 
@@ -84,11 +85,14 @@
         calls.add(new Call(one, head.substring(0, head.indexOf(" HTTP"))));
       }
     } catch (IOException e) {
-      // gone
+      // the connection was closed
     }
   }
 
-  /** From now on no connection to it comes up; those that are up stay so. */
+  /**
+   * Fills the accept queue, so that new connections are not established from now on; established
+   * ones stay open.
+   */
   ScriptedPeer full() throws IOException {
     cut = true;
     try {
@@ -102,12 +106,12 @@
     }
   }
 
-  /** From now on new connections are refused; those that are up stay so. */
+  /** Refuses new connections from now on; established ones stay open. */
   void refusing() throws IOException {
     socket.close();
   }
 
-  /** It accepts connections again, where it did before. */
+  /** Listens and accepts connections again, at the same address. */
   void listening() throws IOException {
     ServerSocket again = new ServerSocket();
     again.setReuseAddress(true);
@@ -116,7 +120,7 @@
     accepting();
   }
 
-  /** Its process dies: every connection is reset, new ones are refused. */
+  /** Simulates a crash of the process: every connection is reset, new ones are refused. */
   void die() throws IOException {
     refusing();
     for (Socket one : accepted) {
@@ -125,7 +129,7 @@
     }
   }
 
-  /** The next call, or null when none comes in that time. */
+  /** Returns the next request, or null if none arrives in that time. */
   Call next(long withinMs) throws InterruptedException {
     return calls.poll(withinMs, TimeUnit.MILLISECONDS);
   }
--- a/src/test/java/tansytrack/service/ServiceCancelTest.java
+++ b/src/test/java/tansytrack/service/ServiceCancelTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.service.ServiceTest.Client;
 
-/** Tasks that are given up: by their client, at their time limit, or where an engine broke. */
+/** Tasks that are cancelled: by their client, at their time limit, or after an engine failed. */
 class ServiceCancelTest extends ServiceFixture {
 
   @Test
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Guards against a second copy: the starting call may arrive behind the first DELETE, never
-   * behind the second.
+   * Guards against a second copy of a query: the POST may be processed after the first DELETE, but
+   * never after the second.
    */
   @ParameterizedTest(name = "{0}: {1} times")
   @CsvSource({"silent, 2", "late, 1"})
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Guards against a second copy: after a break, "unknown" is no proof that the first one is not
-   * out, nor is one DELETE.
+   * Guards against a second copy of a query: after a connection broke, neither the answer that the
+   * query is unknown nor a single DELETE proves that the first copy does not run.
    */
   @Test
   void whatIsNotKnownAfterABreakIsGivenUpBeforeItIsSentAgain() throws IOException {
@@ -74,9 +74,9 @@
   }
 
   /**
-   * Guards against a second copy, and a key sent to too early: a refused connection is a process
-   * that died, but not the end of a query for which a call stalled before, as that may be taken up
-   * yet. Then 2 s must have passed.
+   * Guards against a second copy of a query, and against a query of the same key that starts too
+   * early. A refused connection means that the process died, but a request that stalled before may
+   * still be processed. In that case 2 s must pass.
    */
   @ParameterizedTest(name = "{0}: answered in under 1.5 s: {1}")
   @CsvSource({"die, true", "stalldie, false"})
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Guards against a key sent to beside a forward that timed out and may run on: it stays out until
-   * given up.
+   * Guards against two queries of one key at the same time: a forward that timed out may still run,
+   * so it counts as open until it is cancelled.
    */
   @Test
   void aForwardThatTimesOutStaysOutUntilItIsGivenUp() throws IOException {
@@ -109,8 +109,8 @@
       }
       assertThat(told).contains("forwards.ended.TIME_OUT,1;");
     }
-    // Twice silent is once given up; and once more, as the engine has never answered for the query
-    // at all.
+    // Two unanswered DELETE requests count as one cancellation. A second one follows, because the
+    // engine has never answered for the query.
     assertThat(engine.calls.stream().filter(call -> call.startsWith("DELETE"))).hasSize(4);
   }
 
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -17,12 +17,12 @@
 import tansytrack.service.ServiceTest.Client;
 import tansytrack.settings.Unusable;
 
-/** What the command channel and the configuration tell a manager, at its start and later. */
+/** Updates from the command channel and the configuration, at the start and later. */
 class ServiceConfigurationTest extends ServiceFixture {
 
   /**
-   * Guards against a loop that only asks a channel which answers at once with nothing: 20 times a
-   * second at most.
+   * Guards against a busy loop that polls a channel which answers at once without events: at most 20
+   * polls a second.
    */
   @Test
   void aChannelThatAnswersAtOnceWithNothingIsAskedWithPauses() throws Exception {
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Guards against sends to an engine that was told to be draining while the manager started: it
-   * serves only behind that.
+   * Guards against sends to an engine that began to drain while the manager was starting: the
+   * manager serves only after the channel's first answer.
    */
   @ParameterizedTest(name = "the channel''s first answer takes {0} ms: {1} calls to the engine")
   @CsvSource({"0, 0", "200, 0", "10000, 1"})
@@ -51,7 +51,7 @@
             .replace('\'', '"');
     long from = System.nanoTime();
     start(config());
-    // A start does not wait for a channel that is out of reach.
+    // A start does not wait long for a channel that is unreachable.
     assertThat(System.nanoTime() - from).isLessThan(10_000_000_000L);
     try (Client client = new Client(at).started()) {
       client.ask(Client.task("safe", "00000000000000a8", "ok"));
@@ -65,7 +65,7 @@
     try (StatementServer second = new StatementServer();
         Client client = new Client(at).started()) {
       assertThat(client.ask(Client.task("safe", "00000000000000e1", "ok"))).endsWith("SELECT 2");
-      // An engine goes, and a new one appears: the poll that is open is cut, the next one tells.
+      // One engine leaves and a new one joins: the open poll is cut, the next one reports both.
       engine.list =
           ("{'cursor':3,'cmds':["
                   + listed(2, "e", engine.address(), "gone")
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Guards against a manager that ends on SIGHUP, or whose list stops there: the numbers go on at
-   * the new address.
+   * Guards against a manager that exits on SIGHUP, or that gets no further events after it: the
+   * numbering continues at the new address.
    */
   @Test
   void aNewConfigurationMovesTheCommandChannelUnderOpenTasks()
@@ -102,7 +102,7 @@
       second.list =
           ("{'cursor':3,'cmds':[" + listed(3, "e", engine.address(), "gone") + "]}")
               .replace('\'', '"');
-      // Event 2 is in the file, event 3 comes from the new channel; 9 follows on from neither.
+      // Event 2 is in the file, event 3 comes from the new channel; 9 directly follows neither.
       String known =
           "'known':{'cursor':9,'cmds':["
               + listed(1, "e", engine.address(), "ready")
@@ -122,7 +122,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
             .start()
             .waitFor();
-        Thread.sleep(200); // the machine may fold signals that come at once into one
+        Thread.sleep(200); // the operating system may merge signals that are pending at once
         assertThat(client.ask("")).isEqualTo("empty");
       }
       String id = "00000000000000f";
--- a/src/test/java/tansytrack/service/ServiceFixture.java
+++ b/src/test/java/tansytrack/service/ServiceFixture.java
@@ -14,12 +14,12 @@
 import tansytrack.wire.Junk;
 
 /**
- * A workload manager on loopback sockets, between stand-ins for clients, an engine and the command
- * channel; started before each test, and ended after it with nothing left open.
+ * Starts a workload manager on loopback sockets before each test, between simulated clients, an
+ * engine and the command channel, and stops it after the test with no socket left open.
  */
 abstract class ServiceFixture {
 
-  /** In milliseconds; a verdict never waits for it, unless something is broken. */
+  /** Timeout in milliseconds, which is reached only in failing tests. */
   static final int MINUTE = 60_000;
 
   @TempDir Path folder;
@@ -28,7 +28,7 @@
   Service service;
   InetSocketAddress at;
 
-  /** A manager that listens, and the thread that its loop runs on. */
+  /** A manager that listens, and the thread of its event loop. */
   static final class Running {
     final Service service;
     final InetSocketAddress at;
@@ -50,7 +50,7 @@
       loop.start();
     }
 
-    /** Whatever was done to it, it ends when told to, and has given back every connection. */
+    /** Stops the manager, and checks that it ended without a failure and closed every socket. */
     void end() throws InterruptedException {
       service.terminate();
       loop.join(MINUTE);
@@ -82,6 +82,7 @@
         + "'rules':{'turn_gap_ms':10}}}";
   }
 
+  /** An event of the command channel that lists one engine; the first one is a complete list. */
   static String listed(int number, String id, String address, String phase) {
     return "{'cursor':"
         + number
--- a/src/test/java/tansytrack/service/ServiceLifeTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifeTest.java
@@ -15,12 +15,12 @@
 import tansytrack.api.Decisions;
 import tansytrack.service.ServiceTest.Client;
 
-/** The manager's own start, shortage of descriptors, and end. */
+/** The manager's counters, shortage of file descriptors, shutdown and internal failures. */
 class ServiceLifeTest extends ServiceFixture {
 
   /**
-   * The module's view beside the sockets: one forward out, then none, and an engine whose answers
-   * fail.
+   * SHOW STATS shows the open forwards as counted by the decision code and by the sockets: one, then
+   * none after the client has disconnected.
    */
   @Test
   void whatTheModuleSeesIsShownBesideTheSockets() throws IOException, InterruptedException {
@@ -56,7 +56,7 @@
       long from = System.nanoTime();
       service.terminate();
       assertThat(client.answer()).startsWith(code);
-      // The longest deadline and 0.7 s more.
+      // The longest deadline, 300 ms, and 0.7 s more.
       assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
     }
   }
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Guards against a manager that lags and has not yet read what came in time when it closes its
-   * sessions: 0.6 s and some.
+   * Guards against a lagging manager that closes its sessions before it has read requests that
+   * arrived in time, up to 0.6 s after SIGTERM.
    */
   @Test
   void aTaskThatIsReadLateBehindSigtermIsStillServed() throws IOException {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Guards against tasks lost when descriptors run out: 65, of which 64 are spared and one is the
-   * channel's.
+   * Guards against tasks lost when file descriptors run out: of 65, 64 are reserved and the channel
+   * uses one.
    */
   @ParameterizedTest
   @CsvSource({"65, safe", "65, once"})
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Guards against crowds that hold all sessions: what has not started goes first, then what never
-   * asked.
+   * Guards against clients that occupy all sessions: sessions that have not completed their startup
+   * are closed first, then those that have never sent a query.
    */
   @Test
   void aCrowdMakesRoomForClients() throws Exception {
@@ -114,13 +114,14 @@
       clients.add(new Client(at).started());
       if (i < 30) {
         assertThat(clients.get(i).ask("SELECT 1")).startsWith("22023");
-        // Of 64 descriptors none is left for an engine; it has asked all the same.
+        // None of the 64 descriptors is left for an engine, but the session has sent a query.
         assertThat(clients.get(i).ask(Client.task("safe", "00000000000000a1", "ok")))
             .startsWith("53300 no room");
       }
     }
     Client silent = new Client(at);
-    assertThat(clients.get(0).ask("")).isEqualTo("empty"); // so the silent one has been taken in
+    // An answer here shows that the silent connection, which was opened before, has been accepted.
+    assertThat(clients.get(0).ask("")).isEqualTo("empty");
     try (Client more = new Client(at).started();
         Client another = new Client(at).started()) {
       assertThat(silent.answer()).isEqualTo("53300 too many connections closed");
@@ -134,8 +135,8 @@
   }
 
   /**
-   * Guards against an archive that lacks what serving needs: all but two of the 200 are tasks, and
-   * are handled.
+   * Guards against a class data archive that lacks classes which serving needs: all but two of the
+   * 200 statements are tasks, and are handled.
    */
   @Test
   void aRehearsalServesItsTasks() throws Exception {
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sessions of clients: the protocol, what a task's ends are answered with, what is refused. */
+/** Client sessions: the protocol, the answer for each outcome of a task, and refused input. */
 class ServiceTest extends ServiceFixture {
 
-  /** A client's session. */
+  /** A client's session with the manager. */
   static final class Client implements AutoCloseable {
     final Socket socket = new Socket();
     final DataInputStream in;
@@ -71,7 +71,7 @@
       return this;
     }
 
-    /** All up to the next ReadyForQuery, or the end: rows, the end of a result, errors. */
+    /** Returns rows, command tags and errors up to the next ReadyForQuery or the connection's end. */
     String answer() throws IOException {
       StringBuilder said = new StringBuilder();
       while (true) {
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Guards against a new connection for each question and page: a hundred managers add up, and each
-   * one costs work.
+   * Guards against a new connection for each status request and page: with a hundred managers they
+   * add up, and each connection costs the engine work.
    */
   @ParameterizedTest
   @CsvSource({"late, 4", "pages, 3"})
@@ -136,8 +136,7 @@
       assertThat(client.ask(Client.task("safe", "00000000000000a7", statement))).contains("SELECT");
     }
     assertThat(engine.calls.stream().filter(call -> call.contains("/o")).count()).isEqualTo(calls);
-    // The command channel has a connection to the same stand-in, and may have opened it only just
-    // now.
+    // The command channel has a connection to the same server, and may have opened it just now.
     assertThat(engine.open.size()).isBetween(1, 2);
   }
 
@@ -290,8 +289,8 @@
   }
 
   /**
-   * Engines know a repeat by its client's mark: without it on every forward a stamped task is
-   * another one.
+   * Engines detect a repeated task by its client's idempotency key: without the key on every
+   * forward, a repeat would count as a different task.
    */
   @Test
   void theMarkOfAStampedTaskGoesOnToTheEngine() throws IOException {
@@ -309,7 +308,7 @@
                 assertThat(post).contains("Idempotency-Key: 5d61c58d40d99d127e8b87ba5c575dda\r\n"));
   }
 
-  /** What costs a connection is counted by its reason, and costs nothing else. */
+  /** Malformed input that ends a connection is counted by its reason, and has no other effect. */
   @Test
   void malformedBytesAreCountedByReason() throws IOException {
     try (Client client = new Client(at).started();
--- a/src/test/java/tansytrack/service/StatementServer.java
+++ b/src/test/java/tansytrack/service/StatementServer.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.LockSupport;
 
-/** An HTTP server that answers as the statement that it is sent names; the command channel too. */
+/**
+ * An HTTP server that plays the engine and the command channel. The text of a statement selects how
+ * the engine answers it.
+ */
 final class StatementServer implements AutoCloseable {
 
   final ServerSocket socket;
@@ -22,11 +25,18 @@
   volatile String statement = "";
   volatile String list = "";
   volatile boolean keepsList;
-  volatile int lastNews; // the question that this one leaves open
+
+  /** Number of the status request that the statement "late" leaves unanswered. */
+  volatile int lastNews;
+
   volatile int asked;
   volatile int pagesAsked;
-  volatile boolean mute; // to DELETE
-  volatile long firstDelay; // ms that the first question for the list waits
+
+  /** Whether DELETE requests stay unanswered. */
+  volatile boolean mute;
+
+  /** Delay in milliseconds of the answer to a channel's first poll. */
+  volatile long firstDelay;
 
   StatementServer() {
     try {
@@ -49,7 +59,7 @@
         new Thread(() -> serve(one)).start();
       }
     } catch (IOException e) {
-      // closed
+      // the server socket was closed
     }
   }
 
@@ -75,7 +85,7 @@
         (call.startsWith("POST") ? posted : new CountDownLatch(1)).countDown();
       }
     } catch (IOException e) {
-      // gone
+      // the connection was closed
     }
   }
 
@@ -83,7 +93,7 @@
     try {
       close();
     } catch (IOException e) {
-      // as good as closed
+      // treated as closed
     }
     return "cut";
   }
@@ -92,7 +102,7 @@
     return Rehearsal.say(status, fields, body);
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // one call is answered at a time
+  @SuppressWarnings("NonAtomicVolatileUpdate") // requests are answered one at a time
   private String answer(String call) {
     if (call.startsWith("GET /cmd")) {
       return list(call);
