--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -47,7 +47,7 @@
    *
    * @param afterCommit whether answers wait for the commit of the task's entry
    * @param intentsFirst whether forwards wait for the commit of their intent
-   * @param bounces whether new tasks are bounced while the queue to the disk is full
+   * @param bounces whether new tasks are rejected while the queue to the disk is full
    * @param mostWait how long an answer or a forward waits for the disk at most
    * @param mostUnwritten how many lines may be on their way to the disk
    * @param billingText the billing section and the waste setting as text, stored with a closed
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -281,7 +281,7 @@
           config.name()
               + ": "
               + config.settings().grades().size()
-              + " service grades, "
+              + " query classes, "
               + config.settings().tenants().size()
               + " tenants, "
               + service.manager.engineCount()
@@ -414,7 +414,7 @@
   }
 
   /**
-   * Begins shutdown: new tasks are accepted for a while, and are served or bounced as the decision
+   * Begins shutdown: new tasks are accepted for a while, and are served or rejected as the decision
    * code chooses.
    */
   private void stop() {
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -159,7 +159,7 @@
     Files.writeString(file, config().replace('\'', '"'));
     assertThat(Service.check(file.toString(), null, to)).isZero();
     assertThat(out.toString(StandardCharsets.UTF_8))
-        .isEqualTo("m: 2 service grades, 1 tenants, 1 engines\n");
+        .isEqualTo("m: 2 query classes, 1 tenants, 1 engines\n");
     assertThat(Service.check(folder.resolve("none").toString(), null, to)).isEqualTo(2);
   }
 }
