--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -61,11 +61,13 @@
    */
   private static final long LONGEST_TO_KILL = 3000 * MS;
 
+  /** Time between the longest deadline and SIGKILL. */
   private static final long KILL_MARGIN = 700 * MS;
 
   /** Part of the operating system's message for EADDRINUSE. */
   private static final String IN_USE = "in use";
 
+  /** Time between two attempts to bind the address. */
   private static final long BIND_PAUSE = 50 * MS;
 
   /** Limit for reading the configuration file and binding the address, together. */
@@ -249,8 +251,8 @@
   }
 
   /**
-   * Halts the process without running its shutdown hooks: after a failure inside, the decision code
-   * may have missed events, and its decisions are not reliable.
+   * Halts the process without running its shutdown hooks: after an internal failure the decision
+   * code may have received only part of an event, and its decisions are not reliable.
    */
   private static int broken(Throwable why) {
     Logger.error(why, "a failure inside ends the workload manager");
