--- a/src/main/java/tansytrack/service/Channel.java
+++ b/src/main/java/tansytrack/service/Channel.java
@@ -89,7 +89,7 @@
   private void nodes(Map<String, Object> nodes) throws Junk {
     List<EngineEntry> entries = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    // Shares one string among all engines of the same place or kind.
+    // Shares one string among all engines of the same zone or engine type.
     Map<String, String> words = new HashMap<>();
     for (Object member : Json.list(nodes.get("members"), "members")) {
       Map<String, Object> one = Json.map(member, "a member");
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Answers each status request for the first query until the next query starts, and returns that.
-   * Some status requests are on connections that the manager dropped before they were accepted.
+   * Answers each poll for the first query until the next query starts, and returns that request.
+   * Some polls are on connections that the manager dropped before they were accepted.
    */
   private ScriptedPeer.Call answerUntilBegun() throws InterruptedException {
     while (true) {
@@ -113,7 +113,7 @@
   }
 
   /**
-   * A draining engine refuses new connections, but completes its queries. Their status is requested
+   * A draining engine refuses new connections, but completes its queries. They are polled
    * on connections that are open, interleaved with the other requests there.
    */
   @Test
@@ -227,7 +227,7 @@
     engine.die();
     assertThat(first.answer()).startsWith("58000");
     assertThat(System.nanoTime() - diedAt)
-        .as("less than the 4.4 s after which a query without status requests ends")
+        .as("less than the 4.4 s after which a query without polls ends")
         .isLessThan(2_000_000_000L);
   }
 }
--- a/src/test/java/tansytrack/service/CrossingsTest.java
+++ b/src/test/java/tansytrack/service/CrossingsTest.java
@@ -158,13 +158,13 @@
       client.socket.close();
       until(second, "engine.e.forwards.sockets,0;");
       assertThat(System.nanoTime() - asked)
-          .as("two periods of 2 s without a status request")
+          .as("two periods of 2 s without a poll")
           .isGreaterThan(4_000_000_000L);
     }
   }
 
   /**
-   * A long poll hangs while an engine begins to drain. The poll times out early enough, and nothing
+   * A long poll of the command channel hangs while an engine begins to drain. It times out early enough, and nothing
    * is sent to the engine after the event was received.
    */
   @Test
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -124,7 +124,7 @@
   }
 
   /**
-   * Guards against a new connection for each status request and page: with a hundred managers they
+   * Guards against a new connection for each poll and page: with a hundred managers they
    * add up, and each connection costs the engine work.
    */
   @ParameterizedTest
--- a/src/test/java/tansytrack/service/StatementServer.java
+++ b/src/test/java/tansytrack/service/StatementServer.java
@@ -26,7 +26,7 @@
   volatile String list = "";
   volatile boolean keepsList;
 
-  /** Number of the status request that the statement "late" leaves unanswered. */
+  /** Number of the poll that the statement "late" leaves unanswered. */
   volatile int lastNews;
 
   volatile int asked;
