--- a/src/main/java/tansytrack/service/Channel.java
+++ b/src/main/java/tansytrack/service/Channel.java
@@ -32,7 +32,9 @@
   /** Time without an answer beyond the block after which the connection is dropped. */
   private static final long SILENT = 500 * MS;
 
-  /** Delay before the next poll after repeated failures, or after an early answer without events. */
+  /**
+   * Delay before the next poll after repeated failures, or after an early answer without events.
+   */
   private static final long PAUSE = 50 * MS;
 
   /**
@@ -67,8 +69,8 @@
   }
 
   /**
-   * Applies the events of an answer or of the configuration's `known` field; events up to the cursor
-   * are skipped.
+   * Applies the events of an answer or of the configuration's `known` field; events up to the
+   * cursor are skipped.
    */
   void take(Object told) throws Junk {
     Map<String, Object> all = Json.map(told, "the channel's answer");
@@ -212,8 +214,8 @@
   }
 
   /**
-   * Polls again at once after a first failure, because events count as delivered soon after a break;
-   * a failure that directly follows another is retried after a delay.
+   * Polls again at once after a first failure, because events count as delivered soon after a
+   * break; a failure that directly follows another is retried after a delay.
    */
   @Override
   public void failed(HttpLine.Failure why) {
--- a/src/main/java/tansytrack/service/Clock.java
+++ b/src/main/java/tansytrack/service/Clock.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in nanoseconds that advances evenly: the monotonic clock plus an offset, which is slewed
- * toward the Unix clock in small steps.
+ * Unix time in nanoseconds that advances evenly: the monotonic clock plus an offset, which is
+ * slewed toward the Unix clock in small steps.
  */
 final class Clock implements LongSupplier {
 
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -13,9 +13,9 @@
 import tansytrack.wire.Junk;
 
 /**
- * A short run of the whole manager on loopback, between a simulated engine and a simulated client. A
- * class data sharing archive that is created when it exits contains the classes that serving needs;
- * without it, a manager on a fraction of a core loads and links classes for seconds.
+ * A short run of the whole manager on loopback, between a simulated engine and a simulated client.
+ * A class data sharing archive that is created when it exits contains the classes that serving
+ * needs; without it, a manager on a fraction of a core loads and links classes for seconds.
  */
 final class Rehearsal {
 
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -56,8 +56,8 @@
   private static final long LAST_CALL = 100 * MS;
 
   /**
-   * The platform sends SIGKILL after the longest deadline, of which it counts at most this much, and
-   * {@link #KILL_MARGIN}.
+   * The platform sends SIGKILL after the longest deadline, of which it counts at most this much,
+   * and {@link #KILL_MARGIN}.
    */
   private static final long LONGEST_TO_KILL = 3000 * MS;
 
@@ -148,9 +148,9 @@
   }
 
   /**
-   * Starts to listen. While the address is in use, because the previous process has not yet released
-   * it, binding is retried until `until`, a value of {@link System#nanoTime}. The disadvantage: an
-   * address that another process keeps is reported only then.
+   * Starts to listen. While the address is in use, because the previous process has not yet
+   * released it, binding is retried until `until`, a value of {@link System#nanoTime}. The
+   * disadvantage: an address that another process keeps is reported only then.
    */
   InetSocketAddress listen(long until) throws IOException, Junk {
     InetSocketAddress wanted = address(config.listen());
@@ -190,9 +190,9 @@
 
   /**
    * Polls the channel for the events since the file was written, before any client can connect.
-   * Otherwise the manager would send to engines that began to drain while this process was starting,
-   * which takes a second; that is all the time that the platform allows. The disadvantage: while the
-   * channel is unreachable, a start takes longer by {@link #FIRST_NEWS}.
+   * Otherwise the manager would send to engines that began to drain while this process was
+   * starting, which takes a second; that is all the time that the platform allows. The
+   * disadvantage: while the channel is unreachable, a start takes longer by {@link #FIRST_NEWS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
@@ -210,8 +210,8 @@
   }
 
   /**
-   * Serves until SIGTERM. Returns exit code 0, 2 for a configuration that cannot be used, or 3 after
-   * an internal failure.
+   * Serves until SIGTERM. Returns exit code 0, 2 for a configuration that cannot be used, or 3
+   * after an internal failure.
    */
   public static int serve(String path, String operator) {
     long until = System.nanoTime() + START_PATIENCE;
@@ -229,8 +229,8 @@
     } catch (IOException | Unusable e) {
       return unusable(e);
     }
-    // Before it listens: without the hook, SIGTERM would end the process at once and cut off clients
-    // that have been accepted.
+    // Before it listens: without the hook, SIGTERM would end the process at once and cut off
+    // clients that have been accepted.
     Runtime.getRuntime().addShutdownHook(new Thread(service::terminated, "stop"));
     try {
       service.listen(until);
@@ -296,7 +296,8 @@
   }
 
   /**
-   * Rehearses serving on loopback. Returns exit code 0, or 2 for a configuration that cannot be used.
+   * Rehearses serving on loopback. Returns exit code 0, or 2 for a configuration that cannot be
+   * used.
    */
   public static int rehearse(String path, PrintStream out) {
     try {
--- a/src/main/java/tansytrack/service/SighupHandler.java
+++ b/src/main/java/tansytrack/service/SighupHandler.java
@@ -13,7 +13,8 @@
 
   /**
    * Runs the handler for each SIGHUP from now on, on a thread that the JVM starts for the signal.
-   * Returns false if the signal was ignored when the JVM started, because the JVM leaves it ignored.
+   * Returns false if the signal was ignored when the JVM started, because the JVM leaves it
+   * ignored.
    */
   static boolean take(Runnable what) {
     try {
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -11,8 +11,8 @@
 import tansytrack.service.ServiceTest.Client;
 
 /**
- * Which events prove that an attempt has ended at its engine, tested over real connections. The next
- * query of a key must not start while an earlier one of the key still runs.
+ * Which events prove that an attempt has ended at its engine, tested over real connections. The
+ * next query of a key must not start while an earlier one of the key still runs.
  */
 class AttemptEndTest {
 
@@ -61,7 +61,9 @@
     return client;
   }
 
-  /** Returns a client that has sent a query of the class that is serial by key; all share one key. */
+  /**
+   * Returns a client that has sent a query of the class that is serial by key; all share one key.
+   */
   private Client ordered(String id) throws IOException {
     Client client = client();
     client.send(Client.message('Q', Client.task("once", id, "ok")));
@@ -199,8 +201,8 @@
   }
 
   /**
-   * A suspended engine that accepts no new connections looks like a machine that is partitioned from
-   * the network. The next query of a key waits in that case too.
+   * A suspended engine that accepts no new connections looks like a machine that is partitioned
+   * from the network. The next query of a key waits in that case too.
    */
   @Test
   void timeEndsNothingOfAKeyWhereNoConnectionComesUp() throws Exception {
--- a/src/test/java/tansytrack/service/CrossingsTest.java
+++ b/src/test/java/tansytrack/service/CrossingsTest.java
@@ -65,8 +65,8 @@
   }
 
   /**
-   * A client disconnects while the connection for its query is being established: the query must not
-   * start, even where queries cannot be cancelled.
+   * A client disconnects while the connection for its query is being established: the query must
+   * not start, even where queries cannot be cancelled.
    */
   @Test
   void aConnectionThatComesUpBehindItsClientCarriesNothing() throws Exception {
@@ -87,8 +87,8 @@
   }
 
   /**
-   * An engine begins to drain while the connection for a query to it is being established: the query
-   * must not start there.
+   * An engine begins to drain while the connection for a query to it is being established: the
+   * query must not start there.
    */
   @Test
   void aConnectionThatComesUpBehindTheDrainCarriesNothing() throws Exception {
@@ -116,8 +116,8 @@
       news.set(
           ("{'cursor':2,'cmds':[" + ServiceTest.listed(2, "e", engine.address(), "draining") + "]}")
               .replace('\'', '"'));
-      // The forward is withdrawn when the event arrives. The task is refused once its budget of 4 s,
-      // which is a fifth of its time, has passed.
+      // The forward is withdrawn when the event arrives. The task is rejected once its budget of
+      // 4 s, a fifth of its time, has passed.
       until(other, "forwards.ended.NEVER_SENT,1;");
       engine.accepting();
       assertThat(engine.next(2500)).isNull();
@@ -164,8 +164,8 @@
   }
 
   /**
-   * A long poll of the command channel hangs while an engine begins to drain. It times out early enough, and nothing
-   * is sent to the engine after the event was received.
+   * A long poll of the command channel hangs while an engine begins to drain. It times out early
+   * enough, and nothing is sent to the engine after the event was received.
    */
   @Test
   void aSilentWatchIsGivenUpAndTheDrainBehindItIsKept() throws Exception {
--- a/src/test/java/tansytrack/service/RestartTest.java
+++ b/src/test/java/tansytrack/service/RestartTest.java
@@ -177,8 +177,8 @@
   }
 
   /**
-   * When file descriptors run out at the start, the output names that cause, by a stack trace or the
-   * operating system's message, and does not blame a file or an address.
+   * When file descriptors run out at the start, the output names that cause, by a stack trace or
+   * the operating system's message, and does not blame a file or an address.
    */
   @ParameterizedTest
   @ValueSource(ints = {12, 20})
@@ -264,8 +264,8 @@
   }
 
   /**
-   * A configuration that arrives during shutdown still takes effect while tasks are served, and does
-   * not delay the end.
+   * A configuration that arrives during shutdown still takes effect while tasks are served, and
+   * does not delay the end.
    */
   @Test
   void sigtermWhileTheFileIsWaitedForEndsItAndTheListIsFollowedUntilThen()
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -21,8 +21,8 @@
 class ServiceConfigurationTest extends ServiceFixture {
 
   /**
-   * Guards against a busy loop that polls a channel which answers at once without events: at most 20
-   * polls a second.
+   * Guards against a busy loop that polls a channel which answers at once without events: at most
+   * 20 polls a second.
    */
   @Test
   void aChannelThatAnswersAtOnceWithNothingIsAskedWithPauses() throws Exception {
--- a/src/test/java/tansytrack/service/ServiceLifeTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifeTest.java
@@ -19,8 +19,8 @@
 class ServiceLifeTest extends ServiceFixture {
 
   /**
-   * SHOW STATS shows the open forwards as counted by the decision code and by the sockets: one, then
-   * none after the client has disconnected.
+   * SHOW STATS shows the open forwards as counted by the decision code and by the sockets: one,
+   * then none after the client has disconnected.
    */
   @Test
   void whatTheModuleSeesIsShownBesideTheSockets() throws IOException, InterruptedException {
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -71,7 +71,9 @@
       return this;
     }
 
-    /** Returns rows, command tags and errors up to the next ReadyForQuery or the connection's end. */
+    /**
+     * Returns rows, command tags and errors up to the next ReadyForQuery or the connection's end.
+     */
     String answer() throws IOException {
       StringBuilder said = new StringBuilder();
       while (true) {
