--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -43,15 +43,10 @@
   private static final int LONGEST_DECIMAL = 24;
 
   /**
-   * The ledger's section; times are in nanoseconds.
-   *
-   * @param afterCommit whether answers wait for the commit of the task's entry
-   * @param intentsFirst whether forwards wait for the commit of their intent
-   * @param bounces whether new tasks are rejected while the queue to the disk is full
-   * @param mostWait how long an answer or a forward waits for the disk at most
-   * @param mostUnwritten how many lines may be on their way to the disk
-   * @param billingText the billing section and the waste setting as text, stored with a closed
-   *     period
+   * The ledger section; times are in nanoseconds. The three flags tell, in this order, whether
+   * answers wait for the commit of the task's entry, whether forwards wait for the commit of their
+   * intent, and whether new tasks are rejected while the queue to the disk is full. The billing
+   * text is the billing section and the waste setting in text form, stored with each closed period.
    */
   public record LedgerSection(
       Path folder,
@@ -109,9 +104,8 @@
   }
 
   /**
-   * Reads and validates a file on disk.
-   *
-   * @throws Unusable if the file cannot be read or is invalid; its message names file, line, column
+   * Reads and validates a file on disk. A file that cannot be read or is invalid causes an
+   * exception whose message names the file, line and column.
    */
   public static OperatorFile read(String file) {
     String text;
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -36,10 +36,8 @@
   }
 
   /**
-   * A configuration that was read completely.
-   *
-   * @param channel the resolved address of the command channel
-   * @param from the file and its size, for error messages
+   * A configuration that was read completely, with the resolved address of the command channel, and
+   * the file and its size for error messages.
    */
   record Whole(Config config, InetSocketAddress channel, String from) {}
 
@@ -86,10 +84,8 @@
   }
 
   /**
-   * Reads the file once.
-   *
-   * @throws Unsettled if the file is missing, empty, truncated or changing
-   * @throws Unusable if the file is complete and its content is wrong, or if it may not be read
+   * Reads the file once. Throws {@link Unsettled} if the file is missing, empty, truncated or
+   * changing, and another exception if its content is wrong or it may not be read.
    */
   Whole readOnce() throws IOException {
     BasicFileAttributes before;
