--- a/src/main/java/tansytrack/command/Guarded.java
+++ b/src/main/java/tansytrack/command/Guarded.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import tansytrack.settings.Unusable;
 
-/** A command that reports unusable input in one line and exits with {@link #UNUSABLE}. */
+/** A command that reports unusable input in one line and exits with {@link Command#UNUSABLE}. */
 public abstract class Guarded extends Command {
 
   /** Does the work of the command and returns its exit code. */
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -57,7 +57,7 @@
 
   /**
    * The platform sends SIGKILL after the longest deadline, of which it counts at most this much,
-   * and {@link #KILL_MARGIN}.
+   * and {@link Service#KILL_MARGIN}.
    */
   private static final long LONGEST_TO_KILL = 3000 * MS;
 
@@ -192,7 +192,8 @@
    * Polls the channel for the events since the file was written, before any client can connect.
    * Otherwise the manager would send to engines that began to drain while this process was
    * starting, which takes a second; that is all the time that the platform allows. The
-   * disadvantage: while the channel is unreachable, a start takes longer by {@link #FIRST_NEWS}.
+   * disadvantage: while the channel is unreachable, a start takes longer by {@link
+   * Service#FIRST_NEWS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
