--- a/src/main/java/tansytrack/command/Group.java
+++ b/src/main/java/tansytrack/command/CommandGroup.java
@@ -3,18 +3,18 @@
 import java.io.IOException;
 
 /** A command that consists of subcommands. */
-public abstract class Group extends Command {
+public abstract class CommandGroup extends Command {
 
   /** Returns the subcommand that the arguments name. */
-  protected abstract Command inner();
+  protected abstract Command subcommand();
 
   @Override
-  public final Command asked() {
-    return helpAsked() ? this : inner().asked();
+  public final Command selected() {
+    return helpRequested() ? this : subcommand().selected();
   }
 
   @Override
   public final int run() throws IOException {
-    return inner().run();
+    return subcommand().run();
   }
 }
--- a/src/main/java/tansytrack/log/Event.java
+++ b/src/main/java/tansytrack/log/Event.java
@@ -12,7 +12,7 @@
 public final class Event {
 
   /** Stack depth of the code that calls info, warn or error, which tinylog names as the origin. */
-  private static final int CALLER = 3;
+  private static final int CALLER_DEPTH = 3;
 
   private Event() {}
 
@@ -32,13 +32,13 @@
   }
 
   private static void log(Level level, String name, String text, Object... pairs) {
-    ThreadContext.put(JsonLinesWriter.EVENT, name);
+    ThreadContext.put(JsonLinesWriter.EVENT_KEY, name);
     for (int i = 0; i < pairs.length; i += 2) {
       ThreadContext.put((String) pairs[i], pairs[i + 1]);
     }
     try {
       ProviderRegistry.getLoggingProvider()
-          .log(CALLER, null, level, null, null, text, (Object[]) null);
+          .log(CALLER_DEPTH, null, level, null, null, text, (Object[]) null);
     } finally {
       ThreadContext.clear();
     }
@@ -48,7 +48,7 @@
    * Switches the log to JSON lines. It must be called before the first line is logged, because
    * tinylog freezes its configuration then.
    */
-  public static void jsonLines() {
+  public static void useJsonLines() {
     org.tinylog.configuration.Configuration.set("writer", "json lines");
     org.tinylog.configuration.Configuration.set("writer.level", "info");
   }
--- /dev/null
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -0,0 +1,250 @@
+package tansytrack.service;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.tinylog.Logger;
+import tansytrack.api.EngineEntry;
+import tansytrack.state.Manager;
+import tansytrack.state.Timers;
+import tansytrack.wire.HttpCodec;
+import tansytrack.wire.HttpConnection;
+import tansytrack.wire.Json;
+import tansytrack.wire.ProtocolException;
+import tansytrack.wire.Sockets;
+
+/**
+ * Client of the command channel, which reports the engine list: sends one long poll after another,
+ * each of which resumes behind the last event that was applied.
+ */
+final class CommandChannel implements HttpConnection.Pool, HttpConnection.ResponseHandler {
+
+  private static final long NANOS_PER_MS = 1_000_000L;
+
+  /** How long the server may hold a poll; short, so that a dead connection is noticed soon. */
+  private static final long POLL_BLOCK_MS = 1000;
+
+  /** The first poll asks only for the events since the configuration was written. */
+  private static final long FIRST_POLL_BLOCK_MS = 1;
+
+  /** Time without an answer beyond the block after which the connection is dropped. */
+  private static final long SILENCE_MARGIN_NANOS = 500 * NANOS_PER_MS;
+
+  /**
+   * Delay before the next poll after repeated failures, or after an early answer without events.
+   */
+  private static final long RETRY_DELAY_NANOS = 50 * NANOS_PER_MS;
+
+  /**
+   * Size limit of the receive ring. An engine list may take half of it, 2 MiB, which is some 11,000
+   * engines of 190 bytes each. The ring grows only as far as a list fills it.
+   */
+  private static final int MAX_RING_BYTES = 1 << 22;
+
+  private final Sockets sockets;
+  private final Timers timers;
+  private final Manager manager;
+  private InetSocketAddress address;
+  private HttpConnection connection;
+  private Timers.Timer timer;
+  private long cursor;
+  private long polledAt;
+
+  /** Failures since the last usable answer. */
+  private int consecutiveFailures;
+
+  /** Whether a warning was logged since the last usable answer. */
+  private boolean warned;
+
+  /** Whether the channel has answered a poll since the start. */
+  private boolean upToDate;
+
+  CommandChannel(Sockets sockets, Timers timers, InetSocketAddress address, Manager manager) {
+    this.sockets = sockets;
+    this.timers = timers;
+    this.address = address;
+    this.manager = manager;
+  }
+
+  /**
+   * Applies the events of an answer or of the configuration's `known` field; events up to the
+   * cursor are skipped.
+   */
+  void apply(Object told) throws ProtocolException {
+    Map<String, Object> all = Json.asObject(told, "the channel's answer");
+    for (Object event : Json.asList(all.get("cmds"), "cmds")) {
+      Map<String, Object> one = Json.asObject(event, "an event");
+      long number = (long) Json.asDouble(one.get("cursor"), "cursor");
+      if (number <= cursor) {
+        continue;
+      }
+      if (one.get("nodes") != null) {
+        applyNodes(Json.asObject(one.get("nodes"), "nodes"));
+      }
+      cursor = number;
+    }
+    cursor = Math.max(cursor, (long) Json.asDouble(all.get("cursor"), "cursor"));
+  }
+
+  private void applyNodes(Map<String, Object> nodes) throws ProtocolException {
+    List<EngineEntry> entries = new ArrayList<>();
+    Map<String, InetSocketAddress> addresses = new HashMap<>();
+    // Shares one string among all engines of the same zone or engine type.
+    Map<String, String> words = new HashMap<>();
+    for (Object member : Json.asList(nodes.get("members"), "members")) {
+      Map<String, Object> one = Json.asObject(member, "a member");
+      String id = Json.asString(one.get("id"), "id");
+      EngineEntry.State state =
+          switch (Json.asString(one.get("phase"), "phase")) {
+            case "ready" -> EngineEntry.State.READY;
+            case "draining" -> EngineEntry.State.DRAINING;
+            case "gone" -> EngineEntry.State.GONE;
+            default -> throw new ProtocolException("unknown phase");
+          };
+      if (state != EngineEntry.State.GONE) {
+        addresses.put(id, Service.parseAddress(Json.asString(one.get("host_port"), "host_port")));
+      }
+      entries.add(
+          new EngineEntry(
+              id,
+              numberOrDefault(one, "size", 1),
+              words.computeIfAbsent(textOrEmpty(one, "locality"), same -> same),
+              words.computeIfAbsent(textOrEmpty(one, "flavor"), same -> same),
+              (int) numberOrDefault(one, "cell", 0),
+              state,
+              Math.round(numberOrDefault(one, "up_since_ms", 0) * NANOS_PER_MS)));
+    }
+    manager.engines(Boolean.TRUE.equals(nodes.get("complete")), entries, addresses);
+  }
+
+  private static double numberOrDefault(Map<String, Object> from, String name, double otherwise)
+      throws ProtocolException {
+    return from.get(name) == null ? otherwise : Json.asDouble(from.get(name), name);
+  }
+
+  private static String textOrEmpty(Map<String, Object> from, String name)
+      throws ProtocolException {
+    return from.get(name) == null ? "" : Json.asString(from.get(name), name);
+  }
+
+  /**
+   * Switches to another address of the channel. Polling resumes behind the last event applied: the
+   * new address continues the numbering, and repeats what the old one had not yet delivered.
+   */
+  void moveTo(InetSocketAddress to, Object known) {
+    try {
+      applyFollowingEvents(known);
+    } catch (ProtocolException e) {
+      reportFailure(e.getMessage());
+    }
+    address = to;
+    close();
+    poll();
+  }
+
+  /**
+   * Applies the events of a configuration file that directly follow the last one applied. After a
+   * gap in the numbers the rest is left to the channel, which delivers all events.
+   */
+  private void applyFollowingEvents(Object known) throws ProtocolException {
+    for (Object event : Json.asList(Json.asObject(known, "known").get("cmds"), "cmds")) {
+      if ((long) Json.asDouble(Json.asObject(event, "an event").get("cursor"), "cursor")
+          == cursor + 1) {
+        apply(Map.of("cursor", cursor + 1, "cmds", List.of(event)));
+      }
+    }
+  }
+
+  /**
+   * Returns whether the channel has answered since the start, so that the engine list is not only
+   * that of the configuration file.
+   */
+  boolean upToDate() {
+    return upToDate;
+  }
+
+  /** Sends the next poll, on a new connection if there is none. */
+  void poll() {
+    if (connection == null) {
+      connection = new HttpConnection(sockets, address, MAX_RING_BYTES, this);
+    }
+    polledAt = timers.now();
+    long block = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
+    timer =
+        timers.schedule(polledAt + block * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
+    connection.send("GET", "/cmd/next?resume=" + cursor + "&block=" + block, "", new byte[0], this);
+  }
+
+  /** Stops polling and closes the connection. */
+  void close() {
+    timer.cancel();
+    if (connection != null) {
+      connection.abort();
+    }
+  }
+
+  private void pollTimedOut() {
+    connection.abort();
+    manager.counters().increment("channel.silent");
+    poll();
+  }
+
+  @Override
+  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
+    if (answer.status() != 200) {
+      throw new ProtocolException("status " + answer.status());
+    }
+    long before = cursor;
+    apply(Json.parse(answer.body()));
+    timer.cancel();
+    // A channel that answers at once without new events would otherwise be polled in a busy loop.
+    boolean early = upToDate && cursor == before && timers.now() - polledAt < RETRY_DELAY_NANOS;
+    upToDate = true;
+    consecutiveFailures = 0;
+    warned = false;
+    manager.counters().increment("channel.answers");
+    // Not within this call: the connection accepts the next request only after it returns.
+    timer = timers.schedule(timers.now() + (early ? RETRY_DELAY_NANOS : 0), this::poll);
+  }
+
+  /** Restarts the timeout: a list that is still arriving may take any time. */
+  @Override
+  public void responsePartReceived() {
+    timer.cancel();
+    timer =
+        timers.schedule(
+            timers.now() + POLL_BLOCK_MS * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
+  }
+
+  /**
+   * Polls again at once after a first failure, because events count as delivered soon after a
+   * break; a failure that directly follows another is retried after a delay.
+   */
+  @Override
+  public void requestFailed(HttpConnection.Failure why) {
+    timer.cancel();
+    reportFailure("connection lost or unusable answer");
+    timer =
+        timers.schedule(
+            timers.now() + (consecutiveFailures++ == 0 ? 0 : RETRY_DELAY_NANOS), this::poll);
+  }
+
+  /** Counts a failure; warns only on the first one since the last usable answer. */
+  private void reportFailure(String what) {
+    manager.counters().increment("channel.failed");
+    if (!warned) {
+      Logger.warn("command channel: {}; polling again, the known engine list stays in use", what);
+    }
+    warned = true;
+  }
+
+  @Override
+  public void connectionIdle(HttpConnection free) {}
+
+  @Override
+  public void connectionClosed(HttpConnection lost) {
+    connection = null;
+  }
+}
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import org.tinylog.Logger;
-import tansytrack.settings.Config;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * The configuration file, which may be replaced by others while managers start and run. While it is
@@ -21,16 +21,16 @@
  */
 final class ConfigFile {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   /** Time between two attempts to read the file. */
-  private static final long PAUSE = 20 * MS;
+  private static final long RETRY_INTERVAL_NANOS = 20 * NANOS_PER_MS;
 
   private final Path path;
 
   ConfigFile(String path) {
     if (path == null || path.isEmpty()) {
-      throw new Unusable("ROUTER_CONFIG names no configuration");
+      throw new InvalidInputException("ROUTER_CONFIG names no configuration");
     }
     this.path = Path.of(path);
   }
@@ -39,13 +39,13 @@
    * A configuration that was read completely, with the resolved address of the command channel, and
    * the file and its size for error messages.
    */
-  record Whole(Config config, InetSocketAddress channel, String from) {}
+  record LoadedConfig(ManagerConfig config, InetSocketAddress channel, String source) {}
 
   /** The file cannot be used now, but may be complete a moment later. */
-  static final class Unsettled extends IOException {
+  static final class TransientFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Unsettled(String what) {
+    TransientFileException(String what) {
       super(what);
     }
   }
@@ -54,29 +54,29 @@
    * Reads the file, repeatedly while it is incomplete, until `until`, a value of {@link
    * System#nanoTime}.
    */
-  Whole read(long until) throws IOException {
+  LoadedConfig read(long until) throws IOException {
     boolean said = false;
     while (true) {
       try {
         return readOnce();
-      } catch (Unsettled e) {
+      } catch (TransientFileException e) {
         long left = until - System.nanoTime();
         if (left <= 0) {
           throw e;
         }
         if (!said) {
           said = true;
-          Logger.warn("{}; retrying for up to {} ms", e.getMessage(), left / MS);
+          Logger.warn("{}; retrying for up to {} ms", e.getMessage(), left / NANOS_PER_MS);
         }
-        nap(Math.min(PAUSE, left));
+        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, left));
       }
     }
   }
 
   /** Sleeps; must not be called by the event loop's thread. */
-  static void nap(long time) throws IOException {
+  static void sleepNanos(long time) throws IOException {
     try {
-      Thread.sleep(time / MS, (int) (time % MS));
+      Thread.sleep(time / NANOS_PER_MS, (int) (time % NANOS_PER_MS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted while waiting", e);
@@ -84,44 +84,44 @@
   }
 
   /**
-   * Reads the file once. Throws {@link Unsettled} if the file is missing, empty, truncated or
-   * changing, and another exception if its content is wrong or it may not be read.
+   * Reads the file once. Throws {@link TransientFileException} if the file is missing, empty,
+   * truncated or changing, and another exception if its content is wrong or it may not be read.
    */
-  Whole readOnce() throws IOException {
+  LoadedConfig readOnce() throws IOException {
     BasicFileAttributes before;
     byte[] bytes;
     BasicFileAttributes after;
     try {
       before = Files.readAttributes(path, BasicFileAttributes.class);
       if (before.isDirectory()) {
-        throw new Unusable(path + " is a directory");
+        throw new InvalidInputException(path + " is a directory");
       }
       bytes = Files.readAllBytes(path);
       after = Files.readAttributes(path, BasicFileAttributes.class);
     } catch (NoSuchFileException e) {
-      throw new Unsettled(path + " is missing");
+      throw new TransientFileException(path + " is missing");
     } catch (AccessDeniedException e) {
-      throw new Unusable(path + " cannot be read: permission denied");
+      throw new InvalidInputException(path + " cannot be read: permission denied");
     } catch (IOException e) {
-      throw new Unsettled(path + " cannot be read: " + e.getMessage());
+      throw new TransientFileException(path + " cannot be read: " + e.getMessage());
     }
     String what = path + " (" + bytes.length + " bytes)";
     if (bytes.length == 0) {
-      throw new Unsettled(what + " is empty");
+      throw new TransientFileException(what + " is empty");
     }
     try {
-      Config config = Config.of(Json.read(bytes));
-      address("listen", config.listen());
-      return new Whole(config, address("channel", config.channel()), what);
-    } catch (Junk e) {
-      throw unusable(what, e, e.cutOff(), before, after, bytes.length);
-    } catch (Unusable e) {
-      throw unusable(what, e, false, before, after, bytes.length);
+      ManagerConfig config = ManagerConfig.fromJson(Json.parse(bytes));
+      address("listen", config.listenAddress());
+      return new LoadedConfig(config, address("channel", config.channelAddress()), what);
+    } catch (ProtocolException e) {
+      throw transientErrorOrThrow(what, e, e.truncated(), before, after, bytes.length);
+    } catch (InvalidInputException e) {
+      throw transientErrorOrThrow(what, e, false, before, after, bytes.length);
     }
   }
 
   /** Returns the error of a file that may be whole later; throws that of a file that is wrong. */
-  private static IOException unusable(
+  private static IOException transientErrorOrThrow(
       String what,
       Exception why,
       boolean cutOff,
@@ -129,21 +129,21 @@
       BasicFileAttributes after,
       int size) {
     if (cutOff) {
-      return new Unsettled(what + " is truncated: " + why.getMessage());
+      return new TransientFileException(what + " is truncated: " + why.getMessage());
     }
     if (before.size() != size
         || after.size() != size
         || !before.lastModifiedTime().equals(after.lastModifiedTime())) {
-      return new Unsettled(what + " changed while it was read: " + why.getMessage());
+      return new TransientFileException(what + " changed while it was read: " + why.getMessage());
     }
-    throw new Unusable(what + ": " + why.getMessage());
+    throw new InvalidInputException(what + ": " + why.getMessage());
   }
 
   private static InetSocketAddress address(String field, String text) {
     try {
-      return Service.address(text);
-    } catch (Junk e) {
-      throw new Unusable(field + ": " + e.getMessage());
+      return Service.parseAddress(text);
+    } catch (ProtocolException e) {
+      throw new InvalidInputException(field + ": " + e.getMessage());
     }
   }
 }
--- a/src/main/java/tansytrack/service/ConfigurationFilePoller.java
+++ b/src/main/java/tansytrack/service/ConfigurationFilePoller.java
@@ -16,21 +16,21 @@
 final class ConfigurationFilePoller implements Runnable {
 
   /** Far below the 4 s after the signal in which the platform expects the change to take effect. */
-  private static final long PAUSE = 250_000_000L;
+  private static final long POLL_INTERVAL_NANOS = 250_000_000L;
 
   private final Path path;
-  private final Runnable changed;
-  private List<Object> seen;
+  private final Runnable onChange;
+  private List<Object> lastFingerprint;
 
   /** Creates a poller that reports changes of the file from now on. */
   ConfigurationFilePoller(String path, Runnable changed) {
     this.path = Path.of(path);
-    this.changed = changed;
-    seen = look();
+    this.onChange = changed;
+    lastFingerprint = fingerprint();
   }
 
   /** Returns attributes that differ between versions of the file; empty if it does not exist. */
-  private List<Object> look() {
+  private List<Object> fingerprint() {
     try {
       BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
       return List.of(now.lastModifiedTime(), now.size(), String.valueOf(now.fileKey()));
@@ -45,7 +45,7 @@
         "SIGHUP was ignored when this process was started (nohup?) and stays ignored; polling {}"
             + " every {} ms instead",
         path,
-        PAUSE / 1_000_000L);
+        POLL_INTERVAL_NANOS / 1_000_000L);
     Thread thread = new Thread(this, "config-poller");
     thread.setDaemon(true);
     thread.start();
@@ -55,12 +55,12 @@
   public void run() {
     try {
       while (true) {
-        ConfigFile.nap(PAUSE);
-        List<Object> now = look();
-        if (!now.equals(seen)) {
-          seen = now;
+        ConfigFile.sleepNanos(POLL_INTERVAL_NANOS);
+        List<Object> now = fingerprint();
+        if (!now.equals(lastFingerprint)) {
+          lastFingerprint = now;
           if (!now.isEmpty()) {
-            changed.run();
+            onChange.run();
           }
         }
       }
--- a/src/main/java/tansytrack/service/ConfigurationReload.java
+++ b/src/main/java/tansytrack/service/ConfigurationReload.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.tinylog.Logger;
-import tansytrack.settings.Unusable;
+import tansytrack.settings.InvalidInputException;
 
 /**
  * Reloads the configuration on SIGHUP. The file is read on the thread that the JVM starts for each
@@ -15,35 +15,35 @@
 final class ConfigurationReload {
 
   /** Limit for an incomplete file; the platform expects the change to take effect within 4 s. */
-  static final long PATIENCE = 2_000_000_000L;
+  static final long READ_TIMEOUT_NANOS = 2_000_000_000L;
 
   private final ConfigFile file;
-  private final AtomicBoolean asked = new AtomicBoolean();
+  private final AtomicBoolean readPending = new AtomicBoolean();
 
   /** Receives configurations; null until a manager listens. */
-  private Consumer<ConfigFile.Whole> to;
+  private Consumer<ConfigFile.LoadedConfig> consumer;
 
   /** Whether a signal arrived while there was no consumer. */
-  private boolean missed;
+  private boolean missedSignal;
 
   ConfigurationReload(ConfigFile file) {
     this.file = file;
   }
 
   /** Reads the file and hands it on; called on the thread of a signal or of the poller. */
-  void signalled() {
-    if (asked.getAndSet(true)) {
+  void onSignal() {
+    if (readPending.getAndSet(true)) {
       return; // another thread waits to read the file, and will see this change as well
     }
     synchronized (this) {
-      asked.set(false);
-      if (to == null) {
-        missed = true;
+      readPending.set(false);
+      if (consumer == null) {
+        missedSignal = true;
         return;
       }
       try {
-        to.accept(file.read(System.nanoTime() + PATIENCE));
-      } catch (IOException | Unusable e) {
+        consumer.accept(file.read(System.nanoTime() + READ_TIMEOUT_NANOS));
+      } catch (IOException | InvalidInputException e) {
         Logger.warn(
             "the new configuration cannot be used, the old one stays in effect: {}",
             e.getMessage());
@@ -55,14 +55,14 @@
    * Sets the consumer of new configurations. If a signal arrived before, the file is read now, on a
    * new thread.
    */
-  void to(Consumer<ConfigFile.Whole> manager) {
+  void setConsumer(Consumer<ConfigFile.LoadedConfig> manager) {
     synchronized (this) {
-      to = manager;
-      if (!missed) {
+      consumer = manager;
+      if (!missedSignal) {
         return;
       }
     }
-    Thread thread = new Thread(this::signalled, "config-reload");
+    Thread thread = new Thread(this::onSignal, "config-reload");
     thread.setDaemon(true);
     thread.start();
   }
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -8,9 +8,9 @@
 import java.net.Socket;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import tansytrack.settings.Config;
+import tansytrack.settings.ManagerConfig;
 import tansytrack.wire.Json;
-import tansytrack.wire.Junk;
+import tansytrack.wire.ProtocolException;
 
 /**
  * A short run of the whole manager on loopback, between a simulated engine and a simulated client.
@@ -22,7 +22,7 @@
   private static final int TASKS = 200;
 
   /** Limit for one answer; after it the rehearsal ends early. */
-  private static final int PATIENCE_MS = 2000;
+  private static final int ANSWER_TIMEOUT_MS = 2000;
 
   private static final String PAGE = "a\tb\tc\n".repeat(40);
 
@@ -32,9 +32,9 @@
    * Runs the rehearsal with the settings of the configuration and returns the number of tasks
    * handled. If only some are handled, the archive is smaller, but valid.
    */
-  static long play(Config config) throws Junk, InterruptedException {
+  static long run(ManagerConfig config) throws ProtocolException, InterruptedException {
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      start(() -> accept(engine));
+      startDaemonThread(() -> acceptConnections(engine));
       String address = "127.0.0.1:" + engine.getLocalPort();
       String known =
           "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":{\"complete\":true,"
@@ -42,18 +42,18 @@
               + "\"host_port\":\""
               + address
               + "\",\"phase\":\"ready\",\"locality\":\""
-              + config.settings().place()
+              + config.settings().zone()
               + "\",\"flavor\":\""
-              + config.settings().kinds().keySet().iterator().next()
+              + config.settings().engineTypes().keySet().iterator().next()
               + "\"}]}}]}";
       Service service =
           new Service(
-              config.moved(
-                  "127.0.0.1:0", address, Json.read(known.getBytes(StandardCharsets.UTF_8))));
+              config.withAddresses(
+                  "127.0.0.1:0", address, Json.parse(known.getBytes(StandardCharsets.UTF_8))));
       InetSocketAddress at = service.listen();
-      Thread client = start(() -> ask(at, config));
+      Thread client = startDaemonThread(() -> runClient(at, config));
       Thread loop =
-          start(
+          startDaemonThread(
               () -> {
                 try {
                   service.run();
@@ -64,25 +64,25 @@
       client.join();
       service.terminate();
       loop.join();
-      return service.handled();
+      return service.tasksHandled();
     } catch (IOException e) {
       System.err.println("tansytrack: rehearsal ended early: " + e);
       return 0;
     }
   }
 
-  private static Thread start(Runnable what) {
+  private static Thread startDaemonThread(Runnable what) {
     Thread thread = new Thread(what, "rehearsal");
     thread.setDaemon(true);
     thread.start();
     return thread;
   }
 
-  private static void accept(ServerSocket engine) {
+  private static void acceptConnections(ServerSocket engine) {
     try {
       while (true) {
         Socket one = engine.accept();
-        start(() -> serve(one));
+        startDaemonThread(() -> serveConnection(one));
       }
     } catch (IOException e) {
       // the server socket was closed at the end of the rehearsal
@@ -93,23 +93,24 @@
    * Answers as an engine and as the command channel. Each query is reported as still running at
    * first; its result has two pages. The command channel reports no new events.
    */
-  private static void serve(Socket one) {
+  private static void serveConnection(Socket one) {
     try (one) {
       DataInputStream in = new DataInputStream(one.getInputStream());
       while (true) {
-        String head = head(in);
-        in.skipNBytes(length(head));
+        String head = readHead(in);
+        in.skipNBytes(contentLength(head));
         String answer =
             head.indexOf("POST") == 0
-                ? say("202 Accepted", "", "")
+                ? response("202 Accepted", "", "")
                 : head.indexOf("/cmd/") > 0
-                    ? say("200 OK", "", "{\"cursor\":1,\"cmds\":[]}")
+                    ? response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}")
                     : head.indexOf("/0 HTTP") > 0
-                        ? say("200 OK", "Page-Count: 2\r\nWork-Ms: 5.5\r\nPeak-Mb: 2.5\r\n", PAGE)
+                        ? response(
+                            "200 OK", "Page-Count: 2\r\nWork-Ms: 5.5\r\nPeak-Mb: 2.5\r\n", PAGE)
                         : head.indexOf("GET /o/") == 0
-                            ? say("200 OK", "Page-No: 1\r\n", PAGE)
+                            ? response("200 OK", "Page-No: 1\r\n", PAGE)
                             : head.indexOf("GET") == 0
-                                ? say("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
+                                ? response("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
                                 : "HTTP/1.1 204 No Content\r\n\r\n";
         one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
@@ -119,7 +120,7 @@
   }
 
   /** Reads the head of the next request, with the blank line that ends it. */
-  static String head(DataInputStream in) throws IOException {
+  static String readHead(DataInputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       head.append((char) in.readUnsignedByte());
@@ -128,13 +129,13 @@
   }
 
   /** Returns the length of the body that follows the head. */
-  static int length(String head) {
+  static int contentLength(String head) {
     int at = head.indexOf("Content-Length: ");
     return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
   }
 
   /** Returns an HTTP response; each of the header fields ends with CR LF. */
-  static String say(String status, String fields, String body) {
+  static String response(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
         + "\r\n"
@@ -146,26 +147,26 @@
   }
 
   /** Runs the client: a session that sends an empty query, SHOW STATS, and then tasks. */
-  private static void ask(InetSocketAddress at, Config config) {
+  private static void runClient(InetSocketAddress at, ManagerConfig config) {
     try (Socket socket = new Socket()) {
       socket.connect(at);
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.setSoTimeout(ANSWER_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(3 << 16).array());
-      answer(in);
+      awaitReadyForQuery(in);
       for (int i = 0; i < TASKS; i++) {
-        int grade = i % config.settings().grades().size();
+        int grade = i % config.settings().queryClasses().size();
         String text =
             i == 0
                 ? ";"
                 : i == 1
                     ? "show stats"
                     : "/* class="
-                        + config.settings().grades().get(grade).name()
+                        + config.settings().queryClasses().get(grade).name()
                         + ",id="
                         + String.format("%016x", i)
                         + ",wait="
-                        + PATIENCE_MS
+                        + ANSWER_TIMEOUT_MS
                         + ",tenant="
                         + config.settings().tenants().get(0).name()
                         + ",cost=5.0,mb=1,key=00000000000000a1 */"
@@ -181,7 +182,7 @@
                     .putInt(4 + body.length)
                     .put(body)
                     .array());
-        answer(in);
+        awaitReadyForQuery(in);
       }
     } catch (IOException e) {
       System.err.println("tansytrack: client of the rehearsal ended early: " + e);
@@ -189,7 +190,7 @@
   }
 
   /** Reads messages up to the next ReadyForQuery. */
-  private static void answer(DataInputStream in) throws IOException {
+  private static void awaitReadyForQuery(DataInputStream in) throws IOException {
     int type;
     do {
       type = in.readUnsignedByte();
--- a/src/main/java/tansytrack/service/SighupHandler.java
+++ b/src/main/java/tansytrack/service/SighupHandler.java
@@ -16,7 +16,7 @@
    * Returns false if the signal was ignored when the JVM started, because the JVM leaves it
    * ignored.
    */
-  static boolean take(Runnable what) {
+  static boolean install(Runnable what) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -8,9 +8,7 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/**
- * Allowed dependencies between packages, and that decision code uses no I/O, clock or threads.
- */
+/** Allowed dependencies between packages, and that decision code uses no I/O, clock or threads. */
 class ArchitectureTest {
 
   private static final JavaClasses PROGRAM =
@@ -27,7 +25,7 @@
         .layer("api")
         .definedBy("tansytrack.api")
         .layer("parts")
-        .definedBy("tansytrack.parts")
+        .definedBy("tansytrack.util")
         .layer("policy")
         .definedBy("tansytrack.policy")
         .layer("settings")
@@ -91,9 +89,9 @@
             "tansytrack.fleet",
             "tansytrack.lab.load",
             "tansytrack.lab.scale",
-            "tansytrack.lab.world",
+            "tansytrack.lab.simulation",
             "tansytrack.api",
-            "tansytrack.parts",
+            "tansytrack.util",
             "tansytrack.policy")
         .or()
         .haveFullyQualifiedName("tansytrack.Decide")
--- a/src/test/java/tansytrack/service/CrossingsTest.java
+++ b/src/test/java/tansytrack/service/RaceConditionTest.java
@@ -14,12 +14,12 @@
 /**
  * Races between two events, each in the harmful order, over real connections with scripted peers.
  */
-class CrossingsTest {
+class RaceConditionTest {
 
   private static final int MINUTE = 60_000;
   private static final String GOOD =
-      Rehearsal.say("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
-  private static final String NOT_OVER = Rehearsal.say("202 Accepted", "", "");
+      Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
+  private static final String NOT_OVER = Rehearsal.response("202 Accepted", "", "");
 
   private final List<AutoCloseable> open = new ArrayList<>();
   private ServiceFixture.Running running;
@@ -100,7 +100,7 @@
             () -> {
               try {
                 while (true) {
-                  channel.next(MINUTE).answer(Rehearsal.say("200 OK", "", news.get()));
+                  channel.next(MINUTE).answer(Rehearsal.response("200 OK", "", news.get()));
                 }
               } catch (Exception e) {
                 // the test has ended
@@ -177,7 +177,7 @@
               try {
                 channel
                     .next(MINUTE)
-                    .answer(Rehearsal.say("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
+                    .answer(Rehearsal.response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
@@ -197,7 +197,7 @@
     // An answer to the poll that timed out has no effect any more.
     try {
       silent.answer(
-          Rehearsal.say(
+          Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':3,'cmds':["
@@ -208,7 +208,7 @@
       // the connection may be closed already
     }
     again.answer(
-        Rehearsal.say(
+        Rehearsal.response(
             "200 OK",
             "",
             ("{'cursor':2,'cmds':["
@@ -237,11 +237,12 @@
       service.terminate();
       String next =
           config.replace("'channel':'" + channel.address(), "'channel':'" + moved.address());
-      service.reread(new ConfigFile.Whole(ServiceTest.read(next), moved.at(), "test"));
+      service.configurationRead(
+          new ConfigFile.LoadedConfig(ServiceTest.read(next), moved.at(), "test"));
       ScriptedPeer.Call asked = moved.next(MINUTE);
       assertThat(asked.text()).startsWith("GET /cmd/next?resume=1&");
       asked.answer(
-          Rehearsal.say(
+          Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':2,'cmds':["
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Guards against a new connection for each poll and page: with a hundred managers they
-   * add up, and each connection costs the engine work.
+   * Guards against a new connection for each poll and page: with a hundred managers they add up,
+   * and each connection costs the engine work.
    */
   @ParameterizedTest
   @CsvSource({"late, 4", "pages, 3"})
