--- a/src/main/java/tansytrack/log/JsonLinesWriter.java
+++ b/src/main/java/tansytrack/log/JsonLinesWriter.java
@@ -56,10 +56,10 @@
     put(line, "message", String.valueOf(entry.getMessage()));
     if (entry.getException() != null) {
       StringBuilder trace = new StringBuilder();
-      for (Throwable one = entry.getException(); one != null; one = one.getCause()) {
-        trace.append(trace.length() > 0 ? "caused by " : "").append(one).append('\n');
-        for (StackTraceElement at : one.getStackTrace()) {
-          trace.append("  at ").append(at).append('\n');
+      for (Throwable cause = entry.getException(); cause != null; cause = cause.getCause()) {
+        trace.append(trace.length() > 0 ? "caused by " : "").append(cause).append('\n');
+        for (StackTraceElement frame : cause.getStackTrace()) {
+          trace.append("  at ").append(frame).append('\n');
         }
       }
       put(line, "exception", trace.toString());
@@ -73,20 +73,20 @@
 
   /** Returns the text as a JSON string literal, with its quotation marks. */
   public static String quote(String text) {
-    StringBuilder made = new StringBuilder(text.length() + 2).append('"');
+    StringBuilder literal = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
-      char letter = text.charAt(i);
-      if (letter == '"' || letter == '\\') {
-        made.append('\\').append(letter);
-      } else if (letter == '\n') {
-        made.append("\\n");
-      } else if (letter < ' ') {
-        made.append(String.format("\\u%04x", (int) letter));
+      char character = text.charAt(i);
+      if (character == '"' || character == '\\') {
+        literal.append('\\').append(character);
+      } else if (character == '\n') {
+        literal.append("\\n");
+      } else if (character < ' ') {
+        literal.append(String.format("\\u%04x", (int) character));
       } else {
-        made.append(letter);
+        literal.append(character);
       }
     }
-    return made.append('"').toString();
+    return literal.append('"').toString();
   }
 
   @Override
--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -119,24 +119,29 @@
 
   /** Parses and validates the text; the file name is used only in error messages. */
   public static OperatorFile parse(String file, String text) {
-    Operator.Builder made = Operator.newBuilder();
-    TextFormatParseInfoTree.Builder places = TextFormatParseInfoTree.builder();
+    Operator.Builder builder = Operator.newBuilder();
+    TextFormatParseInfoTree.Builder locations = TextFormatParseInfoTree.builder();
     try {
-      TextFormat.Parser.newBuilder().setParseInfoTreeBuilder(places).build().merge(text, made);
+      TextFormat.Parser.newBuilder()
+          .setParseInfoTreeBuilder(locations)
+          .build()
+          .merge(text, builder);
     } catch (TextFormat.ParseException e) {
       throw new InvalidInputException(file + ':' + e.getMessage());
     }
-    Operator all = made.build();
-    SourceLocation root = new SourceLocation(file, places.build());
+    Operator message = builder.build();
+    SourceLocation root = new SourceLocation(file, locations.build());
     return new OperatorFile(
-        all.getLog().getForm() == Log.Form.JSON_LINES,
-        all.hasLedger()
+        message.getLog().getForm() == Log.Form.JSON_LINES,
+        message.hasLedger()
             ? ledger(
-                all.getLedger(), root.child(Operator.getDescriptor().findFieldByName("ledger"), 0))
+                message.getLedger(),
+                root.child(Operator.getDescriptor().findFieldByName("ledger"), 0))
             : null,
-        all.hasFleet()
+        message.hasFleet()
             ? fleet(
-                all.getFleet(), root.child(Operator.getDescriptor().findFieldByName("fleet"), 0))
+                message.getFleet(),
+                root.child(Operator.getDescriptor().findFieldByName("fleet"), 0))
             : null);
   }
 
@@ -148,75 +153,89 @@
     }
 
     InvalidInputException error(FieldDescriptor field, int index, Object value, String allowed) {
-      List<TextFormatParseLocation> places = tree.getLocations(field);
-      TextFormatParseLocation at = index < places.size() ? places.get(index) : null;
-      String where = at == null ? "" : ":" + (at.getLine() + 1) + ':' + (at.getColumn() + 1);
+      List<TextFormatParseLocation> locations = tree.getLocations(field);
+      TextFormatParseLocation location = index < locations.size() ? locations.get(index) : null;
+      String lineAndColumn =
+          location == null ? "" : ":" + (location.getLine() + 1) + ':' + (location.getColumn() + 1);
       return new InvalidInputException(
           file
-              + where
+              + lineAndColumn
               + ": "
               + field.getName()
               + ": "
-              + (where.isEmpty() ? "missing" : "'" + value + "'")
+              + (lineAndColumn.isEmpty() ? "missing" : "'" + value + "'")
               + "; allowed: "
               + allowed);
     }
   }
 
-  private static LedgerSection ledger(Ledger from, SourceLocation place) {
-    if (from.getFolder().isBlank()) {
-      throw place.error(
+  private static LedgerSection ledger(Ledger message, SourceLocation location) {
+    if (message.getFolder().isBlank()) {
+      throw location.error(
           field(Ledger.getDescriptor(), "folder"),
           0,
-          from.getFolder(),
+          message.getFolder(),
           "a folder on a persistent disk");
     }
-    int every =
+    int commitIntervalMs =
         inRangeOrDefault(
-            from.getCommitEveryMs(), 5, 1, 1000, Ledger.getDescriptor(), "commit_every_ms", place);
-    int most =
+            message.getCommitEveryMs(),
+            5,
+            1,
+            1000,
+            Ledger.getDescriptor(),
+            "commit_every_ms",
+            location);
+    int maxUnwrittenLines =
         inRangeOrDefault(
-            from.getMostUnwritten(),
+            message.getMostUnwritten(),
             16384,
             64,
             1 << 20,
             Ledger.getDescriptor(),
             "most_unwritten",
-            place);
-    int wait =
+            location);
+    int maxWaitMs =
         inRangeOrDefault(
-            from.getMostWaitMs(), 100, 1, 10000, Ledger.getDescriptor(), "most_wait_ms", place);
-    FieldDescriptor section = field(Ledger.getDescriptor(), "billing");
-    SourceLocation billingPlace = from.hasBilling() ? place.child(section, 0) : place;
-    Billing billing = from.getBilling();
-    BillingPeriods periods = periods(billing, billingPlace);
+            message.getMostWaitMs(),
+            100,
+            1,
+            10000,
+            Ledger.getDescriptor(),
+            "most_wait_ms",
+            location);
+    FieldDescriptor billingField = field(Ledger.getDescriptor(), "billing");
+    SourceLocation billingLocation =
+        message.hasBilling() ? location.child(billingField, 0) : location;
+    Billing billing = message.getBilling();
+    BillingPeriods periods = periods(billing, billingLocation);
     if (billing.getGraceHours() < 0) {
-      throw billingPlace.error(
+      throw billingLocation.error(
           field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "at least 0");
     }
     return new LedgerSection(
-        Path.of(from.getFolder()),
-        from.getAnswers() == Ledger.Wait.AFTER_COMMIT,
-        from.getForwards() == Ledger.Wait.AFTER_COMMIT,
-        from.getWhenFull() == Ledger.WhenFull.BOUNCE,
-        wait * NANOS_PER_MS,
-        every * NANOS_PER_MS,
-        most,
+        Path.of(message.getFolder()),
+        message.getAnswers() == Ledger.Wait.AFTER_COMMIT,
+        message.getForwards() == Ledger.Wait.AFTER_COMMIT,
+        message.getWhenFull() == Ledger.WhenFull.BOUNCE,
+        maxWaitMs * NANOS_PER_MS,
+        commitIntervalMs * NANOS_PER_MS,
+        maxUnwrittenLines,
         periods,
-        rates(billing, from.getWaste() == Ledger.Waste.TENANT, billingPlace),
+        rates(billing, message.getWaste() == Ledger.Waste.TENANT, billingLocation),
         new ClosingPolicy(periods, billing.getGraceHours() * NANOS_PER_HOUR),
-        quotas(billing, billingPlace),
+        quotas(billing, billingLocation),
         TextFormat.printer().emittingSingleLine(true).printToString(billing)
             + " waste: "
-            + from.getWaste());
+            + message.getWaste());
   }
 
-  private static List<TenantQuota> quotas(Billing billing, SourceLocation billingPlace) {
+  private static List<TenantQuota> quotas(Billing billing, SourceLocation billingLocation) {
     List<TenantQuota> quotas = new ArrayList<>();
     for (int i = 0; i < billing.getQuotasCount(); i++) {
       Quota quota = billing.getQuotas(i);
       if (quota.getTasks() < 0 || quota.getWorkSeconds() < 0) {
-        throw billingPlace.error(
+        throw billingLocation.error(
             field(Billing.getDescriptor(), "quotas"),
             i,
             quota.getTenant(),
@@ -229,27 +248,27 @@
     return quotas;
   }
 
-  private static FleetSection fleet(Fleet from, SourceLocation place) {
-    Descriptors.Descriptor section = Fleet.getDescriptor();
+  private static FleetSection fleet(Fleet message, SourceLocation location) {
+    Descriptors.Descriptor descriptor = Fleet.getDescriptor();
     Set<String> names = new HashSet<>();
     Set<String> addresses = new HashSet<>();
-    if (!from.getName().isEmpty()) {
-      names.add(checkedName(from.getName(), section, place));
+    if (!message.getName().isEmpty()) {
+      names.add(checkedName(message.getName(), descriptor, location));
     }
-    addresses.add(checkedAddress(from.getAddress(), section, place));
+    addresses.add(checkedAddress(message.getAddress(), descriptor, location));
     List<FleetPeer> peers = new ArrayList<>();
-    for (int i = 0; i < from.getPeersCount(); i++) {
-      Peer peer = from.getPeers(i);
-      SourceLocation at = place.child(field(section, "peers"), i);
-      if (!names.add(checkedName(peer.getName(), Peer.getDescriptor(), at))) {
-        throw at.error(
+    for (int i = 0; i < message.getPeersCount(); i++) {
+      Peer peer = message.getPeers(i);
+      SourceLocation peerLocation = location.child(field(descriptor, "peers"), i);
+      if (!names.add(checkedName(peer.getName(), Peer.getDescriptor(), peerLocation))) {
+        throw peerLocation.error(
             field(Peer.getDescriptor(), "name"),
             0,
             peer.getName(),
             "the unique names of the other managers, without this one");
       }
-      if (!addresses.add(checkedAddress(peer.getAddress(), Peer.getDescriptor(), at))) {
-        throw at.error(
+      if (!addresses.add(checkedAddress(peer.getAddress(), Peer.getDescriptor(), peerLocation))) {
+        throw peerLocation.error(
             field(Peer.getDescriptor(), "address"),
             0,
             peer.getAddress(),
@@ -258,32 +277,34 @@
       peers.add(new FleetPeer(peer.getName(), peer.getAddress(), peer.getSeed()));
     }
     if (peers.isEmpty()) {
-      throw place.error(field(section, "peers"), 0, "", "at least one");
+      throw location.error(field(descriptor, "peers"), 0, "", "at least one");
     }
     return new FleetSection(
-        from.getName(),
-        from.getPlace(),
-        from.getAddress(),
+        message.getName(),
+        message.getPlace(),
+        message.getAddress(),
         List.copyOf(peers),
-        inRangeOrDefault(from.getProbeEveryMs(), 500, 100, 10_000, section, "probe_every_ms", place)
+        inRangeOrDefault(
+                message.getProbeEveryMs(), 500, 100, 10_000, descriptor, "probe_every_ms", location)
             * NANOS_PER_MS,
         inRangeOrDefault(
-            from.getMostBytesASecond(),
+            message.getMostBytesASecond(),
             16_384,
             2048,
             1 << 20,
-            section,
+            descriptor,
             "most_bytes_a_second",
-            place),
-        inRangeOrDefault(from.getSettleS(), 30, 1, 3600, section, "settle_s", place)
+            location),
+        inRangeOrDefault(message.getSettleS(), 30, 1, 3600, descriptor, "settle_s", location)
             * 1000L
             * NANOS_PER_MS);
   }
 
-  private static String checkedName(String name, Descriptors.Descriptor of, SourceLocation place) {
+  private static String checkedName(
+      String name, Descriptors.Descriptor descriptor, SourceLocation location) {
     if (!name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,47}")) {
-      throw place.error(
-          field(of, "name"),
+      throw location.error(
+          field(descriptor, "name"),
           0,
           name,
           "1 to 48 letters, digits, '.', '_' or '-', starting with a letter or digit");
@@ -292,60 +313,63 @@
   }
 
   private static String checkedAddress(
-      String text, Descriptors.Descriptor of, SourceLocation place) {
-    boolean form = text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
-    boolean range =
-        form
+      String text, Descriptors.Descriptor descriptor, SourceLocation location) {
+    boolean wellFormed = text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
+    boolean valid =
+        wellFormed
             && Arrays.stream(text.substring(0, text.indexOf(':')).split("\\."))
                 .mapToInt(Integer::parseInt)
-                .allMatch(one -> one < 256)
+                .allMatch(octet -> octet < 256)
             && Integer.parseInt(text.substring(text.indexOf(':') + 1)) < 65536;
-    if (!range) {
-      throw place.error(
-          field(of, "address"), 0, text, "an IPv4 address with a port, as in 10.0.0.7:7946");
+    if (!valid) {
+      throw location.error(
+          field(descriptor, "address"),
+          0,
+          text,
+          "an IPv4 address with a port, as in 10.0.0.7:7946");
     }
     return text;
   }
 
-  private static FieldDescriptor field(Descriptors.Descriptor of, String name) {
-    return of.findFieldByName(name);
+  private static FieldDescriptor field(Descriptors.Descriptor descriptor, String name) {
+    return descriptor.findFieldByName(name);
   }
 
   private static int inRangeOrDefault(
       int value,
-      int otherwise,
-      int least,
-      int most,
-      Descriptors.Descriptor of,
+      int defaultValue,
+      int min,
+      int max,
+      Descriptors.Descriptor descriptor,
       String name,
-      SourceLocation place) {
-    if (value != 0 && (value < least || value > most)) {
-      throw place.error(field(of, name), 0, value, least + " to " + most);
+      SourceLocation location) {
+    if (value != 0 && (value < min || value > max)) {
+      throw location.error(field(descriptor, name), 0, value, min + " to " + max);
     }
-    return value == 0 ? otherwise : value;
+    return value == 0 ? defaultValue : value;
   }
 
-  private static BillingPeriods periods(Billing billing, SourceLocation place) {
+  private static BillingPeriods periods(Billing billing, SourceLocation location) {
     try {
       BillingPeriods.Length length = BillingPeriods.Length.valueOf(billing.getPeriod().name());
       return new BillingPeriods(
           length, ZoneId.of(billing.getZone().isEmpty() ? "UTC" : billing.getZone()));
     } catch (DateTimeException e) {
-      throw place.error(
+      throw location.error(
           field(Billing.getDescriptor(), "zone"),
           0,
           billing.getZone(),
           "an IANA time zone, as in Asia/Kolkata");
     } catch (IllegalArgumentException e) {
-      throw place.error(
+      throw location.error(
           field(Billing.getDescriptor(), "period"), 0, billing.getPeriod(), "MONTH, WEEK, DAY");
     }
   }
 
-  private static Rates rates(Billing billing, boolean wasteBilled, SourceLocation place) {
+  private static Rates rates(Billing billing, boolean wasteBilled, SourceLocation location) {
     int decimals = billing.hasDecimals() ? billing.getDecimals() : 2;
     if (decimals < 0 || decimals > 9) {
-      throw place.error(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
+      throw location.error(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
     }
     RoundingMode rounding =
         switch (billing.getRounding()) {
@@ -357,50 +381,50 @@
     List<Rates.Rate> rates = new ArrayList<>();
     for (int i = 0; i < billing.getRatesCount(); i++) {
       Rate rate = billing.getRates(i);
-      SourceLocation at = place.child(field(Billing.getDescriptor(), "rates"), i);
+      SourceLocation rateLocation = location.child(field(Billing.getDescriptor(), "rates"), i);
       LocalDate from;
       try {
         from = rate.getFromDate().isEmpty() ? LocalDate.EPOCH : LocalDate.parse(rate.getFromDate());
       } catch (DateTimeException e) {
-        throw at.error(
+        throw rateLocation.error(
             field(Rate.getDescriptor(), "from_date"),
             0,
             rate.getFromDate(),
             "a date, as in 2026-12-01");
       }
-      Rates.Rate made =
+      Rates.Rate parsed =
           new Rates.Rate(
               rate.getTenant(),
               rate.getGrade(),
               from,
-              price(rate.getPerTask(), "per_task", at),
-              price(rate.getPerWorkSecond(), "per_work_second", at),
-              price(rate.getPerGbSecond(), "per_gb_second", at),
-              price(rate.getPerMbReturned(), "per_mb_returned", at));
+              price(rate.getPerTask(), "per_task", rateLocation),
+              price(rate.getPerWorkSecond(), "per_work_second", rateLocation),
+              price(rate.getPerGbSecond(), "per_gb_second", rateLocation),
+              price(rate.getPerMbReturned(), "per_mb_returned", rateLocation));
       for (Rates.Rate other : rates) {
-        if (other.tenant().equals(made.tenant())
-            && other.grade().equals(made.grade())
-            && other.validFrom().equals(made.validFrom())) {
-          throw place.error(
+        if (other.tenant().equals(parsed.tenant())
+            && other.grade().equals(parsed.grade())
+            && other.validFrom().equals(parsed.validFrom())) {
+          throw location.error(
               field(Billing.getDescriptor(), "rates"),
               i,
               rate.getTenant() + '/' + rate.getGrade() + " from " + from,
               "one rate per tenant, grade and date");
         }
       }
-      rates.add(made);
+      rates.add(parsed);
     }
     return new Rates(List.copyOf(rates), decimals, rounding, wasteBilled);
   }
 
-  private static BigDecimal price(String text, String name, SourceLocation place) {
+  private static BigDecimal price(String text, String name, SourceLocation location) {
     if (text.isEmpty()) {
       return BigDecimal.ZERO;
     }
     if (text.length() <= MAX_DECIMAL_LENGTH && text.matches("[0-9]+(\\.[0-9]+)?")) {
       return new BigDecimal(text);
     }
-    throw place.error(
+    throw location.error(
         field(Rate.getDescriptor(), name),
         0,
         text,
--- a/src/main/java/tansytrack/service/CommandChannel.java
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -72,74 +72,75 @@
    * Applies the events of an answer or of the configuration's `known` field; events up to the
    * cursor are skipped.
    */
-  void apply(Object told) throws ProtocolException {
-    Map<String, Object> all = Json.asObject(told, "the channel's answer");
-    for (Object event : Json.asList(all.get("cmds"), "cmds")) {
-      Map<String, Object> one = Json.asObject(event, "an event");
-      long number = (long) Json.asDouble(one.get("cursor"), "cursor");
+  void apply(Object message) throws ProtocolException {
+    Map<String, Object> fields = Json.asObject(message, "the channel's answer");
+    for (Object event : Json.asList(fields.get("cmds"), "cmds")) {
+      Map<String, Object> eventFields = Json.asObject(event, "an event");
+      long number = (long) Json.asDouble(eventFields.get("cursor"), "cursor");
       if (number <= cursor) {
         continue;
       }
-      if (one.get("nodes") != null) {
-        applyNodes(Json.asObject(one.get("nodes"), "nodes"));
+      if (eventFields.get("nodes") != null) {
+        applyNodes(Json.asObject(eventFields.get("nodes"), "nodes"));
       }
       cursor = number;
     }
-    cursor = Math.max(cursor, (long) Json.asDouble(all.get("cursor"), "cursor"));
+    cursor = Math.max(cursor, (long) Json.asDouble(fields.get("cursor"), "cursor"));
   }
 
   private void applyNodes(Map<String, Object> nodes) throws ProtocolException {
     List<EngineEntry> entries = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
     // Shares one string among all engines of the same zone or engine type.
-    Map<String, String> words = new HashMap<>();
+    Map<String, String> sharedStrings = new HashMap<>();
     for (Object member : Json.asList(nodes.get("members"), "members")) {
-      Map<String, Object> one = Json.asObject(member, "a member");
-      String id = Json.asString(one.get("id"), "id");
+      Map<String, Object> engine = Json.asObject(member, "a member");
+      String id = Json.asString(engine.get("id"), "id");
       EngineEntry.State state =
-          switch (Json.asString(one.get("phase"), "phase")) {
+          switch (Json.asString(engine.get("phase"), "phase")) {
             case "ready" -> EngineEntry.State.READY;
             case "draining" -> EngineEntry.State.DRAINING;
             case "gone" -> EngineEntry.State.GONE;
             default -> throw new ProtocolException("unknown phase");
           };
       if (state != EngineEntry.State.GONE) {
-        addresses.put(id, Service.parseAddress(Json.asString(one.get("host_port"), "host_port")));
+        addresses.put(
+            id, Service.parseAddress(Json.asString(engine.get("host_port"), "host_port")));
       }
       entries.add(
           new EngineEntry(
               id,
-              numberOrDefault(one, "size", 1),
-              words.computeIfAbsent(textOrEmpty(one, "locality"), same -> same),
-              words.computeIfAbsent(textOrEmpty(one, "flavor"), same -> same),
-              (int) numberOrDefault(one, "cell", 0),
+              numberOrDefault(engine, "size", 1),
+              sharedStrings.computeIfAbsent(textOrEmpty(engine, "locality"), text -> text),
+              sharedStrings.computeIfAbsent(textOrEmpty(engine, "flavor"), text -> text),
+              (int) numberOrDefault(engine, "cell", 0),
               state,
-              Math.round(numberOrDefault(one, "up_since_ms", 0) * NANOS_PER_MS)));
+              Math.round(numberOrDefault(engine, "up_since_ms", 0) * NANOS_PER_MS)));
     }
     manager.engines(Boolean.TRUE.equals(nodes.get("complete")), entries, addresses);
   }
 
-  private static double numberOrDefault(Map<String, Object> from, String name, double otherwise)
-      throws ProtocolException {
-    return from.get(name) == null ? otherwise : Json.asDouble(from.get(name), name);
+  private static double numberOrDefault(
+      Map<String, Object> fields, String name, double defaultValue) throws ProtocolException {
+    return fields.get(name) == null ? defaultValue : Json.asDouble(fields.get(name), name);
   }
 
-  private static String textOrEmpty(Map<String, Object> from, String name)
+  private static String textOrEmpty(Map<String, Object> fields, String name)
       throws ProtocolException {
-    return from.get(name) == null ? "" : Json.asString(from.get(name), name);
+    return fields.get(name) == null ? "" : Json.asString(fields.get(name), name);
   }
 
   /**
    * Switches to another address of the channel. Polling resumes behind the last event applied: the
    * new address continues the numbering, and repeats what the old one had not yet delivered.
    */
-  void moveTo(InetSocketAddress to, Object known) {
+  void moveTo(InetSocketAddress newAddress, Object known) {
     try {
       applyFollowingEvents(known);
     } catch (ProtocolException e) {
       reportFailure(e.getMessage());
     }
-    address = to;
+    address = newAddress;
     close();
     poll();
   }
@@ -171,10 +172,12 @@
       connection = new HttpConnection(sockets, address, MAX_RING_BYTES, this);
     }
     polledAt = timers.now();
-    long block = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
+    long blockMs = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
     timer =
-        timers.schedule(polledAt + block * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
-    connection.send("GET", "/cmd/next?resume=" + cursor + "&block=" + block, "", new byte[0], this);
+        timers.schedule(
+            polledAt + blockMs * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
+    connection.send(
+        "GET", "/cmd/next?resume=" + cursor + "&block=" + blockMs, "", new byte[0], this);
   }
 
   /** Stops polling and closes the connection. */
@@ -196,17 +199,20 @@
     if (answer.status() != 200) {
       throw new ProtocolException("status " + answer.status());
     }
-    long before = cursor;
+    long previousCursor = cursor;
     apply(Json.parse(answer.body()));
     timer.cancel();
     // A channel that answers at once without new events would otherwise be polled in a busy loop.
-    boolean early = upToDate && cursor == before && timers.now() - polledAt < RETRY_DELAY_NANOS;
+    boolean answeredEarlyWithoutEvents =
+        upToDate && cursor == previousCursor && timers.now() - polledAt < RETRY_DELAY_NANOS;
     upToDate = true;
     consecutiveFailures = 0;
     warned = false;
     manager.counters().increment("channel.answers");
     // Not within this call: the connection accepts the next request only after it returns.
-    timer = timers.schedule(timers.now() + (early ? RETRY_DELAY_NANOS : 0), this::poll);
+    timer =
+        timers.schedule(
+            timers.now() + (answeredEarlyWithoutEvents ? RETRY_DELAY_NANOS : 0), this::poll);
   }
 
   /** Restarts the timeout: a list that is still arriving may take any time. */
@@ -223,7 +229,7 @@
    * break; a failure that directly follows another is retried after a delay.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
+  public void requestFailed(HttpConnection.Failure failure) {
     timer.cancel();
     reportFailure("connection lost or unusable answer");
     timer =
@@ -232,10 +238,10 @@
   }
 
   /** Counts a failure; warns only on the first one since the last usable answer. */
-  private void reportFailure(String what) {
+  private void reportFailure(String reason) {
     manager.counters().increment("channel.failed");
     if (!warned) {
-      Logger.warn("command channel: {}; polling again, the known engine list stays in use", what);
+      Logger.warn("command channel: {}; polling again, the known engine list stays in use", reason);
     }
     warned = true;
   }
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -45,8 +45,8 @@
   static final class TransientFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    TransientFileException(String what) {
-      super(what);
+    TransientFileException(String message) {
+      super(message);
     }
   }
 
@@ -54,29 +54,30 @@
    * Reads the file, repeatedly while it is incomplete, until `until`, a value of {@link
    * System#nanoTime}.
    */
-  LoadedConfig read(long until) throws IOException {
-    boolean said = false;
+  LoadedConfig read(long deadlineNanos) throws IOException {
+    boolean warned = false;
     while (true) {
       try {
         return readOnce();
       } catch (TransientFileException e) {
-        long left = until - System.nanoTime();
-        if (left <= 0) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
           throw e;
         }
-        if (!said) {
-          said = true;
-          Logger.warn("{}; retrying for up to {} ms", e.getMessage(), left / NANOS_PER_MS);
+        if (!warned) {
+          warned = true;
+          Logger.warn(
+              "{}; retrying for up to {} ms", e.getMessage(), remainingNanos / NANOS_PER_MS);
         }
-        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, left));
+        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, remainingNanos));
       }
     }
   }
 
   /** Sleeps; must not be called by the event loop's thread. */
-  static void sleepNanos(long time) throws IOException {
+  static void sleepNanos(long durationNanos) throws IOException {
     try {
-      Thread.sleep(time / NANOS_PER_MS, (int) (time % NANOS_PER_MS));
+      Thread.sleep(durationNanos / NANOS_PER_MS, (int) (durationNanos % NANOS_PER_MS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted while waiting", e);
@@ -105,38 +106,39 @@
     } catch (IOException e) {
       throw new TransientFileException(path + " cannot be read: " + e.getMessage());
     }
-    String what = path + " (" + bytes.length + " bytes)";
+    String description = path + " (" + bytes.length + " bytes)";
     if (bytes.length == 0) {
-      throw new TransientFileException(what + " is empty");
+      throw new TransientFileException(description + " is empty");
     }
     try {
       ManagerConfig config = ManagerConfig.fromJson(Json.parse(bytes));
       address("listen", config.listenAddress());
-      return new LoadedConfig(config, address("channel", config.channelAddress()), what);
+      return new LoadedConfig(config, address("channel", config.channelAddress()), description);
     } catch (ProtocolException e) {
-      throw transientErrorOrThrow(what, e, e.truncated(), before, after, bytes.length);
+      throw transientErrorOrThrow(description, e, e.truncated(), before, after, bytes.length);
     } catch (InvalidInputException e) {
-      throw transientErrorOrThrow(what, e, false, before, after, bytes.length);
+      throw transientErrorOrThrow(description, e, false, before, after, bytes.length);
     }
   }
 
   /** Returns the error of a file that may be whole later; throws that of a file that is wrong. */
   private static IOException transientErrorOrThrow(
-      String what,
-      Exception why,
-      boolean cutOff,
+      String description,
+      Exception cause,
+      boolean truncated,
       BasicFileAttributes before,
       BasicFileAttributes after,
       int size) {
-    if (cutOff) {
-      return new TransientFileException(what + " is truncated: " + why.getMessage());
+    if (truncated) {
+      return new TransientFileException(description + " is cut off: " + cause.getMessage());
     }
     if (before.size() != size
         || after.size() != size
         || !before.lastModifiedTime().equals(after.lastModifiedTime())) {
-      return new TransientFileException(what + " changed while it was read: " + why.getMessage());
+      return new TransientFileException(
+          description + " changed while it was read: " + cause.getMessage());
     }
-    throw new InvalidInputException(what + ": " + why.getMessage());
+    throw new InvalidInputException(description + ": " + cause.getMessage());
   }
 
   private static InetSocketAddress address(String field, String text) {
--- a/src/main/java/tansytrack/service/ConfigurationFilePoller.java
+++ b/src/main/java/tansytrack/service/ConfigurationFilePoller.java
@@ -23,17 +23,18 @@
   private List<Object> lastFingerprint;
 
   /** Creates a poller that reports changes of the file from now on. */
-  ConfigurationFilePoller(String path, Runnable changed) {
+  ConfigurationFilePoller(String path, Runnable onChange) {
     this.path = Path.of(path);
-    this.onChange = changed;
+    this.onChange = onChange;
     lastFingerprint = fingerprint();
   }
 
   /** Returns attributes that differ between versions of the file; empty if it does not exist. */
   private List<Object> fingerprint() {
     try {
-      BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
-      return List.of(now.lastModifiedTime(), now.size(), String.valueOf(now.fileKey()));
+      BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+      return List.of(
+          attributes.lastModifiedTime(), attributes.size(), String.valueOf(attributes.fileKey()));
     } catch (IOException e) {
       return List.of();
     }
@@ -56,10 +57,10 @@
     try {
       while (true) {
         ConfigFile.sleepNanos(POLL_INTERVAL_NANOS);
-        List<Object> now = fingerprint();
-        if (!now.equals(lastFingerprint)) {
-          lastFingerprint = now;
-          if (!now.isEmpty()) {
+        List<Object> current = fingerprint();
+        if (!current.equals(lastFingerprint)) {
+          lastFingerprint = current;
+          if (!current.isEmpty()) {
             onChange.run();
           }
         }
--- a/src/main/java/tansytrack/service/ConfigurationReload.java
+++ b/src/main/java/tansytrack/service/ConfigurationReload.java
@@ -55,9 +55,9 @@
    * Sets the consumer of new configurations. If a signal arrived before, the file is read now, on a
    * new thread.
    */
-  void setConsumer(Consumer<ConfigFile.LoadedConfig> manager) {
+  void setConsumer(Consumer<ConfigFile.LoadedConfig> newConsumer) {
     synchronized (this) {
-      consumer = manager;
+      consumer = newConsumer;
       if (!missedSignal) {
         return;
       }
--- a/src/main/java/tansytrack/service/OperatorFeatures.java
+++ b/src/main/java/tansytrack/service/OperatorFeatures.java
@@ -28,12 +28,13 @@
 
   /** Reads the file. Must run before the first line is logged, as it selects the log's format. */
   static Service.OptionalFeatures load(String file) {
-    OperatorFile all = OperatorFile.read(file);
-    if (all.jsonLines()) {
+    OperatorFile operatorFile = OperatorFile.read(file);
+    if (operatorFile.jsonLines()) {
       Event.useJsonLines();
     }
     return new Service.OptionalFeatures(
-        taskListenerFactory(file, all.ledger()), peerManagersFactory(file, all.fleet()));
+        taskListenerFactory(file, operatorFile.ledger()),
+        peerManagersFactory(file, operatorFile.fleet()));
   }
 
   private static Service.TaskListenerFactory taskListenerFactory(
@@ -121,10 +122,10 @@
 
   /** Reads the file and returns a summary of what it switches on; opens nothing. */
   static String summary(String file) {
-    OperatorFile all = OperatorFile.read(file);
-    OperatorFile.LedgerSection ledger = all.ledger();
-    OperatorFile.FleetSection fleet = all.fleet();
-    String said =
+    OperatorFile operatorFile = OperatorFile.read(file);
+    OperatorFile.LedgerSection ledger = operatorFile.ledger();
+    OperatorFile.FleetSection fleet = operatorFile.fleet();
+    String summary =
         (ledger == null
                 ? ""
                 : "; ledger in "
@@ -136,6 +137,6 @@
             + (fleet == null
                 ? ""
                 : "; fleet of " + (fleet.peers().size() + 1) + " at " + fleet.address());
-    return said.isEmpty() ? "; no optional feature is switched on" : said;
+    return summary.isEmpty() ? "; no optional feature is switched on" : summary;
   }
 }
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -36,7 +36,7 @@
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       startDaemonThread(() -> acceptConnections(engine));
       String address = "127.0.0.1:" + engine.getLocalPort();
-      String known =
+      String knownEvents =
           "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":{\"complete\":true,"
               + "\"members\":[{\"id\":\"e\","
               + "\"host_port\":\""
@@ -49,9 +49,11 @@
       Service service =
           new Service(
               config.withAddresses(
-                  "127.0.0.1:0", address, Json.parse(known.getBytes(StandardCharsets.UTF_8))));
-      InetSocketAddress at = service.listen();
-      Thread client = startDaemonThread(() -> runClient(at, config));
+                  "127.0.0.1:0",
+                  address,
+                  Json.parse(knownEvents.getBytes(StandardCharsets.UTF_8))));
+      InetSocketAddress managerAddress = service.listen();
+      Thread client = startDaemonThread(() -> runClient(managerAddress, config));
       Thread loop =
           startDaemonThread(
               () -> {
@@ -71,8 +73,8 @@
     }
   }
 
-  private static Thread startDaemonThread(Runnable what) {
-    Thread thread = new Thread(what, "rehearsal");
+  private static Thread startDaemonThread(Runnable task) {
+    Thread thread = new Thread(task, "rehearsal");
     thread.setDaemon(true);
     thread.start();
     return thread;
@@ -81,8 +83,8 @@
   private static void acceptConnections(ServerSocket engine) {
     try {
       while (true) {
-        Socket one = engine.accept();
-        startDaemonThread(() -> serveConnection(one));
+        Socket connection = engine.accept();
+        startDaemonThread(() -> serveConnection(connection));
       }
     } catch (IOException e) {
       // the server socket was closed at the end of the rehearsal
@@ -93,9 +95,9 @@
    * Answers as an engine and as the command channel. Each query is reported as still running at
    * first; its result has two pages. The command channel reports no new events.
    */
-  private static void serveConnection(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private static void serveConnection(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
         String head = readHead(in);
         in.skipNBytes(contentLength(head));
@@ -112,7 +114,7 @@
                             : head.indexOf("GET") == 0
                                 ? response("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
                                 : "HTTP/1.1 204 No Content\r\n\r\n";
-        one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException e) {
       // the connection was closed
@@ -130,8 +132,10 @@
 
   /** Returns the length of the body that follows the head. */
   static int contentLength(String head) {
-    int at = head.indexOf("Content-Length: ");
-    return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
+    int start = head.indexOf("Content-Length: ");
+    return start < 0
+        ? 0
+        : Integer.parseInt(head.substring(start + 16, head.indexOf("\r\n", start)));
   }
 
   /** Returns an HTTP response; each of the header fields ends with CR LF. */
@@ -147,22 +151,22 @@
   }
 
   /** Runs the client: a session that sends an empty query, SHOW STATS, and then tasks. */
-  private static void runClient(InetSocketAddress at, ManagerConfig config) {
+  private static void runClient(InetSocketAddress managerAddress, ManagerConfig config) {
     try (Socket socket = new Socket()) {
-      socket.connect(at);
+      socket.connect(managerAddress);
       socket.setSoTimeout(ANSWER_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(3 << 16).array());
       awaitReadyForQuery(in);
       for (int i = 0; i < TASKS; i++) {
-        int grade = i % config.settings().queryClasses().size();
+        int classIndex = i % config.settings().queryClasses().size();
         String text =
             i == 0
                 ? ";"
                 : i == 1
                     ? "show stats"
                     : "/* class="
-                        + config.settings().queryClasses().get(grade).name()
+                        + config.settings().queryClasses().get(classIndex).name()
                         + ",id="
                         + String.format("%016x", i)
                         + ",wait="
@@ -171,7 +175,7 @@
                         + config.settings().tenants().get(0).name()
                         + ",cost=5.0,mb=1,key=00000000000000a1 */"
                         + " SELECT day, count(*) FROM sales_"
-                        + grade
+                        + classIndex
                         + ".orders WHERE tag = '3f9c' GROUP BY day";
         byte[] body = (text + '\0').getBytes(StandardCharsets.UTF_8);
         socket
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -159,38 +159,45 @@
    * released it, binding is retried until `until`, a value of {@link System#nanoTime}. The
    * disadvantage: an address that another process keeps is reported only then.
    */
-  InetSocketAddress listen(long until) throws IOException, ProtocolException {
-    InetSocketAddress wanted = parseAddress(config.listenAddress());
-    boolean said = false;
+  InetSocketAddress listen(long deadlineNanos) throws IOException, ProtocolException {
+    InetSocketAddress configuredAddress = parseAddress(config.listenAddress());
+    boolean warned = false;
     catchUp();
     while (true) {
       try {
-        InetSocketAddress at = sockets.listen(wanted, manager::connectionAccepted);
+        InetSocketAddress boundAddress =
+            sockets.listen(configuredAddress, manager::connectionAccepted);
         eventQueue.add(manager::resolveForwards);
         peerManagers.markServing();
         Event.info(
             "listening",
-            config.name() + " listens at " + at.getHostString() + ':' + at.getPort(),
+            config.name()
+                + " listens at "
+                + boundAddress.getHostString()
+                + ':'
+                + boundAddress.getPort(),
             "manager",
             config.name(),
             "address",
-            at.getHostString() + ':' + at.getPort());
-        return at;
+            boundAddress.getHostString() + ':' + boundAddress.getPort());
+        return boundAddress;
       } catch (IOException e) {
         Throwable root = e;
         while (root.getCause() != null) {
           root = root.getCause();
         }
-        String what = "cannot listen at " + config.listenAddress() + ": " + root.getMessage();
-        long left = until - System.nanoTime();
-        if (left <= 0 || !(root instanceof BindException) || !what.contains(ADDRESS_IN_USE)) {
-          throw new IOException(what, e);
+        String message = "cannot listen at " + config.listenAddress() + ": " + root.getMessage();
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0
+            || !(root instanceof BindException)
+            || !message.contains(ADDRESS_IN_USE)) {
+          throw new IOException(message, e);
         }
-        if (!said) {
-          said = true;
-          Logger.warn("{}; retrying for up to {} ms", what, left / NANOS_PER_MS);
+        if (!warned) {
+          warned = true;
+          Logger.warn("{}; retrying for up to {} ms", message, remainingNanos / NANOS_PER_MS);
         }
-        ConfigFile.sleepNanos(Math.min(BIND_RETRY_INTERVAL_NANOS, left));
+        ConfigFile.sleepNanos(Math.min(BIND_RETRY_INTERVAL_NANOS, remainingNanos));
       }
     }
   }
@@ -204,11 +211,11 @@
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
-    long until = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
-    timers.schedule(until, () -> {}); // wakes the loop at that time
+    long deadline = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
+    timers.schedule(deadline, () -> {}); // wakes the loop at that time
     channel.poll();
     try {
-      while (!channel.upToDate() && timers.now() < until) {
+      while (!channel.upToDate() && timers.now() < deadline) {
         runOnce();
       }
     } catch (InterruptedException e) {
@@ -222,7 +229,7 @@
    * after an internal failure.
    */
   public static int serve(String path, String operator) {
-    long until = System.nanoTime() + START_TIMEOUT_NANOS;
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT_NANOS;
     Service service;
     ConfigurationReload reload;
     try {
@@ -234,7 +241,7 @@
       }
       OptionalFeatures extras =
           operator == null ? OptionalFeatures.NONE : OperatorFeatures.load(operator);
-      service = create(file.read(until), extras);
+      service = create(file.read(deadlineNanos), extras);
     } catch (IOException | InvalidInputException e) {
       return reportUnusableInput(e);
     }
@@ -242,7 +249,7 @@
     // clients that have been accepted.
     Runtime.getRuntime().addShutdownHook(new Thread(service::terminateAndWait, "stop"));
     try {
-      service.listen(until);
+      service.listen(deadlineNanos);
       reload.setConsumer(service::configurationRead);
     } catch (IOException | ProtocolException e) {
       service.finished.countDown();
@@ -263,17 +270,17 @@
    * Halts the process without running its shutdown hooks: after an internal failure the decision
    * code may have received only part of an event, and its decisions are not reliable.
    */
-  private static int haltAfterFailure(Throwable why) {
-    Logger.error(why, "a failure inside ends the workload manager");
+  private static int haltAfterFailure(Throwable cause) {
+    Logger.error(cause, "a failure inside ends the workload manager");
     Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     return EXIT_INTERNAL_ERROR;
   }
 
-  private static Service create(ConfigFile.LoadedConfig from, OptionalFeatures extras) {
+  private static Service create(ConfigFile.LoadedConfig loaded, OptionalFeatures extras) {
     try {
-      return new Service(from.config(), Decide::new, extras);
+      return new Service(loaded.config(), Decide::new, extras);
     } catch (ProtocolException e) {
-      throw new InvalidInputException(from.source() + ": known: " + e.getMessage());
+      throw new InvalidInputException(loaded.source() + ": known: " + e.getMessage());
     }
   }
 
@@ -283,11 +290,11 @@
    */
   public static int check(String path, String operator, PrintStream out) {
     try {
-      String installed = operator == null ? "" : OperatorFeatures.summary(operator);
-      ConfigFile.LoadedConfig from = new ConfigFile(path).readOnce();
-      Service service = create(from, OptionalFeatures.NONE);
+      String features = operator == null ? "" : OperatorFeatures.summary(operator);
+      ConfigFile.LoadedConfig loaded = new ConfigFile(path).readOnce();
+      Service service = create(loaded, OptionalFeatures.NONE);
       service.sockets.close();
-      ManagerConfig config = from.config();
+      ManagerConfig config = loaded.config();
       out.println(
           config.name()
               + ": "
@@ -297,7 +304,7 @@
               + " tenants, "
               + service.manager.engineCount()
               + " engines"
-              + installed);
+              + features);
       return 0;
     } catch (IOException | InvalidInputException e) {
       return reportUnusableInput(e);
@@ -323,8 +330,8 @@
     }
   }
 
-  private static int reportUnusableInput(Exception why) {
-    System.err.println("tansytrack: " + why.getMessage());
+  private static int reportUnusableInput(Exception cause) {
+    System.err.println("tansytrack: " + cause.getMessage());
     return EXIT_UNUSABLE_INPUT;
   }
 
@@ -336,19 +343,19 @@
   /**
    * Applies what can change while tasks are open, and logs which other changes require a restart.
    */
-  private void reconfigure(ManagerConfig next, InetSocketAddress to) {
+  private void reconfigure(ManagerConfig next, InetSocketAddress channelAddress) {
     if (closing) {
       return;
     }
     manager.counters().increment("configurations.read");
-    String rest = config.nonReloadableDifferences(next);
+    String requiresRestart = config.nonReloadableDifferences(next);
     Logger.info(
         "new configuration: command channel at {}{}",
         next.channelAddress(),
-        rest.isEmpty() ? "" : "; changes that require a restart: " + rest);
+        requiresRestart.isEmpty() ? "" : "; changes that require a restart: " + requiresRestart);
     config = next.withoutKnownEngines();
     manager.updateMaxDescriptors(next.maxDescriptors());
-    channel.moveTo(to, next.knownEngines());
+    channel.moveTo(channelAddress, next.knownEngines());
   }
 
   /** Parses and resolves an address of the form host:port. */
@@ -395,16 +402,16 @@
   /** Runs one iteration of the event loop: waits, processes events and timers, then decides. */
   private void runOnce() throws InterruptedException {
     timers.now(clock.getAsLong());
-    long nap = timers.nanosUntilNext(MAX_WAIT_NANOS);
-    Runnable note = eventQueue.poll(nap, TimeUnit.NANOSECONDS);
+    long maxWaitNanos = timers.nanosUntilNext(MAX_WAIT_NANOS);
+    Runnable event = eventQueue.poll(maxWaitNanos, TimeUnit.NANOSECONDS);
     clock.slew();
-    timers.advanceAfterSleep(clock.getAsLong(), nap);
-    for (int i = 0; note != null && i < MAX_EVENTS_PER_TURN; i++) {
-      note.run();
-      note = eventQueue.poll();
+    timers.advanceAfterSleep(clock.getAsLong(), maxWaitNanos);
+    for (int i = 0; event != null && i < MAX_EVENTS_PER_TURN; i++) {
+      event.run();
+      event = eventQueue.poll();
     }
-    if (note != null) {
-      note.run();
+    if (event != null) {
+      event.run();
     }
     timers.runDue();
     manager.processPending();
@@ -433,51 +440,53 @@
     if (stopping) {
       return;
     }
-    long longest =
+    long longestDeadline =
         config.settings().queryClasses().stream()
             .mapToLong(QueryClass::deadlineNanos)
             .max()
             .orElse(0);
-    long until =
-        timers.now() + Math.min(longest, MAX_DEADLINE_BEFORE_KILL_NANOS) + KILL_MARGIN_NANOS;
+    long killTime =
+        timers.now()
+            + Math.min(longestDeadline, MAX_DEADLINE_BEFORE_KILL_NANOS)
+            + KILL_MARGIN_NANOS;
     Event.info(
         "ending",
         "shutting down; answers are accepted for "
-            + (until - timers.now()) / NANOS_PER_MS
+            + (killTime - timers.now()) / NANOS_PER_MS
             + " ms more",
         "for_ms",
-        (until - timers.now()) / NANOS_PER_MS);
+        (killTime - timers.now()) / NANOS_PER_MS);
     stopping = true;
     peerManagers.markLeaving();
-    manager.beginShutdown(until);
+    manager.beginShutdown(killTime);
     timers.schedule(
-        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, until - FINAL_ANSWERS_NANOS),
+        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, killTime - FINAL_ANSWERS_NANOS),
         () -> {
           sockets.stopListening();
-          closeWhenIdle(until);
+          closeWhenIdle(killTime);
         });
   }
 
   /** Closes the sessions when all requests are answered or the time is up; ends the loop then. */
-  private void closeWhenIdle(long until) {
-    boolean late = timers.now() > until;
-    if (late || manager.idle()) {
+  private void closeWhenIdle(long killTime) {
+    boolean timedOut = timers.now() > killTime;
+    if (timedOut || manager.idle()) {
       closing = true;
       // Cancellations to engines are still sent after this.
       channel.close();
       manager.close();
-      stopped = sockets.openConnections() == 0 || timers.now() > until + KILL_MARGIN_NANOS;
+      stopped = sockets.openConnections() == 0 || timers.now() > killTime + KILL_MARGIN_NANOS;
     }
-    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(until));
+    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(killTime));
   }
 
   private void logCounters() {
     StringBuilder line = new StringBuilder();
     List<Object> pairs = new ArrayList<>();
-    for (Map.Entry<String, Long> one : manager.counters().asMap().entrySet()) {
-      line.append(' ').append(one.getKey()).append('=').append(one.getValue());
-      pairs.add(one.getKey());
-      pairs.add(one.getValue());
+    for (Map.Entry<String, Long> counter : manager.counters().asMap().entrySet()) {
+      line.append(' ').append(counter.getKey()).append('=').append(counter.getValue());
+      pairs.add(counter.getKey());
+      pairs.add(counter.getValue());
     }
     Event.info("counters", "counters:" + line, pairs.toArray());
   }
--- a/src/main/java/tansytrack/service/SighupHandler.java
+++ b/src/main/java/tansytrack/service/SighupHandler.java
@@ -16,26 +16,26 @@
    * Returns false if the signal was ignored when the JVM started, because the JVM leaves it
    * ignored.
    */
-  static boolean install(Runnable what) {
+  static boolean install(Runnable onSignal) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object runs =
+      Object proxyHandler =
           Proxy.newProxyInstance(
               SighupHandler.class.getClassLoader(),
               new Class<?>[] {handler},
               (proxy, method, arguments) -> {
                 if (method.getName().equals("handle")) {
-                  what.run();
+                  onSignal.run();
                   return null;
                 }
-                return method.invoke(what, arguments);
+                return method.invoke(onSignal, arguments);
               });
-      Object before =
+      Object previous =
           signal
               .getMethod("handle", signal, handler)
-              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), runs);
-      return before != handler.getField("SIG_IGN").get(null);
+              .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxyHandler);
+      return previous != handler.getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
       Logger.error(e, "SIGHUP cannot be taken on this machine, and would end the workload manager");
       return true;
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -11,13 +11,13 @@
 /** Allowed dependencies between packages, and that decision code uses no I/O, clock or threads. */
 class ArchitectureTest {
 
-  private static final JavaClasses PROGRAM =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("tansytrack");
 
   @Test
-  void arrowsPointOneWay() {
+  void packagesDependOnlyOnAllowedPackages() {
     layeredArchitecture()
         .consideringOnlyDependenciesInLayers()
         .layer("main")
@@ -77,11 +77,11 @@
         .whereLayer("log")
         .mayOnlyBeAccessedByLayers(
             "service", "ledger.disk", "fleet.udp", "state", "wire", "lab", "main")
-        .check(PROGRAM);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void whatDecidesTouchesNothingOutside() {
+  void decisionCodeUsesNoInputOutputOrClock() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAnyPackage(
@@ -115,6 +115,6 @@
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
         .callMethod(java.time.Instant.class, "now")
-        .check(PROGRAM);
+        .check(PRODUCTION_CLASSES);
   }
 }
--- a/src/test/java/tansytrack/log/EventTest.java
+++ b/src/test/java/tansytrack/log/EventTest.java
@@ -17,7 +17,7 @@
 class EventTest {
 
   @Test
-  void aJsonLineHoldsEventFieldsMessageAndTraceAndCanBeRead() throws ProtocolException {
+  void aJsonLineContainsEventFieldsMessageAndStackTrace() throws ProtocolException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     new JsonLinesWriter(new PrintStream(out, true, StandardCharsets.UTF_8))
         .write(
--- a/src/test/java/tansytrack/operator/OperatorFileTest.java
+++ b/src/test/java/tansytrack/operator/OperatorFileTest.java
@@ -76,10 +76,10 @@
         "fleet { address: '10.0.0.1:7' probe_every_ms: 5 peers { name: 'a' address: '10.0.0.2:7' }"
             + " } | probe_every_ms: '5'; allowed: 100 to 10000"
       })
-  void aFaultNamesPlaceFieldValueAndWhatIsAllowed(String text, String said) {
+  void anErrorNamesPositionFieldValueAndAllowedValues(String text, String message) {
     assertThatThrownBy(() -> OperatorFile.parse("f", text.replace('@', '\n')))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said)
+        .hasMessageContaining(message)
         .hasMessageStartingWith("f:");
   }
 
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -16,29 +16,29 @@
  */
 class AttemptEndTest {
 
-  private static final int MINUTE = 60_000;
-  private static final String GOOD =
+  private static final int TIMEOUT_MS = 60_000;
+  private static final String RESULT =
       Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
-  private static final String NOT_OVER = Rehearsal.response("202 Accepted", "", "");
-  private static final String NOT_OVER_LAST =
+  private static final String STILL_RUNNING = Rehearsal.response("202 Accepted", "", "");
+  private static final String STILL_RUNNING_AND_CLOSE =
       Rehearsal.response("202 Accepted", "Connection: close\r\n", "");
-  private static final String DELETED = "HTTP/1.1 204 No Content\r\n\r\n";
-  private static final String FIRST = "00000000000000a1";
-  private static final String SECOND = "00000000000000a2";
-  private static final String OTHER = "00000000000000b1";
+  private static final String DELETE_CONFIRMED = "HTTP/1.1 204 No Content\r\n\r\n";
+  private static final String FIRST_ID = "00000000000000a1";
+  private static final String SECOND_ID = "00000000000000a2";
+  private static final String OTHER_ID = "00000000000000b1";
 
   private final List<AutoCloseable> open = new ArrayList<>();
-  private ScriptedPeer engine;
-  private ServiceFixture.Running running;
+  private ScriptedServer engine;
+  private ServiceFixture.RunningManager running;
 
   @BeforeEach
   void start() throws Exception {
-    engine = new ScriptedPeer().accepting();
-    ScriptedPeer channel = new ScriptedPeer().accepting();
+    engine = new ScriptedServer().startAccepting();
+    ScriptedServer channel = new ScriptedServer().startAccepting();
     open.add(engine);
     open.add(channel);
     running =
-        new ServiceFixture.Running(
+        new ServiceFixture.RunningManager(
             ServiceTest.config(engine.address())
                 .replace("'channel':'" + engine.address(), "'channel':'" + channel.address())
                 .replace("'connect_timeout_ms':5000", "'connect_timeout_ms':1000"));
@@ -47,16 +47,16 @@
   @AfterEach
   void stop() throws Exception {
     try {
-      running.end();
+      running.stop();
     } finally {
-      for (AutoCloseable one : open) {
-        one.close();
+      for (AutoCloseable resource : open) {
+        resource.close();
       }
     }
   }
 
   private Client client() throws IOException {
-    Client client = new Client(running.at).started();
+    Client client = new Client(running.address).startSession();
     open.add(client);
     return client;
   }
@@ -64,24 +64,26 @@
   /**
    * Returns a client that has sent a query of the class that is serial by key; all share one key.
    */
-  private Client ordered(String id) throws IOException {
+  private Client serialClient(String id) throws IOException {
     Client client = client();
     client.send(Client.message('Q', Client.task("once", id, "ok")));
     return client;
   }
 
-  private ScriptedPeer.Call next(String text) throws InterruptedException {
-    ScriptedPeer.Call call = engine.next(MINUTE);
-    assertThat(call.text()).isEqualTo(text);
-    return call;
+  private ScriptedServer.Request expectRequest(String requestLine) throws InterruptedException {
+    ScriptedServer.Request request = engine.nextRequest(TIMEOUT_MS);
+    assertThat(request.text()).isEqualTo(requestLine);
+    return request;
   }
 
   /** Returns whether another query starts in that time; other requests are skipped. */
-  private boolean beginsWithin(long ms) throws InterruptedException {
+  private boolean queryStartsWithin(long ms) throws InterruptedException {
     long end = System.nanoTime() + ms * 1_000_000;
-    for (long left = ms; left > 0; left = (end - System.nanoTime()) / 1_000_000) {
-      ScriptedPeer.Call call = engine.next(left);
-      if (call != null && call.text().equals("POST /o")) {
+    for (long remainingMs = ms;
+        remainingMs > 0;
+        remainingMs = (end - System.nanoTime()) / 1_000_000) {
+      ScriptedServer.Request request = engine.nextRequest(remainingMs);
+      if (request != null && request.text().equals("POST /o")) {
         return true;
       }
     }
@@ -92,25 +94,25 @@
    * Answers each poll for the first query until the next query starts, and returns that request.
    * Some polls are on connections that the manager dropped before they were accepted.
    */
-  private ScriptedPeer.Call answerUntilBegun() throws InterruptedException {
+  private ScriptedServer.Request answerUntilNextQueryStarts() throws InterruptedException {
     while (true) {
-      ScriptedPeer.Call call = engine.next(MINUTE);
-      if (call.text().equals("POST /o")) {
-        return call;
+      ScriptedServer.Request request = engine.nextRequest(TIMEOUT_MS);
+      if (request.text().equals("POST /o")) {
+        return request;
       }
-      assertThat(call.text()).isEqualTo("GET /o/" + FIRST + "/0");
+      assertThat(request.text()).isEqualTo("GET /o/" + FIRST_ID + "/0");
       try {
-        call.answer(GOOD);
+        request.respond(RESULT);
       } catch (IOException e) {
         // the manager had dropped the connection
       }
     }
   }
 
-  private static void until(Client client, String said) throws IOException {
+  private static void awaitStats(Client client, String expected) throws IOException {
     long end = System.nanoTime() + 20_000_000_000L;
-    while (!client.ask("SHOW STATS").contains(said)) {
-      assertThat(System.nanoTime()).as("waiting for %s", said).isLessThan(end);
+    while (!client.query("SHOW STATS").contains(expected)) {
+      assertThat(System.nanoTime()).as("waiting for %s", expected).isLessThan(end);
     }
   }
 
@@ -119,62 +121,62 @@
    * connections that are open, interleaved with the other requests there.
    */
   @Test
-  void anEngineThatRefusesNewConnectionsIsAskedOnThoseThatAreUp() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    ScriptedPeer.Call asked = next("GET /o/" + FIRST + "/0");
+  void queriesArePolledOnOpenConnectionsWhenNewOnesAreRefused() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    ScriptedServer.Request poll = expectRequest("GET /o/" + FIRST_ID + "/0");
     Client other = client();
-    other.send(Client.message('Q', Client.task("safe", OTHER, "ok")));
-    next("POST /o").answer(NOT_OVER);
-    ScriptedPeer.Call kept = next("GET /o/" + OTHER + "/0");
-    engine.refusing();
-    asked.answerLast(NOT_OVER_LAST);
-    until(client(), "calls.REFUSED,1;");
-    kept.answer(NOT_OVER);
-    ScriptedPeer.Call again = next("GET /o/" + FIRST + "/0");
-    assertThat(again.on()).isSameAs(kept.on());
-    again.answer(NOT_OVER);
-    next("GET /o/" + OTHER + "/0").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0").answer(GOOD);
-    assertThat(first.answer()).endsWith("SELECT 1");
-    next("GET /o/" + OTHER + "/0").answer(GOOD);
-    assertThat(other.answer()).endsWith("SELECT 1");
+    other.send(Client.message('Q', Client.task("safe", OTHER_ID, "ok")));
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    ScriptedServer.Request otherPoll = expectRequest("GET /o/" + OTHER_ID + "/0");
+    engine.refuseConnections();
+    poll.respondAndClose(STILL_RUNNING_AND_CLOSE);
+    awaitStats(client(), "calls.REFUSED,1;");
+    otherPoll.respond(STILL_RUNNING);
+    ScriptedServer.Request repeatedRequest = expectRequest("GET /o/" + FIRST_ID + "/0");
+    assertThat(repeatedRequest.connection()).isSameAs(otherPoll.connection());
+    repeatedRequest.respond(STILL_RUNNING);
+    expectRequest("GET /o/" + OTHER_ID + "/0").respond(STILL_RUNNING);
+    expectRequest("GET /o/" + FIRST_ID + "/0").respond(RESULT);
+    assertThat(first.readAnswer()).endsWith("SELECT 1");
+    expectRequest("GET /o/" + OTHER_ID + "/0").respond(RESULT);
+    assertThat(other.readAnswer()).endsWith("SELECT 1");
   }
 
   /** A refused connection proves that this request did not run, not that the query has ended. */
   @Test
-  void aRefusedConnectionEndsNothing() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    ScriptedPeer.Call asked = next("GET /o/" + FIRST + "/0");
-    Client second = ordered(SECOND);
-    engine.refusing();
-    asked.answerLast(NOT_OVER_LAST);
-    until(client(), "calls.REFUSED,3;");
-    engine.listening();
-    next("GET /o/" + FIRST + "/0").answer(GOOD);
-    assertThat(first.answer()).endsWith("SELECT 1");
-    next("POST /o").answer(GOOD);
-    assertThat(second.answer()).endsWith("SELECT 1");
+  void aRefusedConnectionDoesNotProveTheEndOfAQuery() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    ScriptedServer.Request poll = expectRequest("GET /o/" + FIRST_ID + "/0");
+    Client second = serialClient(SECOND_ID);
+    engine.refuseConnections();
+    poll.respondAndClose(STILL_RUNNING_AND_CLOSE);
+    awaitStats(client(), "calls.REFUSED,3;");
+    engine.listenAgain();
+    expectRequest("GET /o/" + FIRST_ID + "/0").respond(RESULT);
+    assertThat(first.readAnswer()).endsWith("SELECT 1");
+    expectRequest("POST /o").respond(RESULT);
+    assertThat(second.readAnswer()).endsWith("SELECT 1");
   }
 
   /** A DELETE that was not delivered is repeated, and the key's next query waits for its answer. */
   @Test
-  void aCancellationIsRepeatedUntilItComesThrough() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0");
-    Client second = ordered(SECOND);
-    engine.refusing();
+  void aCancellationIsRepeatedUntilItIsDelivered() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    expectRequest("GET /o/" + FIRST_ID + "/0");
+    Client second = serialClient(SECOND_ID);
+    engine.refuseConnections();
     first.close();
     // One for the POST, and at least two for DELETE, each on a connection of its own.
-    until(client(), "connections.to_engines,3;");
-    engine.listening();
-    ScriptedPeer.Call delete = next("DELETE /o/" + FIRST);
-    assertThat(beginsWithin(100)).as("the next query of the key begins").isFalse();
-    delete.answer(DELETED);
-    next("POST /o").answer(GOOD);
-    assertThat(second.answer()).endsWith("SELECT 1");
+    awaitStats(client(), "connections.to_engines,3;");
+    engine.listenAgain();
+    ScriptedServer.Request delete = expectRequest("DELETE /o/" + FIRST_ID);
+    assertThat(queryStartsWithin(100)).as("the next query of the key begins").isFalse();
+    delete.respond(DELETE_CONFIRMED);
+    expectRequest("POST /o").respond(RESULT);
+    assertThat(second.readAnswer()).endsWith("SELECT 1");
   }
 
   /**
@@ -182,20 +184,20 @@
    * after a time, so elapsed time proves no end, also after it stops accepting connections.
    */
   @Test
-  void timeEndsNothingAtAnEngineThatStandsStill() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0");
+  void elapsedTimeProvesNoEndAtASuspendedEngine() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    expectRequest("GET /o/" + FIRST_ID + "/0");
     // Without an answer the request is repeated, on a new connection.
-    next("GET /o/" + FIRST + "/0");
-    Client second = ordered(SECOND);
-    engine.full();
-    assertThat(beginsWithin(6000)).as("the next query of the key begins").isFalse();
-    engine.accepting();
-    ScriptedPeer.Call begun = answerUntilBegun();
-    assertThat(first.answer()).endsWith("SELECT 1");
-    begun.answer(GOOD);
-    assertThat(second.answer()).endsWith("SELECT 1");
+    expectRequest("GET /o/" + FIRST_ID + "/0");
+    Client second = serialClient(SECOND_ID);
+    engine.fillAcceptQueue();
+    assertThat(queryStartsWithin(6000)).as("the next query of the key begins").isFalse();
+    engine.startAccepting();
+    ScriptedServer.Request nextQuery = answerUntilNextQueryStarts();
+    assertThat(first.readAnswer()).endsWith("SELECT 1");
+    nextQuery.respond(RESULT);
+    assertThat(second.readAnswer()).endsWith("SELECT 1");
   }
 
   /**
@@ -203,30 +205,30 @@
    * from the network. The next query of a key waits in that case too.
    */
   @Test
-  void timeEndsNothingOfAKeyWhereNoConnectionComesUp() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0"); // on the open connection; it stays unanswered
-    engine.full();
-    Client second = ordered(SECOND);
-    assertThat(beginsWithin(6000)).as("the next query of the key begins").isFalse();
-    engine.accepting();
-    ScriptedPeer.Call begun = answerUntilBegun();
-    assertThat(first.answer()).endsWith("SELECT 1");
-    begun.answer(GOOD);
-    assertThat(second.answer()).endsWith("SELECT 1");
+  void elapsedTimeProvesNoEndWithoutNewConnections() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    expectRequest("GET /o/" + FIRST_ID + "/0"); // on the open connection; it stays unanswered
+    engine.fillAcceptQueue();
+    Client second = serialClient(SECOND_ID);
+    assertThat(queryStartsWithin(6000)).as("the next query of the key begins").isFalse();
+    engine.startAccepting();
+    ScriptedServer.Request nextQuery = answerUntilNextQueryStarts();
+    assertThat(first.readAnswer()).endsWith("SELECT 1");
+    nextQuery.respond(RESULT);
+    assertThat(second.readAnswer()).endsWith("SELECT 1");
   }
 
   /** A crashed process resets its connections and refuses new ones: its queries have ended. */
   @Test
-  void aProcessThatDiesEndsWhatItRan() throws Exception {
-    Client first = ordered(FIRST);
-    next("POST /o").answer(NOT_OVER);
-    next("GET /o/" + FIRST + "/0");
-    long diedAt = System.nanoTime();
-    engine.die();
-    assertThat(first.answer()).startsWith("58000");
-    assertThat(System.nanoTime() - diedAt)
+  void aCrashedProcessEndsItsQueries() throws Exception {
+    Client first = serialClient(FIRST_ID);
+    expectRequest("POST /o").respond(STILL_RUNNING);
+    expectRequest("GET /o/" + FIRST_ID + "/0");
+    long crashedAt = System.nanoTime();
+    engine.crash();
+    assertThat(first.readAnswer()).startsWith("58000");
+    assertThat(System.nanoTime() - crashedAt)
         .as("less than the 4.4 s after which a query without polls ends")
         .isLessThan(2_000_000_000L);
   }
--- a/src/test/java/tansytrack/service/LongEngineListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -20,8 +20,8 @@
 class LongEngineListTest {
 
   private static final int ENGINES = 6200;
-  private static final long PATIENCE_NANOS = 20_000_000_000L;
-  private static final long PAUSE_MS = 20;
+  private static final long TIMEOUT_NANOS = 20_000_000_000L;
+  private static final long POLL_INTERVAL_MS = 20;
 
   /** Far longer than the transfer of a list and the channel's timeout. */
   private static final long QUIET_MS = 3000;
@@ -31,21 +31,21 @@
       new EngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
 
   @Test
-  void aListOfThousandsOfEnginesIsTakenFromTheChannel()
+  void aListOfThousandsOfEnginesIsReadFromTheChannel()
       throws IOException, InterruptedException, ProtocolException {
     try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
-      ServiceFixture.Running running =
-          new ServiceFixture.Running(ServiceTest.config(channel.address()));
-      try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
+      ServiceFixture.RunningManager running =
+          new ServiceFixture.RunningManager(ServiceTest.config(channel.address()));
+      try (ServiceTest.Client client = new ServiceTest.Client(running.address).startSession()) {
         channel.tell(LIST.whole());
-        String stats = statsWith(client, "channel.lists,2;");
+        String stats = awaitStats(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
         // The engine of the file is no longer listed, and is removed a little later.
-        stats = statsWith(client, "engines.known,6200;");
+        stats = awaitStats(client, "engines.known,6200;");
         assertThat(stats).contains("engines.not_shown,");
       } finally {
-        running.end();
+        running.stop();
       }
     }
   }
@@ -55,35 +55,35 @@
    * nothing else wakes it until the list must have arrived.
    */
   @Test
-  void aLongListComesInOneGoThoughNothingElseHappens()
+  void aLongListIsReadCompletelyWithoutOtherEvents()
       throws IOException, InterruptedException, ProtocolException {
     try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
-      ServiceFixture.Running running =
-          new ServiceFixture.Running(ServiceTest.config(channel.address()));
+      ServiceFixture.RunningManager running =
+          new ServiceFixture.RunningManager(ServiceTest.config(channel.address()));
       try {
         channel.tell(LIST.whole());
         Thread.sleep(QUIET_MS);
-        try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
-          assertThat(client.ask("SHOW STATS"))
+        try (ServiceTest.Client client = new ServiceTest.Client(running.address).startSession()) {
+          assertThat(client.query("SHOW STATS"))
               .contains("channel.lists,2;")
               .doesNotContain("channel.silent")
               .doesNotContain("channel.failed");
         }
       } finally {
-        running.end();
+        running.stop();
       }
     }
   }
 
   /** Polls SHOW STATS until it contains the text, and fails after a timeout. */
-  private static String statsWith(ServiceTest.Client client, String text)
+  private static String awaitStats(ServiceTest.Client client, String text)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + PATIENCE_NANOS;
-    String stats = client.ask("SHOW STATS");
-    while (!stats.contains(text) && System.nanoTime() < until) {
-      Thread.sleep(PAUSE_MS);
-      stats = client.ask("SHOW STATS");
+    long deadline = System.nanoTime() + TIMEOUT_NANOS;
+    String stats = client.query("SHOW STATS");
+    while (!stats.contains(text) && System.nanoTime() < deadline) {
+      Thread.sleep(POLL_INTERVAL_MS);
+      stats = client.query("SHOW STATS");
     }
     assertThat(stats).contains(text);
     return stats;
--- a/src/test/java/tansytrack/service/RaceConditionTest.java
+++ b/src/test/java/tansytrack/service/RaceConditionTest.java
@@ -16,29 +16,29 @@
  */
 class RaceConditionTest {
 
-  private static final int MINUTE = 60_000;
-  private static final String GOOD =
+  private static final int TIMEOUT_MS = 60_000;
+  private static final String RESULT =
       Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
-  private static final String NOT_OVER = Rehearsal.response("202 Accepted", "", "");
+  private static final String STILL_RUNNING = Rehearsal.response("202 Accepted", "", "");
 
   private final List<AutoCloseable> open = new ArrayList<>();
-  private ServiceFixture.Running running;
+  private ServiceFixture.RunningManager running;
   private Service service;
-  private InetSocketAddress at;
+  private InetSocketAddress address;
 
-  private ScriptedPeer peer() throws IOException {
-    ScriptedPeer peer = new ScriptedPeer();
-    open.add(peer);
-    return peer;
+  private ScriptedServer scriptedServer() throws IOException {
+    ScriptedServer server = new ScriptedServer();
+    open.add(server);
+    return server;
   }
 
   private void start(String config) throws Exception {
-    running = new ServiceFixture.Running(config);
+    running = new ServiceFixture.RunningManager(config);
     service = running.service;
-    at = running.at;
+    address = running.address;
   }
 
-  private static String config(ScriptedPeer engine, ScriptedPeer channel) {
+  private static String config(ScriptedServer engine, ScriptedServer channel) {
     return ServiceTest.config(engine.address())
         .replace("'channel':'" + engine.address(), "'channel':'" + channel.address());
   }
@@ -46,22 +46,22 @@
   @AfterEach
   void stop() throws Exception {
     try {
-      running.end();
+      running.stop();
     } finally {
-      for (AutoCloseable one : open) {
-        one.close();
+      for (AutoCloseable resource : open) {
+        resource.close();
       }
     }
   }
 
-  private static String until(Client client, String said) throws IOException {
+  private static String awaitStats(Client client, String expected) throws IOException {
     long end = System.nanoTime() + 20_000_000_000L;
-    String told = client.ask("SHOW STATS");
-    while (!told.contains(said)) {
-      assertThat(System.nanoTime()).as("waiting for %s", said).isLessThan(end);
-      told = client.ask("SHOW STATS");
+    String stats = client.query("SHOW STATS");
+    while (!stats.contains(expected)) {
+      assertThat(System.nanoTime()).as("waiting for %s", expected).isLessThan(end);
+      stats = client.query("SHOW STATS");
     }
-    return told;
+    return stats;
   }
 
   /**
@@ -69,19 +69,21 @@
    * not start, even where queries cannot be cancelled.
    */
   @Test
-  void aConnectionThatComesUpBehindItsClientCarriesNothing() throws Exception {
-    ScriptedPeer engine = peer().full();
-    start(config(engine, peer().accepting()).replace("'cancel':true", "'cancel':false"));
-    try (Client other = new Client(at).started()) {
-      try (Client client = new Client(at).started()) {
+  void noQueryIsSentOnAConnectionEstablishedAfterItsClientLeft() throws Exception {
+    ScriptedServer engine = scriptedServer().fillAcceptQueue();
+    start(
+        config(engine, scriptedServer().startAccepting())
+            .replace("'cancel':true", "'cancel':false"));
+    try (Client other = new Client(address).startSession()) {
+      try (Client client = new Client(address).startSession()) {
         client.send(Client.message('Q', Client.task("safe", "00000000000000a1", "ok")));
-        until(other, "engine.e.forwards.sockets,1;");
+        awaitStats(other, "engine.e.forwards.sockets,1;");
       }
-      until(other, "clients.left,1;");
-      engine.accepting();
+      awaitStats(other, "clients.left,1;");
+      engine.startAccepting();
       // TCP repeats its SYN a second later, and then the connection is established.
-      assertThat(engine.next(2500)).isNull();
-      assertThat(until(other, "engine.e.forwards.sockets,0;"))
+      assertThat(engine.nextRequest(2500)).isNull();
+      assertThat(awaitStats(other, "engine.e.forwards.sockets,0;"))
           .contains("forwards.ended.NEVER_SENT,1;");
     }
   }
@@ -91,37 +93,41 @@
    * query must not start there.
    */
   @Test
-  void aConnectionThatComesUpBehindTheDrainCarriesNothing() throws Exception {
-    ScriptedPeer engine = peer().full();
-    ScriptedPeer channel = peer().accepting();
-    AtomicReference<String> news = new AtomicReference<>("{\"cursor\":1,\"cmds\":[]}");
-    Thread teller =
+  void noQueryIsSentOnAConnectionEstablishedAfterTheDrain() throws Exception {
+    ScriptedServer engine = scriptedServer().fillAcceptQueue();
+    ScriptedServer channel = scriptedServer().startAccepting();
+    AtomicReference<String> channelAnswer = new AtomicReference<>("{\"cursor\":1,\"cmds\":[]}");
+    Thread channelThread =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  channel.next(MINUTE).answer(Rehearsal.response("200 OK", "", news.get()));
+                  channel
+                      .nextRequest(TIMEOUT_MS)
+                      .respond(Rehearsal.response("200 OK", "", channelAnswer.get()));
                 }
               } catch (Exception e) {
                 // the test has ended
               }
             });
-    teller.setDaemon(true);
-    teller.start();
+    channelThread.setDaemon(true);
+    channelThread.start();
     start(config(engine, channel));
-    try (Client client = new Client(at).started();
-        Client other = new Client(at).started()) {
+    try (Client client = new Client(address).startSession();
+        Client other = new Client(address).startSession()) {
       client.send(Client.message('Q', Client.task("safe", "00000000000000a2", "ok")));
-      until(other, "engine.e.forwards.sockets,1;");
-      news.set(
-          ("{'cursor':2,'cmds':[" + ServiceTest.listed(2, "e", engine.address(), "draining") + "]}")
+      awaitStats(other, "engine.e.forwards.sockets,1;");
+      channelAnswer.set(
+          ("{'cursor':2,'cmds':["
+                  + ServiceTest.engineEvent(2, "e", engine.address(), "draining")
+                  + "]}")
               .replace('\'', '"'));
       // The forward is withdrawn when the event arrives. The task is rejected once its budget of
       // 4 s, a fifth of its time, has passed.
-      until(other, "forwards.ended.NEVER_SENT,1;");
-      engine.accepting();
-      assertThat(engine.next(2500)).isNull();
-      assertThat(client.answer()).startsWith("53300");
+      awaitStats(other, "forwards.ended.NEVER_SENT,1;");
+      engine.startAccepting();
+      assertThat(engine.nextRequest(2500)).isNull();
+      assertThat(client.readAnswer()).startsWith("53300");
     }
   }
 
@@ -130,34 +136,35 @@
    * accept the DELETE requests without delivering them, which does not prove that the query ended.
    */
   @Test
-  void oldConnectionsThatSwallowAllProveNoEnd() throws Exception {
-    ScriptedPeer engine = peer().accepting();
+  void oldConnectionsToAPartitionedMachineProveNoEnd() throws Exception {
+    ScriptedServer engine = scriptedServer().startAccepting();
     start(
-        config(engine, peer().accepting())
+        config(engine, scriptedServer().startAccepting())
             .replace("'connect_timeout_ms':5000", "'connect_timeout_ms':250"));
-    try (Client client = new Client(at).started();
-        Client second = new Client(at).started();
-        Client third = new Client(at).started()) {
-      List<ScriptedPeer.Call> posts = new ArrayList<>();
-      for (Client one : List.of(client, second, third)) {
-        one.send(Client.message('Q', Client.task("safe", "00000000000000b" + posts.size(), "ok")));
-        posts.add(engine.next(MINUTE));
+    try (Client client = new Client(address).startSession();
+        Client second = new Client(address).startSession();
+        Client third = new Client(address).startSession()) {
+      List<ScriptedServer.Request> posts = new ArrayList<>();
+      for (Client sender : List.of(client, second, third)) {
+        sender.send(
+            Client.message('Q', Client.task("safe", "00000000000000b" + posts.size(), "ok")));
+        posts.add(engine.nextRequest(TIMEOUT_MS));
       }
       for (int i = 0; i < 3; i++) {
-        posts.get(i).answer(GOOD);
+        posts.get(i).respond(RESULT);
       }
-      for (Client one : List.of(client, second, third)) {
-        assertThat(one.answer()).endsWith("SELECT 1");
+      for (Client sender : List.of(client, second, third)) {
+        assertThat(sender.readAnswer()).endsWith("SELECT 1");
       }
       Thread.sleep(50); // until the three connections are idle
       client.send(Client.message('Q', Client.task("safe", "00000000000000b7", "ok")));
-      assertThat(engine.next(MINUTE).answer(NOT_OVER).text()).startsWith("POST");
-      assertThat(engine.next(MINUTE).text()).isEqualTo("GET /o/00000000000000b7/0");
-      long asked = System.nanoTime();
-      engine.full();
+      assertThat(engine.nextRequest(TIMEOUT_MS).respond(STILL_RUNNING).text()).startsWith("POST");
+      assertThat(engine.nextRequest(TIMEOUT_MS).text()).isEqualTo("GET /o/00000000000000b7/0");
+      long requestedAt = System.nanoTime();
+      engine.fillAcceptQueue();
       client.socket.close();
-      until(second, "engine.e.forwards.sockets,0;");
-      assertThat(System.nanoTime() - asked)
+      awaitStats(second, "engine.e.forwards.sockets,0;");
+      assertThat(System.nanoTime() - requestedAt)
           .as("two periods of 2 s without a poll")
           .isGreaterThan(4_000_000_000L);
     }
@@ -168,16 +175,16 @@
    * enough, and nothing is sent to the engine after the event was received.
    */
   @Test
-  void aSilentWatchIsGivenUpAndTheDrainBehindItIsKept() throws Exception {
-    ScriptedPeer engine = peer().accepting();
-    ScriptedPeer channel = peer().accepting();
+  void aHangingPollTimesOutAndTheNextOneReportsTheDrain() throws Exception {
+    ScriptedServer engine = scriptedServer().startAccepting();
+    ScriptedServer channel = scriptedServer().startAccepting();
     Thread first =
         new Thread(
             () -> {
               try {
                 channel
-                    .next(MINUTE)
-                    .answer(Rehearsal.response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
+                    .nextRequest(TIMEOUT_MS)
+                    .respond(Rehearsal.response("200 OK", "", "{\"cursor\":1,\"cmds\":[]}"));
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
@@ -185,41 +192,41 @@
     first.start();
     start(config(engine, channel));
     first.join();
-    ScriptedPeer.Call silent = channel.next(MINUTE);
-    assertThat(silent.text()).startsWith("GET /cmd/next?resume=1&block=1000");
-    long asked = System.nanoTime();
-    ScriptedPeer.Call again = channel.next(MINUTE);
-    assertThat(System.nanoTime() - asked)
+    ScriptedServer.Request hangingPoll = channel.nextRequest(TIMEOUT_MS);
+    assertThat(hangingPoll.text()).startsWith("GET /cmd/next?resume=1&block=1000");
+    long polledAt = System.nanoTime();
+    ScriptedServer.Request nextPoll = channel.nextRequest(TIMEOUT_MS);
+    assertThat(System.nanoTime() - polledAt)
         .as("less than the block and 2 s, after which events count as delivered")
         .isLessThan(2_500_000_000L);
-    assertThat(again.text()).startsWith("GET /cmd/next?resume=1&block=1000");
-    assertThat(again.on()).isNotSameAs(silent.on());
+    assertThat(nextPoll.text()).startsWith("GET /cmd/next?resume=1&block=1000");
+    assertThat(nextPoll.connection()).isNotSameAs(hangingPoll.connection());
     // An answer to the poll that timed out has no effect any more.
     try {
-      silent.answer(
+      hangingPoll.respond(
           Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':3,'cmds':["
-                      + ServiceTest.listed(3, "e", engine.address(), "ready")
+                      + ServiceTest.engineEvent(3, "e", engine.address(), "ready")
                       + "]}")
                   .replace('\'', '"')));
     } catch (IOException e) {
       // the connection may be closed already
     }
-    again.answer(
+    nextPoll.respond(
         Rehearsal.response(
             "200 OK",
             "",
             ("{'cursor':2,'cmds':["
-                    + ServiceTest.listed(2, "e", engine.address(), "draining")
+                    + ServiceTest.engineEvent(2, "e", engine.address(), "draining")
                     + "]}")
                 .replace('\'', '"')));
-    assertThat(channel.next(MINUTE).text()).startsWith("GET /cmd/next?resume=2&");
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task("safe", "00000000000000c1", "ok"))).startsWith("53300");
+    assertThat(channel.nextRequest(TIMEOUT_MS).text()).startsWith("GET /cmd/next?resume=2&");
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task("safe", "00000000000000c1", "ok"))).startsWith("53300");
     }
-    assertThat(engine.next(0)).isNull();
+    assertThat(engine.nextRequest(0)).isNull();
   }
 
   /**
@@ -227,31 +234,32 @@
    * still serves tasks.
    */
   @Test
-  void aManagerThatEndsStillFollowsTheList() throws Exception {
-    ScriptedPeer engine = peer().accepting();
-    ScriptedPeer channel = peer().accepting();
-    ScriptedPeer moved = peer().accepting();
+  void aManagerThatShutsDownStillFollowsTheChannel() throws Exception {
+    ScriptedServer engine = scriptedServer().startAccepting();
+    ScriptedServer channel = scriptedServer().startAccepting();
+    ScriptedServer newChannel = scriptedServer().startAccepting();
     String config = config(engine, channel);
     start(config);
-    try (Client client = new Client(at).started()) {
+    try (Client client = new Client(address).startSession()) {
       service.terminate();
-      String next =
-          config.replace("'channel':'" + channel.address(), "'channel':'" + moved.address());
+      String newConfig =
+          config.replace("'channel':'" + channel.address(), "'channel':'" + newChannel.address());
       service.configurationRead(
-          new ConfigFile.LoadedConfig(ServiceTest.read(next), moved.at(), "test"));
-      ScriptedPeer.Call asked = moved.next(MINUTE);
-      assertThat(asked.text()).startsWith("GET /cmd/next?resume=1&");
-      asked.answer(
+          new ConfigFile.LoadedConfig(
+              ServiceTest.parse(newConfig), newChannel.socketAddress(), "test"));
+      ScriptedServer.Request poll = newChannel.nextRequest(TIMEOUT_MS);
+      assertThat(poll.text()).startsWith("GET /cmd/next?resume=1&");
+      poll.respond(
           Rehearsal.response(
               "200 OK",
               "",
               ("{'cursor':2,'cmds':["
-                      + ServiceTest.listed(2, "e", engine.address(), "draining")
+                      + ServiceTest.engineEvent(2, "e", engine.address(), "draining")
                       + "]}")
                   .replace('\'', '"')));
-      moved.next(MINUTE);
-      assertThat(client.ask(Client.task("safe", "00000000000000d1", "ok"))).startsWith("53300");
+      newChannel.nextRequest(TIMEOUT_MS);
+      assertThat(client.query(Client.task("safe", "00000000000000d1", "ok"))).startsWith("53300");
     }
-    assertThat(engine.next(0)).isNull();
+    assertThat(engine.nextRequest(0)).isNull();
   }
 }
--- a/src/test/java/tansytrack/service/RestartTest.java
+++ b/src/test/java/tansytrack/service/RestartTest.java
@@ -33,10 +33,10 @@
 class RestartTest {
 
   /** Exit code of a JVM that ends on SIGTERM, after its shutdown hooks. */
-  private static final int TERMINATED = 128 + 15;
+  private static final int EXIT_CODE_SIGTERM = 128 + 15;
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final String WHOLE =
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final String COMPLETE_CONFIG =
       "{'name':'m','listen':'127.0.0.1:0','seed':'a7','limits':{'sockets':256},"
           + "'channel':'127.0.0.1:9','known':{'cursor':0,'cmds':[]},'settings':{'siblings':1,"
           + "'skus':['k'],"
@@ -54,7 +54,7 @@
   }
 
   private static String config(String name) {
-    return WHOLE.replace("'m'", '\'' + name + '\'').replace('\'', '"');
+    return COMPLETE_CONFIG.replace("'m'", '\'' + name + '\'').replace('\'', '"');
   }
 
   /** Replaces the file atomically. */
@@ -63,11 +63,11 @@
     Files.move(next, file(), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  private void spoil(String how) throws IOException {
+  private void writeUnusable(String how) throws IOException {
     switch (how) {
       case "missing" -> Files.deleteIfExists(file());
       case "empty" -> Files.writeString(file(), "");
-      case "truncated" -> Files.writeString(file(), config("m").substring(0, 250));
+      case "cut off" -> Files.writeString(file(), config("m").substring(0, 250));
       case "bad list" ->
           Files.writeString(
               file(),
@@ -96,15 +96,15 @@
   }
 
   private void start(List<String> command) throws IOException {
-    ProcessBuilder made = new ProcessBuilder(command).redirectErrorStream(true);
-    made.environment().put("ROUTER_CONFIG", file().toString());
-    process = made.start();
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+    builder.environment().put("ROUTER_CONFIG", file().toString());
+    process = builder.start();
     log = process.inputReader(StandardCharsets.UTF_8);
   }
 
-  private String line(String wanted) throws IOException {
+  private String awaitLine(String expected) throws IOException {
     String line = log.readLine();
-    while (line != null && !line.contains(wanted)) {
+    while (line != null && !line.contains(expected)) {
       line = log.readLine();
     }
     return line;
@@ -122,17 +122,17 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"missing", "empty", "truncated"})
-  void aFileThatIsWholeAMomentLaterIsServed(String how) throws IOException, InterruptedException {
-    spoil(how);
+  @ValueSource(strings = {"missing", "empty", "cut off"})
+  void aFileThatIsCompletedLaterIsUsed(String how) throws IOException, InterruptedException {
+    writeUnusable(how);
     serve();
-    assertThat(line("config.json")).contains(how, "retrying for up to");
+    assertThat(awaitLine("config.json")).contains(how, "retrying for up to");
     signal("HUP"); // before there is a manager
     replace(config("late"));
-    assertThat(line("listens at")).contains("late listens at");
-    assertThat(line("new configuration")).isNotNull();
+    assertThat(awaitLine("listens at")).contains("late listens at");
+    assertThat(awaitLine("new configuration")).isNotNull();
     signal("TERM");
-    assertThat(process.waitFor()).isEqualTo(TERMINATED);
+    assertThat(process.waitFor()).isEqualTo(EXIT_CODE_SIGTERM);
   }
 
   @ParameterizedTest
@@ -140,36 +140,36 @@
       delimiter = '|',
       value = {
         "missing | config.json is missing | true",
-        "truncated | (250 bytes) is truncated: JSON: | true",
+        "cut off | (250 bytes) is cut off: JSON: | true",
         "nowhere | channel: 'nowhere' is not an address | false",
         "bad list | known: unknown phase | false"
       })
-  void whatDoesNotMendItselfEndsWithCodeTwo(String how, String why, boolean waits)
+  void aFileThatStaysUnusableEndsWithCodeTwo(String how, String why, boolean waits)
       throws IOException, InterruptedException {
-    spoil(how);
-    long from = System.nanoTime();
+    writeUnusable(how);
+    long startedAt = System.nanoTime();
     serve();
-    assertThat(line("tansytrack: ")).contains(why);
+    assertThat(awaitLine("tansytrack: ")).contains(why);
     assertThat(process.waitFor()).isEqualTo(2);
-    assertThat(System.nanoTime() - from > 5 * SECOND).isEqualTo(waits);
-    from = System.nanoTime();
+    assertThat(System.nanoTime() - startedAt > 5 * NANOS_PER_SECOND).isEqualTo(waits);
+    startedAt = System.nanoTime();
     assertThat(Service.check(file().toString(), null, System.out)).isEqualTo(2);
-    assertThat(System.nanoTime() - from).isLessThan(2 * SECOND);
+    assertThat(System.nanoTime() - startedAt).isLessThan(2 * NANOS_PER_SECOND);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void anAddressInUseIsWaitedForAWhile(boolean givenBack) throws IOException, InterruptedException {
+  void bindingAnAddressInUseIsRetried(boolean released) throws IOException, InterruptedException {
     ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     String address = "127.0.0.1:" + other.getLocalPort();
     replace(config("m").replace("127.0.0.1:0", address));
     serve();
-    assertThat(line("in use")).contains("cannot listen at " + address, "retrying for up to");
-    if (givenBack) {
+    assertThat(awaitLine("in use")).contains("cannot listen at " + address, "retrying for up to");
+    if (released) {
       other.close();
-      assertThat(line("listens at")).contains(address);
+      assertThat(awaitLine("listens at")).contains(address);
     } else {
-      assertThat(line("tansytrack: "))
+      assertThat(awaitLine("tansytrack: "))
           .contains("cannot listen at " + address + ": Address already in use");
       assertThat(process.waitFor()).isEqualTo(2);
       other.close();
@@ -184,7 +184,7 @@
   @ValueSource(ints = {12, 20})
   void withoutDescriptorsTheCauseIsNamed(int descriptors) throws IOException, InterruptedException {
     replace(config("m"));
-    ProcessBuilder made =
+    ProcessBuilder builder =
         new ProcessBuilder(
                 "sh",
                 "-c",
@@ -195,17 +195,17 @@
                 "tansytrack.Main",
                 "serve")
             .redirectErrorStream(true);
-    made.environment().put("ROUTER_CONFIG", file().toString());
-    process = made.start();
-    String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    builder.environment().put("ROUTER_CONFIG", file().toString());
+    process = builder.start();
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertThat(process.waitFor()).isNotZero();
-    assertThat(said)
+    assertThat(output)
         .containsAnyOf(
             "Too many open files",
             "NoClassDefFoundError",
             "ClassNotFoundException",
             "UnsatisfiedLinkError")
-        .doesNotContain("truncated", "in use");
+        .doesNotContain("cut off", "in use");
   }
 
   /**
@@ -213,7 +213,7 @@
    * keep polling the old command channel.
    */
   @Test
-  void aStartUnderNohupTakesNewConfigurationsAllTheSame() throws IOException, InterruptedException {
+  void aProcessUnderNohupStillReloadsItsConfiguration() throws IOException, InterruptedException {
     replace(config("m"));
     start(
         List.of(
@@ -223,41 +223,41 @@
             System.getProperty("java.class.path"),
             "tansytrack.Main",
             "serve"));
-    assertThat(line("SIGHUP was ignored")).contains("config.json every 250 ms");
-    line("listens at");
-    spoil("127.0.0.1:7");
+    assertThat(awaitLine("SIGHUP was ignored")).contains("config.json every 250 ms");
+    awaitLine("listens at");
+    writeUnusable("127.0.0.1:7");
     signal("HUP");
-    assertThat(line("new configuration")).contains("command channel at 127.0.0.1:7");
+    assertThat(awaitLine("new configuration")).contains("command channel at 127.0.0.1:7");
     signal("TERM");
-    assertThat(line("counters:")).contains("configurations.read=1");
-    assertThat(process.waitFor()).isEqualTo(TERMINATED);
+    assertThat(awaitLine("counters:")).contains("configurations.read=1");
+    assertThat(process.waitFor()).isEqualTo(EXIT_CODE_SIGTERM);
   }
 
   @Test
-  void anOperatorsFileChoosesLogLinesThatAreObjects()
+  void anOperatorFileSelectsJsonLogLines()
       throws IOException, InterruptedException, ProtocolException {
     replace(config("m"));
     Path operator =
         Files.writeString(folder.resolve("operator.textproto"), "log { form: JSON_LINES }");
     serve("--operator", operator.toString());
-    String line = line("listens at");
+    String line = awaitLine("listens at");
     signal("TERM");
     assertThat(Json.asObject(Json.parse(line.getBytes(StandardCharsets.UTF_8)), "a line"))
         .containsEntry("event", "listening")
         .containsEntry("manager", "m")
         .containsEntry("level", "INFO");
-    assertThat(line("\"event\":\"counters\"")).contains("\"channel.failed\":\"");
-    assertThat(process.waitFor()).isEqualTo(TERMINATED);
+    assertThat(awaitLine("\"event\":\"counters\"")).contains("\"channel.failed\":\"");
+    assertThat(process.waitFor()).isEqualTo(EXIT_CODE_SIGTERM);
   }
 
   @Test
-  void anOperatorsFileThatCannotBeUsedStartsNothing() throws IOException, InterruptedException {
+  void anUnusableOperatorFilePreventsTheStart() throws IOException, InterruptedException {
     replace(config("m"));
     Path operator =
         Files.writeString(
             folder.resolve("operator.textproto"), "ledger { folder: 'x'\n commit_every_ms: -1 }");
     serve("--operator", operator.toString());
-    assertThat(line("tansytrack: "))
+    assertThat(awaitLine("tansytrack: "))
         .contains("operator.textproto:2:2: commit_every_ms: '-1'; allowed: 1 to 1000");
     assertThat(process.waitFor()).isEqualTo(2);
     assertThat(folder.resolve("x")).doesNotExist();
@@ -268,34 +268,34 @@
    * does not delay the end.
    */
   @Test
-  void sigtermWhileTheFileIsWaitedForEndsItAndTheListIsFollowedUntilThen()
+  void aConfigurationThatArrivesAfterSigtermStillTakesEffect()
       throws IOException, InterruptedException {
     replace(config("m"));
     serve();
-    line("listens at");
-    spoil("truncated");
+    awaitLine("listens at");
+    writeUnusable("cut off");
     signal("HUP");
-    assertThat(line("truncated")).contains("retrying for up to");
+    assertThat(awaitLine("cut off")).contains("retrying for up to");
     signal("TERM");
-    line("shutting down");
+    awaitLine("shutting down");
     replace(config("m"));
-    assertThat(line("counters:")).contains("configurations.read=1");
-    assertThat(process.waitFor()).isEqualTo(TERMINATED);
+    assertThat(awaitLine("counters:")).contains("configurations.read=1");
+    assertThat(process.waitFor()).isEqualTo(EXIT_CODE_SIGTERM);
   }
 
   @Test
-  void theLastWholeFileWinsHoweverSignalsMeet() throws IOException, InterruptedException {
-    spoil("truncated");
+  void theLastCompleteFileWinsForConcurrentSignals() throws IOException, InterruptedException {
+    writeUnusable("cut off");
     ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
-    List<String> taken = new CopyOnWriteArrayList<>();
-    CountDownLatch inFirst = new CountDownLatch(1);
-    CountDownLatch goOn = new CountDownLatch(1);
+    List<String> received = new CopyOnWriteArrayList<>();
+    CountDownLatch firstReceived = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     reload.setConsumer(
-        whole -> {
-          taken.add(whole.config().name());
-          inFirst.countDown();
+        loaded -> {
+          received.add(loaded.config().name());
+          firstReceived.countDown();
           try {
-            goOn.await();
+            release.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -303,7 +303,7 @@
     Thread first = new Thread(reload::onSignal);
     first.start();
     replace(config("one"));
-    assertThat(inFirst.await(60, TimeUnit.SECONDS)).isTrue();
+    assertThat(firstReceived.await(60, TimeUnit.SECONDS)).isTrue();
     replace(config("two"));
     Thread second = new Thread(reload::onSignal);
     second.start();
@@ -312,35 +312,35 @@
     }
     replace(config("three"));
     reload.onSignal(); // returns at once, because one thread waits already
-    goOn.countDown();
+    release.countDown();
     first.join();
     second.join();
-    assertThat(taken).containsExactly("one", "three");
+    assertThat(received).containsExactly("one", "three");
   }
 
   @Test
-  void aFileThatStaysSpoiltChangesNothingAndTheNextSignalIsHeard() throws IOException {
+  void anUnusableFileChangesNothingAndTheNextSignalIsHandled() throws IOException {
     ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
-    List<String> taken = new CopyOnWriteArrayList<>();
-    reload.setConsumer(whole -> taken.add(whole.config().name()));
-    spoil("nowhere");
+    List<String> received = new CopyOnWriteArrayList<>();
+    reload.setConsumer(loaded -> received.add(loaded.config().name()));
+    writeUnusable("nowhere");
     reload.onSignal();
-    assertThat(taken).isEmpty();
+    assertThat(received).isEmpty();
     replace(config("m"));
     reload.onSignal();
-    assertThat(taken).containsExactly("m");
+    assertThat(received).containsExactly("m");
   }
 
   @Test
-  void theFilesFaultsNameFileSizeAndPlace() throws IOException {
-    spoil("truncated");
+  void errorsNameTheFileItsSizeAndTheOffset() throws IOException {
+    writeUnusable("cut off");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
         .isInstanceOf(ConfigFile.TransientFileException.class)
-        .hasMessageMatching(".*config.json \\(250 bytes\\) is truncated: JSON: .* at byte 250");
+        .hasMessageMatching(".*config.json \\(250 bytes\\) is cut off: JSON: .* at byte 250");
     Files.writeString(file(), config("m") + "}");
     assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining("more behind the end at byte " + WHOLE.length());
+        .hasMessageContaining("more behind the end at byte " + COMPLETE_CONFIG.length());
     assertThatThrownBy(() -> new ConfigFile(folder.toString()).readOnce())
         .isInstanceOf(InvalidInputException.class);
     assertThatThrownBy(() -> new ConfigFile(null)).isInstanceOf(InvalidInputException.class);
--- a/src/test/java/tansytrack/service/ServiceCancelTest.java
+++ b/src/test/java/tansytrack/service/ServiceCancelTest.java
@@ -13,22 +13,22 @@
 class ServiceCancelTest extends ServiceFixture {
 
   @Test
-  void aCancelledTaskIsGivenUpAtItsEngine() throws IOException, InterruptedException {
-    try (Client client = new Client(at).started();
-        Client other = new Client(at)) {
+  void aCancelledTaskIsCancelledAtItsEngine() throws IOException, InterruptedException {
+    try (Client client = new Client(address).startSession();
+        Client other = new Client(address)) {
       client.send(Client.message('Q', Client.task("safe", "00000000000000c1", "silent")));
-      engine.posted.await();
-      try (Client stranger = new Client(at)) {
-        stranger.send(Client.start(80877102, client.number, client.secret + 1));
-        assertThat(stranger.answer()).isEqualTo("closed");
+      engine.postAnswered.await();
+      try (Client stranger = new Client(address)) {
+        stranger.send(Client.startupMessage(80877102, client.processId, client.secretKey + 1));
+        assertThat(stranger.readAnswer()).isEqualTo("closed");
       }
-      other.send(Client.start(80877102, client.number, client.secret));
-      assertThat(other.answer()).isEqualTo("closed");
-      assertThat(client.answer()).startsWith("57014");
-      assertThat(engine.deleted.await(MINUTE, TimeUnit.MILLISECONDS)).isTrue();
-      assertThat(client.ask("")).isEqualTo("empty");
+      other.send(Client.startupMessage(80877102, client.processId, client.secretKey));
+      assertThat(other.readAnswer()).isEqualTo("closed");
+      assertThat(client.readAnswer()).startsWith("57014");
+      assertThat(engine.deleteReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
+      assertThat(client.query("")).isEqualTo("empty");
     }
-    assertThat(engine.calls).contains("DELETE /o/00000000000000c1");
+    assertThat(engine.requests).contains("DELETE /o/00000000000000c1");
   }
 
   /**
@@ -37,20 +37,20 @@
    */
   @ParameterizedTest(name = "{0}: {1} times")
   @CsvSource({"silent, 2", "late, 1"})
-  void whatWasNeverAnsweredForIsGivenUpTwice(String statement, int times)
+  void aQueryWithoutAnyAnswerIsCancelledTwice(String statement, int times)
       throws IOException, InterruptedException {
-    engine.lastNews = 3;
-    try (Client client = new Client(at).started();
-        Client other = new Client(at).started()) {
+    engine.unansweredPoll = 3;
+    try (Client client = new Client(address).startSession();
+        Client other = new Client(address).startSession()) {
       client.send(Client.message('Q', Client.task("safe", "00000000000000c7", statement)));
-      engine.posted.await();
+      engine.postAnswered.await();
       Thread.sleep(100);
       client.socket.close();
-      while (other.ask("SHOW STATS").contains("engine.e.forwards.sockets,1;")) {
+      while (other.query("SHOW STATS").contains("engine.e.forwards.sockets,1;")) {
         Thread.sleep(10);
       }
     }
-    assertThat(engine.calls.stream().filter(call -> call.startsWith("DELETE"))).hasSize(times);
+    assertThat(engine.requests.stream().filter(call -> call.startsWith("DELETE"))).hasSize(times);
   }
 
   /**
@@ -58,16 +58,16 @@
    * query is unknown nor a single DELETE proves that the first copy does not run.
    */
   @Test
-  void whatIsNotKnownAfterABreakIsGivenUpBeforeItIsSentAgain() throws IOException {
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task("safe", "00000000000000c3", "restarted")))
+  void anUnknownQueryIsCancelledBeforeItIsSentAgain() throws IOException {
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task("safe", "00000000000000c3", "restarted")))
           .isEqualTo("SELECT 0");
-      assertThat(client.ask("SHOW STATS"))
+      assertThat(client.query("SHOW STATS"))
           .contains("forwards.ended.RESET,1;")
           .doesNotContain("ERROR");
     }
     assertThat(
-            engine.calls.stream()
+            engine.requests.stream()
                 .filter(call -> !call.contains("/cmd/"))
                 .map(call -> call.split(" ")[0]))
         .containsExactly("POST", "GET", "DELETE", "DELETE", "POST");
@@ -80,12 +80,13 @@
    */
   @ParameterizedTest(name = "{0}: answered in under 1.5 s: {1}")
   @CsvSource({"die, true", "stalldie, false"})
-  void aDeadProcessProvesNoEndWhereACallStalled(String statement, boolean soon) throws IOException {
-    try (Client client = new Client(at).started()) {
-      long from = System.nanoTime();
-      assertThat(client.ask(Client.task("once", "00000000000000c5", statement)))
+  void aCrashedProcessProvesNoEndAfterAStalledRequest(String statement, boolean soon)
+      throws IOException {
+    try (Client client = new Client(address).startSession()) {
+      long startedAt = System.nanoTime();
+      assertThat(client.query(Client.task("once", "00000000000000c5", statement)))
           .startsWith("58000");
-      assertThat(System.nanoTime() - from < 1_500_000_000L).isEqualTo(soon);
+      assertThat(System.nanoTime() - startedAt < 1_500_000_000L).isEqualTo(soon);
     }
   }
 
@@ -94,32 +95,32 @@
    * so it counts as open until it is cancelled.
    */
   @Test
-  void aForwardThatTimesOutStaysOutUntilItIsGivenUp() throws IOException {
-    engine.mute = true;
-    try (Client client = new Client(at).started()) {
+  void aForwardThatTimesOutStaysOpenUntilItIsCancelled() throws IOException {
+    engine.ignoresDelete = true;
+    try (Client client = new Client(address).startSession()) {
       String task =
           Client.task("once", "00000000000000c6", "silent").replace("wait=20000", "wait=400");
-      assertThat(client.ask(task)).startsWith("58000 the time is up");
-      String told = client.ask("SHOW STATS");
-      assertThat(told)
+      assertThat(client.query(task)).startsWith("58000 the time is up");
+      String stats = client.query("SHOW STATS");
+      assertThat(stats)
           .contains(
               "engine.e.forwards.module,1;", "engine.e.forwards.sockets,1;", "tasks.time_up,1;");
-      while (told.contains("engine.e.forwards.sockets,1;")) {
-        told = client.ask("SHOW STATS");
+      while (stats.contains("engine.e.forwards.sockets,1;")) {
+        stats = client.query("SHOW STATS");
       }
-      assertThat(told).contains("forwards.ended.TIME_OUT,1;");
+      assertThat(stats).contains("forwards.ended.TIME_OUT,1;");
     }
     // Two unanswered DELETE requests count as one cancellation. A second one follows, because the
     // engine has never answered for the query.
-    assertThat(engine.calls.stream().filter(call -> call.startsWith("DELETE"))).hasSize(4);
+    assertThat(engine.requests.stream().filter(call -> call.startsWith("DELETE"))).hasSize(4);
   }
 
   @Test
-  void aClientThatLeavesGivesItsTaskUp() throws IOException, InterruptedException {
-    try (Client client = new Client(at).started()) {
+  void aClientThatDisconnectsCancelsItsTask() throws IOException, InterruptedException {
+    try (Client client = new Client(address).startSession()) {
       client.send(Client.message('Q', Client.task("once", "00000000000000c2", "silent")));
-      engine.posted.await();
+      engine.postAnswered.await();
     }
-    assertThat(engine.deleted.await(MINUTE, TimeUnit.MILLISECONDS)).isTrue();
+    assertThat(engine.deleteReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
   }
 }
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -25,14 +25,14 @@
    * 20 polls a second.
    */
   @Test
-  void aChannelThatAnswersAtOnceWithNothingIsAskedWithPauses() throws Exception {
-    engine.list = "{\"cursor\":1,\"cmds\":[]}";
-    engine.keepsList = true;
-    end();
+  void aChannelThatAnswersAtOnceWithoutEventsIsPolledWithDelays() throws Exception {
+    engine.channelAnswer = "{\"cursor\":1,\"cmds\":[]}";
+    engine.repeatsChannelAnswer = true;
+    stopManager();
     start(config());
     Thread.sleep(500);
-    long asked = engine.calls.stream().filter(call -> call.startsWith("GET /cmd")).count();
-    assertThat(asked).isBetween(2L, 25L);
+    long polls = engine.requests.stream().filter(call -> call.startsWith("GET /cmd")).count();
+    assertThat(polls).isBetween(2L, 25L);
   }
 
   /**
@@ -41,46 +41,46 @@
    */
   @ParameterizedTest(name = "the channel''s first answer takes {0} ms: {1} calls to the engine")
   @CsvSource({"0, 0", "200, 0", "10000, 1"})
-  void aManagerThatStartsKnowsWhatWasToldMeanwhileBeforeItServes(long delay, int calls)
-      throws Exception {
-    end();
-    engine.calls.clear();
-    engine.firstDelay = delay;
-    engine.list =
-        ("{'cursor':2,'cmds':[" + listed(2, "e", engine.address(), "draining") + "]}")
+  void aStartingManagerAppliesMissedEventsBeforeItServes(long delay, int calls) throws Exception {
+    stopManager();
+    engine.requests.clear();
+    engine.firstPollDelayMs = delay;
+    engine.channelAnswer =
+        ("{'cursor':2,'cmds':[" + engineEvent(2, "e", engine.address(), "draining") + "]}")
             .replace('\'', '"');
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     start(config());
     // A start does not wait long for a channel that is unreachable.
-    assertThat(System.nanoTime() - from).isLessThan(10_000_000_000L);
-    try (Client client = new Client(at).started()) {
-      client.ask(Client.task("safe", "00000000000000a8", "ok"));
+    assertThat(System.nanoTime() - startedAt).isLessThan(10_000_000_000L);
+    try (Client client = new Client(address).startSession()) {
+      client.query(Client.task("safe", "00000000000000a8", "ok"));
     }
-    assertThat(engine.calls.stream().filter(call -> call.startsWith("POST")).count())
+    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST")).count())
         .isEqualTo(calls);
   }
 
   @Test
-  void theCommandChannelMovesAnEngine() throws IOException, InterruptedException {
+  void anEngineThatLeavesIsReplacedByOneThatJoins() throws IOException, InterruptedException {
     try (StatementServer second = new StatementServer();
-        Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task("safe", "00000000000000e1", "ok"))).endsWith("SELECT 2");
+        Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task("safe", "00000000000000e1", "ok"))).endsWith("SELECT 2");
       // One engine leaves and a new one joins: the open poll is cut, the next one reports both.
-      engine.list =
+      engine.channelAnswer =
           ("{'cursor':3,'cmds':["
-                  + listed(2, "e", engine.address(), "gone")
+                  + engineEvent(2, "e", engine.address(), "gone")
                   + ','
-                  + listed(3, "f", second.address(), "ready")
+                  + engineEvent(3, "f", second.address(), "ready")
                   + "]}")
               .replace('\'', '"');
-      for (Socket one : engine.open) {
+      for (Socket one : engine.connections) {
         one.close();
       }
       String id = "00000000000000f";
-      for (int i = 0; second.posted.getCount() > 0; i++) {
-        client.ask(Client.task("safe", id + Integer.toHexString(i % 16), "ok"));
+      for (int i = 0; second.postAnswered.getCount() > 0; i++) {
+        client.query(Client.task("safe", id + Integer.toHexString(i % 16), "ok"));
       }
-      assertThat(engine.calls).anyMatch(call -> call.startsWith("GET /cmd/next?resume=1&block="));
+      assertThat(engine.requests)
+          .anyMatch(call -> call.startsWith("GET /cmd/next?resume=1&block="));
     }
   }
 
@@ -89,49 +89,49 @@
    * numbering continues at the new address.
    */
   @Test
-  void aNewConfigurationMovesTheCommandChannelUnderOpenTasks()
+  void aNewConfigurationMovesTheCommandChannelWhileTasksAreOpen()
       throws IOException, InterruptedException {
     Path file = folder.resolve("new.json");
     try (StatementServer second = new StatementServer();
-        Client client = new Client(at).started();
-        Client open = new Client(at).started()) {
+        Client client = new Client(address).startSession();
+        Client open = new Client(address).startSession()) {
       ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file.toString()));
       reload.setConsumer(service::configurationRead);
       SighupHandler.install(reload::onSignal);
       open.send(Client.message('Q', Client.task("safe", "00000000000000e3", "late")));
-      second.list =
-          ("{'cursor':3,'cmds':[" + listed(3, "e", engine.address(), "gone") + "]}")
+      second.channelAnswer =
+          ("{'cursor':3,'cmds':[" + engineEvent(3, "e", engine.address(), "gone") + "]}")
               .replace('\'', '"');
       // Event 2 is in the file, event 3 comes from the new channel; 9 directly follows neither.
       String known =
           "'known':{'cursor':9,'cmds':["
-              + listed(1, "e", engine.address(), "ready")
+              + engineEvent(1, "e", engine.address(), "ready")
               + ','
-              + listed(2, "f", second.address(), "ready")
+              + engineEvent(2, "f", second.address(), "ready")
               + ','
-              + listed(9, "f", second.address(), "gone")
+              + engineEvent(9, "f", second.address(), "gone")
               + "]}";
-      String next =
+      String newConfig =
           config().replace("'channel':'" + engine.address(), "'channel':'" + second.address());
-      next =
-          next.substring(0, next.indexOf("'known'"))
+      newConfig =
+          newConfig.substring(0, newConfig.indexOf("'known'"))
               + known
-              + next.substring(next.indexOf(",'settings'"));
-      for (String text : List.of("{}", next.replace("'channel'", "'chanel'"), next)) {
+              + newConfig.substring(newConfig.indexOf(",'settings'"));
+      for (String text : List.of("{}", newConfig.replace("'channel'", "'chanel'"), newConfig)) {
         Files.writeString(file, text.replace('\'', '"'));
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
             .start()
             .waitFor();
         Thread.sleep(200); // the operating system may merge signals that are pending at once
-        assertThat(client.ask("")).isEqualTo("empty");
+        assertThat(client.query("")).isEqualTo("empty");
       }
       String id = "00000000000000f";
-      for (int i = 0; second.posted.getCount() > 0; i++) {
-        client.ask(Client.task("safe", id + Integer.toHexString(i % 16), "ok"));
+      for (int i = 0; second.postAnswered.getCount() > 0; i++) {
+        client.query(Client.task("safe", id + Integer.toHexString(i % 16), "ok"));
       }
-      assertThat(open.answer()).isEqualTo("1,2,3;SELECT 1");
-      assertThat(client.ask("SHOW STATS")).contains("configurations.read,1;");
-      assertThat(second.calls)
+      assertThat(open.readAnswer()).isEqualTo("1,2,3;SELECT 1");
+      assertThat(client.query("SHOW STATS")).contains("configurations.read,1;");
+      assertThat(second.requests)
           .anyMatch(call -> call.startsWith("GET /cmd/next?resume=2&block="))
           .anyMatch(call -> call.startsWith("GET /cmd/next?resume=3&block="));
     }
@@ -148,8 +148,8 @@
         "'cpu_of_kind':[4] | 'cpu_of_kind':['x']",
         "'name':'m', | ''"
       })
-  void anUnusableConfigurationIsSaidPlainly(String good, String bad) throws IOException {
-    assertThatThrownBy(() -> read(config().replace(good, bad == null ? "" : bad)))
+  void anUnusableConfigurationIsReported(String good, String bad) throws IOException {
+    assertThatThrownBy(() -> parse(config().replace(good, bad == null ? "" : bad)))
         .isInstanceOf(InvalidInputException.class);
     Path file = folder.resolve("config.json");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/tansytrack/service/ServiceFixture.java
+++ b/src/test/java/tansytrack/service/ServiceFixture.java
@@ -20,24 +20,24 @@
 abstract class ServiceFixture {
 
   /** Timeout in milliseconds, which is reached only in failing tests. */
-  static final int MINUTE = 60_000;
+  static final int TIMEOUT_MS = 60_000;
 
   @TempDir Path folder;
   final StatementServer engine = new StatementServer();
-  Running running;
+  RunningManager running;
   Service service;
-  InetSocketAddress at;
+  InetSocketAddress address;
 
   /** A manager that listens, and the thread of its event loop. */
-  static final class Running {
+  static final class RunningManager {
     final Service service;
-    final InetSocketAddress at;
+    final InetSocketAddress address;
     private final Thread loop;
     private volatile Throwable failure;
 
-    Running(String config) throws IOException, ProtocolException {
-      service = new Service(read(config));
-      at = service.listen();
+    RunningManager(String config) throws IOException, ProtocolException {
+      service = new Service(parse(config));
+      address = service.listen();
       loop =
           new Thread(
               () -> {
@@ -51,9 +51,9 @@
     }
 
     /** Stops the manager, and checks that it ended without a failure and closed every socket. */
-    void end() throws InterruptedException {
+    void stop() throws InterruptedException {
       service.terminate();
-      loop.join(MINUTE);
+      loop.join(TIMEOUT_MS);
       assertThat(failure).isNull();
       assertThat(loop.isAlive()).isFalse();
       assertThat(service.openDescriptors()).isZero();
@@ -69,7 +69,7 @@
         + "'limits':{'sockets':256},'channel':'"
         + engine
         + "','known':{'cursor':1,'cmds':["
-        + listed(1, "e", engine, "ready")
+        + engineEvent(1, "e", engine, "ready")
         + "]},'settings':{'siblings':1,'skus':['k'],'extra':{'cpu_of_kind':[4],"
         + "'memory_by_kind_mb':[1000],"
         + "'memory_heeded':true,'ranks_heeded':true},'grades':[{'name':'safe',"
@@ -83,7 +83,7 @@
   }
 
   /** An event of the command channel that lists one engine; the first one is a complete list. */
-  static String listed(int number, String id, String address, String phase) {
+  static String engineEvent(int number, String id, String address, String phase) {
     return "{'cursor':"
         + number
         + ",'nodes':{'revision':"
@@ -99,7 +99,7 @@
         + "','flavor':'k','up_since_ms':0}]}}";
   }
 
-  static ManagerConfig read(String config) throws ProtocolException {
+  static ManagerConfig parse(String config) throws ProtocolException {
     return ManagerConfig.fromJson(
         Json.parse(config.replace('\'', '"').getBytes(StandardCharsets.UTF_8)));
   }
@@ -110,18 +110,18 @@
   }
 
   void start(String config) throws IOException, ProtocolException {
-    running = new Running(config);
+    running = new RunningManager(config);
     service = running.service;
-    at = running.at;
+    address = running.address;
   }
 
   @AfterEach
   void stop() throws IOException, InterruptedException {
-    end();
+    stopManager();
     engine.close();
   }
 
-  void end() throws InterruptedException {
-    running.end();
+  void stopManager() throws InterruptedException {
+    running.stop();
   }
 }
--- a/src/test/java/tansytrack/service/ServiceLifecycleTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifecycleTest.java
@@ -23,53 +23,53 @@
    * then none after the client has disconnected.
    */
   @Test
-  void whatTheModuleSeesIsShownBesideTheSockets() throws IOException, InterruptedException {
-    try (Client client = new Client(at).started();
-        Client other = new Client(at).started()) {
+  void statsShowForwardsOfDecisionCodeAndSockets() throws IOException, InterruptedException {
+    try (Client client = new Client(address).startSession();
+        Client other = new Client(address).startSession()) {
       client.send(Client.message('Q', Client.task("once", "00000000000000c4", "silent")));
-      engine.posted.await();
-      assertThat(other.ask("show stats"))
+      engine.postAnswered.await();
+      assertThat(other.query("show stats"))
           .contains(
               "engine.e.forwards.module,1;",
               "engine.e.forwards.sockets,1;",
               "engine.e.report.age.ms,-1;",
               "engine.e.excluded,0;");
       client.socket.close();
-      assertThat(engine.deleted.await(MINUTE, TimeUnit.MILLISECONDS)).isTrue();
+      assertThat(engine.deleteReceived.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
     }
-    try (Client client = new Client(at).started()) {
-      String told = client.ask("SHOW STATS");
-      while (!told.contains("engine.e.forwards.module,0;")) {
-        told = client.ask("SHOW STATS");
+    try (Client client = new Client(address).startSession()) {
+      String stats = client.query("SHOW STATS");
+      while (!stats.contains("engine.e.forwards.module,0;")) {
+        stats = client.query("SHOW STATS");
       }
-      assertThat(told).contains("engine.e.forwards.sockets,0;");
+      assertThat(stats).contains("engine.e.forwards.sockets,0;");
     }
   }
 
   @ParameterizedTest
   @CsvSource({"safe, 53300", "once, 58000"})
-  void whatIsOpenAtItsEndIsAnsweredBeforeTheKill(String grade, String code)
+  void openTasksAreAnsweredBeforeTheKill(String queryClass, String code)
       throws IOException, InterruptedException {
-    try (Client client = new Client(at).started()) {
-      client.send(Client.message('Q', Client.task(grade, "00000000000000d1", "silent")));
-      engine.posted.await();
-      long from = System.nanoTime();
+    try (Client client = new Client(address).startSession()) {
+      client.send(Client.message('Q', Client.task(queryClass, "00000000000000d1", "silent")));
+      engine.postAnswered.await();
+      long terminatedAt = System.nanoTime();
       service.terminate();
-      assertThat(client.answer()).startsWith(code);
+      assertThat(client.readAnswer()).startsWith(code);
       // The longest deadline, 300 ms, and 0.7 s more.
-      assertThat(System.nanoTime() - from).isLessThan(1_000_000_000L);
+      assertThat(System.nanoTime() - terminatedAt).isLessThan(1_000_000_000L);
     }
   }
 
   @Test
-  void tasksThatComeWhileItEndsAreStillServed() throws IOException {
-    try (Client client = new Client(at).started()) {
+  void tasksThatArriveDuringShutdownAreServed() throws IOException {
+    try (Client client = new Client(address).startSession()) {
       service.terminate();
-      assertThat(client.ask(Client.task("safe", "00000000000000d2", "ok"))).endsWith("SELECT 2");
-      try (Client late = new Client(at).started()) {
-        assertThat(late.ask(Client.task("safe", "00000000000000d3", "ok"))).endsWith("SELECT 2");
+      assertThat(client.query(Client.task("safe", "00000000000000d2", "ok"))).endsWith("SELECT 2");
+      try (Client late = new Client(address).startSession()) {
+        assertThat(late.query(Client.task("safe", "00000000000000d3", "ok"))).endsWith("SELECT 2");
       }
-      assertThat(client.answer()).isEqualTo("closed");
+      assertThat(client.readAnswer()).isEqualTo("closed");
     }
   }
 
@@ -78,11 +78,11 @@
    * arrived in time, up to 0.6 s after SIGTERM.
    */
   @Test
-  void aTaskThatIsReadLateBehindSigtermIsStillServed() throws IOException {
-    try (Client client = new Client(at).started()) {
+  void aTaskThatIsReadLateAfterSigtermIsServed() throws IOException {
+    try (Client client = new Client(address).startSession()) {
       service.terminate();
       LockSupport.parkNanos(800_000_000L);
-      assertThat(client.ask(Client.task("safe", "00000000000000d4", "ok"))).endsWith("SELECT 2");
+      assertThat(client.query(Client.task("safe", "00000000000000d4", "ok"))).endsWith("SELECT 2");
     }
   }
 
@@ -92,12 +92,13 @@
    */
   @ParameterizedTest
   @CsvSource({"65, safe", "65, once"})
-  void withoutADescriptorATaskIsBounced(int descriptors, String grade) throws Exception {
-    end();
+  void withoutAFileDescriptorATaskIsRejected(int descriptors, String queryClass) throws Exception {
+    stopManager();
     start(config().replace("'sockets':256", "'sockets':" + descriptors));
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task(grade, "00000000000000d4", "ok"))).startsWith("53300");
-      assertThat(client.ask("SHOW STATS")).contains("forwards.ended.NEVER_SENT,2;");
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task(queryClass, "00000000000000d4", "ok")))
+          .startsWith("53300");
+      assertThat(client.query("SHOW STATS")).contains("forwards.ended.NEVER_SENT,2;");
     }
   }
 
@@ -106,30 +107,30 @@
    * are closed first, then those that have never sent a query.
    */
   @Test
-  void aCrowdMakesRoomForClients() throws Exception {
-    end();
+  void idleSessionsAreClosedForNewClients() throws Exception {
+    stopManager();
     start(config().replace("'sockets':256", "'sockets':64"));
     List<Client> clients = new ArrayList<>();
     for (int i = 0; i < 31; i++) {
-      clients.add(new Client(at).started());
+      clients.add(new Client(address).startSession());
       if (i < 30) {
-        assertThat(clients.get(i).ask("SELECT 1")).startsWith("22023");
+        assertThat(clients.get(i).query("SELECT 1")).startsWith("22023");
         // None of the 64 descriptors is left for an engine, but the session has sent a query.
-        assertThat(clients.get(i).ask(Client.task("safe", "00000000000000a1", "ok")))
+        assertThat(clients.get(i).query(Client.task("safe", "00000000000000a1", "ok")))
             .startsWith("53300 no room");
       }
     }
-    Client silent = new Client(at);
+    Client silent = new Client(address);
     // An answer here shows that the silent connection, which was opened before, has been accepted.
-    assertThat(clients.get(0).ask("")).isEqualTo("empty");
-    try (Client more = new Client(at).started();
-        Client another = new Client(at).started()) {
-      assertThat(silent.answer()).isEqualTo("53300 too many connections closed");
-      assertThat(clients.get(30).answer()).isEqualTo("53300 too many connections closed");
-      assertThat(more.ask("") + another.ask("")).isEqualTo("emptyempty");
+    assertThat(clients.get(0).query("")).isEqualTo("empty");
+    try (Client more = new Client(address).startSession();
+        Client another = new Client(address).startSession()) {
+      assertThat(silent.readAnswer()).isEqualTo("53300 too many connections closed");
+      assertThat(clients.get(30).readAnswer()).isEqualTo("53300 too many connections closed");
+      assertThat(more.query("") + another.query("")).isEqualTo("emptyempty");
     }
     for (Client one : clients.subList(0, 30)) {
-      assertThat(one.ask("")).isEqualTo("empty");
+      assertThat(one.query("")).isEqualTo("empty");
       one.close();
     }
   }
@@ -140,14 +141,14 @@
    */
   @Test
   void aRehearsalServesItsTasks() throws Exception {
-    assertThat(Rehearsal.run(read(config()))).isEqualTo(198);
+    assertThat(Rehearsal.run(parse(config()))).isEqualTo(198);
   }
 
   @Test
-  void aFailureInsideTheDecisionsEndsItWithItsCause() throws Exception {
+  void aFailureInTheDecisionCodeEndsTheLoopWithItsCause() throws Exception {
     Service failing =
         new Service(
-            read(config()),
+            parse(config()),
             (settings, actions) ->
                 (DecisionModule)
                     Proxy.newProxyInstance(
@@ -161,7 +162,7 @@
                         }),
             Service.OptionalFeatures.NONE);
     try (Client client = new Client(failing.listen())) {
-      client.send(Client.start(3 << 16));
+      client.send(Client.startupMessage(3 << 16));
       client.send(Client.message('Q', Client.task("safe", "00000000000000d5", "ok")));
       assertThatThrownBy(failing::run)
           .isInstanceOf(IllegalStateException.class)
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -23,12 +23,12 @@
   static final class Client implements AutoCloseable {
     final Socket socket = new Socket();
     final DataInputStream in;
-    int number;
-    int secret;
+    int processId;
+    int secretKey;
 
     Client(InetSocketAddress to) throws IOException {
       socket.connect(to);
-      socket.setSoTimeout(MINUTE);
+      socket.setSoTimeout(TIMEOUT_MS);
       in = new DataInputStream(socket.getInputStream());
     }
 
@@ -36,11 +36,11 @@
       socket.getOutputStream().write(bytes);
     }
 
-    static byte[] start(int code, int... more) {
+    static byte[] startupMessage(int code, int... more) {
       ByteBuffer bytes =
           ByteBuffer.allocate(8 + 4 * more.length).putInt(8 + 4 * more.length).putInt(code);
-      for (int one : more) {
-        bytes.putInt(one);
+      for (int parameter : more) {
+        bytes.putInt(parameter);
       }
       return bytes.array();
     }
@@ -54,69 +54,70 @@
           .array();
     }
 
-    static String task(String grade, String id, String statement) {
+    static String task(String queryClass, String id, String statement) {
       return "/* class="
-          + grade
+          + queryClass
           + ",id="
           + id
           + ",wait=20000,tenant=a,cost=5.0,mb=1"
-          + (grade.equals("once") ? ",key=ffffffffffffffff" : "")
+          + (queryClass.equals("once") ? ",key=ffffffffffffffff" : "")
           + " */ "
           + statement;
     }
 
-    Client started() throws IOException {
-      send(start(3 << 16));
-      assertThat(answer()).isEqualTo("");
+    Client startSession() throws IOException {
+      send(startupMessage(3 << 16));
+      assertThat(readAnswer()).isEqualTo("");
       return this;
     }
 
     /**
      * Returns rows, command tags and errors up to the next ReadyForQuery or the connection's end.
      */
-    String answer() throws IOException {
-      StringBuilder said = new StringBuilder();
+    String readAnswer() throws IOException {
+      StringBuilder answer = new StringBuilder();
       while (true) {
         int type = in.read();
         if (type < 0) {
-          return said + "closed";
+          return answer + "closed";
         }
         byte[] body = new byte[in.readInt() - 4];
         in.readFully(body);
         ByteBuffer bytes = ByteBuffer.wrap(body);
         switch (type) {
           case 'Z' -> {
-            return said.toString();
+            return answer.toString();
           }
           case 'K' -> {
-            number = bytes.getInt();
-            secret = bytes.getInt();
+            processId = bytes.getInt();
+            secretKey = bytes.getInt();
           }
           case 'D' -> {
             int columns = bytes.getShort();
             for (int i = 0; i < columns; i++) {
               byte[] column = new byte[bytes.getInt()];
               bytes.get(column);
-              said.append(new String(column, StandardCharsets.UTF_8))
+              answer
+                  .append(new String(column, StandardCharsets.UTF_8))
                   .append(i < columns - 1 ? "," : ";");
             }
           }
-          case 'C' -> said.append(new String(body, 0, body.length - 1, StandardCharsets.UTF_8));
+          case 'C' -> answer.append(new String(body, 0, body.length - 1, StandardCharsets.UTF_8));
           case 'E' -> {
             for (String field : new String(body, StandardCharsets.UTF_8).split("\0")) {
-              said.append(
+              answer.append(
                   field.startsWith("C") || field.startsWith("M") ? field.substring(1) + ' ' : "");
             }
           }
-          case 'I' -> said.append("empty");
+          case 'I' -> answer.append("empty");
           default -> {}
         }
       }
     }
 
-    String ask(String statement) throws IOException {
+    String query(String statement) throws IOException {
       send(message('Q', statement));
-      return answer();
+      return readAnswer();
     }
 
     @Override
@@ -131,15 +132,16 @@
    */
   @ParameterizedTest
   @CsvSource({"late, 4", "pages, 3"})
-  void furtherCallsOfATaskGoOnTheConnectionOfTheFirst(String statement, int calls)
-      throws IOException {
-    engine.open.clear();
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task("safe", "00000000000000a7", statement))).contains("SELECT");
+  void allRequestsOfATaskUseOneConnection(String statement, int calls) throws IOException {
+    engine.connections.clear();
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task("safe", "00000000000000a7", statement)))
+          .contains("SELECT");
     }
-    assertThat(engine.calls.stream().filter(call -> call.contains("/o")).count()).isEqualTo(calls);
+    assertThat(engine.requests.stream().filter(call -> call.contains("/o")).count())
+        .isEqualTo(calls);
     // The command channel has a connection to the same server, and may have opened it just now.
-    assertThat(engine.open.size()).isBetween(1, 2);
+    assertThat(engine.connections.size()).isBetween(1, 2);
   }
 
   @ParameterizedTest(name = "{0}, {1}")
@@ -175,13 +177,14 @@
         "once | manypages | 58000 the statement failed; it may have run | 1",
         "once | badnumber | 58000 the statement failed; it may have run | 1"
       })
-  void eachEndOfAForwardHasItsAnswer(String grade, String statement, String answer, int forwards)
-      throws IOException {
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task(grade, "00000000000000a1", statement))).startsWith(answer);
-      assertThat(client.ask("")).isEqualTo("empty");
+  void eachOutcomeOfAForwardHasItsAnswer(
+      String queryClass, String statement, String answer, int forwards) throws IOException {
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task(queryClass, "00000000000000a1", statement)))
+          .startsWith(answer);
+      assertThat(client.query("")).isEqualTo("empty");
     }
-    List<String> posts = engine.calls.stream().filter(call -> call.startsWith("POST")).toList();
+    List<String> posts = engine.requests.stream().filter(call -> call.startsWith("POST")).toList();
     assertThat(posts)
         .hasSize(forwards)
         .allSatisfy(
@@ -190,7 +193,7 @@
                     .startsWith("POST /o " + statement + "\n")
                     .contains(
                         "X-Req: 00000000000000a1\r\n",
-                        "X-Class: " + grade + "\r\n",
+                        "X-Class: " + queryClass + "\r\n",
                         "Grant-Mb: ",
                         "X-Wait-Ms: "));
   }
@@ -219,45 +222,52 @@
             + " */ ok | field id: not 16 hex digits",
         "/* id=00000000000000a1 | comment without an end"
       })
-  void anUnusableQueryIsNamedAndTheSessionGoesOn(String query, String why) throws IOException {
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(query)).isEqualTo("22023 " + why + " ");
-      assertThat(client.ask(Client.task("safe", "00000000000000a1", "ok"))).endsWith("SELECT 2");
+  void anUnusableQueryIsReportedAndTheSessionContinues(String query, String why)
+      throws IOException {
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(query)).isEqualTo("22023 " + why + " ");
+      assertThat(client.query(Client.task("safe", "00000000000000a1", "ok"))).endsWith("SELECT 2");
     }
-    assertThat(engine.calls.stream().filter(call -> call.startsWith("POST"))).hasSize(1);
+    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST"))).hasSize(1);
   }
 
   @Test
-  void messagesMayBeCutAtAnyByteAndFollowEachOther() throws IOException {
-    try (Client client = new Client(at)) {
+  void messagesMayBeSplitAtAnyByteAndPipelined() throws IOException {
+    try (Client client = new Client(address)) {
       for (int code : new int[] {80877103, 80877104}) {
-        client.send(Client.start(code));
+        client.send(Client.startupMessage(code));
         assertThat(client.in.read()).isEqualTo('N');
       }
       ByteArrayOutputStream all = new ByteArrayOutputStream();
-      all.writeBytes(Client.start(3 << 16));
+      all.writeBytes(Client.startupMessage(3 << 16));
       all.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b1", "ok")));
       all.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b2", "ok")));
       all.writeBytes(Client.message('Q', " ; "));
       client.socket.setTcpNoDelay(true);
-      for (byte one : all.toByteArray()) {
-        client.send(new byte[] {one});
+      for (byte nextByte : all.toByteArray()) {
+        client.send(new byte[] {nextByte});
       }
-      assertThat(List.of(client.answer(), client.answer(), client.answer(), client.answer()))
+      assertThat(
+              List.of(
+                  client.readAnswer(),
+                  client.readAnswer(),
+                  client.readAnswer(),
+                  client.readAnswer()))
           .containsExactly("", "a,b,c;,,;SELECT 2", "a,b,c;,,;SELECT 2", "empty");
     }
   }
 
   @Test
   void theExtendedProtocolIsRefusedUpToItsSync() throws IOException {
-    try (Client client = new Client(at).started()) {
+    try (Client client = new Client(address).startSession()) {
       client.send(Client.message('P', "\0SELECT 1\0"));
       client.send(Client.message('B', ""));
       client.send(ByteBuffer.allocate(5).put((byte) 'S').putInt(4).array());
-      assertThat(client.answer()).isEqualTo("0A000 only simple queries are served ");
-      assertThat(client.ask("SHOW STATS")).contains("clients.queries,1;", "clients.connections,1;");
+      assertThat(client.readAnswer()).isEqualTo("0A000 only simple queries are served ");
+      assertThat(client.query("SHOW STATS"))
+          .contains("clients.queries,1;", "clients.connections,1;");
       client.send(ByteBuffer.allocate(5).put((byte) 'X').putInt(4).array());
-      assertThat(client.answer()).isEqualTo("closed");
+      assertThat(client.readAnswer()).isEqualTo("closed");
     }
   }
 
@@ -278,15 +288,15 @@
     for (int i = 0; i < bytes.length; i++) {
       bytes[i] = (byte) Integer.parseInt(hex.substring(2 * i, 2 * i + 2), 16);
     }
-    try (Client client = new Client(at)) {
+    try (Client client = new Client(address)) {
       client.send(bytes);
-      String said = client.answer();
-      assertThat(said.isEmpty() ? client.answer() : said)
+      String answer = client.readAnswer();
+      assertThat(answer.isEmpty() ? client.readAnswer() : answer)
           .endsWith("closed")
           .containsPattern("08P01|0A000");
     }
-    try (Client other = new Client(at).started()) {
-      assertThat(other.ask("")).isEqualTo("empty");
+    try (Client other = new Client(address).startSession()) {
+      assertThat(other.query("")).isEqualTo("empty");
     }
   }
 
@@ -295,15 +305,15 @@
    * forward, a repeat would count as a different task.
    */
   @Test
-  void theMarkOfAStampedTaskGoesOnToTheEngine() throws IOException {
-    try (Client client = new Client(at).started()) {
+  void theIdempotencyKeyOfATaskIsForwardedToTheEngine() throws IOException {
+    try (Client client = new Client(address).startSession()) {
       String task = Client.task("safe", "00000000000000a5", "fullonce");
-      assertThat(client.ask(task.replace("mb=1", "mb=1,once=5d61c58d40d99d127e8b87ba5c575dda")))
+      assertThat(client.query(task.replace("mb=1", "mb=1,once=5d61c58d40d99d127e8b87ba5c575dda")))
           .isEqualTo("SELECT 0");
-      assertThat(client.ask(task.replace("mb=1", "mb=1,once=a b")))
+      assertThat(client.query(task.replace("mb=1", "mb=1,once=a b")))
           .startsWith("22023 field once: not a word");
     }
-    assertThat(engine.calls.stream().filter(call -> call.startsWith("POST")))
+    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST")))
         .hasSize(2)
         .allSatisfy(
             post ->
@@ -313,28 +323,30 @@
   /** Malformed input that ends a connection is counted by its reason, and has no other effect. */
   @Test
   void malformedBytesAreCountedByReason() throws IOException {
-    try (Client client = new Client(at).started();
-        Client bad = new Client(at)) {
-      assertThat(client.ask(Client.task("safe", "00000000000000a6", "junk"))).startsWith("53300");
+    try (Client client = new Client(address).startSession();
+        Client bad = new Client(address)) {
+      assertThat(client.query(Client.task("safe", "00000000000000a6", "junk"))).startsWith("53300");
       bad.send(new byte[] {0, 0, 0, 3});
-      assertThat(bad.answer()).endsWith("closed");
-      assertThat(client.ask("SHOW STATS"))
+      assertThat(bad.readAnswer()).endsWith("closed");
+      assertThat(client.query("SHOW STATS"))
           .contains(
               "clients.malformed.invalid_message_length,1;", "connections.junk.not_an_HTTP/,");
     }
   }
 
   @Test
-  void aClientThatDoesNotReadHoldsUpNobody() throws IOException {
-    List<Client> deaf = new ArrayList<>();
+  void aClientThatDoesNotReadDelaysNoOther() throws IOException {
+    List<Client> nonReadingClients = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      deaf.add(new Client(at).started());
-      deaf.get(i).send(Client.message('Q', Client.task("safe", "00000000000001" + (10 + i), "ok")));
+      nonReadingClients.add(new Client(address).startSession());
+      nonReadingClients
+          .get(i)
+          .send(Client.message('Q', Client.task("safe", "00000000000001" + (10 + i), "ok")));
     }
-    try (Client client = new Client(at).started()) {
-      assertThat(client.ask(Client.task("safe", "00000000000000a9", "ok"))).endsWith("SELECT 2");
+    try (Client client = new Client(address).startSession()) {
+      assertThat(client.query(Client.task("safe", "00000000000000a9", "ok"))).endsWith("SELECT 2");
     }
-    for (Client one : deaf) {
+    for (Client one : nonReadingClients) {
       one.close();
     }
   }
--- a/src/test/java/tansytrack/service/StatementServer.java
+++ b/src/test/java/tansytrack/service/StatementServer.java
@@ -18,25 +18,25 @@
 final class StatementServer implements AutoCloseable {
 
   final ServerSocket socket;
-  final List<String> calls = new CopyOnWriteArrayList<>();
-  final List<Socket> open = new CopyOnWriteArrayList<>();
-  final CountDownLatch deleted = new CountDownLatch(1);
-  final CountDownLatch posted = new CountDownLatch(1);
+  final List<String> requests = new CopyOnWriteArrayList<>();
+  final List<Socket> connections = new CopyOnWriteArrayList<>();
+  final CountDownLatch deleteReceived = new CountDownLatch(1);
+  final CountDownLatch postAnswered = new CountDownLatch(1);
   volatile String statement = "";
-  volatile String list = "";
-  volatile boolean keepsList;
+  volatile String channelAnswer = "";
+  volatile boolean repeatsChannelAnswer;
 
   /** Number of the poll that the statement "late" leaves unanswered. */
-  volatile int lastNews;
+  volatile int unansweredPoll;
 
-  volatile int asked;
-  volatile int pagesAsked;
+  volatile int polls;
+  volatile int pageRequests;
 
   /** Whether DELETE requests stay unanswered. */
-  volatile boolean mute;
+  volatile boolean ignoresDelete;
 
   /** Delay in milliseconds of the answer to a channel's first poll. */
-  volatile long firstDelay;
+  volatile long firstPollDelayMs;
 
   StatementServer() {
     try {
@@ -54,42 +54,45 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        open.add(one);
-        new Thread(() -> serve(one)).start();
+        Socket connection = socket.accept();
+        connections.add(connection);
+        new Thread(() -> serve(connection)).start();
       }
     } catch (IOException e) {
       // the server socket was closed
     }
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
         String head = Rehearsal.readHead(in);
         byte[] body = new byte[Rehearsal.contentLength(head)];
         in.readFully(body);
-        String call = head.substring(0, head.indexOf(" HTTP"));
-        if (call.startsWith("POST")) {
+        String requestLine = head.substring(0, head.indexOf(" HTTP"));
+        if (requestLine.startsWith("POST")) {
           statement = new String(body, StandardCharsets.UTF_8);
         }
-        calls.add(call.startsWith("POST") ? call + ' ' + statement + '\n' + head : call);
-        String answer = answer(call);
+        requests.add(
+            requestLine.startsWith("POST")
+                ? requestLine + ' ' + statement + '\n' + head
+                : requestLine);
+        String answer = answer(requestLine);
         if (answer.equals("cut")) {
           return;
         }
         if (!answer.equals("silent")) {
-          one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+          connection.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
         }
-        (call.startsWith("POST") ? posted : new CountDownLatch(1)).countDown();
+        (requestLine.startsWith("POST") ? postAnswered : new CountDownLatch(1)).countDown();
       }
     } catch (IOException e) {
       // the connection was closed
     }
   }
 
-  private String die() {
+  private String crash() {
     try {
       close();
     } catch (IOException e) {
@@ -98,94 +101,110 @@
     return "cut";
   }
 
-  private static String say(String status, String fields, String body) {
+  private static String response(String status, String fields, String body) {
     return Rehearsal.response(status, fields, body);
   }
 
   @SuppressWarnings("NonAtomicVolatileUpdate") // requests are answered one at a time
-  private String answer(String call) {
-    if (call.startsWith("GET /cmd")) {
-      return list(call);
+  private String answer(String requestLine) {
+    if (requestLine.startsWith("GET /cmd")) {
+      return channelAnswer(requestLine);
     }
-    if (call.startsWith("DELETE")) {
-      deleted.countDown();
-      return mute ? "silent" : say("204 No Content", "", "");
+    if (requestLine.startsWith("DELETE")) {
+      deleteReceived.countDown();
+      return ignoresDelete ? "silent" : response("204 No Content", "", "");
     }
-    boolean news = call.startsWith("POST") || call.endsWith("/0");
-    asked += news ? 1 : 0;
-    pagesAsked += news ? 0 : 1;
-    return answerToStatement(call, news);
+    boolean poll = requestLine.startsWith("POST") || requestLine.endsWith("/0");
+    polls += poll ? 1 : 0;
+    pageRequests += poll ? 0 : 1;
+    return answerToStatement(requestLine, poll);
   }
 
-  private String list(String call) {
-    String told = list;
-    list = keepsList ? told : "";
-    boolean first = call.endsWith("&block=1");
-    if (first && firstDelay > 0) {
-      LockSupport.parkNanos(firstDelay * 1_000_000L);
+  private String channelAnswer(String requestLine) {
+    String answer = channelAnswer;
+    channelAnswer = repeatsChannelAnswer ? answer : "";
+    boolean first = requestLine.endsWith("&block=1");
+    if (first && firstPollDelayMs > 0) {
+      LockSupport.parkNanos(firstPollDelayMs * 1_000_000L);
     }
-    return !told.isEmpty()
-        ? say("200 OK", "", told)
-        : !first ? "silent" : say("200 OK", "", "{\"cursor\":0,\"cmds\":[]}");
+    return !answer.isEmpty()
+        ? response("200 OK", "", answer)
+        : !first ? "silent" : response("200 OK", "", "{\"cursor\":0,\"cmds\":[]}");
   }
 
-  private String answerToStatement(String call, boolean news) {
-    String done = "Page-Count: 1\r\nWork-Ms: 5.5\r\nPeak-Mb: 2\r\n";
-    String good = say("200 OK", done, "a\tb\tc\n");
-    int stalls = statement.equals("stalldie") ? 1 : 0;
+  private String answerToStatement(String requestLine, boolean poll) {
+    String resultHeaders = "Page-Count: 1\r\nWork-Ms: 5.5\r\nPeak-Mb: 2\r\n";
+    String goodResult = response("200 OK", resultHeaders, "a\tb\tc\n");
+    int stalledRequests = statement.equals("stalldie") ? 1 : 0;
     return switch (statement) {
       case "die", "stalldie" ->
-          asked <= stalls ? "silent" : asked < stalls + 3 ? say("202 Accepted", "", "") : die();
-      case "ok" -> say("200 OK", done, "a\tb\tc\n\t\t\n");
+          polls <= stalledRequests
+              ? "silent"
+              : polls < stalledRequests + 3 ? response("202 Accepted", "", "") : crash();
+      case "ok" -> response("200 OK", resultHeaders, "a\tb\tc\n\t\t\n");
       case "late" ->
-          asked == lastNews
+          polls == unansweredPoll
               ? "silent"
-              : asked < 4 ? say("202 Accepted", "", "") : say("200 OK", done, "1\t2\t3\n");
-      case "full" -> say("503 Full", "X-Not-Run: 1\r\n", "");
+              : polls < 4
+                  ? response("202 Accepted", "", "")
+                  : response("200 OK", resultHeaders, "1\t2\t3\n");
+      case "full" -> response("503 Full", "X-Not-Run: 1\r\n", "");
       case "fullonce" ->
-          asked < 2 ? say("503 Full", "X-Not-Run: 1\r\n", "") : say("200 OK", done, "");
-      case "past" -> say("504 Over", "X-Not-Run: 1\r\n", "");
-      case "error" -> say("500 No", "", "");
-      case "found" -> asked < 2 ? "cut" : say("200 OK", done, "f\tf\tf\n");
+          polls < 2
+              ? response("503 Full", "X-Not-Run: 1\r\n", "")
+              : response("200 OK", resultHeaders, "");
+      case "past" -> response("504 Over", "X-Not-Run: 1\r\n", "");
+      case "error" -> response("500 No", "", "");
+      case "found" -> polls < 2 ? "cut" : response("200 OK", resultHeaders, "f\tf\tf\n");
       case "cutlate" ->
-          asked == 1
-              ? say("202 Accepted", "", "")
-              : asked == 2 ? "cut" : say("200 OK", done, "g\tg\tg\n");
+          polls == 1
+              ? response("202 Accepted", "", "")
+              : polls == 2 ? "cut" : response("200 OK", resultHeaders, "g\tg\tg\n");
       case "restarted" ->
-          asked < 2 ? "cut" : asked == 2 ? say("500 No", "", "") : say("200 OK", done, "");
-      case "noise" -> asked < 4 ? "x".repeat(9000 * asked) : good;
-      case "endless" -> asked < 2 ? "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx" : good;
+          polls < 2
+              ? "cut"
+              : polls == 2 ? response("500 No", "", "") : response("200 OK", resultHeaders, "");
+      case "noise" -> polls < 4 ? "x".repeat(9000 * polls) : goodResult;
+      case "endless" ->
+          polls < 2 ? "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx" : goodResult;
       case "short" ->
-          asked < 2 ? "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 60\r\n\r\na" : good;
-      case "wronglength" -> asked < 2 ? good.replace("Length: 6", "Length: 0") : good;
-      case "hints" -> "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Go\r\n\r\n" + good;
-      case "twice" -> good + good;
-      case "never" -> asked < 3 ? "silent" : good;
+          polls < 2
+              ? "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 60\r\n\r\na"
+              : goodResult;
+      case "wronglength" -> polls < 2 ? goodResult.replace("Length: 6", "Length: 0") : goodResult;
+      case "hints" -> "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Go\r\n\r\n" + goodResult;
+      case "twice" -> goodResult + goodResult;
+      case "never" -> polls < 3 ? "silent" : goodResult;
       case "cut" -> "cut";
       case "junk" -> "HTTP/9 whatever\r\n\r\n";
-      case "twocolumns" -> say("200 OK", done, "a\tb\n");
-      case "halfrow" -> say("200 OK", done, "a\tb\tc");
-      case "manypages" -> say("200 OK", "Page-Count: 1000000\r\n", "a\tb\tc\n");
-      case "badnumber" -> say("200 OK", "Page-Count: x\r\n", "a\tb\tc\n");
-      default -> answerInPages(call, news, good);
+      case "twocolumns" -> response("200 OK", resultHeaders, "a\tb\n");
+      case "halfrow" -> response("200 OK", resultHeaders, "a\tb\tc");
+      case "manypages" -> response("200 OK", "Page-Count: 1000000\r\n", "a\tb\tc\n");
+      case "badnumber" -> response("200 OK", "Page-Count: x\r\n", "a\tb\tc\n");
+      default -> answerInPages(requestLine, poll, goodResult);
     };
   }
 
-  private String answerInPages(String call, boolean news, String good) {
+  private String answerInPages(String requestLine, boolean poll, String goodResult) {
     return switch (statement) {
       case "pages" ->
-          news
-              ? say("200 OK", "Page-Count: 3\r\n", "a\tb\tc\n")
-              : say("200 OK", "Page-No: " + call.charAt(call.length() - 1) + "\r\n", "d\te\tf\n");
+          poll
+              ? response("200 OK", "Page-Count: 3\r\n", "a\tb\tc\n")
+              : response(
+                  "200 OK",
+                  "Page-No: " + requestLine.charAt(requestLine.length() - 1) + "\r\n",
+                  "d\te\tf\n");
       case "spoiltpage" ->
-          news
-              ? say("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n")
-              : pagesAsked == 1
+          poll
+              ? response("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n")
+              : pageRequests == 1
                   ? "cut"
-                  : pagesAsked == 2 ? good : say("200 OK", "Page-No: 1\r\n", "d\te\tf\n");
-      case "cutpage" -> news ? say("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n") : "cut";
+                  : pageRequests == 2
+                      ? goodResult
+                      : response("200 OK", "Page-No: 1\r\n", "d\te\tf\n");
+      case "cutpage" -> poll ? response("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n") : "cut";
       case "lostpage" ->
-          news ? say("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n") : say("500 No", "", "");
+          poll ? response("200 OK", "Page-Count: 2\r\n", "a\tb\tc\n") : response("500 No", "", "");
       default -> "silent";
     };
   }
@@ -193,8 +212,8 @@
   @Override
   public void close() throws IOException {
     socket.close();
-    for (Socket one : open) {
-      one.close();
+    for (Socket connection : connections) {
+      connection.close();
     }
   }
 }
