--- a/src/main/java/tansytrack/service/CommandChannel.java
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -29,11 +29,11 @@
   /** The first poll asks only for the events since the configuration was written. */
   private static final long FIRST_POLL_BLOCK_MS = 1;
 
-  /** Time without an answer beyond the block after which the connection is dropped. */
+  /** Time without a response beyond the block after which the connection is dropped. */
   private static final long SILENCE_MARGIN_NANOS = 500 * NANOS_PER_MS;
 
   /**
-   * Delay before the next poll after repeated failures, or after an early answer without events.
+   * Delay before the next poll after repeated failures, or after an early response without events.
    */
   private static final long RETRY_DELAY_NANOS = 50 * NANOS_PER_MS;
 
@@ -52,10 +52,10 @@
   private long cursor;
   private long polledAt;
 
-  /** Failures since the last usable answer. */
+  /** Failures since the last usable response. */
   private int consecutiveFailures;
 
-  /** Whether a warning was logged since the last usable answer. */
+  /** Whether a warning was logged since the last usable response. */
   private boolean warned;
 
   /** Whether the channel has answered a poll since the start. */
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Applies the events of an answer or of the configuration's `known` field; events up to the
+   * Applies the events of a response or of the configuration's `known` field; events up to the
    * cursor are skipped.
    */
   void apply(Object message) throws ProtocolException {
@@ -195,15 +195,15 @@
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    if (answer.status() != 200) {
-      throw new ProtocolException("status " + answer.status());
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    if (response.status() != 200) {
+      throw new ProtocolException("status " + response.status());
     }
     long previousCursor = cursor;
-    apply(Json.parse(answer.body()));
+    apply(Json.parse(response.body()));
     timer.cancel();
     // A channel that answers at once without new events would otherwise be polled in a busy loop.
-    boolean answeredEarlyWithoutEvents =
+    boolean earlyResponseWithoutEvents =
         upToDate && cursor == previousCursor && timers.now() - polledAt < RETRY_DELAY_NANOS;
     upToDate = true;
     consecutiveFailures = 0;
@@ -212,7 +212,7 @@
     // Not within this call: the connection accepts the next request only after it returns.
     timer =
         timers.schedule(
-            timers.now() + (answeredEarlyWithoutEvents ? RETRY_DELAY_NANOS : 0), this::poll);
+            timers.now() + (earlyResponseWithoutEvents ? RETRY_DELAY_NANOS : 0), this::poll);
   }
 
   /** Restarts the timeout: a list that is still arriving may take any time. */
@@ -226,18 +226,18 @@
 
   /**
    * Polls again at once after a first failure, because events count as delivered soon after a
-   * break; a failure that directly follows another is retried after a delay.
+   * disconnect; a failure that directly follows another is retried after a delay.
    */
   @Override
   public void requestFailed(HttpConnection.Failure failure) {
     timer.cancel();
-    reportFailure("connection lost or unusable answer");
+    reportFailure("connection lost or unusable response");
     timer =
         timers.schedule(
             timers.now() + (consecutiveFailures++ == 0 ? 0 : RETRY_DELAY_NANOS), this::poll);
   }
 
-  /** Counts a failure; warns only on the first one since the last usable answer. */
+  /** Counts a failure; warns only on the first one since the last usable response. */
   private void reportFailure(String reason) {
     manager.counters().increment("channel.failed");
     if (!warned) {
@@ -247,10 +247,10 @@
   }
 
   @Override
-  public void connectionIdle(HttpConnection free) {}
+  public void connectionIdle(HttpConnection idleConnection) {}
 
   @Override
-  public void connectionClosed(HttpConnection lost) {
+  public void connectionClosed(HttpConnection closedConnection) {
     connection = null;
   }
 }
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Reads the file, repeatedly while it is incomplete, until `until`, a value of {@link
-   * System#nanoTime}.
+   * Reads the file, repeatedly while it is incomplete, until the deadline, which is a value of
+   * {@link System#nanoTime}.
    */
   LoadedConfig read(long deadlineNanos) throws IOException {
     boolean warned = false;
--- a/src/main/java/tansytrack/service/ConfigurationReload.java
+++ b/src/main/java/tansytrack/service/ConfigurationReload.java
@@ -14,7 +14,10 @@
  */
 final class ConfigurationReload {
 
-  /** Limit for an incomplete file; the platform expects the change to take effect within 4 s. */
+  /**
+   * How long an incomplete file is read again; the platform expects the change to take effect
+   * within 4 s.
+   */
   static final long READ_TIMEOUT_NANOS = 2_000_000_000L;
 
   private final ConfigFile file;
--- a/src/main/java/tansytrack/service/OperatorFeatures.java
+++ b/src/main/java/tansytrack/service/OperatorFeatures.java
@@ -42,10 +42,10 @@
     if (ledger == null) {
       return Service.TaskListenerFactory.NONE;
     }
-    return (config, timers, inbox) -> {
+    return (config, timers, eventQueue) -> {
       try {
         return LedgerRecorder.start(
-            ledger, config.name(), config.settings().queryClasses(), timers, inbox);
+            ledger, config.name(), config.settings().queryClasses(), timers, eventQueue);
       } catch (IOException e) {
         throw new InvalidInputException(file + ": ledger: " + e.getMessage());
       }
@@ -57,7 +57,7 @@
     if (fleet == null) {
       return Service.PeerManagersFactory.NONE;
     }
-    return (config, count) -> {
+    return (config, managerCountConsumer) -> {
       String name = fleet.name().isEmpty() ? config.name() : fleet.name();
       if (fleet.peers().stream().anyMatch(peer -> peer.name().equals(name))) {
         throw new InvalidInputException(
@@ -74,7 +74,7 @@
             version == null ? "unpackaged" : version,
             digest(config),
             config.settings().managerCount(),
-            count);
+            managerCountConsumer);
       } catch (IOException e) {
         throw new InvalidInputException(file + ": fleet: " + e.getMessage());
       }
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Of the settings, alike for all managers that were told the same, in whatever order their sets
-   * stand.
+   * Returns a digest of the settings, which is the same for all managers with equal settings,
+   * whatever the iteration order of their sets and maps.
    */
   private static String digest(ManagerConfig config) {
     try {
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -43,7 +43,7 @@
    * Events that are processed before timers and decisions run. Large, so that events which arrived
    * in time are not judged as late when the loop lags.
    */
-  private static final int MAX_EVENTS_PER_TURN = 2048;
+  private static final int MAX_EVENTS_PER_ITERATION = 2048;
 
   /**
    * How long the manager listens after SIGTERM. The platform opens new connections for 0.4 s, and
@@ -101,19 +101,19 @@
 
   /** Creates the listener to the tasks of one manager. */
   interface TaskListenerFactory {
-    TaskListenerFactory NONE = (config, timers, inbox) -> TaskListener.NONE;
+    TaskListenerFactory NONE = (config, timers, eventQueue) -> TaskListener.NONE;
 
-    TaskListener create(ManagerConfig config, Timers timers, Consumer<Runnable> inbox);
+    TaskListener create(ManagerConfig config, Timers timers, Consumer<Runnable> eventQueue);
   }
 
   /**
-   * Creates the link to the other managers. It reports the number of managers to `count`, on any
-   * thread.
+   * Creates the link to the other managers. It reports the number of managers to
+   * `managerCountConsumer`, on any thread.
    */
   interface PeerManagersFactory {
-    PeerManagersFactory NONE = (config, count) -> PeerManagers.NONE;
+    PeerManagersFactory NONE = (config, managerCountConsumer) -> PeerManagers.NONE;
 
-    PeerManagers create(ManagerConfig config, IntConsumer count);
+    PeerManagers create(ManagerConfig config, IntConsumer managerCountConsumer);
   }
 
   /** The features that the operator file switches on. */
@@ -129,17 +129,17 @@
 
   Service(
       ManagerConfig config,
-      BiFunction<Settings, Actions, DecisionModule> start,
-      OptionalFeatures extras)
+      BiFunction<Settings, Actions, DecisionModule> decisionModuleFactory,
+      OptionalFeatures optionalFeatures)
       throws ProtocolException {
     this.config = config.withoutKnownEngines();
     timers.now(clock.getAsLong());
-    taskListener = extras.taskListenerFactory().create(config, timers, eventQueue::add);
+    taskListener = optionalFeatures.taskListenerFactory().create(config, timers, eventQueue::add);
     peerManagers =
-        extras
+        optionalFeatures
             .peerManagersFactory()
-            .create(config, count -> eventQueue.add(() -> this.managerCountChanged(count)));
-    manager = new Manager(config, timers, sockets, start, taskListener, peerManagers);
+            .create(config, count -> eventQueue.add(() -> managerCountChanged(count)));
+    manager = new Manager(config, timers, sockets, decisionModuleFactory, taskListener, peerManagers);
     channel = new CommandChannel(sockets, timers, parseAddress(config.channelAddress()), manager);
     channel.apply(config.knownEngines());
     manager.processPending();
@@ -156,7 +156,7 @@
 
   /**
    * Starts to listen. While the address is in use, because the previous process has not yet
-   * released it, binding is retried until `until`, a value of {@link System#nanoTime}. The
+   * released it, binding is retried until the deadline, a value of {@link System#nanoTime}. The
    * disadvantage: an address that another process keeps is reported only then.
    */
   InetSocketAddress listen(long deadlineNanos) throws IOException, ProtocolException {
@@ -207,7 +207,7 @@
    * Otherwise the manager would send to engines that began to drain while this process was
    * starting, which takes a second; that is all the time that the platform allows. The
    * disadvantage: while the channel is unreachable, a start takes longer by {@link
-   * Service#FIRST_NEWS}.
+   * Service#FIRST_POLL_TIMEOUT_NANOS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
@@ -239,9 +239,9 @@
       if (!SighupHandler.install(reload::onSignal)) {
         new ConfigurationFilePoller(path, reload::onSignal).start();
       }
-      OptionalFeatures extras =
+      OptionalFeatures optionalFeatures =
           operator == null ? OptionalFeatures.NONE : OperatorFeatures.load(operator);
-      service = create(file.read(deadlineNanos), extras);
+      service = create(file.read(deadlineNanos), optionalFeatures);
     } catch (IOException | InvalidInputException e) {
       return reportUnusableInput(e);
     }
@@ -276,9 +276,9 @@
     return EXIT_INTERNAL_ERROR;
   }
 
-  private static Service create(ConfigFile.LoadedConfig loaded, OptionalFeatures extras) {
+  private static Service create(ConfigFile.LoadedConfig loaded, OptionalFeatures optionalFeatures) {
     try {
-      return new Service(loaded.config(), Decide::new, extras);
+      return new Service(loaded.config(), Decide::new, optionalFeatures);
     } catch (ProtocolException e) {
       throw new InvalidInputException(loaded.source() + ": known: " + e.getMessage());
     }
@@ -406,7 +406,7 @@
     Runnable event = eventQueue.poll(maxWaitNanos, TimeUnit.NANOSECONDS);
     clock.slew();
     timers.advanceAfterSleep(clock.getAsLong(), maxWaitNanos);
-    for (int i = 0; event != null && i < MAX_EVENTS_PER_TURN; i++) {
+    for (int i = 0; event != null && i < MAX_EVENTS_PER_ITERATION; i++) {
       event.run();
       event = eventQueue.poll();
     }
--- a/src/main/java/tansytrack/service/SlewedClock.java
+++ b/src/main/java/tansytrack/service/SlewedClock.java
@@ -29,12 +29,12 @@
 
   /** Corrects the offset if the interval has passed; called only by the event loop. */
   void slew() {
-    long monotonic = System.nanoTime();
-    if (monotonic - slewedAtNanos >= SLEW_INTERVAL_NANOS) {
-      slewedAtNanos = monotonic;
-      long error = unixNanos() - monotonic - offsetNanos;
-      long corrected = offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, error));
-      offsetNanos = corrected;
+    long monotonicNanos = System.nanoTime();
+    if (monotonicNanos - slewedAtNanos >= SLEW_INTERVAL_NANOS) {
+      slewedAtNanos = monotonicNanos;
+      long errorNanos = unixNanos() - monotonicNanos - offsetNanos;
+      long correctedNanos = offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, errorNanos));
+      offsetNanos = correctedNanos;
     }
   }
 }
