--- a/src/main/java/tansytrack/service/CommandChannel.java
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -50,7 +50,7 @@
   private HttpConnection connection;
   private Timers.Timer timer;
   private long cursor;
-  private long polledAt;
+  private long polledAtNanos;
 
   /** Failures since the last usable response. */
   private int consecutiveFailures;
@@ -171,11 +171,11 @@
     if (connection == null) {
       connection = new HttpConnection(sockets, address, MAX_RING_BYTES, this);
     }
-    polledAt = timers.now();
+    polledAtNanos = timers.now();
     long blockMs = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
     timer =
         timers.schedule(
-            polledAt + blockMs * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
+            polledAtNanos + blockMs * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
     connection.send(
         "GET", "/cmd/next?resume=" + cursor + "&block=" + blockMs, "", new byte[0], this);
   }
@@ -204,7 +204,7 @@
     timer.cancel();
     // A channel that answers at once without new events would otherwise be polled in a busy loop.
     boolean earlyResponseWithoutEvents =
-        upToDate && cursor == previousCursor && timers.now() - polledAt < RETRY_DELAY_NANOS;
+        upToDate && cursor == previousCursor && timers.now() - polledAtNanos < RETRY_DELAY_NANOS;
     upToDate = true;
     consecutiveFailures = 0;
     warned = false;
--- a/src/main/java/tansytrack/service/ConfigurationFilePoller.java
+++ b/src/main/java/tansytrack/service/ConfigurationFilePoller.java
@@ -43,7 +43,7 @@
   /** Starts polling on a daemon thread. */
   void start() {
     Logger.warn(
-        "SIGHUP was ignored when this process was started (nohup?) and stays ignored; polling {}"
+        "SIGHUP was ignored when this process was started (nohup?) and stays ignored; {} is polled"
             + " every {} ms instead",
         path,
         POLL_INTERVAL_NANOS / 1_000_000L);
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -139,7 +139,8 @@
         optionalFeatures
             .peerManagersFactory()
             .create(config, count -> eventQueue.add(() -> managerCountChanged(count)));
-    manager = new Manager(config, timers, sockets, decisionModuleFactory, taskListener, peerManagers);
+    manager =
+        new Manager(config, timers, sockets, decisionModuleFactory, taskListener, peerManagers);
     channel = new CommandChannel(sockets, timers, parseAddress(config.channelAddress()), manager);
     channel.apply(config.knownEngines());
     manager.processPending();
--- a/src/main/java/tansytrack/service/SlewedClock.java
+++ b/src/main/java/tansytrack/service/SlewedClock.java
@@ -33,7 +33,8 @@
     if (monotonicNanos - slewedAtNanos >= SLEW_INTERVAL_NANOS) {
       slewedAtNanos = monotonicNanos;
       long errorNanos = unixNanos() - monotonicNanos - offsetNanos;
-      long correctedNanos = offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, errorNanos));
+      long correctedNanos =
+          offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, errorNanos));
       offsetNanos = correctedNanos;
     }
   }
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -24,7 +24,7 @@
         .definedBy("tansytrack")
         .layer("api")
         .definedBy("tansytrack.api")
-        .layer("parts")
+        .layer("util")
         .definedBy("tansytrack.util")
         .layer("policy")
         .definedBy("tansytrack.policy")
--- a/src/test/java/tansytrack/log/EventTest.java
+++ b/src/test/java/tansytrack/log/EventTest.java
@@ -35,14 +35,14 @@
                 new IllegalStateException("why")));
     String line = out.toString(StandardCharsets.UTF_8);
     assertThat(line.strip().lines()).hasSize(1);
-    Map<String, Object> read =
+    Map<String, Object> fields =
         Json.asObject(Json.parse(line.strip().getBytes(StandardCharsets.UTF_8)), "line");
-    assertThat(read)
+    assertThat(fields)
         .containsEntry("event", "ledger.opened")
         .containsEntry("epoch", "3")
         .containsEntry("level", "WARN")
         .containsEntry("message", "a \"quoted\"\tline\nand \\ more")
         .containsKey("time");
-    assertThat((String) read.get("exception")).contains("IllegalStateException: why", "at ");
+    assertThat((String) fields.get("exception")).contains("IllegalStateException: why", "at ");
   }
 }
--- a/src/test/java/tansytrack/service/AttemptEndTest.java
+++ b/src/test/java/tansytrack/service/AttemptEndTest.java
@@ -27,7 +27,7 @@
   private static final String SECOND_ID = "00000000000000a2";
   private static final String OTHER_ID = "00000000000000b1";
 
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
   private ScriptedServer engine;
   private ServiceFixture.RunningManager running;
 
@@ -35,8 +35,8 @@
   void start() throws Exception {
     engine = new ScriptedServer().startAccepting();
     ScriptedServer channel = new ScriptedServer().startAccepting();
-    open.add(engine);
-    open.add(channel);
+    resources.add(engine);
+    resources.add(channel);
     running =
         new ServiceFixture.RunningManager(
             ServiceTest.config(engine.address())
@@ -49,7 +49,7 @@
     try {
       running.stop();
     } finally {
-      for (AutoCloseable resource : open) {
+      for (AutoCloseable resource : resources) {
         resource.close();
       }
     }
@@ -57,7 +57,7 @@
 
   private Client client() throws IOException {
     Client client = new Client(running.address).startSession();
-    open.add(client);
+    resources.add(client);
     return client;
   }
 
--- a/src/test/java/tansytrack/service/RaceConditionTest.java
+++ b/src/test/java/tansytrack/service/RaceConditionTest.java
@@ -21,14 +21,14 @@
       Rehearsal.response("200 OK", "Page-Count: 1\r\nWork-Ms: 5\r\nPeak-Mb: 2\r\n", "a\tb\tc\n");
   private static final String STILL_RUNNING = Rehearsal.response("202 Accepted", "", "");
 
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
   private ServiceFixture.RunningManager running;
   private Service service;
   private InetSocketAddress address;
 
   private ScriptedServer scriptedServer() throws IOException {
     ScriptedServer server = new ScriptedServer();
-    open.add(server);
+    resources.add(server);
     return server;
   }
 
@@ -48,7 +48,7 @@
     try {
       running.stop();
     } finally {
-      for (AutoCloseable resource : open) {
+      for (AutoCloseable resource : resources) {
         resource.close();
       }
     }
--- a/src/test/java/tansytrack/service/RestartTest.java
+++ b/src/test/java/tansytrack/service/RestartTest.java
@@ -49,7 +49,7 @@
   private Process process;
   private BufferedReader log;
 
-  private Path file() {
+  private Path configPath() {
     return folder.resolve("config.json");
   }
 
@@ -60,27 +60,27 @@
   /** Replaces the file atomically. */
   private void replace(String text) throws IOException {
     Path next = Files.writeString(folder.resolve("next"), text);
-    Files.move(next, file(), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(next, configPath(), StandardCopyOption.ATOMIC_MOVE);
   }
 
-  private void writeUnusable(String how) throws IOException {
-    switch (how) {
-      case "missing" -> Files.deleteIfExists(file());
-      case "empty" -> Files.writeString(file(), "");
-      case "cut off" -> Files.writeString(file(), config("m").substring(0, 250));
+  private void writeUnusable(String defect) throws IOException {
+    switch (defect) {
+      case "missing" -> Files.deleteIfExists(configPath());
+      case "empty" -> Files.writeString(configPath(), "");
+      case "cut off" -> Files.writeString(configPath(), config("m").substring(0, 250));
       case "bad list" ->
           Files.writeString(
-              file(),
+              configPath(),
               config("m")
                   .replace(
                       "[]}",
                       "[{\"cursor\":1,\"nodes\":"
                           + "{\"members\":[{\"id\":\"e\",\"phase\":\"lost\"}]}}]}"));
-      default -> Files.writeString(file(), config("m").replace("127.0.0.1:9", how));
+      default -> Files.writeString(configPath(), config("m").replace("127.0.0.1:9", defect));
     }
   }
 
-  private void serve(String... more) throws IOException {
+  private void serve(String... options) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -91,13 +91,13 @@
                 System.getProperty("java.class.path"),
                 "tansytrack.Main",
                 "serve"));
-    command.addAll(List.of(more));
+    command.addAll(List.of(options));
     start(command);
   }
 
   private void start(List<String> command) throws IOException {
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().put("ROUTER_CONFIG", file().toString());
+    builder.environment().put("ROUTER_CONFIG", configPath().toString());
     process = builder.start();
     log = process.inputReader(StandardCharsets.UTF_8);
   }
@@ -110,8 +110,8 @@
     return line;
   }
 
-  private void signal(String which) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", '-' + which, Long.toString(process.pid())).start().waitFor();
+  private void signal(String name) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", '-' + name, Long.toString(process.pid())).start().waitFor();
   }
 
   @AfterEach
@@ -123,10 +123,10 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"missing", "empty", "cut off"})
-  void aFileThatIsCompletedLaterIsUsed(String how) throws IOException, InterruptedException {
-    writeUnusable(how);
+  void aFileThatIsCompletedLaterIsUsed(String defect) throws IOException, InterruptedException {
+    writeUnusable(defect);
     serve();
-    assertThat(awaitLine("config.json")).contains(how, "retrying for up to");
+    assertThat(awaitLine("config.json")).contains(defect, "retrying for up to");
     signal("HUP"); // before there is a manager
     replace(config("late"));
     assertThat(awaitLine("listens at")).contains("late listens at");
@@ -144,16 +144,16 @@
         "nowhere | channel: 'nowhere' is not an address | false",
         "bad list | known: unknown phase | false"
       })
-  void aFileThatStaysUnusableEndsWithCodeTwo(String how, String why, boolean waits)
+  void aFileThatStaysUnusableEndsWithCodeTwo(String defect, String reason, boolean waits)
       throws IOException, InterruptedException {
-    writeUnusable(how);
+    writeUnusable(defect);
     long startedAt = System.nanoTime();
     serve();
-    assertThat(awaitLine("tansytrack: ")).contains(why);
+    assertThat(awaitLine("tansytrack: ")).contains(reason);
     assertThat(process.waitFor()).isEqualTo(2);
     assertThat(System.nanoTime() - startedAt > 5 * NANOS_PER_SECOND).isEqualTo(waits);
     startedAt = System.nanoTime();
-    assertThat(Service.check(file().toString(), null, System.out)).isEqualTo(2);
+    assertThat(Service.check(configPath().toString(), null, System.out)).isEqualTo(2);
     assertThat(System.nanoTime() - startedAt).isLessThan(2 * NANOS_PER_SECOND);
   }
 
@@ -195,7 +195,7 @@
                 "tansytrack.Main",
                 "serve")
             .redirectErrorStream(true);
-    builder.environment().put("ROUTER_CONFIG", file().toString());
+    builder.environment().put("ROUTER_CONFIG", configPath().toString());
     process = builder.start();
     String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertThat(process.waitFor()).isNotZero();
@@ -223,7 +223,7 @@
             System.getProperty("java.class.path"),
             "tansytrack.Main",
             "serve"));
-    assertThat(awaitLine("SIGHUP was ignored")).contains("config.json every 250 ms");
+    assertThat(awaitLine("SIGHUP was ignored")).contains("config.json is polled every 250 ms");
     awaitLine("listens at");
     writeUnusable("127.0.0.1:7");
     signal("HUP");
@@ -286,7 +286,7 @@
   @Test
   void theLastCompleteFileWinsForConcurrentSignals() throws IOException, InterruptedException {
     writeUnusable("cut off");
-    ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
+    ConfigurationReload reload = new ConfigurationReload(new ConfigFile(configPath().toString()));
     List<String> received = new CopyOnWriteArrayList<>();
     CountDownLatch firstReceived = new CountDownLatch(1);
     CountDownLatch release = new CountDownLatch(1);
@@ -320,7 +320,7 @@
 
   @Test
   void anUnusableFileChangesNothingAndTheNextSignalIsHandled() throws IOException {
-    ConfigurationReload reload = new ConfigurationReload(new ConfigFile(file().toString()));
+    ConfigurationReload reload = new ConfigurationReload(new ConfigFile(configPath().toString()));
     List<String> received = new CopyOnWriteArrayList<>();
     reload.setConsumer(loaded -> received.add(loaded.config().name()));
     writeUnusable("nowhere");
@@ -334,11 +334,11 @@
   @Test
   void errorsNameTheFileItsSizeAndTheOffset() throws IOException {
     writeUnusable("cut off");
-    assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
+    assertThatThrownBy(() -> new ConfigFile(configPath().toString()).readOnce())
         .isInstanceOf(ConfigFile.TransientFileException.class)
         .hasMessageMatching(".*config.json \\(250 bytes\\) is cut off: JSON: .* at byte 250");
-    Files.writeString(file(), config("m") + "}");
-    assertThatThrownBy(() -> new ConfigFile(file().toString()).readOnce())
+    Files.writeString(configPath(), config("m") + "}");
+    assertThatThrownBy(() -> new ConfigFile(configPath().toString()).readOnce())
         .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining("more behind the end at byte " + COMPLETE_CONFIG.length());
     assertThatThrownBy(() -> new ConfigFile(folder.toString()).readOnce())
--- a/src/test/java/tansytrack/service/ScriptedServer.java
+++ b/src/test/java/tansytrack/service/ScriptedServer.java
@@ -20,7 +20,7 @@
  */
 final class ScriptedServer implements AutoCloseable {
 
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
+  private final List<Socket> connections = new CopyOnWriteArrayList<>();
   private final List<Socket> accepted = new CopyOnWriteArrayList<>();
   private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
   private final InetSocketAddress socketAddress;
@@ -67,7 +67,7 @@
     try {
       while (!acceptingStopped) {
         Socket connection = serverSocket.accept();
-        open.add(connection);
+        connections.add(connection);
         accepted.add(connection);
         new Thread(() -> serve(connection)).start();
       }
@@ -98,7 +98,7 @@
     try {
       while (true) {
         Socket connection = new Socket();
-        open.add(connection);
+        connections.add(connection);
         connection.connect(socketAddress, 300);
       }
     } catch (SocketTimeoutException e) {
@@ -137,7 +137,7 @@
   @Override
   public void close() throws IOException {
     socket.close();
-    for (Socket connection : open) {
+    for (Socket connection : connections) {
       connection.close();
     }
   }
--- a/src/test/java/tansytrack/service/ServiceCancelTest.java
+++ b/src/test/java/tansytrack/service/ServiceCancelTest.java
@@ -50,7 +50,8 @@
         Thread.sleep(10);
       }
     }
-    assertThat(engine.requests.stream().filter(call -> call.startsWith("DELETE"))).hasSize(times);
+    assertThat(engine.requests.stream().filter(request -> request.startsWith("DELETE")))
+        .hasSize(times);
   }
 
   /**
@@ -68,8 +69,8 @@
     }
     assertThat(
             engine.requests.stream()
-                .filter(call -> !call.contains("/cmd/"))
-                .map(call -> call.split(" ")[0]))
+                .filter(request -> !request.contains("/cmd/"))
+                .map(request -> request.split(" ")[0]))
         .containsExactly("POST", "GET", "DELETE", "DELETE", "POST");
   }
 
@@ -80,13 +81,13 @@
    */
   @ParameterizedTest(name = "{0}: answered in under 1.5 s: {1}")
   @CsvSource({"die, true", "stalldie, false"})
-  void aCrashedProcessProvesNoEndAfterAStalledRequest(String statement, boolean soon)
+  void aCrashedProcessProvesNoEndAfterAStalledRequest(String statement, boolean answeredSoon)
       throws IOException {
     try (Client client = new Client(address).startSession()) {
       long startedAt = System.nanoTime();
       assertThat(client.query(Client.task("once", "00000000000000c5", statement)))
           .startsWith("58000");
-      assertThat(System.nanoTime() - startedAt < 1_500_000_000L).isEqualTo(soon);
+      assertThat(System.nanoTime() - startedAt < 1_500_000_000L).isEqualTo(answeredSoon);
     }
   }
 
@@ -112,7 +113,7 @@
     }
     // Two unanswered DELETE requests count as one cancellation. A second one follows, because the
     // engine has never answered for the query.
-    assertThat(engine.requests.stream().filter(call -> call.startsWith("DELETE"))).hasSize(4);
+    assertThat(engine.requests.stream().filter(request -> request.startsWith("DELETE"))).hasSize(4);
   }
 
   @Test
--- a/src/test/java/tansytrack/service/ServiceConfigurationTest.java
+++ b/src/test/java/tansytrack/service/ServiceConfigurationTest.java
@@ -31,7 +31,7 @@
     stopManager();
     start(config());
     Thread.sleep(500);
-    long polls = engine.requests.stream().filter(call -> call.startsWith("GET /cmd")).count();
+    long polls = engine.requests.stream().filter(request -> request.startsWith("GET /cmd")).count();
     assertThat(polls).isBetween(2L, 25L);
   }
 
@@ -39,12 +39,13 @@
    * Guards against sends to an engine that began to drain while the manager was starting: the
    * manager serves only after the channel's first answer.
    */
-  @ParameterizedTest(name = "the channel''s first answer takes {0} ms: {1} calls to the engine")
+  @ParameterizedTest(name = "the channel''s first answer takes {0} ms: {1} requests to the engine")
   @CsvSource({"0, 0", "200, 0", "10000, 1"})
-  void aStartingManagerAppliesMissedEventsBeforeItServes(long delay, int calls) throws Exception {
+  void aStartingManagerAppliesMissedEventsBeforeItServes(long delayMs, int requests)
+      throws Exception {
     stopManager();
     engine.requests.clear();
-    engine.firstPollDelayMs = delay;
+    engine.firstPollDelayMs = delayMs;
     engine.channelAnswer =
         ("{'cursor':2,'cmds':[" + engineEvent(2, "e", engine.address(), "draining") + "]}")
             .replace('\'', '"');
@@ -55,8 +56,8 @@
     try (Client client = new Client(address).startSession()) {
       client.query(Client.task("safe", "00000000000000a8", "ok"));
     }
-    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST")).count())
-        .isEqualTo(calls);
+    assertThat(engine.requests.stream().filter(request -> request.startsWith("POST")).count())
+        .isEqualTo(requests);
   }
 
   @Test
@@ -72,15 +73,15 @@
                   + engineEvent(3, "f", second.address(), "ready")
                   + "]}")
               .replace('\'', '"');
-      for (Socket one : engine.connections) {
-        one.close();
+      for (Socket connection : engine.connections) {
+        connection.close();
       }
       String id = "00000000000000f";
       for (int i = 0; second.postAnswered.getCount() > 0; i++) {
         client.query(Client.task("safe", id + Integer.toHexString(i % 16), "ok"));
       }
       assertThat(engine.requests)
-          .anyMatch(call -> call.startsWith("GET /cmd/next?resume=1&block="));
+          .anyMatch(request -> request.startsWith("GET /cmd/next?resume=1&block="));
     }
   }
 
@@ -132,8 +133,8 @@
       assertThat(open.readAnswer()).isEqualTo("1,2,3;SELECT 1");
       assertThat(client.query("SHOW STATS")).contains("configurations.read,1;");
       assertThat(second.requests)
-          .anyMatch(call -> call.startsWith("GET /cmd/next?resume=2&block="))
-          .anyMatch(call -> call.startsWith("GET /cmd/next?resume=3&block="));
+          .anyMatch(request -> request.startsWith("GET /cmd/next?resume=2&block="))
+          .anyMatch(request -> request.startsWith("GET /cmd/next?resume=3&block="));
     }
   }
 
@@ -148,18 +149,19 @@
         "'cpu_of_kind':[4] | 'cpu_of_kind':['x']",
         "'name':'m', | ''"
       })
-  void anUnusableConfigurationIsReported(String good, String bad) throws IOException {
-    assertThatThrownBy(() -> parse(config().replace(good, bad == null ? "" : bad)))
+  void anUnusableConfigurationIsReported(String valid, String invalid) throws IOException {
+    assertThatThrownBy(() -> parse(config().replace(valid, invalid == null ? "" : invalid)))
         .isInstanceOf(InvalidInputException.class);
     Path file = folder.resolve("config.json");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    PrintStream to = new PrintStream(out, true, StandardCharsets.UTF_8);
-    Files.writeString(file, config().replace(good, bad == null ? "" : bad).replace('\'', '"'));
-    assertThat(Service.check(file.toString(), null, to)).isEqualTo(2);
+    PrintStream stream = new PrintStream(out, true, StandardCharsets.UTF_8);
+    Files.writeString(
+        file, config().replace(valid, invalid == null ? "" : invalid).replace('\'', '"'));
+    assertThat(Service.check(file.toString(), null, stream)).isEqualTo(2);
     Files.writeString(file, config().replace('\'', '"'));
-    assertThat(Service.check(file.toString(), null, to)).isZero();
+    assertThat(Service.check(file.toString(), null, stream)).isZero();
     assertThat(out.toString(StandardCharsets.UTF_8))
         .isEqualTo("m: 2 query classes, 1 tenants, 1 engines\n");
-    assertThat(Service.check(folder.resolve("none").toString(), null, to)).isEqualTo(2);
+    assertThat(Service.check(folder.resolve("none").toString(), null, stream)).isEqualTo(2);
   }
 }
--- a/src/test/java/tansytrack/service/ServiceLifecycleTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifecycleTest.java
@@ -123,15 +123,15 @@
     Client silent = new Client(address);
     // An answer here shows that the silent connection, which was opened before, has been accepted.
     assertThat(clients.get(0).query("")).isEqualTo("empty");
-    try (Client more = new Client(address).startSession();
-        Client another = new Client(address).startSession()) {
+    try (Client first = new Client(address).startSession();
+        Client second = new Client(address).startSession()) {
       assertThat(silent.readAnswer()).isEqualTo("53300 too many connections closed");
       assertThat(clients.get(30).readAnswer()).isEqualTo("53300 too many connections closed");
-      assertThat(more.query("") + another.query("")).isEqualTo("emptyempty");
+      assertThat(first.query("") + second.query("")).isEqualTo("emptyempty");
     }
-    for (Client one : clients.subList(0, 30)) {
-      assertThat(one.query("")).isEqualTo("empty");
-      one.close();
+    for (Client client : clients.subList(0, 30)) {
+      assertThat(client.query("")).isEqualTo("empty");
+      client.close();
     }
   }
 
--- a/src/test/java/tansytrack/service/ServiceTest.java
+++ b/src/test/java/tansytrack/service/ServiceTest.java
@@ -26,8 +26,8 @@
     int processId;
     int secretKey;
 
-    Client(InetSocketAddress to) throws IOException {
-      socket.connect(to);
+    Client(InetSocketAddress address) throws IOException {
+      socket.connect(address);
       socket.setSoTimeout(TIMEOUT_MS);
       in = new DataInputStream(socket.getInputStream());
     }
@@ -36,10 +36,12 @@
       socket.getOutputStream().write(bytes);
     }
 
-    static byte[] startupMessage(int code, int... more) {
+    static byte[] startupMessage(int code, int... parameters) {
       ByteBuffer bytes =
-          ByteBuffer.allocate(8 + 4 * more.length).putInt(8 + 4 * more.length).putInt(code);
-      for (int parameter : more) {
+          ByteBuffer.allocate(8 + 4 * parameters.length)
+              .putInt(8 + 4 * parameters.length)
+              .putInt(code);
+      for (int parameter : parameters) {
         bytes.putInt(parameter);
       }
       return bytes.array();
@@ -132,14 +134,14 @@
    */
   @ParameterizedTest
   @CsvSource({"late, 4", "pages, 3"})
-  void allRequestsOfATaskUseOneConnection(String statement, int calls) throws IOException {
+  void allRequestsOfATaskUseOneConnection(String statement, int requests) throws IOException {
     engine.connections.clear();
     try (Client client = new Client(address).startSession()) {
       assertThat(client.query(Client.task("safe", "00000000000000a7", statement)))
           .contains("SELECT");
     }
-    assertThat(engine.requests.stream().filter(call -> call.contains("/o")).count())
-        .isEqualTo(calls);
+    assertThat(engine.requests.stream().filter(request -> request.contains("/o")).count())
+        .isEqualTo(requests);
     // The command channel has a connection to the same server, and may have opened it just now.
     assertThat(engine.connections.size()).isBetween(1, 2);
   }
@@ -184,7 +186,8 @@
           .startsWith(answer);
       assertThat(client.query("")).isEqualTo("empty");
     }
-    List<String> posts = engine.requests.stream().filter(call -> call.startsWith("POST")).toList();
+    List<String> posts =
+        engine.requests.stream().filter(request -> request.startsWith("POST")).toList();
     assertThat(posts)
         .hasSize(forwards)
         .allSatisfy(
@@ -222,13 +225,13 @@
             + " */ ok | field id: not 16 hex digits",
         "/* id=00000000000000a1 | comment without an end"
       })
-  void anUnusableQueryIsReportedAndTheSessionContinues(String query, String why)
+  void anUnusableQueryIsReportedAndTheSessionContinues(String query, String reason)
       throws IOException {
     try (Client client = new Client(address).startSession()) {
-      assertThat(client.query(query)).isEqualTo("22023 " + why + " ");
+      assertThat(client.query(query)).isEqualTo("22023 " + reason + " ");
       assertThat(client.query(Client.task("safe", "00000000000000a1", "ok"))).endsWith("SELECT 2");
     }
-    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST"))).hasSize(1);
+    assertThat(engine.requests.stream().filter(request -> request.startsWith("POST"))).hasSize(1);
   }
 
   @Test
@@ -238,13 +241,13 @@
         client.send(Client.startupMessage(code));
         assertThat(client.in.read()).isEqualTo('N');
       }
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      all.writeBytes(Client.startupMessage(3 << 16));
-      all.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b1", "ok")));
-      all.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b2", "ok")));
-      all.writeBytes(Client.message('Q', " ; "));
+      ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+      bytes.writeBytes(Client.startupMessage(3 << 16));
+      bytes.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b1", "ok")));
+      bytes.writeBytes(Client.message('Q', Client.task("safe", "00000000000000b2", "ok")));
+      bytes.writeBytes(Client.message('Q', " ; "));
       client.socket.setTcpNoDelay(true);
-      for (byte nextByte : all.toByteArray()) {
+      for (byte nextByte : bytes.toByteArray()) {
         client.send(new byte[] {nextByte});
       }
       assertThat(
@@ -313,7 +316,7 @@
       assertThat(client.query(task.replace("mb=1", "mb=1,once=a b")))
           .startsWith("22023 field once: not a word");
     }
-    assertThat(engine.requests.stream().filter(call -> call.startsWith("POST")))
+    assertThat(engine.requests.stream().filter(request -> request.startsWith("POST")))
         .hasSize(2)
         .allSatisfy(
             post ->
@@ -346,8 +349,8 @@
     try (Client client = new Client(address).startSession()) {
       assertThat(client.query(Client.task("safe", "00000000000000a9", "ok"))).endsWith("SELECT 2");
     }
-    for (Client one : nonReadingClients) {
-      one.close();
+    for (Client client : nonReadingClients) {
+      client.close();
     }
   }
 }
