--- a/src/main/java/tansytrack/service/CommandChannel.java
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -241,7 +241,7 @@
   private void reportFailure(String reason) {
     manager.counters().increment("channel.failed");
     if (!warned) {
-      Logger.warn("command channel: {}; polling again, the known engine list stays in use", reason);
+      Logger.warn("command channel: {}; polling again, the known engine list is kept", reason);
     }
     warned = true;
   }
--- a/src/test/java/tansytrack/service/ServiceLifecycleTest.java
+++ b/src/test/java/tansytrack/service/ServiceLifecycleTest.java
@@ -155,7 +155,7 @@
                         getClass().getClassLoader(),
                         new Class<?>[] {DecisionModule.class},
                         (proxy, method, arguments) -> {
-                          if (method.getName().equals("task")) {
+                          if (method.getName().equals("onTask")) {
                             throw new IllegalStateException("no idea");
                           }
                           return null;
