--- a/src/main/java/tansytrack/command/CommandGroup.java
+++ b/src/main/java/tansytrack/command/CommandGroup.java
@@ -2,9 +2,10 @@
 
 import java.io.IOException;
 
-/** Commands under one name. */
+/** A command that consists of subcommands. */
 public abstract class CommandGroup extends Command {
 
+  /** Returns the subcommand that the arguments name. */
   protected abstract Command subcommand();
 
   @Override
--- a/src/main/java/tansytrack/command/ErrorReportingCommand.java
+++ b/src/main/java/tansytrack/command/ErrorReportingCommand.java
@@ -3,9 +3,13 @@
 import java.io.IOException;
 import tansytrack.settings.InvalidInputException;
 
-/** A command that says in one line what cannot be used, and ends with code 2. */
+/**
+ * A command that reports unusable input in one line and exits with {@link
+ * Command#EXIT_UNUSABLE_INPUT}.
+ */
 public abstract class ErrorReportingCommand extends Command {
 
+  /** Does the work of the command and returns its exit code. */
   protected abstract int execute() throws IOException;
 
   @Override
--- a/src/main/java/tansytrack/log/JsonLinesWriter.java
+++ b/src/main/java/tansytrack/log/JsonLinesWriter.java
@@ -10,16 +10,17 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Log lines as JSON objects on standard error, a line each: time, level, event, its fields,
- * message, and the trace of a failure.
+ * A tinylog writer that prints each log entry to standard error as a JSON object on a line of its
+ * own: time, level, event, the event's fields, message, and the stack trace of an exception.
  */
 public final class JsonLinesWriter implements Writer {
 
+  /** Key of the event's name, both in the thread context and in the JSON object. */
   static final String EVENT_KEY = "event";
 
   private final PrintStream out;
 
-  /** For tinylog, which makes it by its name. */
+  /** Called by tinylog, which creates the writer by its service name. */
   public JsonLinesWriter(Map<String, String> properties) {
     this(System.err);
   }
@@ -55,10 +56,10 @@
     put(line, "message", String.valueOf(entry.getMessage()));
     if (entry.getException() != null) {
       StringBuilder trace = new StringBuilder();
-      for (Throwable one = entry.getException(); one != null; one = one.getCause()) {
-        trace.append(trace.length() > 0 ? "caused by " : "").append(one).append('\n');
-        for (StackTraceElement at : one.getStackTrace()) {
-          trace.append("  at ").append(at).append('\n');
+      for (Throwable cause = entry.getException(); cause != null; cause = cause.getCause()) {
+        trace.append(trace.length() > 0 ? "caused by " : "").append(cause).append('\n');
+        for (StackTraceElement frame : cause.getStackTrace()) {
+          trace.append("  at ").append(frame).append('\n');
         }
       }
       put(line, "exception", trace.toString());
@@ -70,22 +71,22 @@
     line.append(line.length() > 1 ? "," : "").append(quote(name)).append(':').append(quote(value));
   }
 
-  /** A text as a JSON string. */
+  /** Returns the text as a JSON string literal, with its quotation marks. */
   public static String quote(String text) {
-    StringBuilder made = new StringBuilder(text.length() + 2).append('"');
+    StringBuilder literal = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
-      char letter = text.charAt(i);
-      if (letter == '"' || letter == '\\') {
-        made.append('\\').append(letter);
-      } else if (letter == '\n') {
-        made.append("\\n");
-      } else if (letter < ' ') {
-        made.append(String.format("\\u%04x", (int) letter));
+      char character = text.charAt(i);
+      if (character == '"' || character == '\\') {
+        literal.append('\\').append(character);
+      } else if (character == '\n') {
+        literal.append("\\n");
+      } else if (character < ' ') {
+        literal.append(String.format("\\u%04x", (int) character));
       } else {
-        made.append(letter);
+        literal.append(character);
       }
     }
-    return made.append('"').toString();
+    return literal.append('"').toString();
   }
 
   @Override
--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -33,8 +33,8 @@
 import tansytrack.settings.InvalidInputException;
 
 /**
- * The operators' file, read and checked; what it does not name is off. Errors name file, line,
- * column, field, what is allowed.
+ * The operator file, parsed and validated. A section that the file does not contain is off. Error
+ * messages name the file, line, column and field, and the allowed values.
  */
 public final class OperatorFile {
 
@@ -42,7 +42,12 @@
   private static final long NANOS_PER_HOUR = 3_600_000_000_000L;
   private static final int MAX_DECIMAL_LENGTH = 24;
 
-  /** The ledger's section; times in nanoseconds. */
+  /**
+   * The ledger section; times are in nanoseconds. The three flags tell, in this order, whether
+   * answers wait for the commit of the task's entry, whether forwards wait for the commit of their
+   * intent, and whether new tasks are rejected while the queue to the disk is full. The billing
+   * text is the billing section and the waste setting in text form, stored with each closed period.
+   */
   public record LedgerSection(
       Path folder,
       boolean answersAfterCommit,
@@ -57,10 +62,10 @@
       List<TenantQuota> quotas,
       String billingText) {}
 
-  /** Use in a period that is worth a warning; 0: no bound. */
+  /** Usage of a tenant in a billing period that triggers a warning; 0 means no limit. */
   public record TenantQuota(String tenant, long tasks, long workNanos) {}
 
-  /** The other managers; times in nanoseconds, addresses as they stand. */
+  /** The fleet section: the other managers. Times are in nanoseconds, addresses are text. */
   public record FleetSection(
       String name,
       String zone,
@@ -70,7 +75,7 @@
       int maxBytesPerSecond,
       long settleNanos) {}
 
-  /** One of them. */
+  /** Another manager of the fleet; seeds are contacted first at a start. */
   public record FleetPeer(String name, String address, boolean seed) {}
 
   private final LedgerSection ledger;
@@ -83,22 +88,25 @@
     this.fleet = fleet;
   }
 
-  /** The section on the other managers, or null. */
+  /** Returns the fleet section, or null if the file has none. */
   public FleetSection fleet() {
     return fleet;
   }
 
-  /** The ledger's section, or null. */
+  /** Returns the ledger section, or null if the file has none. */
   public LedgerSection ledger() {
     return ledger;
   }
 
-  /** Are log lines JSON objects? */
+  /** Returns whether log lines are JSON objects. */
   public boolean jsonLines() {
     return jsonLines;
   }
 
-  /** Reads and checks a file on disk; an error names the file, the line and the column. */
+  /**
+   * Reads and validates a file on disk. A file that cannot be read or is invalid causes an
+   * exception whose message names the file, line and column.
+   */
   public static OperatorFile read(String file) {
     String text;
     try {
@@ -109,30 +117,35 @@
     return parse(file, text);
   }
 
-  /** Checks the given text; the file's name is used in error messages alone. */
+  /** Parses and validates the text; the file name is used only in error messages. */
   public static OperatorFile parse(String file, String text) {
-    Operator.Builder made = Operator.newBuilder();
-    TextFormatParseInfoTree.Builder places = TextFormatParseInfoTree.builder();
+    Operator.Builder builder = Operator.newBuilder();
+    TextFormatParseInfoTree.Builder locations = TextFormatParseInfoTree.builder();
     try {
-      TextFormat.Parser.newBuilder().setParseInfoTreeBuilder(places).build().merge(text, made);
+      TextFormat.Parser.newBuilder()
+          .setParseInfoTreeBuilder(locations)
+          .build()
+          .merge(text, builder);
     } catch (TextFormat.ParseException e) {
       throw new InvalidInputException(file + ':' + e.getMessage());
     }
-    Operator all = made.build();
-    SourceLocation root = new SourceLocation(file, places.build());
+    Operator message = builder.build();
+    SourceLocation root = new SourceLocation(file, locations.build());
     return new OperatorFile(
-        all.getLog().getForm() == Log.Form.JSON_LINES,
-        all.hasLedger()
+        message.getLog().getForm() == Log.Form.JSON_LINES,
+        message.hasLedger()
             ? ledger(
-                all.getLedger(), root.child(Operator.getDescriptor().findFieldByName("ledger"), 0))
+                message.getLedger(),
+                root.child(Operator.getDescriptor().findFieldByName("ledger"), 0))
             : null,
-        all.hasFleet()
+        message.hasFleet()
             ? fleet(
-                all.getFleet(), root.child(Operator.getDescriptor().findFieldByName("fleet"), 0))
+                message.getFleet(),
+                root.child(Operator.getDescriptor().findFieldByName("fleet"), 0))
             : null);
   }
 
-  /** Where a section stands, to name its fields by line and column. */
+  /** Location of a section in the file, to report its fields by line and column. */
   private record SourceLocation(String file, TextFormatParseInfoTree tree) {
 
     SourceLocation child(FieldDescriptor field, int index) {
@@ -140,76 +153,93 @@
     }
 
     InvalidInputException error(FieldDescriptor field, int index, Object value, String allowed) {
-      List<TextFormatParseLocation> places = tree.getLocations(field);
-      TextFormatParseLocation at = index < places.size() ? places.get(index) : null;
-      String where = at == null ? "" : ":" + (at.getLine() + 1) + ':' + (at.getColumn() + 1);
+      List<TextFormatParseLocation> locations = tree.getLocations(field);
+      TextFormatParseLocation location = index < locations.size() ? locations.get(index) : null;
+      String lineAndColumn =
+          location == null ? "" : ":" + (location.getLine() + 1) + ':' + (location.getColumn() + 1);
       return new InvalidInputException(
           file
-              + where
+              + lineAndColumn
               + ": "
               + field.getName()
               + ": "
-              + (where.isEmpty() ? "missing" : "'" + value + "'")
+              + (lineAndColumn.isEmpty() ? "missing" : "'" + value + "'")
               + "; allowed: "
               + allowed);
     }
   }
 
-  private static LedgerSection ledger(Ledger from, SourceLocation place) {
-    if (from.getFolder().isBlank()) {
-      throw place.error(
+  private static LedgerSection ledger(Ledger message, SourceLocation location) {
+    if (message.getFolder().isBlank()) {
+      throw location.error(
           field(Ledger.getDescriptor(), "folder"),
           0,
-          from.getFolder(),
-          "a folder on a disk that lasts");
+          message.getFolder(),
+          "a folder on a persistent disk");
     }
-    int every =
+    int commitIntervalMs =
         inRangeOrDefault(
-            from.getCommitEveryMs(), 5, 1, 1000, Ledger.getDescriptor(), "commit_every_ms", place);
-    int most =
+            message.getCommitEveryMs(),
+            5,
+            1,
+            1000,
+            Ledger.getDescriptor(),
+            "commit_every_ms",
+            location);
+    int maxUnwrittenLines =
         inRangeOrDefault(
-            from.getMostUnwritten(),
+            message.getMostUnwritten(),
             16384,
             64,
             1 << 20,
             Ledger.getDescriptor(),
             "most_unwritten",
-            place);
-    int wait =
+            location);
+    int maxWaitMs =
         inRangeOrDefault(
-            from.getMostWaitMs(), 100, 1, 10000, Ledger.getDescriptor(), "most_wait_ms", place);
-    FieldDescriptor section = field(Ledger.getDescriptor(), "billing");
-    SourceLocation billingPlace = from.hasBilling() ? place.child(section, 0) : place;
-    Billing billing = from.getBilling();
-    BillingPeriods periods = periods(billing, billingPlace);
+            message.getMostWaitMs(),
+            100,
+            1,
+            10000,
+            Ledger.getDescriptor(),
+            "most_wait_ms",
+            location);
+    FieldDescriptor billingField = field(Ledger.getDescriptor(), "billing");
+    SourceLocation billingLocation =
+        message.hasBilling() ? location.child(billingField, 0) : location;
+    Billing billing = message.getBilling();
+    BillingPeriods periods = periods(billing, billingLocation);
     if (billing.getGraceHours() < 0) {
-      throw billingPlace.error(
-          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "0 and more");
+      throw billingLocation.error(
+          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "at least 0");
     }
     return new LedgerSection(
-        Path.of(from.getFolder()),
-        from.getAnswers() == Ledger.Wait.AFTER_COMMIT,
-        from.getForwards() == Ledger.Wait.AFTER_COMMIT,
-        from.getWhenFull() == Ledger.WhenFull.BOUNCE,
-        wait * NANOS_PER_MS,
-        every * NANOS_PER_MS,
-        most,
+        Path.of(message.getFolder()),
+        message.getAnswers() == Ledger.Wait.AFTER_COMMIT,
+        message.getForwards() == Ledger.Wait.AFTER_COMMIT,
+        message.getWhenFull() == Ledger.WhenFull.BOUNCE,
+        maxWaitMs * NANOS_PER_MS,
+        commitIntervalMs * NANOS_PER_MS,
+        maxUnwrittenLines,
         periods,
-        rates(billing, from.getWaste() == Ledger.Waste.TENANT, billingPlace),
+        rates(billing, message.getWaste() == Ledger.Waste.TENANT, billingLocation),
         new ClosingPolicy(periods, billing.getGraceHours() * NANOS_PER_HOUR),
-        quotas(billing, billingPlace),
+        quotas(billing, billingLocation),
         TextFormat.printer().emittingSingleLine(true).printToString(billing)
             + " waste: "
-            + from.getWaste());
+            + message.getWaste());
   }
 
-  private static List<TenantQuota> quotas(Billing billing, SourceLocation billingPlace) {
+  private static List<TenantQuota> quotas(Billing billing, SourceLocation billingLocation) {
     List<TenantQuota> quotas = new ArrayList<>();
     for (int i = 0; i < billing.getQuotasCount(); i++) {
       Quota quota = billing.getQuotas(i);
       if (quota.getTasks() < 0 || quota.getWorkSeconds() < 0) {
-        throw billingPlace.error(
-            field(Billing.getDescriptor(), "quotas"), i, quota.getTenant(), "amounts from 0 on");
+        throw billingLocation.error(
+            field(Billing.getDescriptor(), "quotas"),
+            i,
+            quota.getTenant(),
+            "amounts of at least 0");
       }
       quotas.add(
           new TenantQuota(
@@ -218,123 +248,128 @@
     return quotas;
   }
 
-  private static FleetSection fleet(Fleet from, SourceLocation place) {
-    Descriptors.Descriptor section = Fleet.getDescriptor();
+  private static FleetSection fleet(Fleet message, SourceLocation location) {
+    Descriptors.Descriptor descriptor = Fleet.getDescriptor();
     Set<String> names = new HashSet<>();
     Set<String> addresses = new HashSet<>();
-    if (!from.getName().isEmpty()) {
-      names.add(checkedName(from.getName(), section, place));
+    if (!message.getName().isEmpty()) {
+      names.add(checkedName(message.getName(), descriptor, location));
     }
-    addresses.add(checkedAddress(from.getAddress(), section, place));
+    addresses.add(checkedAddress(message.getAddress(), descriptor, location));
     List<FleetPeer> peers = new ArrayList<>();
-    for (int i = 0; i < from.getPeersCount(); i++) {
-      Peer peer = from.getPeers(i);
-      SourceLocation at = place.child(field(section, "peers"), i);
-      if (!names.add(checkedName(peer.getName(), Peer.getDescriptor(), at))) {
-        throw at.error(
+    for (int i = 0; i < message.getPeersCount(); i++) {
+      Peer peer = message.getPeers(i);
+      SourceLocation peerLocation = location.child(field(descriptor, "peers"), i);
+      if (!names.add(checkedName(peer.getName(), Peer.getDescriptor(), peerLocation))) {
+        throw peerLocation.error(
             field(Peer.getDescriptor(), "name"),
             0,
             peer.getName(),
-            "each manager once, this one left out");
+            "the unique names of the other managers, without this one");
       }
-      if (!addresses.add(checkedAddress(peer.getAddress(), Peer.getDescriptor(), at))) {
-        throw at.error(
+      if (!addresses.add(checkedAddress(peer.getAddress(), Peer.getDescriptor(), peerLocation))) {
+        throw peerLocation.error(
             field(Peer.getDescriptor(), "address"),
             0,
             peer.getAddress(),
-            "an address of its own for each manager");
+            "a unique address for each manager");
       }
       peers.add(new FleetPeer(peer.getName(), peer.getAddress(), peer.getSeed()));
     }
     if (peers.isEmpty()) {
-      throw place.error(field(section, "peers"), 0, "", "one and more");
+      throw location.error(field(descriptor, "peers"), 0, "", "at least one");
     }
     return new FleetSection(
-        from.getName(),
-        from.getPlace(),
-        from.getAddress(),
+        message.getName(),
+        message.getPlace(),
+        message.getAddress(),
         List.copyOf(peers),
-        inRangeOrDefault(from.getProbeEveryMs(), 500, 100, 10_000, section, "probe_every_ms", place)
+        inRangeOrDefault(
+                message.getProbeEveryMs(), 500, 100, 10_000, descriptor, "probe_every_ms", location)
             * NANOS_PER_MS,
         inRangeOrDefault(
-            from.getMostBytesASecond(),
+            message.getMostBytesASecond(),
             16_384,
             2048,
             1 << 20,
-            section,
+            descriptor,
             "most_bytes_a_second",
-            place),
-        inRangeOrDefault(from.getSettleS(), 30, 1, 3600, section, "settle_s", place)
+            location),
+        inRangeOrDefault(message.getSettleS(), 30, 1, 3600, descriptor, "settle_s", location)
             * 1000L
             * NANOS_PER_MS);
   }
 
-  private static String checkedName(String name, Descriptors.Descriptor of, SourceLocation place) {
+  private static String checkedName(
+      String name, Descriptors.Descriptor descriptor, SourceLocation location) {
     if (!name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,47}")) {
-      throw place.error(
-          field(of, "name"),
+      throw location.error(
+          field(descriptor, "name"),
           0,
           name,
-          "1 to 48 of letters, digits, '.', '_' and '-', a letter or digit first");
+          "1 to 48 letters, digits, '.', '_' or '-', starting with a letter or digit");
     }
     return name;
   }
 
   private static String checkedAddress(
-      String text, Descriptors.Descriptor of, SourceLocation place) {
-    boolean form = text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
-    boolean range =
-        form
+      String text, Descriptors.Descriptor descriptor, SourceLocation location) {
+    boolean wellFormed = text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
+    boolean valid =
+        wellFormed
             && Arrays.stream(text.substring(0, text.indexOf(':')).split("\\."))
                 .mapToInt(Integer::parseInt)
-                .allMatch(one -> one < 256)
+                .allMatch(octet -> octet < 256)
             && Integer.parseInt(text.substring(text.indexOf(':') + 1)) < 65536;
-    if (!range) {
-      throw place.error(
-          field(of, "address"), 0, text, "an IPv4 address with a port, as in 10.0.0.7:7946");
+    if (!valid) {
+      throw location.error(
+          field(descriptor, "address"),
+          0,
+          text,
+          "an IPv4 address with a port, as in 10.0.0.7:7946");
     }
     return text;
   }
 
-  private static FieldDescriptor field(Descriptors.Descriptor of, String name) {
-    return of.findFieldByName(name);
+  private static FieldDescriptor field(Descriptors.Descriptor descriptor, String name) {
+    return descriptor.findFieldByName(name);
   }
 
   private static int inRangeOrDefault(
       int value,
-      int otherwise,
-      int least,
-      int most,
-      Descriptors.Descriptor of,
+      int defaultValue,
+      int min,
+      int max,
+      Descriptors.Descriptor descriptor,
       String name,
-      SourceLocation place) {
-    if (value != 0 && (value < least || value > most)) {
-      throw place.error(field(of, name), 0, value, least + " to " + most);
+      SourceLocation location) {
+    if (value != 0 && (value < min || value > max)) {
+      throw location.error(field(descriptor, name), 0, value, min + " to " + max);
     }
-    return value == 0 ? otherwise : value;
+    return value == 0 ? defaultValue : value;
   }
 
-  private static BillingPeriods periods(Billing billing, SourceLocation place) {
+  private static BillingPeriods periods(Billing billing, SourceLocation location) {
     try {
       BillingPeriods.Length length = BillingPeriods.Length.valueOf(billing.getPeriod().name());
       return new BillingPeriods(
           length, ZoneId.of(billing.getZone().isEmpty() ? "UTC" : billing.getZone()));
     } catch (DateTimeException e) {
-      throw place.error(
+      throw location.error(
           field(Billing.getDescriptor(), "zone"),
           0,
           billing.getZone(),
           "an IANA time zone, as in Asia/Kolkata");
     } catch (IllegalArgumentException e) {
-      throw place.error(
+      throw location.error(
           field(Billing.getDescriptor(), "period"), 0, billing.getPeriod(), "MONTH, WEEK, DAY");
     }
   }
 
-  private static Rates rates(Billing billing, boolean wasteBilled, SourceLocation place) {
+  private static Rates rates(Billing billing, boolean wasteBilled, SourceLocation location) {
     int decimals = billing.hasDecimals() ? billing.getDecimals() : 2;
     if (decimals < 0 || decimals > 9) {
-      throw place.error(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
+      throw location.error(field(Billing.getDescriptor(), "decimals"), 0, decimals, "0 to 9");
     }
     RoundingMode rounding =
         switch (billing.getRounding()) {
@@ -346,50 +381,53 @@
     List<Rates.Rate> rates = new ArrayList<>();
     for (int i = 0; i < billing.getRatesCount(); i++) {
       Rate rate = billing.getRates(i);
-      SourceLocation at = place.child(field(Billing.getDescriptor(), "rates"), i);
+      SourceLocation rateLocation = location.child(field(Billing.getDescriptor(), "rates"), i);
       LocalDate from;
       try {
         from = rate.getFromDate().isEmpty() ? LocalDate.EPOCH : LocalDate.parse(rate.getFromDate());
       } catch (DateTimeException e) {
-        throw at.error(
+        throw rateLocation.error(
             field(Rate.getDescriptor(), "from_date"),
             0,
             rate.getFromDate(),
-            "a day, as in 2026-12-01");
+            "a date, as in 2026-12-01");
       }
-      Rates.Rate made =
+      Rates.Rate parsed =
           new Rates.Rate(
               rate.getTenant(),
               rate.getGrade(),
               from,
-              price(rate.getPerTask(), "per_task", at),
-              price(rate.getPerWorkSecond(), "per_work_second", at),
-              price(rate.getPerGbSecond(), "per_gb_second", at),
-              price(rate.getPerMbReturned(), "per_mb_returned", at));
+              price(rate.getPerTask(), "per_task", rateLocation),
+              price(rate.getPerWorkSecond(), "per_work_second", rateLocation),
+              price(rate.getPerGbSecond(), "per_gb_second", rateLocation),
+              price(rate.getPerMbReturned(), "per_mb_returned", rateLocation));
       for (Rates.Rate other : rates) {
-        if (other.tenant().equals(made.tenant())
-            && other.grade().equals(made.grade())
-            && other.validFrom().equals(made.validFrom())) {
-          throw place.error(
+        if (other.tenant().equals(parsed.tenant())
+            && other.grade().equals(parsed.grade())
+            && other.validFrom().equals(parsed.validFrom())) {
+          throw location.error(
               field(Billing.getDescriptor(), "rates"),
               i,
               rate.getTenant() + '/' + rate.getGrade() + " from " + from,
-              "one rate for a tenant, grade and day");
+              "one rate per tenant, grade and date");
         }
       }
-      rates.add(made);
+      rates.add(parsed);
     }
     return new Rates(List.copyOf(rates), decimals, rounding, wasteBilled);
   }
 
-  private static BigDecimal price(String text, String name, SourceLocation place) {
+  private static BigDecimal price(String text, String name, SourceLocation location) {
     if (text.isEmpty()) {
       return BigDecimal.ZERO;
     }
     if (text.length() <= MAX_DECIMAL_LENGTH && text.matches("[0-9]+(\\.[0-9]+)?")) {
       return new BigDecimal(text);
     }
-    throw place.error(
-        field(Rate.getDescriptor(), name), 0, text, "a plain decimal from 0 on, as in \"0.0125\"");
+    throw location.error(
+        field(Rate.getDescriptor(), name),
+        0,
+        text,
+        "a plain decimal of at least 0, as in \"0.0125\"");
   }
 }
--- a/src/main/java/tansytrack/service/CommandChannel.java
+++ b/src/main/java/tansytrack/service/CommandChannel.java
@@ -15,22 +15,31 @@
 import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 
-/** The command channel: one long poll after the other, resumed by number. */
+/**
+ * Client of the command channel, which reports the engine list: sends one long poll after another,
+ * each of which resumes behind the last event that was applied.
+ */
 final class CommandChannel implements HttpConnection.Pool, HttpConnection.ResponseHandler {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final long POLL_BLOCK_MS =
-      1000; // short, so that a silent connection is soon noticed
-  private static final long FIRST_POLL_BLOCK_MS =
-      1; // the first one: what has come since the known list was written
-  private static final long SILENCE_MARGIN_NANOS =
-      500 * NANOS_PER_MS; // over the block: then the connection is given up
-  private static final long RETRY_DELAY_NANOS =
-      50 * NANOS_PER_MS; // before a new connection after one that failed
+
+  /** How long the server may hold a poll; short, so that a dead connection is noticed soon. */
+  private static final long POLL_BLOCK_MS = 1000;
+
+  /** The first poll asks only for the events since the configuration was written. */
+  private static final long FIRST_POLL_BLOCK_MS = 1;
+
+  /** Time without a response beyond the block after which the connection is dropped. */
+  private static final long SILENCE_MARGIN_NANOS = 500 * NANOS_PER_MS;
+
+  /**
+   * Delay before the next poll after repeated failures, or after an early response without events.
+   */
+  private static final long RETRY_DELAY_NANOS = 50 * NANOS_PER_MS;
 
   /**
-   * Bytes of the ring; a list may take half of it: 2 MiB, some 11,000 engines of 190 bytes each.
-   * The ring grows only as far as a list fills it.
+   * Size limit of the receive ring. An engine list may take half of it, 2 MiB, which is some 11,000
+   * engines of 190 bytes each. The ring grows only as far as a list fills it.
    */
   private static final int MAX_RING_BYTES = 1 << 22;
 
@@ -41,10 +50,16 @@
   private HttpConnection connection;
   private Timers.Timer timer;
   private long cursor;
-  private long polledAt;
-  private int consecutiveFailures; // running
+  private long polledAtNanos;
+
+  /** Failures since the last usable response. */
+  private int consecutiveFailures;
+
+  /** Whether a warning was logged since the last usable response. */
   private boolean warned;
-  private boolean upToDate; // it has answered since the start
+
+  /** Whether the channel has answered a poll since the start. */
+  private boolean upToDate;
 
   CommandChannel(Sockets sockets, Timers timers, InetSocketAddress address, Manager manager) {
     this.sockets = sockets;
@@ -53,81 +68,86 @@
     this.manager = manager;
   }
 
-  /** Applies events; those known already are skipped. */
-  void apply(Object told) throws ProtocolException {
-    Map<String, Object> all = Json.asObject(told, "the channel's answer");
-    for (Object event : Json.asList(all.get("cmds"), "cmds")) {
-      Map<String, Object> one = Json.asObject(event, "an event");
-      long number = (long) Json.asDouble(one.get("cursor"), "cursor");
+  /**
+   * Applies the events of a response or of the configuration's `known` field; events up to the
+   * cursor are skipped.
+   */
+  void apply(Object message) throws ProtocolException {
+    Map<String, Object> fields = Json.asObject(message, "the channel's answer");
+    for (Object event : Json.asList(fields.get("cmds"), "cmds")) {
+      Map<String, Object> eventFields = Json.asObject(event, "an event");
+      long number = (long) Json.asDouble(eventFields.get("cursor"), "cursor");
       if (number <= cursor) {
         continue;
       }
-      if (one.get("nodes") != null) {
-        applyNodes(Json.asObject(one.get("nodes"), "nodes"));
+      if (eventFields.get("nodes") != null) {
+        applyNodes(Json.asObject(eventFields.get("nodes"), "nodes"));
       }
       cursor = number;
     }
-    cursor = Math.max(cursor, (long) Json.asDouble(all.get("cursor"), "cursor"));
+    cursor = Math.max(cursor, (long) Json.asDouble(fields.get("cursor"), "cursor"));
   }
 
   private void applyNodes(Map<String, Object> nodes) throws ProtocolException {
     List<EngineEntry> entries = new ArrayList<>();
     Map<String, InetSocketAddress> addresses = new HashMap<>();
-    Map<String, String> words = new HashMap<>(); // places and kinds: each once in memory
+    // Shares one string among all engines of the same zone or engine type.
+    Map<String, String> sharedStrings = new HashMap<>();
     for (Object member : Json.asList(nodes.get("members"), "members")) {
-      Map<String, Object> one = Json.asObject(member, "a member");
-      String id = Json.asString(one.get("id"), "id");
+      Map<String, Object> engine = Json.asObject(member, "a member");
+      String id = Json.asString(engine.get("id"), "id");
       EngineEntry.State state =
-          switch (Json.asString(one.get("phase"), "phase")) {
+          switch (Json.asString(engine.get("phase"), "phase")) {
             case "ready" -> EngineEntry.State.READY;
             case "draining" -> EngineEntry.State.DRAINING;
             case "gone" -> EngineEntry.State.GONE;
             default -> throw new ProtocolException("unknown phase");
           };
       if (state != EngineEntry.State.GONE) {
-        addresses.put(id, Service.parseAddress(Json.asString(one.get("host_port"), "host_port")));
+        addresses.put(
+            id, Service.parseAddress(Json.asString(engine.get("host_port"), "host_port")));
       }
       entries.add(
           new EngineEntry(
               id,
-              numberOrDefault(one, "size", 1),
-              words.computeIfAbsent(textOrEmpty(one, "locality"), same -> same),
-              words.computeIfAbsent(textOrEmpty(one, "flavor"), same -> same),
-              (int) numberOrDefault(one, "cell", 0),
+              numberOrDefault(engine, "size", 1),
+              sharedStrings.computeIfAbsent(textOrEmpty(engine, "locality"), text -> text),
+              sharedStrings.computeIfAbsent(textOrEmpty(engine, "flavor"), text -> text),
+              (int) numberOrDefault(engine, "cell", 0),
               state,
-              Math.round(numberOrDefault(one, "up_since_ms", 0) * NANOS_PER_MS)));
+              Math.round(numberOrDefault(engine, "up_since_ms", 0) * NANOS_PER_MS)));
     }
     manager.engines(Boolean.TRUE.equals(nodes.get("complete")), entries, addresses);
   }
 
-  private static double numberOrDefault(Map<String, Object> from, String name, double otherwise)
-      throws ProtocolException {
-    return from.get(name) == null ? otherwise : Json.asDouble(from.get(name), name);
+  private static double numberOrDefault(
+      Map<String, Object> fields, String name, double defaultValue) throws ProtocolException {
+    return fields.get(name) == null ? defaultValue : Json.asDouble(fields.get(name), name);
   }
 
-  private static String textOrEmpty(Map<String, Object> from, String name)
+  private static String textOrEmpty(Map<String, Object> fields, String name)
       throws ProtocolException {
-    return from.get(name) == null ? "" : Json.asString(from.get(name), name);
+    return fields.get(name) == null ? "" : Json.asString(fields.get(name), name);
   }
 
   /**
-   * Asks there from now on, for what follows the last event that it has: the numbers go on, and
-   * what the old address was about to tell is told again by the new one.
+   * Switches to another address of the channel. Polling resumes behind the last event applied: the
+   * new address continues the numbering, and repeats what the old one had not yet delivered.
    */
-  void moveTo(InetSocketAddress to, Object known) {
+  void moveTo(InetSocketAddress newAddress, Object known) {
     try {
       applyFollowingEvents(known);
     } catch (ProtocolException e) {
       reportFailure(e.getMessage());
     }
-    address = to;
+    address = newAddress;
     close();
     poll();
   }
 
   /**
-   * Takes the events that a file holds and that follow on from the last one; behind a gap the
-   * channel tells all.
+   * Applies the events of a configuration file that directly follow the last one applied. After a
+   * gap in the numbers the rest is left to the channel, which delivers all events.
    */
   private void applyFollowingEvents(Object known) throws ProtocolException {
     for (Object event : Json.asList(Json.asObject(known, "known").get("cmds"), "cmds")) {
@@ -139,24 +159,28 @@
   }
 
   /**
-   * Does the manager know what the channel had to tell by now, and not only what its file held at
-   * the start?
+   * Returns whether the channel has answered since the start, so that the engine list is not only
+   * that of the configuration file.
    */
   boolean upToDate() {
     return upToDate;
   }
 
+  /** Sends the next poll, on a new connection if there is none. */
   void poll() {
     if (connection == null) {
       connection = new HttpConnection(sockets, address, MAX_RING_BYTES, this);
     }
-    polledAt = timers.now();
-    long block = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
+    polledAtNanos = timers.now();
+    long blockMs = upToDate ? POLL_BLOCK_MS : FIRST_POLL_BLOCK_MS;
     timer =
-        timers.schedule(polledAt + block * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
-    connection.send("GET", "/cmd/next?resume=" + cursor + "&block=" + block, "", new byte[0], this);
+        timers.schedule(
+            polledAtNanos + blockMs * NANOS_PER_MS + SILENCE_MARGIN_NANOS, this::pollTimedOut);
+    connection.send(
+        "GET", "/cmd/next?resume=" + cursor + "&block=" + blockMs, "", new byte[0], this);
   }
 
+  /** Stops polling and closes the connection. */
   void close() {
     timer.cancel();
     if (connection != null) {
@@ -171,25 +195,27 @@
   }
 
   @Override
-  public void responseReceived(HttpCodec.Response answer) throws ProtocolException {
-    if (answer.status() != 200) {
-      throw new ProtocolException("status " + answer.status());
+  public void responseReceived(HttpCodec.Response response) throws ProtocolException {
+    if (response.status() != 200) {
+      throw new ProtocolException("status " + response.status());
     }
-    long before = cursor;
-    apply(Json.parse(answer.body()));
+    long previousCursor = cursor;
+    apply(Json.parse(response.body()));
     timer.cancel();
-    // Guards against a channel that answers at once with nothing: asking it again at once would
-    // never end.
-    boolean early = upToDate && cursor == before && timers.now() - polledAt < RETRY_DELAY_NANOS;
+    // A channel that answers at once without new events would otherwise be polled in a busy loop.
+    boolean earlyResponseWithoutEvents =
+        upToDate && cursor == previousCursor && timers.now() - polledAtNanos < RETRY_DELAY_NANOS;
     upToDate = true;
     consecutiveFailures = 0;
     warned = false;
     manager.counters().increment("channel.answers");
-    // Not within this call: the connection is free for the next one only behind it.
-    timer = timers.schedule(timers.now() + (early ? RETRY_DELAY_NANOS : 0), this::poll);
+    // Not within this call: the connection accepts the next request only after it returns.
+    timer =
+        timers.schedule(
+            timers.now() + (earlyResponseWithoutEvents ? RETRY_DELAY_NANOS : 0), this::poll);
   }
 
-  /** A list that is still coming is no silence, however long it takes. */
+  /** Restarts the timeout: a list that is still arriving may take any time. */
   @Override
   public void responsePartReceived() {
     timer.cancel();
@@ -199,32 +225,32 @@
   }
 
   /**
-   * Asked again at once, as what breaks counts as told soon; a failure right behind another waits a
-   * little.
+   * Polls again at once after a first failure, because events count as delivered soon after a
+   * disconnect; a failure that directly follows another is retried after a delay.
    */
   @Override
-  public void requestFailed(HttpConnection.Failure why) {
+  public void requestFailed(HttpConnection.Failure failure) {
     timer.cancel();
-    reportFailure("connection lost, or an answer of no use");
+    reportFailure("connection lost or unusable response");
     timer =
         timers.schedule(
             timers.now() + (consecutiveFailures++ == 0 ? 0 : RETRY_DELAY_NANOS), this::poll);
   }
 
-  /** Once for each time that it goes wrong. */
-  private void reportFailure(String what) {
+  /** Counts a failure; warns only on the first one since the last usable response. */
+  private void reportFailure(String reason) {
     manager.counters().increment("channel.failed");
     if (!warned) {
-      Logger.warn("command channel: {}; asking again, the known list stays", what);
+      Logger.warn("command channel: {}; polling again, the known engine list is kept", reason);
     }
     warned = true;
   }
 
   @Override
-  public void connectionIdle(HttpConnection free) {}
+  public void connectionIdle(HttpConnection idleConnection) {}
 
   @Override
-  public void connectionClosed(HttpConnection lost) {
+  public void connectionClosed(HttpConnection closedConnection) {
     connection = null;
   }
 }
--- a/src/main/java/tansytrack/service/ConfigFile.java
+++ b/src/main/java/tansytrack/service/ConfigFile.java
@@ -14,15 +14,17 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * The file that holds the configuration, which others replace while managers start and run. Guards
- * against the moment in which it is missing, empty, cut off or changing: it is read again for a
- * while. A wrong value in a whole file is final at once. Harm: where the file is wrong for good in
- * one of those ways, that is said only after the while.
+ * The configuration file, which may be replaced by others while managers start and run. While it is
+ * missing, empty, truncated or changing, it is read again until a timeout; a wrong value in a
+ * complete file is an error at once. The disadvantage: a file that stays missing or truncated is
+ * reported only after the timeout.
  */
 final class ConfigFile {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final long RETRY_INTERVAL_NANOS = 20 * NANOS_PER_MS; // between two looks
+
+  /** Time between two attempts to read the file. */
+  private static final long RETRY_INTERVAL_NANOS = 20 * NANOS_PER_MS;
 
   private final Path path;
 
@@ -33,48 +35,59 @@
     this.path = Path.of(path);
   }
 
-  /** A configuration that was read whole, where its channel is, and what was read. */
+  /**
+   * A configuration that was read completely, with the resolved address of the command channel, and
+   * the file and its size for error messages.
+   */
   record LoadedConfig(ManagerConfig config, InetSocketAddress channel, String source) {}
 
-  /** It cannot be used, but may be whole a moment later. */
+  /** The file cannot be used now, but may be complete a moment later. */
   static final class TransientFileException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    TransientFileException(String what) {
-      super(what);
+    TransientFileException(String message) {
+      super(message);
     }
   }
 
-  /** Reads it, again and again where it is not settled, until that time of the steady clock. */
-  LoadedConfig read(long until) throws IOException {
-    boolean said = false;
+  /**
+   * Reads the file, repeatedly while it is incomplete, until the deadline, which is a value of
+   * {@link System#nanoTime}.
+   */
+  LoadedConfig read(long deadlineNanos) throws IOException {
+    boolean warned = false;
     while (true) {
       try {
         return readOnce();
       } catch (TransientFileException e) {
-        long left = until - System.nanoTime();
-        if (left <= 0) {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0) {
           throw e;
         }
-        if (!said) {
-          said = true;
-          Logger.warn("{}; read again for up to {} ms", e.getMessage(), left / NANOS_PER_MS);
+        if (!warned) {
+          warned = true;
+          Logger.warn(
+              "{}; retrying for up to {} ms", e.getMessage(), remainingNanos / NANOS_PER_MS);
         }
-        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, left));
+        sleepNanos(Math.min(RETRY_INTERVAL_NANOS, remainingNanos));
       }
     }
   }
 
-  /** Waits on a thread that is not the loop's. */
-  static void sleepNanos(long time) throws IOException {
+  /** Sleeps; must not be called by the event loop's thread. */
+  static void sleepNanos(long durationNanos) throws IOException {
     try {
-      Thread.sleep(time / NANOS_PER_MS, (int) (time % NANOS_PER_MS));
+      Thread.sleep(durationNanos / NANOS_PER_MS, (int) (durationNanos % NANOS_PER_MS));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("told to end while waiting", e);
+      throw new IOException("interrupted while waiting", e);
     }
   }
 
+  /**
+   * Reads the file once. Throws {@link TransientFileException} if the file is missing, empty,
+   * truncated or changing, and another exception if its content is wrong or it may not be read.
+   */
   LoadedConfig readOnce() throws IOException {
     BasicFileAttributes before;
     byte[] bytes;
@@ -89,41 +102,43 @@
     } catch (NoSuchFileException e) {
       throw new TransientFileException(path + " is missing");
     } catch (AccessDeniedException e) {
-      throw new InvalidInputException(path + " may not be read");
+      throw new InvalidInputException(path + " cannot be read: permission denied");
     } catch (IOException e) {
       throw new TransientFileException(path + " cannot be read: " + e.getMessage());
     }
-    String what = path + " (" + bytes.length + " bytes)";
+    String description = path + " (" + bytes.length + " bytes)";
     if (bytes.length == 0) {
-      throw new TransientFileException(what + " is empty");
+      throw new TransientFileException(description + " is empty");
     }
     try {
       ManagerConfig config = ManagerConfig.fromJson(Json.parse(bytes));
       address("listen", config.listenAddress());
-      return new LoadedConfig(config, address("channel", config.channelAddress()), what);
+      return new LoadedConfig(config, address("channel", config.channelAddress()), description);
     } catch (ProtocolException e) {
-      throw transientErrorOrThrow(what, e, e.truncated(), before, after, bytes.length);
+      throw transientErrorOrThrow(description, e, e.truncated(), before, after, bytes.length);
     } catch (InvalidInputException e) {
-      throw transientErrorOrThrow(what, e, false, before, after, bytes.length);
+      throw transientErrorOrThrow(description, e, false, before, after, bytes.length);
     }
   }
 
+  /** Returns the error of a file that may be whole later; throws that of a file that is wrong. */
   private static IOException transientErrorOrThrow(
-      String what,
-      Exception why,
-      boolean cutOff,
+      String description,
+      Exception cause,
+      boolean truncated,
       BasicFileAttributes before,
       BasicFileAttributes after,
       int size) {
-    if (cutOff) {
-      return new TransientFileException(what + " is cut off: " + why.getMessage());
+    if (truncated) {
+      return new TransientFileException(description + " is cut off: " + cause.getMessage());
     }
     if (before.size() != size
         || after.size() != size
         || !before.lastModifiedTime().equals(after.lastModifiedTime())) {
-      return new TransientFileException(what + " changed while it was read: " + why.getMessage());
+      return new TransientFileException(
+          description + " changed while it was read: " + cause.getMessage());
     }
-    throw new InvalidInputException(what + ": " + why.getMessage());
+    throw new InvalidInputException(description + ": " + cause.getMessage());
   }
 
   private static InetSocketAddress address(String field, String text) {
--- a/src/main/java/tansytrack/service/OperatorFeatures.java
+++ b/src/main/java/tansytrack/service/OperatorFeatures.java
@@ -21,21 +21,22 @@
 import tansytrack.settings.InvalidInputException;
 import tansytrack.settings.ManagerConfig;
 
-/** What the operators' file switches on; loaded only where there is one. */
+/** Creates the features that the operator file switches on; loaded only if there is such a file. */
 final class OperatorFeatures {
 
   private static final int DIGEST_BYTES = 6;
 
   private OperatorFeatures() {}
 
-  /** Reads the file; before the first line is logged, as it chooses their form. */
+  /** Reads the file. Must run before the first line is logged, as it selects the log's format. */
   static Service.OptionalFeatures load(String file) {
-    OperatorFile all = OperatorFile.read(file);
-    if (all.jsonLines()) {
+    OperatorFile operatorFile = OperatorFile.read(file);
+    if (operatorFile.jsonLines()) {
       Event.useJsonLines();
     }
     return new Service.OptionalFeatures(
-        taskListenerFactory(file, all.ledger()), peerManagersFactory(file, all.fleet()));
+        taskListenerFactory(file, operatorFile.ledger()),
+        peerManagersFactory(file, operatorFile.fleet()));
   }
 
   private static Service.TaskListenerFactory taskListenerFactory(
@@ -43,10 +44,10 @@
     if (ledger == null) {
       return Service.TaskListenerFactory.NONE;
     }
-    return (config, timers, inbox) -> {
+    return (config, timers, eventQueue) -> {
       try {
         return LedgerRecorder.start(
-            ledger, config.name(), config.settings().queryClasses(), timers, inbox);
+            ledger, config.name(), config.settings().queryClasses(), timers, eventQueue);
       } catch (IOException e) {
         throw new InvalidInputException(file + ": ledger: " + e.getMessage());
       }
@@ -58,14 +59,14 @@
     if (fleet == null) {
       return Service.PeerManagersFactory.NONE;
     }
-    return (config, count) -> {
+    return (config, managerCountConsumer) -> {
       String name = fleet.name().isEmpty() ? config.name() : fleet.name();
       if (fleet.peers().stream().anyMatch(peer -> peer.name().equals(name))) {
         throw new InvalidInputException(
             file
                 + ": fleet: peers: '"
                 + name
-                + "' is this manager's own name; allowed: the others");
+                + "' is this manager's own name; allowed: the names of the others");
       }
       String version = OperatorFeatures.class.getPackage().getImplementationVersion();
       try {
@@ -75,7 +76,7 @@
             version == null ? "unpackaged" : version,
             digest(config),
             config.settings().managerCount(),
-            count);
+            managerCountConsumer);
       } catch (IOException e) {
         throw new InvalidInputException(file + ": fleet: " + e.getMessage());
       }
@@ -83,8 +84,8 @@
   }
 
   /**
-   * Of the settings, alike for all managers that were told the same, in whatever order their sets
-   * stand.
+   * Returns a digest of the settings, which is the same for all managers with equal settings,
+   * whatever the iteration order of their sets and maps.
    */
   static String digest(ManagerConfig config) {
     try {
@@ -129,12 +130,12 @@
     return outer == null ? name : outer.value();
   }
 
-  /** Reads it and says what is on; opens nothing. */
+  /** Reads the file and returns a summary of what it switches on; opens nothing. */
   static String summary(String file) {
-    OperatorFile all = OperatorFile.read(file);
-    OperatorFile.LedgerSection ledger = all.ledger();
-    OperatorFile.FleetSection fleet = all.fleet();
-    String said =
+    OperatorFile operatorFile = OperatorFile.read(file);
+    OperatorFile.LedgerSection ledger = operatorFile.ledger();
+    OperatorFile.FleetSection fleet = operatorFile.fleet();
+    String summary =
         (ledger == null
                 ? ""
                 : "; ledger in "
@@ -146,6 +147,6 @@
             + (fleet == null
                 ? ""
                 : "; fleet of " + (fleet.peers().size() + 1) + " at " + fleet.address());
-    return said.isEmpty() ? "; nothing more is switched on" : said;
+    return summary.isEmpty() ? "; no optional feature is switched on" : summary;
   }
 }
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -13,28 +13,30 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * One short run of the whole manager on loopback, between an engine and a client made up here, so
- * that an archive of class data made at its end holds what serving needs: a manager on part of a
- * core loads and links for seconds otherwise.
+ * A short run of the whole manager on loopback, between a simulated engine and a simulated client.
+ * A class data sharing archive that is created when it exits contains the classes that serving
+ * needs; without it, a manager on a fraction of a core loads and links classes for seconds.
  */
 final class Rehearsal {
 
   private static final int TASKS = 200;
-  private static final int ANSWER_TIMEOUT_MS =
-      2000; // for one answer; then the rehearsal ends with what it has
+
+  /** Limit for one answer; after it the rehearsal ends early. */
+  private static final int ANSWER_TIMEOUT_MS = 2000;
+
   private static final String PAGE = "a\tb\tc\n".repeat(40);
 
   private Rehearsal() {}
 
   /**
-   * Plays it with the settings of that configuration and gives the tasks handled; few only make the
-   * archive smaller.
+   * Runs the rehearsal with the settings of the configuration and returns the number of tasks
+   * handled. If only some are handled, the archive is smaller, but valid.
    */
   static long run(ManagerConfig config) throws ProtocolException, InterruptedException {
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       startDaemonThread(() -> acceptConnections(engine));
       String address = "127.0.0.1:" + engine.getLocalPort();
-      String known =
+      String knownEvents =
           "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":{\"complete\":true,"
               + "\"members\":[{\"id\":\"e\","
               + "\"host_port\":\""
@@ -47,9 +49,11 @@
       Service service =
           new Service(
               config.withAddresses(
-                  "127.0.0.1:0", address, Json.parse(known.getBytes(StandardCharsets.UTF_8))));
-      InetSocketAddress at = service.listen();
-      Thread client = startDaemonThread(() -> runClient(at, config));
+                  "127.0.0.1:0",
+                  address,
+                  Json.parse(knownEvents.getBytes(StandardCharsets.UTF_8))));
+      InetSocketAddress managerAddress = service.listen();
+      Thread client = startDaemonThread(() -> runClient(managerAddress, config));
       Thread loop =
           startDaemonThread(
               () -> {
@@ -64,13 +68,13 @@
       loop.join();
       return service.tasksHandled();
     } catch (IOException e) {
-      System.err.println("tansytrack: the rehearsal ended early: " + e);
+      System.err.println("tansytrack: rehearsal ended early: " + e);
       return 0;
     }
   }
 
-  private static Thread startDaemonThread(Runnable what) {
-    Thread thread = new Thread(what, "rehearsal");
+  private static Thread startDaemonThread(Runnable task) {
+    Thread thread = new Thread(task, "rehearsal");
     thread.setDaemon(true);
     thread.start();
     return thread;
@@ -79,21 +83,21 @@
   private static void acceptConnections(ServerSocket engine) {
     try {
       while (true) {
-        Socket one = engine.accept();
-        startDaemonThread(() -> serveConnection(one));
+        Socket connection = engine.accept();
+        startDaemonThread(() -> serveConnection(connection));
       }
     } catch (IOException e) {
-      // the rehearsal is over
+      // the server socket was closed at the end of the rehearsal
     }
   }
 
   /**
-   * Each query is said to run on at first; its result has two pages. The command channel has
-   * nothing new.
+   * Answers as an engine and as the command channel. Each query is reported as still running at
+   * first; its result has two pages. The command channel reports no new events.
    */
-  private static void serveConnection(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private static void serveConnection(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
         String head = readHead(in);
         in.skipNBytes(contentLength(head));
@@ -110,14 +114,14 @@
                             : head.indexOf("GET") == 0
                                 ? response("200 OK", "X-Load: inflight:7;util:0.61\r\n", "")
                                 : "HTTP/1.1 204 No Content\r\n\r\n";
-        one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException e) {
-      // closed
+      // the connection was closed
     }
   }
 
-  /** The head of the next call, up to its blank line. */
+  /** Reads the head of the next request, with the blank line that ends it. */
   static String readHead(DataInputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
@@ -126,12 +130,15 @@
     return head.toString();
   }
 
-  /** The length of the body behind it. */
+  /** Returns the length of the body that follows the head. */
   static int contentLength(String head) {
-    int at = head.indexOf("Content-Length: ");
-    return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
+    int start = head.indexOf("Content-Length: ");
+    return start < 0
+        ? 0
+        : Integer.parseInt(head.substring(start + 16, head.indexOf("\r\n", start)));
   }
 
+  /** Returns an HTTP response; each of the header fields ends with CR LF. */
   static String response(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
@@ -143,22 +150,23 @@
         + body;
   }
 
-  private static void runClient(InetSocketAddress at, ManagerConfig config) {
+  /** Runs the client: a session that sends an empty query, SHOW STATS, and then tasks. */
+  private static void runClient(InetSocketAddress managerAddress, ManagerConfig config) {
     try (Socket socket = new Socket()) {
-      socket.connect(at);
+      socket.connect(managerAddress);
       socket.setSoTimeout(ANSWER_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(8).putInt(3 << 16).array());
       awaitReadyForQuery(in);
       for (int i = 0; i < TASKS; i++) {
-        int grade = i % config.settings().queryClasses().size();
+        int classIndex = i % config.settings().queryClasses().size();
         String text =
             i == 0
                 ? ";"
                 : i == 1
                     ? "show stats"
                     : "/* class="
-                        + config.settings().queryClasses().get(grade).name()
+                        + config.settings().queryClasses().get(classIndex).name()
                         + ",id="
                         + String.format("%016x", i)
                         + ",wait="
@@ -167,7 +175,7 @@
                         + config.settings().tenants().get(0).name()
                         + ",cost=5.0,mb=1,key=00000000000000a1 */"
                         + " SELECT day, count(*) FROM sales_"
-                        + grade
+                        + classIndex
                         + ".orders WHERE tag = '3f9c' GROUP BY day";
         byte[] body = (text + '\0').getBytes(StandardCharsets.UTF_8);
         socket
@@ -181,11 +189,11 @@
         awaitReadyForQuery(in);
       }
     } catch (IOException e) {
-      System.err.println("tansytrack: the rehearsal's client ended early: " + e);
+      System.err.println("tansytrack: client of the rehearsal ended early: " + e);
     }
   }
 
-  /** Reads up to the next ReadyForQuery. */
+  /** Reads messages up to the next ReadyForQuery. */
   private static void awaitReadyForQuery(DataInputStream in) throws IOException {
     int type;
     do {
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -29,35 +29,55 @@
 import tansytrack.wire.ProtocolException;
 import tansytrack.wire.Sockets;
 
-/** One workload manager from start to stop, and the one loop that all its parts run in. */
+/** One workload manager from start to stop, with the event loop that all its parts run in. */
 public final class Service {
 
   private static final long NANOS_PER_MS = 1_000_000L;
   private static final int EXIT_UNUSABLE_INPUT = 2;
   private static final int EXIT_INTERNAL_ERROR = 3;
-  private static final long MAX_WAIT_NANOS = 1000 * NANOS_PER_MS; // of the loop, with nothing due
-  private static final int MAX_EVENTS_PER_TURN =
-      2048; // taken before timers and decisions have their turn: what came
-  // in time must not be judged as late, whatever the lag
-
-  // After SIGTERM, by the platform: new connections for 0.4 s, requests on open ones for 0.2 s
-  // more; the rest of COMING
-  // is for the lag of a manager on part of a core, which reads late what came in time. SIGKILL
-  // after the longest
-  // deadline, 3 s of it at most, and 0.7 s more.
+
+  /** How long the loop waits for an event at most when no timer is due. */
+  private static final long MAX_WAIT_NANOS = 1000 * NANOS_PER_MS;
+
+  /**
+   * Events that are processed before timers and decisions run. Large, so that events which arrived
+   * in time are not judged as late when the loop lags.
+   */
+  private static final int MAX_EVENTS_PER_ITERATION = 2048;
+
+  /**
+   * How long the manager listens after SIGTERM. The platform opens new connections for 0.4 s, and
+   * sends requests on open ones for 0.2 s more; the rest allows for the lag of a manager on a
+   * fraction of a core, which reads late what arrived in time.
+   */
   private static final long ACCEPT_AFTER_SIGTERM_NANOS = 1000 * NANOS_PER_MS;
-  private static final long FINAL_ANSWERS_NANOS =
-      100 * NANOS_PER_MS; // before that, in which those that came last are answered
+
+  /** Time before the kill that stays for answers to the requests that arrived last. */
+  private static final long FINAL_ANSWERS_NANOS = 100 * NANOS_PER_MS;
+
+  /**
+   * The platform sends SIGKILL after the longest deadline, of which it counts at most this much,
+   * and {@link Service#KILL_MARGIN_NANOS}.
+   */
   private static final long MAX_DEADLINE_BEFORE_KILL_NANOS = 3000 * NANOS_PER_MS;
+
+  /** Time between the longest deadline and SIGKILL. */
   private static final long KILL_MARGIN_NANOS = 700 * NANOS_PER_MS;
-  private static final String ADDRESS_IN_USE = "in use"; // the machine's words for EADDRINUSE
+
+  /** Part of the operating system's message for EADDRINUSE. */
+  private static final String ADDRESS_IN_USE = "in use";
+
+  /** Time between two attempts to bind the address. */
   private static final long BIND_RETRY_INTERVAL_NANOS = 50 * NANOS_PER_MS;
-  private static final long START_TIMEOUT_NANOS =
-      5000 * NANOS_PER_MS; // for the file and the address of the start together
-  private static final long FIRST_POLL_TIMEOUT_NANOS =
-      500 * NANOS_PER_MS; // what the channel's first answer is waited for
-  private static final long IDLE_CHECK_INTERVAL_NANOS =
-      10 * NANOS_PER_MS; // between looks whether all is answered
+
+  /** Limit for reading the configuration file and binding the address, together. */
+  private static final long START_TIMEOUT_NANOS = 5000 * NANOS_PER_MS;
+
+  /** How long a start waits for the command channel's first answer. */
+  private static final long FIRST_POLL_TIMEOUT_NANOS = 500 * NANOS_PER_MS;
+
+  /** Time between checks, during shutdown, whether all requests are answered. */
+  private static final long IDLE_CHECK_INTERVAL_NANOS = 10 * NANOS_PER_MS;
 
   private final LinkedBlockingQueue<Runnable> eventQueue = new LinkedBlockingQueue<>();
   private final SlewedClock clock = new SlewedClock();
@@ -68,29 +88,35 @@
   private final TaskListener taskListener;
   private final PeerManagers peerManagers;
   private final CountDownLatch finished = new CountDownLatch(1);
-  private ManagerConfig config; // as last read
+
+  /** The configuration as last read. */
+  private ManagerConfig config;
+
   private boolean stopping;
-  private boolean closing; // its sessions are closed: it needs no list any more
+
+  /** Whether the sessions are closed, so that the engine list is no longer needed. */
+  private boolean closing;
+
   private boolean stopped;
 
-  /** Makes what listens to the tasks of one manager. */
+  /** Creates the listener to the tasks of one manager. */
   interface TaskListenerFactory {
-    TaskListenerFactory NONE = (config, timers, inbox) -> TaskListener.NONE;
+    TaskListenerFactory NONE = (config, timers, eventQueue) -> TaskListener.NONE;
 
-    TaskListener create(ManagerConfig config, Timers timers, Consumer<Runnable> inbox);
+    TaskListener create(ManagerConfig config, Timers timers, Consumer<Runnable> eventQueue);
   }
 
   /**
-   * Makes what keeps in touch with the other managers; how many there are goes to the given one, on
-   * any thread.
+   * Creates the link to the other managers. It reports the number of managers to
+   * `managerCountConsumer`, on any thread.
    */
   interface PeerManagersFactory {
-    PeerManagersFactory NONE = (config, count) -> PeerManagers.NONE;
+    PeerManagersFactory NONE = (config, managerCountConsumer) -> PeerManagers.NONE;
 
-    PeerManagers create(ManagerConfig config, IntConsumer count);
+    PeerManagers create(ManagerConfig config, IntConsumer managerCountConsumer);
   }
 
-  /** What the operators' file switches on. */
+  /** The features that the operator file switches on. */
   record OptionalFeatures(
       TaskListenerFactory taskListenerFactory, PeerManagersFactory peerManagersFactory) {
     static final OptionalFeatures NONE =
@@ -103,17 +129,18 @@
 
   Service(
       ManagerConfig config,
-      BiFunction<Settings, Actions, DecisionModule> start,
-      OptionalFeatures extras)
+      BiFunction<Settings, Actions, DecisionModule> decisionModuleFactory,
+      OptionalFeatures optionalFeatures)
       throws ProtocolException {
     this.config = config.withoutKnownEngines();
     timers.now(clock.getAsLong());
-    taskListener = extras.taskListenerFactory().create(config, timers, eventQueue::add);
+    taskListener = optionalFeatures.taskListenerFactory().create(config, timers, eventQueue::add);
     peerManagers =
-        extras
+        optionalFeatures
             .peerManagersFactory()
-            .create(config, count -> eventQueue.add(() -> this.managerCountChanged(count)));
-    manager = new Manager(config, timers, sockets, start, taskListener, peerManagers);
+            .create(config, count -> eventQueue.add(() -> managerCountChanged(count)));
+    manager =
+        new Manager(config, timers, sockets, decisionModuleFactory, taskListener, peerManagers);
     channel = new CommandChannel(sockets, timers, parseAddress(config.channelAddress()), manager);
     channel.apply(config.knownEngines());
     manager.processPending();
@@ -123,98 +150,107 @@
     manager.managerCountChanged(count);
   }
 
-  /** From here on it can decide, so it may answer. */
+  /** Starts to listen, with a single attempt to bind the address. */
   InetSocketAddress listen() throws IOException, ProtocolException {
     return listen(System.nanoTime());
   }
 
   /**
-   * Guards against an address that the process before has not yet given back: it is tried again
-   * until that time of the steady clock. Harm: an address that is another's for good is said only
-   * then.
+   * Starts to listen. While the address is in use, because the previous process has not yet
+   * released it, binding is retried until the deadline, a value of {@link System#nanoTime}. The
+   * disadvantage: an address that another process keeps is reported only then.
    */
-  InetSocketAddress listen(long until) throws IOException, ProtocolException {
-    InetSocketAddress wanted = parseAddress(config.listenAddress());
-    boolean said = false;
+  InetSocketAddress listen(long deadlineNanos) throws IOException, ProtocolException {
+    InetSocketAddress configuredAddress = parseAddress(config.listenAddress());
+    boolean warned = false;
     catchUp();
     while (true) {
       try {
-        InetSocketAddress at = sockets.listen(wanted, manager::connectionAccepted);
+        InetSocketAddress boundAddress =
+            sockets.listen(configuredAddress, manager::connectionAccepted);
         eventQueue.add(manager::resolveForwards);
         peerManagers.markServing();
         Event.info(
             "listening",
-            config.name() + " listens at " + at.getHostString() + ':' + at.getPort(),
+            config.name()
+                + " listens at "
+                + boundAddress.getHostString()
+                + ':'
+                + boundAddress.getPort(),
             "manager",
             config.name(),
             "address",
-            at.getHostString() + ':' + at.getPort());
-        return at;
+            boundAddress.getHostString() + ':' + boundAddress.getPort());
+        return boundAddress;
       } catch (IOException e) {
         Throwable root = e;
         while (root.getCause() != null) {
           root = root.getCause();
         }
-        String what = "cannot listen at " + config.listenAddress() + ": " + root.getMessage();
-        long left = until - System.nanoTime();
-        if (left <= 0 || !(root instanceof BindException) || !what.contains(ADDRESS_IN_USE)) {
-          throw new IOException(what, e);
+        String message = "cannot listen at " + config.listenAddress() + ": " + root.getMessage();
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        if (remainingNanos <= 0
+            || !(root instanceof BindException)
+            || !message.contains(ADDRESS_IN_USE)) {
+          throw new IOException(message, e);
         }
-        if (!said) {
-          said = true;
-          Logger.warn("{}; tried again for up to {} ms", what, left / NANOS_PER_MS);
+        if (!warned) {
+          warned = true;
+          Logger.warn("{}; retrying for up to {} ms", message, remainingNanos / NANOS_PER_MS);
         }
-        ConfigFile.sleepNanos(Math.min(BIND_RETRY_INTERVAL_NANOS, left));
+        ConfigFile.sleepNanos(Math.min(BIND_RETRY_INTERVAL_NANOS, remainingNanos));
       }
     }
   }
 
   /**
-   * Asks the channel for what it has told since the file was written, before any client can come.
-   * Guards against sends to engines that were told to be draining while this process was starting:
-   * that takes a second, and the rule allows no more. Harm: where the channel is out of reach, the
-   * start takes longer by the time that it is waited for.
+   * Polls the channel for the events since the file was written, before any client can connect.
+   * Otherwise the manager would send to engines that began to drain while this process was
+   * starting, which takes a second; that is all the time that the platform allows. The
+   * disadvantage: while the channel is unreachable, a start takes longer by {@link
+   * Service#FIRST_POLL_TIMEOUT_NANOS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
-    long until = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
-    timers.schedule(until, () -> {}); // the loop naps no longer than that
+    long deadline = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
+    timers.schedule(deadline, () -> {}); // wakes the loop at that time
     channel.poll();
     try {
-      while (!channel.upToDate() && timers.now() < until) {
+      while (!channel.upToDate() && timers.now() < deadline) {
         runOnce();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("told to end while starting", e);
+      throw new IOException("interrupted while starting", e);
     }
   }
 
   /**
-   * Serves until SIGTERM: 0, 2 for a configuration that cannot be used, 3 after a failure inside.
+   * Serves until SIGTERM. Returns exit code 0, 2 for a configuration that cannot be used, or 3
+   * after an internal failure.
    */
   public static int serve(String path, String operator) {
-    long until = System.nanoTime() + START_TIMEOUT_NANOS;
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT_NANOS;
     Service service;
     ConfigurationReload reload;
     try {
       ConfigFile file = new ConfigFile(path);
-      // Before all else: SIGHUP would end a JVM that has nothing for it.
+      // Before all else: SIGHUP ends a JVM that has no handler for it.
       reload = new ConfigurationReload(file);
       if (!SighupHandler.install(reload::onSignal)) {
         new ConfigurationFilePoller(path, reload::onSignal).start();
       }
-      OptionalFeatures extras =
+      OptionalFeatures optionalFeatures =
           operator == null ? OptionalFeatures.NONE : OperatorFeatures.load(operator);
-      service = create(file.read(until), extras);
+      service = create(file.read(deadlineNanos), optionalFeatures);
     } catch (IOException | InvalidInputException e) {
       return reportUnusableInput(e);
     }
-    // Before it listens: SIGTERM would end the program at once, with clients that have been
-    // accepted.
+    // Before it listens: without the hook, SIGTERM would end the process at once and cut off
+    // clients that have been accepted.
     Runtime.getRuntime().addShutdownHook(new Thread(service::terminateAndWait, "stop"));
     try {
-      service.listen(until);
+      service.listen(deadlineNanos);
       reload.setConsumer(service::configurationRead);
     } catch (IOException | ProtocolException e) {
       service.finished.countDown();
@@ -231,49 +267,55 @@
     return 0;
   }
 
-  /** Not swallowed, not waited out: what a half-told module would decide is worth nothing. */
-  private static int haltAfterFailure(Throwable why) {
-    Logger.error(why, "a failure inside ends the workload manager");
+  /**
+   * Halts the process without running its shutdown hooks: after an internal failure the decision
+   * code may have received only part of an event, and its decisions are not reliable.
+   */
+  private static int haltAfterFailure(Throwable cause) {
+    Logger.error(cause, "a failure inside ends the workload manager");
     Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     return EXIT_INTERNAL_ERROR;
   }
 
-  private static Service create(ConfigFile.LoadedConfig from, OptionalFeatures extras) {
+  private static Service create(ConfigFile.LoadedConfig loaded, OptionalFeatures optionalFeatures) {
     try {
-      return new Service(from.config(), Decide::new, extras);
+      return new Service(loaded.config(), Decide::new, optionalFeatures);
     } catch (ProtocolException e) {
-      throw new InvalidInputException(from.source() + ": known: " + e.getMessage());
+      throw new InvalidInputException(loaded.source() + ": known: " + e.getMessage());
     }
   }
 
   /**
-   * Starts as far as that goes without a socket, and waits for nothing: 0, or 2 for what cannot be
-   * used.
+   * Checks a configuration: starts as far as possible without a socket, and waits for nothing.
+   * Returns exit code 0, or 2 for input that cannot be used.
    */
   public static int check(String path, String operator, PrintStream out) {
     try {
-      String installed = operator == null ? "" : OperatorFeatures.summary(operator);
-      ConfigFile.LoadedConfig from = new ConfigFile(path).readOnce();
-      Service service = create(from, OptionalFeatures.NONE);
+      String features = operator == null ? "" : OperatorFeatures.summary(operator);
+      ConfigFile.LoadedConfig loaded = new ConfigFile(path).readOnce();
+      Service service = create(loaded, OptionalFeatures.NONE);
       service.sockets.close();
-      ManagerConfig config = from.config();
+      ManagerConfig config = loaded.config();
       out.println(
           config.name()
               + ": "
               + config.settings().queryClasses().size()
-              + " service grades, "
+              + " query classes, "
               + config.settings().tenants().size()
               + " tenants, "
               + service.manager.engineCount()
               + " engines"
-              + installed);
+              + features);
       return 0;
     } catch (IOException | InvalidInputException e) {
       return reportUnusableInput(e);
     }
   }
 
-  /** Rehearses serving on loopback: 0, or 2 for a configuration that cannot be used. */
+  /**
+   * Rehearses serving on loopback. Returns exit code 0, or 2 for a configuration that cannot be
+   * used.
+   */
   public static int rehearse(String path, PrintStream out) {
     try {
       out.println(
@@ -289,34 +331,35 @@
     }
   }
 
-  private static int reportUnusableInput(Exception why) {
-    System.err.println("tansytrack: " + why.getMessage());
+  private static int reportUnusableInput(Exception cause) {
+    System.err.println("tansytrack: " + cause.getMessage());
     return EXIT_UNUSABLE_INPUT;
   }
 
-  /** What SIGHUP brought; on the thread that read it. */
+  /** Passes a new configuration to the event loop; called on the thread that read it. */
   void configurationRead(ConfigFile.LoadedConfig next) {
     eventQueue.add(() -> reconfigure(next.config(), next.channel()));
   }
 
   /**
-   * What can change while tasks are open does; for the rest a line says that it takes a restart.
+   * Applies what can change while tasks are open, and logs which other changes require a restart.
    */
-  private void reconfigure(ManagerConfig next, InetSocketAddress to) {
+  private void reconfigure(ManagerConfig next, InetSocketAddress channelAddress) {
     if (closing) {
       return;
     }
     manager.counters().increment("configurations.read");
-    String rest = config.nonReloadableDifferences(next);
+    String requiresRestart = config.nonReloadableDifferences(next);
     Logger.info(
         "new configuration: command channel at {}{}",
         next.channelAddress(),
-        rest.isEmpty() ? "" : "; takes a restart: " + rest);
+        requiresRestart.isEmpty() ? "" : "; changes that require a restart: " + requiresRestart);
     config = next.withoutKnownEngines();
     manager.updateMaxDescriptors(next.maxDescriptors());
-    channel.moveTo(to, next.knownEngines());
+    channel.moveTo(channelAddress, next.knownEngines());
   }
 
+  /** Parses and resolves an address of the form host:port. */
   static InetSocketAddress parseAddress(String text) throws ProtocolException {
     int colon = text.lastIndexOf(':');
     try {
@@ -328,12 +371,12 @@
         }
       }
     } catch (NumberFormatException e) {
-      // said below
+      // reported below
     }
     throw new ProtocolException("'" + text + "' is not an address with a port");
   }
 
-  /** The loop; it ends some time after it was told to, with all given back. */
+  /** Runs the event loop until shutdown is complete, then closes all resources. */
   void run() throws InterruptedException {
     try {
       while (!stopped) {
@@ -347,36 +390,40 @@
     }
   }
 
+  /** Returns the number of tasks that ended as handled. */
   long tasksHandled() {
     return manager.counters().get("tasks.handled");
   }
 
+  /** Returns the number of open file descriptors of sockets. */
   int openDescriptors() {
     return sockets.openConnections();
   }
 
+  /** Runs one iteration of the event loop: waits, processes events and timers, then decides. */
   private void runOnce() throws InterruptedException {
     timers.now(clock.getAsLong());
-    long nap = timers.nanosUntilNext(MAX_WAIT_NANOS);
-    Runnable note = eventQueue.poll(nap, TimeUnit.NANOSECONDS);
+    long maxWaitNanos = timers.nanosUntilNext(MAX_WAIT_NANOS);
+    Runnable event = eventQueue.poll(maxWaitNanos, TimeUnit.NANOSECONDS);
     clock.slew();
-    timers.advanceAfterSleep(clock.getAsLong(), nap);
-    for (int i = 0; note != null && i < MAX_EVENTS_PER_TURN; i++) {
-      note.run();
-      note = eventQueue.poll();
+    timers.advanceAfterSleep(clock.getAsLong(), maxWaitNanos);
+    for (int i = 0; event != null && i < MAX_EVENTS_PER_ITERATION; i++) {
+      event.run();
+      event = eventQueue.poll();
     }
-    if (note != null) {
-      note.run();
+    if (event != null) {
+      event.run();
     }
     timers.runDue();
     manager.processPending();
   }
 
+  /** Begins shutdown; may be called on any thread. */
   void terminate() {
     eventQueue.add(this::beginShutdown);
   }
 
-  /** Runs on the thread that the machine starts for SIGTERM: the program ends when it returns. */
+  /** Runs as the shutdown hook for SIGTERM: the process ends when it returns. */
   private void terminateAndWait() {
     terminate();
     try {
@@ -386,53 +433,61 @@
     }
   }
 
-  /** SIGTERM: tasks come for a while yet, and are served or given back as the module decides. */
+  /**
+   * Begins shutdown: new tasks are accepted for a while, and are served or rejected as the decision
+   * code chooses.
+   */
   private void beginShutdown() {
     if (stopping) {
       return;
     }
-    long longest =
+    long longestDeadline =
         config.settings().queryClasses().stream()
             .mapToLong(QueryClass::deadlineNanos)
             .max()
             .orElse(0);
-    long until =
-        timers.now() + Math.min(longest, MAX_DEADLINE_BEFORE_KILL_NANOS) + KILL_MARGIN_NANOS;
+    long killTime =
+        timers.now()
+            + Math.min(longestDeadline, MAX_DEADLINE_BEFORE_KILL_NANOS)
+            + KILL_MARGIN_NANOS;
     Event.info(
         "ending",
-        "told to end; answers count for " + (until - timers.now()) / NANOS_PER_MS + " ms more",
+        "shutting down; answers are accepted for "
+            + (killTime - timers.now()) / NANOS_PER_MS
+            + " ms more",
         "for_ms",
-        (until - timers.now()) / NANOS_PER_MS);
+        (killTime - timers.now()) / NANOS_PER_MS);
     stopping = true;
     peerManagers.markLeaving();
-    manager.beginShutdown(until);
+    manager.beginShutdown(killTime);
     timers.schedule(
-        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, until - FINAL_ANSWERS_NANOS),
+        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, killTime - FINAL_ANSWERS_NANOS),
         () -> {
           sockets.stopListening();
-          closeWhenIdle(until);
+          closeWhenIdle(killTime);
         });
   }
 
-  private void closeWhenIdle(long until) {
-    boolean late = timers.now() > until;
-    if (late || manager.idle()) {
+  /** Closes the sessions when all requests are answered or the time is up; ends the loop then. */
+  private void closeWhenIdle(long killTime) {
+    boolean timedOut = timers.now() > killTime;
+    if (timedOut || manager.idle()) {
       closing = true;
-      // What tells engines that nobody waits any more still goes out.
+      // Cancellations to engines are still sent after this.
       channel.close();
       manager.close();
-      stopped = sockets.openConnections() == 0 || timers.now() > until + KILL_MARGIN_NANOS;
+      stopped = sockets.openConnections() == 0 || timers.now() > killTime + KILL_MARGIN_NANOS;
     }
-    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(until));
+    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(killTime));
   }
 
   private void logCounters() {
     StringBuilder line = new StringBuilder();
     List<Object> pairs = new ArrayList<>();
-    for (Map.Entry<String, Long> one : manager.counters().asMap().entrySet()) {
-      line.append(' ').append(one.getKey()).append('=').append(one.getValue());
-      pairs.add(one.getKey());
-      pairs.add(one.getValue());
+    for (Map.Entry<String, Long> counter : manager.counters().asMap().entrySet()) {
+      line.append(' ').append(counter.getKey()).append('=').append(counter.getValue());
+      pairs.add(counter.getKey());
+      pairs.add(counter.getValue());
     }
     Event.info("counters", "counters:" + line, pairs.toArray());
   }
--- a/src/main/java/tansytrack/service/SlewedClock.java
+++ b/src/main/java/tansytrack/service/SlewedClock.java
@@ -4,13 +4,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Nanoseconds of the Unix clock, going forward evenly: the machine's steady clock, led after the
- * Unix clock in steps too small to matter.
+ * Unix time in nanoseconds that advances evenly: the monotonic clock plus an offset, which is
+ * slewed toward the Unix clock in small steps.
  */
 final class SlewedClock implements LongSupplier {
 
   private static final long SLEW_INTERVAL_NANOS = 1_000_000_000L;
-  private static final long MAX_SLEW_NANOS = 1_000_000L; // at most, each time
+
+  /** Limit of the correction in one interval. */
+  private static final long MAX_SLEW_NANOS = 1_000_000L;
 
   private volatile long offsetNanos = unixNanos() - System.nanoTime();
   private long slewedAtNanos = System.nanoTime();
@@ -25,14 +27,15 @@
     return System.nanoTime() + offsetNanos;
   }
 
-  /** Called by the loop alone. */
+  /** Corrects the offset if the interval has passed; called only by the event loop. */
   void slew() {
-    long steady = System.nanoTime();
-    if (steady - slewedAtNanos >= SLEW_INTERVAL_NANOS) {
-      slewedAtNanos = steady;
-      long off = unixNanos() - steady - offsetNanos;
-      long led = offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, off));
-      offsetNanos = led;
+    long monotonicNanos = System.nanoTime();
+    if (monotonicNanos - slewedAtNanos >= SLEW_INTERVAL_NANOS) {
+      slewedAtNanos = monotonicNanos;
+      long errorNanos = unixNanos() - monotonicNanos - offsetNanos;
+      long correctedNanos =
+          offsetNanos + Math.max(-MAX_SLEW_NANOS, Math.min(MAX_SLEW_NANOS, errorNanos));
+      offsetNanos = correctedNanos;
     }
   }
 }
--- a/src/test/java/tansytrack/ArchitectureTest.java
+++ b/src/test/java/tansytrack/ArchitectureTest.java
@@ -8,26 +8,23 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/**
- * Which package may know which: the table of arrows, and that modules that decide touch nothing
- * outside.
- */
+/** Allowed dependencies between packages, and that decision code uses no I/O, clock or threads. */
 class ArchitectureTest {
 
-  private static final JavaClasses PROGRAM =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("tansytrack");
 
   @Test
-  void arrowsPointOneWay() {
+  void packagesDependOnlyOnAllowedPackages() {
     layeredArchitecture()
         .consideringOnlyDependenciesInLayers()
         .layer("main")
         .definedBy("tansytrack")
         .layer("api")
         .definedBy("tansytrack.api")
-        .layer("parts")
+        .layer("util")
         .definedBy("tansytrack.util")
         .layer("policy")
         .definedBy("tansytrack.policy")
@@ -80,11 +77,11 @@
         .whereLayer("log")
         .mayOnlyBeAccessedByLayers(
             "service", "ledger.disk", "fleet.udp", "state", "wire", "lab", "main")
-        .check(PROGRAM);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void whatDecidesTouchesNothingOutside() {
+  void decisionCodeUsesNoInputOutputOrClock() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAnyPackage(
@@ -118,6 +115,6 @@
         .callMethod(System.class, "currentTimeMillis")
         .orShould()
         .callMethod(java.time.Instant.class, "now")
-        .check(PROGRAM);
+        .check(PRODUCTION_CLASSES);
   }
 }
--- a/src/test/java/tansytrack/service/LongEngineListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -16,75 +16,76 @@
 import tansytrack.lab.footprint.SyntheticEngineList;
 import tansytrack.wire.ProtocolException;
 
-/** A list of thousands of engines, told by the command channel or read from the file. */
+/** Lists of thousands of engines, from the command channel or from the configuration file. */
 class LongEngineListTest {
 
   private static final int ENGINES = 6200;
-  private static final long PATIENCE_NANOS = 20_000_000_000L;
-  private static final long PAUSE_MS = 20;
-  private static final long QUIET_MS =
-      3000; // far more than a list takes, and the channel's patience
+  private static final long TIMEOUT_NANOS = 20_000_000_000L;
+  private static final long POLL_INTERVAL_MS = 20;
 
-  /** Addresses where nothing listens: no task is sent here, and the settings allow no probe. */
+  /** Far longer than the transfer of a list and the channel's timeout. */
+  private static final long QUIET_MS = 3000;
+
+  /** No server listens at these addresses: the tests send no task, the settings allow no probes. */
   private static final SyntheticEngineList LIST =
       new SyntheticEngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
 
   @Test
-  void aListOfThousandsOfEnginesIsTakenFromTheChannel()
+  void aListOfThousandsOfEnginesIsReadFromTheChannel()
       throws IOException, InterruptedException, ProtocolException {
     try (FakeCommandChannel channel =
         new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
-      ServiceFixture.Running running =
-          new ServiceFixture.Running(ServiceTest.config(channel.address()));
-      try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
+      ServiceFixture.RunningManager running =
+          new ServiceFixture.RunningManager(ServiceTest.config(channel.address()));
+      try (ServiceTest.Client client = new ServiceTest.Client(running.address).startSession()) {
         channel.publish(LIST.completeList());
-        String stats = statsWith(client, "channel.lists,2;");
+        String stats = awaitStats(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
-        // The engine of the file has left the list, and is forgotten a little later.
-        stats = statsWith(client, "engines.known,6200;");
+        // The engine of the file is no longer listed, and is removed a little later.
+        stats = awaitStats(client, "engines.known,6200;");
         assertThat(stats).contains("engines.not_shown,");
       } finally {
-        running.end();
+        running.stop();
       }
     }
   }
 
   /**
-   * Guards against reading that is suspended and goes on only as something else wakes the selector:
-   * here nothing does, until the list must have come.
+   * Guards against suspended reads that resume only when something else wakes the selector. Here
+   * nothing else wakes it until the list must have arrived.
    */
   @Test
-  void aLongListComesInOneGoThoughNothingElseHappens()
+  void aLongListIsReadCompletelyWithoutOtherEvents()
       throws IOException, InterruptedException, ProtocolException {
     try (FakeCommandChannel channel =
         new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
       channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
-      ServiceFixture.Running running =
-          new ServiceFixture.Running(ServiceTest.config(channel.address()));
+      ServiceFixture.RunningManager running =
+          new ServiceFixture.RunningManager(ServiceTest.config(channel.address()));
       try {
         channel.publish(LIST.completeList());
         Thread.sleep(QUIET_MS);
-        try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
-          assertThat(client.ask("SHOW STATS"))
+        try (ServiceTest.Client client = new ServiceTest.Client(running.address).startSession()) {
+          assertThat(client.query("SHOW STATS"))
               .contains("channel.lists,2;")
               .doesNotContain("channel.silent")
               .doesNotContain("channel.failed");
         }
       } finally {
-        running.end();
+        running.stop();
       }
     }
   }
 
-  /** The counters once they contain that text, or the last ones before patience ends. */
-  private static String statsWith(ServiceTest.Client client, String text)
+  /** Polls SHOW STATS until it contains the text, and fails after a timeout. */
+  private static String awaitStats(ServiceTest.Client client, String text)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + PATIENCE_NANOS;
-    String stats = client.ask("SHOW STATS");
-    while (!stats.contains(text) && System.nanoTime() < until) {
-      Thread.sleep(PAUSE_MS);
-      stats = client.ask("SHOW STATS");
+    long deadline = System.nanoTime() + TIMEOUT_NANOS;
+    String stats = client.query("SHOW STATS");
+    while (!stats.contains(text) && System.nanoTime() < deadline) {
+      Thread.sleep(POLL_INTERVAL_MS);
+      stats = client.query("SHOW STATS");
     }
     assertThat(stats).contains(text);
     return stats;
