--- a/src/main/java/tansytrack/FleetCommands.java
+++ b/src/main/java/tansytrack/FleetCommands.java
@@ -15,14 +15,14 @@
 import tansytrack.log.JsonLinesWriter;
 import tansytrack.settings.Unusable;
 
-/** The command group `fleet`: what a running manager knows of the others. */
+/** The command group {@code fleet}: the membership as a running manager sees it. */
 public final class FleetCommands {
 
   private static final int PATIENCE_MS = 3000;
 
   private FleetCommands() {}
 
-  /** The group. */
+  /** The command group. */
   public static final class All extends Group {
     @Argument(
         required = true,
@@ -34,7 +34,7 @@
 
     @Override
     public String about() {
-      return "fleet: what a running manager knows of the others. Commands: show.";
+      return "fleet: the membership as a running manager sees it. Commands: show.";
     }
 
     @Override
@@ -43,22 +43,22 @@
     }
   }
 
-  /** Asks one. */
+  /** Asks a running manager for its members. */
   public static final class Show extends Guarded {
     @Argument(
         required = true,
         metaVar = "ADDRESS",
-        usage = "the listener of a running manager, as in 127.0.0.1:6565")
+        usage = "the address of a running manager's listener, as in 127.0.0.1:6565")
     private String at;
 
-    @Option(name = "--json", usage = "as a JSON object instead of a table")
+    @Option(name = "--json", usage = "print a JSON object instead of a table")
     private boolean json;
 
     @Override
     public String about() {
-      return "fleet show: its members as that manager sees them, itself first. Exit code 1: it"
-          + " keeps in touch with nobody; 2: it\n"
-          + "cannot be asked.";
+      return "fleet show: lists the members that the manager knows, itself first. Exit code 1: the"
+          + " manager has no fleet section;\n"
+          + "2: it cannot be asked.";
     }
 
     @Override
@@ -81,7 +81,7 @@
         System.err.println(
             "tansytrack: "
                 + at
-                + " keeps in touch with no others: its operators' file has no fleet section");
+                + " has no membership: its operator's file has no fleet section");
         return DIFFERS;
       }
       System.out.print(json ? object(answer) : table(answer));
--- a/src/main/java/tansytrack/fleet/Action.java
+++ b/src/main/java/tansytrack/fleet/Action.java
@@ -1,14 +1,14 @@
 package tansytrack.fleet;
 
-/** What is to be done for the fleet's sake, as values; whoever runs it does them in this order. */
+/** An effect that the membership requests; the caller executes the effects in the order given. */
 public sealed interface Action {
 
-  /** A letter is to go to that address. */
+  /** Send a message to an address. */
   record Send(String address, Letter letter) implements Action {}
 
-  /** Another thing is held of a member than before; null before: it is new. */
+  /** The state held of a member has changed; {@code before} is null for a new member. */
   record Changed(Word before, Word after) implements Action {}
 
-  /** Another living process uses this one's name. */
+  /** Another running process uses this member's name. */
   record Twin(String name, String address) implements Action {}
 }
--- a/src/main/java/tansytrack/fleet/Fact.java
+++ b/src/main/java/tansytrack/fleet/Fact.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * What its owner last said of a subject. The version is the owner's life, incarnation and a number
- * that it counts up; the age grows on the way, so that a fact ends everywhere once its owner no
- * longer says it.
+ * A value that its owner publishes about a subject, with a time to live. The version consists of
+ * the owner's incarnation, its instance ID and a counter. The age grows while the fact is held or
+ * forwarded, so that it expires on all members once its owner no longer renews it.
  */
 public record Fact(
     String owner,
@@ -26,7 +26,7 @@
     return owner + '\n' + kind + '\n' + subject;
   }
 
-  /** Is it said later than that one, of the same owner and subject? */
+  /** Whether this version is newer than another one of the same owner, kind and subject. */
   boolean overrules(Fact other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
--- a/src/main/java/tansytrack/fleet/Facts.java
+++ b/src/main/java/tansytrack/fleet/Facts.java
@@ -7,9 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * What each has seen: its owner's latest fact of each kind and subject. Merging is the join of a
- * lattice (later version, then earlier end), so that order, repetition and grouping of what comes
- * make no difference.
+ * The replicated facts: the latest version for each owner, kind and subject. Merging is the join of
+ * a lattice (newer version, then earlier expiry), so the order, repetition and grouping of received
+ * facts make no difference.
  */
 public final class Facts {
 
@@ -31,7 +31,7 @@
     this.most = most;
   }
 
-  /** Takes it if it is later than what is held; true: it is to be passed on. */
+  /** Stores a fact that is newer than the held one; returns whether it must be gossiped. */
   boolean merge(long now, Fact fact) {
     Held next = new Held(fact, now + fact.lasts() - fact.age());
     if (next.endsAt <= now) {
@@ -53,14 +53,14 @@
     return later;
   }
 
-  /** Drops what has ended. */
+  /** Removes expired facts. */
   void end(long now) {
     while (!ends.isEmpty() && ends.first().endsAt <= now) {
       held.remove(ends.pollFirst().fact.key());
     }
   }
 
-  /** Its owner is gone. */
+  /** Removes all facts of an owner that is dead or has left. */
   void drop(String owner) {
     Map<String, Held> theirs = held(owner);
     theirs.values().forEach(ends::remove);
@@ -71,12 +71,12 @@
     return held.subMap(owner + '\n', owner + (char) ('\n' + 1));
   }
 
-  /** How many are held of one owner. */
+  /** The number of facts held of an owner. */
   public int ownedBy(String owner) {
     return held(owner).size();
   }
 
-  /** Of that kind, by owner and subject, as old as they are by then. */
+  /** All facts of a kind, ordered by owner and subject, with their age at the given time. */
   public List<Fact> of(long now, String kind) {
     List<Fact> all = new ArrayList<>();
     for (Held one : held.values()) {
@@ -87,13 +87,13 @@
     return all;
   }
 
-  /** The first one whose key is not before that one; null: none. */
+  /** The first fact whose key is equal to or greater than the given one, or null. */
   Fact from(long now, String key) {
     Map.Entry<String, Held> next = held.ceilingEntry(key);
     return next == null ? null : aged(now, next.getValue());
   }
 
-  /** As it is to be passed on now. */
+  /** The held version of a fact with its present age, or null if it has expired. */
   Fact now(long now, Fact fact) {
     Held one = held.get(fact.key());
     return one == null || one.endsAt <= now ? null : aged(now, one);
@@ -103,12 +103,12 @@
     return one.fact.aged(Math.max(0, one.fact.lasts() - (one.endsAt - now)));
   }
 
-  /** How many facts are held. */
+  /** The number of facts held. */
   public int size() {
     return held.size();
   }
 
-  /** How many facts were refused for want of room. */
+  /** The number of facts refused because the store was full. */
   public long refused() {
     return refused;
   }
--- a/src/main/java/tansytrack/fleet/Fleet.java
+++ b/src/main/java/tansytrack/fleet/Fleet.java
@@ -9,19 +9,20 @@
 import java.util.SplittableRandom;
 
 /**
- * The membership as one member sees it: SWIM with the refinements that docs/fleet.md lists. It
- * hears letters and that time passes, and gives back what is to be done; no I/O, no clock, no
- * thread. One instance a member, on one thread.
+ * The membership as one member sees it: SWIM with the refinements that docs/fleet.md lists. A state
+ * machine without I/O, clock or threads: it is given messages and the time, and returns the actions
+ * to execute. There is one instance per member, used by one thread.
  */
 public final class Fleet {
 
-  private static final int FEW =
-      32; // members, beyond which full exchanges are rarer: each is longer
-  private static final int REACH_EVERY = 3; // periods between tries to reach the dead and the seeds
-  private static final int MOST_SEEDS = 3; // that are tried at once
+  // Above this many members the sync interval grows with their number, because each sync is longer.
+  private static final int FEW = 32;
+  // Probe rounds between two attempts to contact dead members and unknown seeds.
+  private static final int REACH_EVERY = 3;
+  private static final int MOST_SEEDS = 3;
   private static final int MOST_RELAYS = 256;
-  private static final long TWIN_PAUSE =
-      60_000_000_000L; // between two attempts to hold a name that another uses too
+  // Minimum time between two attempts to reclaim a name that another process uses too.
+  private static final long TWIN_PAUSE = 60_000_000_000L;
 
   private final Rules rules;
   private final SplittableRandom chance;
@@ -29,10 +30,10 @@
   private final Outbox outbox;
   private final MemberTable members;
   private final Facts facts;
-  private final LinkedHashMap<Long, Relay> relays =
-      new LinkedHashMap<>(); // all wait as long: the oldest ends first
-  private final Map<Long, Long> outbid =
-      new HashMap<>(); // by life: the incarnation with which this one overruled it
+  // By request ID. All have the same timeout, so the oldest expires first.
+  private final LinkedHashMap<Long, Relay> relays = new LinkedHashMap<>();
+  // By instance ID of another process with this name: the incarnation that superseded its claim.
+  private final Map<Long, Long> outbid = new HashMap<>();
   private long sequence;
   private long factNumber;
   private long periods;
@@ -42,12 +43,14 @@
   private long exchangeAt;
   private long twinAt = Long.MIN_VALUE;
 
+  /** The probe of the current round. */
   private static final class Probe {
     final Member target;
     final long sequence;
     final long askAt;
-    int asked; // helpers
-    int refusals; // of those: they say that they got no answer either
+    int asked;
+    // Helpers that received no ack from the target either.
+    int refusals;
     boolean answered;
     boolean helped;
 
@@ -58,13 +61,13 @@
     }
   }
 
-  /** A probe made for another: whom to tell, under which of its numbers, until when. */
+  /** A probe made on behalf of another member, under the requester's own request ID. */
   private record Relay(String to, long sequence, String target, long until) {}
 
-  /** A full exchange that this member leads, page by page. */
+  /** An anti-entropy sync that this member has started; it proceeds page by page. */
   private record Exchange(String address, long sequence, String from, int tries, long until) {}
 
-  /** A membership that knows itself alone; everything random in it comes from the seed. */
+  /** A membership that knows only this member. All randomness is derived from the seed. */
   public Fleet(Rules rules, Word self, long seed, long now) {
     this.rules = rules;
     local = new LocalState(self, now);
@@ -72,50 +75,50 @@
     facts = new Facts(rules.mostFacts());
     outbox = new Outbox(rules, local, facts);
     members = new MemberTable(rules, local, outbox, facts, chance);
-    // Not all of a fleet that starts at once in the same moment.
+    // A random phase keeps managers that start together from probing at the same moment.
     nextPeriod = now + (long) (chance.nextDouble() * rules.period());
     exchangeAt = now + rules.exchangeEvery();
   }
 
-  // ---- What is asked of it ----
+  // ---- Queries ----
 
-  /** How many members are thought to run now; the number changes with each change. */
+  /** The number of live members; its version changes with each change. */
   public View view() {
     return members.view();
   }
 
-  /** What this member says of itself. */
+  /** The state that this member announces of itself. */
   public Word self() {
     return local.self;
   }
 
-  /** All others that are known, by name. */
+  /** The states of all other known members, ordered by name. */
   public List<Word> others() {
     return members.all().stream().map(one -> one.word).toList();
   }
 
-  /** Since when that is held of a member; -1: it is not known. */
+  /** The time since which a member has had its status, or -1 for an unknown member. */
   public long since(String name) {
     Member member = members.get(name);
     return member == null ? -1 : member.since;
   }
 
-  /** The facts that members pass on to each other. */
+  /** The facts that members replicate to each other. */
   public Facts facts() {
     return facts;
   }
 
-  /** What was counted, by kind. */
+  /** Event counters by name. */
   public Map<String, Long> counts() {
     return local.counts;
   }
 
-  /** How much this member doubts itself, 0 for not at all. */
+  /** The local health score of Lifeguard: 0 is healthy, higher values lengthen timeouts. */
   public int health() {
     return local.health;
   }
 
-  /** When it next wants to be told that time has passed. */
+  /** The time at which {@link #tick} must be called next. */
   public long due() {
     long next = nextPeriod;
     if (probe != null && !probe.helped && !probe.answered) {
@@ -127,9 +130,9 @@
     return Math.min(next, members.nextEnd());
   }
 
-  // ---- What it is told ----
+  // ---- Inputs ----
 
-  /** Does what is due by that time. */
+  /** Processes the deadlines that have passed by the given time. */
   public List<Action> tick(long at) {
     wake(at);
     if (probe != null && !probe.answered && !probe.helped && local.now >= probe.askAt) {
@@ -150,7 +153,7 @@
     return outbox.given();
   }
 
-  /** A letter has come from that address. */
+  /** Processes a message received from an address. */
   public List<Action> heard(long at, String address, Letter letter) {
     wake(at);
     if (!letter.from().usable()
@@ -174,8 +177,8 @@
     }
     letter.words().forEach(this::merge);
     for (Fact fact : letter.facts()) {
-      // Only of a life that is there: what was said before a restart, and comes late or again, must
-      // not count.
+      // Only facts of the owner's present instance are accepted: facts from before a restart may be
+      // delayed or replayed.
       Member owner = members.get(fact.owner());
       if (owner != null
           && owner.word.standing().there()
@@ -201,7 +204,7 @@
     return outbox.given();
   }
 
-  /** This member does that now. */
+  /** Sets and announces this member's stage. */
   public List<Action> stage(long at, Stage stage) {
     wake(at);
     if (local.self.stage() != stage) {
@@ -210,7 +213,7 @@
     return outbox.given();
   }
 
-  /** It leaves: told to some at once, as this is the last that is heard of it. */
+  /** Leaves: announces it at once to several members, as no later message will carry it. */
   public List<Action> leave(long at) {
     wake(at);
     outbox.say(local.self.at(local.self.incarnation() + 1, Standing.LEFT, Stage.LEAVING));
@@ -220,10 +223,7 @@
     return outbox.given();
   }
 
-  /**
-   * What this member says of a subject from now on, for so long; said again before that, it goes
-   * on.
-   */
+  /** Publishes this member's value for a subject; it expires unless it is published again. */
   public List<Action> tell(long at, String kind, String subject, long[] values, long lasts) {
     wake(at);
     Fact fact =
@@ -243,11 +243,12 @@
     return outbox.given();
   }
 
-  // ---- Time ----
+  // ---- Timers ----
 
   /**
-   * Guards against a member that was stopped for a while and blames others for its own silence:
-   * what it waited for is void, suspicions last as much longer, and it doubts itself.
+   * Advances the clock. A process that was paused has heard nobody meanwhile and must not blame the
+   * others for it: pending probes are discarded, suspicions are extended by the pause, and the
+   * local health score is set to its maximum.
    */
   private void wake(long at) {
     long late = at - Math.max(local.now, due());
@@ -302,7 +303,7 @@
     }
   }
 
-  /** What came of the last period's probe. */
+  /** Evaluates the probe of the previous round. */
   private void judge() {
     if (probe == null) {
       return;
@@ -311,15 +312,14 @@
     if (probe.answered) {
       local.health = Math.max(0, local.health - 1);
     } else if (members.get(target.word.name()) == target && target.word.standing().there()) {
-      // Guards against a member with bad links of its own: helpers that do not even refuse speak
-      // against itself.
+      // Helpers that send not even a nack indicate that this member's own links are faulty.
       local.doubt(probe.asked > 0 && probe.refusals == 0 ? 2 : 1);
       members.accuse(target, local.self.name());
     }
     probe = null;
   }
 
-  /** The target did not answer in time: it is pinged once more, and others are asked to try. */
+  /** The target's ack is overdue: pings it once more and asks other members to probe it. */
   private void askHelpers() {
     probe.helped = true;
     Word target = probe.target.word;
@@ -332,8 +332,9 @@
   }
 
   /**
-   * Tries the dead and the seeds that nobody here holds. Guards against halves of a fleet that have
-   * declared each other dead while they were cut off, and against a start whose seeds were down.
+   * Contacts dead members and seeds that are unknown or have left. Without this, the two sides of a
+   * healed partition that declared each other dead would stay apart, and so would a member whose
+   * seeds were down when it started.
    */
   private void reach() {
     List<String> away = new ArrayList<>();
@@ -360,11 +361,11 @@
     }
   }
 
-  // ---- Letters ----
+  // ---- Messages ----
 
   private void pinged(String address, Letter letter) {
-    // One that came up at another's address is not the other: it tells who it is, and answers for
-    // nobody.
+    // A process that has taken over another member's address must not answer on its behalf: the ack
+    // has request ID 0 and only introduces the process.
     boolean me = letter.about().equals(local.self.name());
     Letter answer =
         outbox.write(
@@ -377,8 +378,8 @@
   }
 
   /**
-   * What is held of the sender, where it says other than that: it may not know what it has to
-   * refute.
+   * The state held of the sender if it differs from what the sender announces; the sender may not
+   * know of the claim that it has to refute.
    */
   private List<Word> held(Word from) {
     Member sender = members.get(from.name());
@@ -439,7 +440,7 @@
     }
   }
 
-  // ---- What others say of this one ----
+  // ---- Claims about this member ----
 
   private void ofSelf(Word word) {
     if (word.life() == local.self.life()) {
@@ -465,8 +466,8 @@
       twinAt = local.now;
       outbox.add(new Action.Twin(word.name(), word.address()));
     }
-    // A life before this one, or another process under this name: whoever speaks last holds the
-    // name.
+    // The claim is of an earlier instance of this member or of another process with its name. The
+    // highest incarnation holds the name.
     long next = word.incarnation() + 1;
     outbid.clear();
     outbid.put(word.life(), next);
--- a/src/main/java/tansytrack/fleet/Letter.java
+++ b/src/main/java/tansytrack/fleet/Letter.java
@@ -3,9 +3,15 @@
 import java.util.List;
 
 /**
- * One message between two members. {@code about} names who is asked for, or answers; in pages it is
- * the key that the page begins at, and {@code next} the one that the next begins at, empty behind
- * the last.
+ * A message between two members.
+ *
+ * @param number counts the sender's messages, to detect duplicates
+ * @param sequence joins a reply to its request
+ * @param from the sender's own state
+ * @param about the probed member; in a sync, the key at which the page begins
+ * @param next in a sync, the key at which the next page begins; empty after the last page
+ * @param words piggybacked or synced member states
+ * @param facts piggybacked or synced facts
  */
 public record Letter(
     Kind kind,
@@ -17,7 +23,10 @@
     List<Word> words,
     List<Fact> facts) {
 
-  /** ASK has a third one pinged; WHOLE and PAGE are the two halves of a full exchange. */
+  /**
+   * The kind of a message. PING_REQ asks the recipient to probe a third member; SYNC_REQUEST and
+   * SYNC_RESPONSE carry the pages of an anti-entropy sync.
+   */
   public enum Kind {
     PING,
     ACK,
@@ -29,12 +38,12 @@
 
   static final int BESIDE_TEXT = 40;
 
-  /** The same, saying that of members instead. */
+  /** A copy with other member states. */
   public Letter with(List<Word> other) {
     return new Letter(kind, number, sequence, from, about, next, other, facts);
   }
 
-  /** At most so many bytes as a datagram. */
+  /** An upper bound of the encoded size. */
   public int bytes() {
     int bytes = BESIDE_TEXT + from.bytes() + about.length() + next.length();
     for (Word word : words) {
--- a/src/main/java/tansytrack/fleet/LocalState.java
+++ b/src/main/java/tansytrack/fleet/LocalState.java
@@ -3,16 +3,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a member knows of itself; shared by the parts of its membership. */
+/** A member's state of itself, shared by the parts of its membership. */
 final class LocalState {
 
-  static final int MOST_HEALTH = 8; // probes and suspicions take up to so many times longer
+  // Probe intervals, probe timeouts and suspicions last 1 + score times as long, 9 times at most.
+  static final int MOST_HEALTH = 8;
 
   final Map<String, Long> counts = new TreeMap<>();
   Word self;
-  long now; // the time that it was told last
-  int health; // 0: well; else this one doubts itself
-  int there = 1; // members that are thought to run, this one among them
+  // The latest time that was passed in.
+  long now;
+  // The local health score of Lifeguard; 0 is healthy.
+  int health;
+  // Members that are alive or suspected, this one included.
+  int there = 1;
 
   LocalState(Word self, long now) {
     this.self = self;
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -3,13 +3,14 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What is held of another member. */
+/** What this member knows of another one. */
 final class Member {
 
   Word word;
-  long since; // it is held to be that
+  long since;
   long suspectedAt;
-  final Set<String> accusers = new LinkedHashSet<>(); // of the present suspicion
+  // The members that have reported the present suspicion.
+  final Set<String> accusers = new LinkedHashSet<>();
   final Numbers numbers = new Numbers();
 
   Member(Word word, long now) {
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -10,10 +10,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/**
- * What a member holds of all others: who is there, who is suspected and until when, and in which
- * order they are probed.
- */
+/** All other known members: their states, the deadlines of suspicions, and the probe order. */
 final class MemberTable {
 
   private final Rules rules;
@@ -25,7 +22,8 @@
   private final TreeSet<Member> suspects =
       new TreeSet<>(
           comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.word.name()));
-  private final List<Member> round = new ArrayList<>(); // who is still to be probed in this one
+  // Members still to be probed in the present round.
+  private final List<Member> round = new ArrayList<>();
   private long changes;
   private int inPlace = 1;
 
@@ -41,22 +39,22 @@
     return new View(changes, local.there, inPlace);
   }
 
-  /** What is held of a member, or null. */
+  /** The member with that name, or null. */
   Member get(String name) {
     return members.get(name);
   }
 
-  /** All members, by name. */
+  /** All other members, ordered by name. */
   Collection<Member> all() {
     return members.values();
   }
 
-  /** What is held of the members from that name on. */
+  /** The states of the members whose names are equal to or greater than the given one. */
   Iterable<Word> from(String name) {
     return () -> members.tailMap(name).values().stream().map(one -> one.word).iterator();
   }
 
-  /** Declares dead whose time to refute it is over. */
+  /** Declares the members dead that have not refuted their suspicion in time. */
   void endSuspicions() {
     while (!suspects.isEmpty() && nextEnd() <= local.now) {
       Member late = suspects.stream().min(comparingLong(this::endOf)).orElseThrow();
@@ -64,7 +62,7 @@
     }
   }
 
-  /** Lets all suspicions last so much longer. */
+  /** Extends all suspicions by a duration. */
   void postponeSuspicions(long by) {
     List<Member> all = new ArrayList<>(suspects);
     suspects.clear();
@@ -74,7 +72,7 @@
     }
   }
 
-  /** Forgets who has been gone for long. */
+  /** Removes members that have been dead or gone for longer than the retention time. */
   void forgetGone() {
     members
         .values()
@@ -82,12 +80,13 @@
             one -> !one.word.standing().there() && local.now - one.since > rules.forgetAfter());
   }
 
-  /** Takes what is said of another member. */
+  /** Merges a received state of another member. */
   void merge(Word word) {
     Member member = members.get(word.name());
     if (member == null) {
       if (!word.standing().there()) {
-        return; // it was never known here, and is gone
+        // An unknown member that is already gone is not worth tracking.
+        return;
       }
       if (members.size() >= rules.mostMembers()) {
         local.count("too_many");
@@ -119,8 +118,8 @@
   }
 
   private void declaredDead(Member member, Word word, boolean later) {
-    // Guards against the dead of another half of the fleet: who is there here gets time to
-    // refute it.
+    // A death declared on the other side of a partition is only suspected here, so that a member
+    // that is live on this side has time to refute it.
     if (later && member.word.standing().there()) {
       hold(member, word.as(Standing.ALIVE, ""));
     }
@@ -134,8 +133,8 @@
   }
 
   /**
-   * Somebody says that it does not answer; more independent ones shorten the time it has to refute
-   * that.
+   * Records that a member was reported not to respond. Each further independent report shortens the
+   * time that the member has to refute the suspicion.
    */
   void accuse(Member member, String accuser) {
     if (member.word.standing() == Standing.ALIVE) {
@@ -149,7 +148,7 @@
     }
   }
 
-  /** The one place where something else is held of a member. */
+  /** Replaces the state of a member; all changes of known members pass through here. */
   private void hold(Member member, Word next) {
     Word before = member.word;
     suspects.remove(member);
@@ -187,8 +186,8 @@
   }
 
   /**
-   * When a suspicion ends: the sooner the more have said it, by the logarithm; later while this one
-   * doubts itself.
+   * The deadline of a suspicion. It decreases with the logarithm of the number of reports, and is
+   * extended in proportion to this member's local health score.
    */
   private long endOf(Member member) {
     int expected = Math.min(rules.helpers(), Math.max(0, local.there - 2));
@@ -197,14 +196,14 @@
     return member.suspectedAt + ((long) (least() * times)) * (1 + local.health);
   }
 
-  /** When the next suspicion ends, if nothing is heard until then. */
+  /** The earliest deadline of all suspicions. */
   long nextEnd() {
     return suspects.stream().mapToLong(this::endOf).min().orElse(Long.MAX_VALUE);
   }
 
   /**
-   * Round robin in an order drawn anew each round, so that each is probed within two rounds at
-   * most.
+   * The next member to probe, or null if there is none. Round robin in an order that is shuffled
+   * for each round, so that a member waits two rounds at most.
    */
   Member next() {
     for (int rounds = 0; rounds < 2; rounds++) {
@@ -220,14 +219,14 @@
     return null;
   }
 
-  /** Puts a list into an order drawn from the seed. */
+  /** Shuffles a list, in an order that depends on the seed. */
   void shuffle(List<?> list) {
     for (int i = list.size() - 1; i > 0; i--) {
       Collections.swap(list, i, chance.nextInt(i + 1));
     }
   }
 
-  /** Some of those that are there, drawn. */
+  /** Up to that many random live members. */
   List<Member> some(int count, Member except) {
     List<Member> all =
         new ArrayList<>(
--- a/src/main/java/tansytrack/fleet/Numbers.java
+++ b/src/main/java/tansytrack/fleet/Numbers.java
@@ -1,17 +1,18 @@
 package tansytrack.fleet;
 
 /**
- * Which letters of one life have come. Guards against doubled and replayed ones: each counts once,
- * and one that is older than the last 64 not at all.
+ * Detects duplicated and replayed messages of one sender. Each message number of an instance is
+ * accepted once; numbers 64 or more below the highest one are rejected.
  */
 final class Numbers {
 
   private static final int KEPT = 64;
   private long life;
   private long highest;
-  private long seen; // a bit each for the highest and those below it
+  // Bit n is set if the message number highest - n has been received.
+  private long seen;
 
-  /** Is it the first time that this letter comes? */
+  /** Whether a message is received for the first time; then it is recorded. */
   boolean fresh(long ofLife, long number) {
     if (ofLife != life) {
       life = ofLife;
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * What leaves a member: its actions in order, among them messages that carry as many updates as
- * fit, within the bound on bytes a second.
+ * Collects a member's actions in order. Messages carry as many piggybacked updates as fit, within
+ * the limit of bytes per second.
  */
 final class Outbox {
 
-  private static final int TELL_PART =
-      3; // each update goes out so often, times the binary logarithm
+  // Each update is sent this often, times the binary logarithm of the number of live members.
+  private static final int TELL_PART = 3;
   private static final long SECOND = 1_000_000_000L;
-  private static final String FACTS = "~"; // before the keys of facts in pages: behind all names
+  // Prefix of fact keys in sync pages; it sorts after all member names.
+  private static final String FACTS = "~";
 
   private final Rules rules;
   private final LocalState local;
@@ -20,7 +21,7 @@
   private final Rumours<Word> words = new Rumours<>(Word::bytes);
   private final Rumours<Fact> factsToTell = new Rumours<>(Fact::bytes);
   private List<Action> actions = new ArrayList<>();
-  private long number; // of letters sent
+  private long number;
   private long secondFrom;
   private int secondBytes;
 
@@ -30,17 +31,17 @@
     this.facts = facts;
   }
 
-  /** Passes on what is held of a member. */
+  /** Queues a member's state for gossip. */
   void tell(Word word) {
     words.put(word.name(), word);
   }
 
-  /** Passes on a fact. */
+  /** Queues a fact for gossip. */
   void tell(Fact fact) {
     factsToTell.put(fact.key(), fact);
   }
 
-  /** Changes what this member says of itself, and passes it on. */
+  /** Replaces this member's own state and queues it for gossip. */
   void say(Word next) {
     local.self = next;
     tell(next);
@@ -50,14 +51,17 @@
     actions.add(action);
   }
 
-  /** The actions since it was asked last. */
+  /** Returns and clears the collected actions. */
   List<Action> given() {
     List<Action> all = actions;
     actions = new ArrayList<>();
     return all;
   }
 
-  /** A page of what is held, which is given from that key on; what comes first goes in any case. */
+  /**
+   * Sends a page of a sync: the given first states in any case, then held states and facts from the
+   * start key on, as many as fit.
+   */
   void sendPage(
       Letter.Kind kind,
       String address,
@@ -68,7 +72,8 @@
     List<Word> said = new ArrayList<>(first);
     List<Fact> seen = new ArrayList<>();
     Letter bare = new Letter(kind, 0, as, local.self, from, "", said, seen);
-    int left = rules.datagram() - bare.bytes() - 200; // for the key of the next page
+    // 200 bytes are reserved for the key of the next page.
+    int left = rules.datagram() - bare.bytes() - 200;
     String next = "";
     for (Word one : held) {
       left -= one.bytes();
@@ -102,7 +107,7 @@
         kind == Letter.Kind.ACK);
   }
 
-  /** A letter with as many rumours as fit; none beyond the bound on bytes a second. */
+  /** Composes a message with as many queued updates as fit; none above the limit of bytes. */
   Letter write(Letter.Kind kind, long as, String about, String next, List<Word> first) {
     int left =
         rules.datagram()
@@ -131,7 +136,10 @@
     return secondBytes;
   }
 
-  /** The one place that letters leave by: what is not owed stays within twice the bound. */
+  /**
+   * Emits a message; all messages pass through here. At twice the limit of bytes per second all but
+   * acks and sync responses are withheld.
+   */
   void post(String address, Letter letter, boolean owed) {
     if (!owed && spent() >= 2 * rules.bytesASecond()) {
       local.count("withheld");
--- a/src/main/java/tansytrack/fleet/Reckoning.java
+++ b/src/main/java/tansytrack/fleet/Reckoning.java
@@ -4,28 +4,35 @@
 import java.util.TreeSet;
 
 /**
- * How many managers an even part of what cold engines bear is reckoned by. Guards against a budget
- * that is dealt twice: a manager that is silent may still send, on the other side of a cut, so each
- * one that is named counts until it has said that it leaves, and for a while longer; one that comes
- * counts at once. Harm: of a manager that died without a word nobody takes the part.
+ * The number of managers among which the load budget of cold engines is divided. No share may be
+ * handed out twice: a silent manager may still send forwards on the other side of a partition.
+ * Therefore each configured manager counts until it has announced that it leaves, and for the
+ * settling time after that; a manager that joins counts at once. The cost is that the share of a
+ * manager that died without leaving stays unused.
  */
 public final class Reckoning {
 
-  private final int named; // other managers, in the operators' file or by the settings
+  // Other managers that the operator's file or the settings name.
+  private final int named;
   private final long settle;
   private final Set<String> left = new TreeSet<>();
   private int used;
-  private int lowest; // the most that was wanted since less than what is used is wanted
-  private long since = -1; // that is; -1: it is not
+  // The highest number wanted since the wanted number fell below the used one.
+  private int lowest;
+  // When the wanted number fell below the used one; -1 if it has not.
+  private long since = -1;
 
-  /** With so many others named; fewer count once that has been wanted for so long. */
+  /**
+   * Starts with all configured managers; the number decreases only after a lower one has been
+   * wanted for the settling time.
+   */
   public Reckoning(int named, long settle) {
     this.named = named;
     this.settle = settle;
     used = named + 1;
   }
 
-  /** Something else is held of a member; unknown names count as they are there. */
+  /** Records a changed member; members that are not configured count while they are live. */
   public void changed(Word after) {
     if (after.standing() == Standing.LEFT) {
       left.add(after.name());
@@ -34,7 +41,7 @@
     }
   }
 
-  /** The number to use from now on. */
+  /** Updates and returns the number to use from now on. */
   public int used(long now, int there) {
     int wanted = Math.max(there, named + 1 - left.size());
     if (wanted >= used) {
--- a/src/main/java/tansytrack/fleet/Rules.java
+++ b/src/main/java/tansytrack/fleet/Rules.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * The figures of a membership; times in nanoseconds.
+ * The parameters of a membership.
  *
- * @param period between two probes
- * @param timeout of a probe before others are asked to try
- * @param helpers that are asked
- * @param least shortest suspicion, in periods a factor of ten of members
- * @param most longest suspicion, in shortest ones
- * @param datagram the most bytes of a letter
- * @param bytesASecond sent, letters that are owed aside
- * @param mostMembers known at a time
- * @param mostFacts held at a time
- * @param exchangeEvery between two full exchanges
- * @param forgetAfter what is dead or has left is no longer known
- * @param seeds addresses to join by
+ * @param period time between two probes
+ * @param timeout time to wait for an ack before indirect probes are sent
+ * @param helpers number of members asked for an indirect probe
+ * @param least shortest suspicion, in probe intervals per factor of ten of live members
+ * @param most longest suspicion, as a multiple of the shortest
+ * @param datagram maximum size of a message
+ * @param bytesASecond rate above which no updates are piggybacked; at twice the rate only acks and
+ *     sync responses are sent
+ * @param mostMembers maximum number of other members known at a time
+ * @param mostFacts maximum number of facts held at a time
+ * @param exchangeEvery time between two anti-entropy syncs
+ * @param forgetAfter time after which dead members and members that left are forgotten
+ * @param seeds addresses of members to join through
  */
 public record Rules(
     long period,
@@ -34,12 +35,12 @@
 
   private static final long MS = 1_000_000L;
 
-  /** The usual rules, with the usual timing and bound on sending. */
+  /** The default configuration: a probe every 500 ms and 16 KiB per second. */
   public static Rules usual(List<String> seeds) {
     return usual(seeds, 500 * MS, 16_384);
   }
 
-  /** With a probe in so long and so many bytes a second; the rest follows. */
+  /** The defaults for a probe interval and a rate; other times derive from the interval. */
   public static Rules usual(List<String> seeds, long period, int bytesASecond) {
     return new Rules(
         period,
--- a/src/main/java/tansytrack/fleet/Rumours.java
+++ b/src/main/java/tansytrack/fleet/Rumours.java
@@ -9,8 +9,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What is new and to be passed on beside other letters, each so often at most, the least told
- * first. Bounded by its keys: a later rumour of the same takes the place of the one before.
+ * Updates to piggyback on messages, each for a limited number of transmissions; those transmitted
+ * least often come first, newer ones before older ones. A newer update replaces the one with the
+ * same key, so the size is bounded by the number of keys.
  */
 final class Rumours<T> {
 
@@ -57,7 +58,10 @@
     return byKey.size();
   }
 
-  /** Takes what fits into so many bytes, and counts it as told once more. */
+  /**
+   * Takes the updates that fit into a number of bytes and counts a transmission of each; an update
+   * is removed once it has been transmitted the given number of times.
+   */
   List<T> take(int room, int often) {
     List<Rumour<T>> taken = new ArrayList<>();
     int left = room;
--- a/src/main/java/tansytrack/fleet/Stage.java
+++ b/src/main/java/tansytrack/fleet/Stage.java
@@ -1,6 +1,6 @@
 package tansytrack.fleet;
 
-/** What a member says that it does. */
+/** The lifecycle stage that a member announces of itself. */
 public enum Stage {
   STARTING,
   SERVING,
--- a/src/main/java/tansytrack/fleet/Standing.java
+++ b/src/main/java/tansytrack/fleet/Standing.java
@@ -1,13 +1,13 @@
 package tansytrack.fleet;
 
-/** What is held of a member, each overruling the one before it at the same incarnation. */
+/** The status of a member; at the same incarnation each constant supersedes those before it. */
 public enum Standing {
   ALIVE,
   SUSPECT,
   DEAD,
   LEFT;
 
-  /** May it still be there? */
+  /** Whether the member may still be running: it is alive or only suspected. */
   public boolean there() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/src/main/java/tansytrack/fleet/View.java
+++ b/src/main/java/tansytrack/fleet/View.java
@@ -1,7 +1,10 @@
 package tansytrack.fleet;
 
 /**
- * What decisions use of the fleet: members there, this one among them, in all and in its place;
- * grows in number with each change.
+ * The numbers of live members that routing decisions use.
+ *
+ * @param number increases with each change of the other two
+ * @param there all live members, this one included
+ * @param inPlace live members in this member's place, this one included
  */
 public record View(long number, int there, int inPlace) {}
--- a/src/main/java/tansytrack/fleet/Word.java
+++ b/src/main/java/tansytrack/fleet/Word.java
@@ -1,9 +1,13 @@
 package tansytrack.fleet;
 
 /**
- * What is said of a member. Only the member itself raises its incarnation; others say that it is
- * suspected or dead at the incarnation that they know. A life is one start of the program: chance,
- * not a clock, which may step back.
+ * The state of a member as it is gossiped. Only the member itself raises its incarnation; others
+ * report it as suspected or dead at the incarnation that they know.
+ *
+ * @param life identifies one start of the process; random rather than a time, as clocks may step
+ *     back
+ * @param settings digest of the settings in use
+ * @param by the member that reported the suspicion or death, or empty
  */
 public record Word(
     String name,
@@ -17,12 +21,14 @@
     String settings,
     String by) {
 
-  private static final int BESIDE_TEXT = 32; // bytes, of figures and lengths
+  // Upper bound of the encoded numbers and length prefixes.
+  private static final int BESIDE_TEXT = 32;
   private static final int LONGEST = 64;
-  public static final long MOST_INCARNATION =
-      1L << 52; // a forged one must not take the room to refute it
+  /** Highest valid incarnation: a forged state must leave room for a higher one that refutes it. */
+  public static final long MOST_INCARNATION = 1L << 52;
 
-  /** A member's first word of itself. */
+
+  /** The state with which a member starts. */
   public static Word first(
       String name, String address, String place, long life, String version, String settings) {
     return new Word(
@@ -30,7 +36,8 @@
   }
 
   /**
-   * One order for all that can be said of a name, the same everywhere: what is later in it is held.
+   * Whether this state replaces another one of the same name. The order is total and the same on
+   * all members.
    */
   public boolean overrules(Word other) {
     return incarnation != other.incarnation
@@ -38,12 +45,12 @@
         : life != other.life ? life > other.life : standing.compareTo(other.standing) > 0;
   }
 
-  /** Whether both speak of the same incarnation and the same life of the member. */
+  /** Whether both states are of the same instance of the member at the same incarnation. */
   public boolean sameTerm(Word other) {
     return incarnation == other.incarnation && life == other.life;
   }
 
-  /** Whether name and address can be those of a member. */
+  /** Whether all fields are within their limits. */
   public boolean usable() {
     return !name.isEmpty()
         && name.charAt(0) < '~'
@@ -72,7 +79,7 @@
     return new Word(name, address, place, life, next, is, does, version, settings, "");
   }
 
-  /** At most so many bytes in a datagram. */
+  /** An upper bound of the encoded size. */
   int bytes() {
     return BESIDE_TEXT
         + name.length()
--- a/src/main/java/tansytrack/fleet/udp/FleetLink.java
+++ b/src/main/java/tansytrack/fleet/udp/FleetLink.java
@@ -29,19 +29,20 @@
 import tansytrack.state.Siblings;
 
 /**
- * The membership on datagrams: MINA's thread hands over what comes, bounded, and one thread owns
- * the pure module. What the loop wants to know lies ready for it; what it is to hear goes into its
- * inbox.
+ * Runs the membership over UDP. MINA's thread puts received datagrams into a bounded queue, and one
+ * thread owns the membership. For the event loop of the manager that thread publishes counts and
+ * rows, and it reports the number of managers through the listener.
  */
 public final class FleetLink implements Siblings {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
   private static final int MOST_WAITING = 4096;
-  private static final int LONGEST = 2048; // a datagram; letters are shorter
-  private static final long LAST_WORDS = 200; // ms that the end waits for the thread to say them
-
-  private static final long FLUSH = 20; // ms
+  private static final int LONGEST = 2048;
+  // How long close() waits for the thread to announce that this member leaves.
+  private static final long LAST_WORDS = 200;
+  // How long close() waits for MINA's thread to write the last datagrams.
+  private static final long FLUSH = 20;
 
   private final Fleet fleet;
   private final Reckoning reckoning;
@@ -94,8 +95,9 @@
   }
 
   /**
-   * Binds and starts it. The number of managers to reckon by is said on its thread, whenever it is
-   * another; a file that names fewer than were configured lowers it by nobody.
+   * Binds the socket and starts the membership. Each change of the number of managers that share a
+   * cold engine's budget is passed to the listener on the membership's thread. Managers that are
+   * configured but missing in the operator's file still count.
    */
   public static FleetLink start(
       OperatorFile.FleetSection section,
@@ -118,7 +120,7 @@
     link.thread.start();
     Event.info(
         "fleet",
-        name + " speaks to " + section.peers().size() + " peers from " + section.address(),
+        name + " gossips with " + section.peers().size() + " peers from " + section.address(),
         "manager",
         name,
         "peers",
@@ -134,7 +136,7 @@
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  /** Runs on MINA's thread: nothing here but handing over. */
+  /** Runs on MINA's thread; only enqueues work for the membership's thread. */
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void messageReceived(IoSession session, Object message) {
@@ -144,10 +146,11 @@
       InetSocketAddress from = (InetSocketAddress) session.getRemoteAddress();
       String peer = names.get(from);
       if (peer == null) {
-        // Guards against a flood from ever new addresses: MINA keeps something for each until it is
-        // closed.
+        // MINA keeps a session per source address until it is closed; without this, a flood from
+        // many addresses would exhaust memory.
         session.closeNow();
-        hand(() -> refused("stranger", from, "its address is not that of a peer"));
+        hand(
+            () -> refused("stranger", from, "the source address is not that of a configured peer"));
       } else {
         hand(() -> came(from, peer, datagram));
       }
@@ -159,7 +162,7 @@
     }
   }
 
-  /** Never waits: what is too much is counted and lost, as datagrams may be. */
+  /** Never blocks: if the queue is full, the work is dropped and counted. */
   private void hand(Runnable what) {
     if (waiting.offer(what)) {
       LockSupport.unpark(thread);
@@ -172,7 +175,7 @@
     overflow++;
   }
 
-  // ---- The one thread ----
+  // ---- The membership's thread ----
 
   private void run() {
     try {
@@ -192,7 +195,8 @@
         }
       }
     } catch (RuntimeException | Error e) {
-      // The manager goes on alone: the number that was told last stays, which is the larger one.
+      // The manager continues without membership and keeps the last number of managers, which is
+      // the larger one.
       Logger.error(e, "the membership ended with a failure; this manager goes on without it");
     }
   }
@@ -208,30 +212,34 @@
     String who = letter.from().name();
     if (!who.equals(peer) && !who.equals(name)) {
       refused(
-          "misnamed", from, "it says it is '" + who + "', its address is that of '" + peer + "'");
+          "misnamed",
+          from,
+          "it claims to be from '" + who + "', but its source address is that of '" + peer + "'");
       return;
     }
-    // Guards against managers that look dead to those whose files name fewer: only what is said of
-    // unknown ones is passed over.
+    // Only the updates about unknown members are dropped. If whole messages were, a manager would
+    // look dead to those whose operator's files name fewer peers.
     List<Word> known =
         letter.words().stream()
             .filter(word -> addresses.containsKey(word.name()) || word.name().equals(name))
             .toList();
     if (known.size() < letter.words().size()) {
       refused(
-          "unknown_name", from, "it speaks of a manager that is no peer here; the rest is taken");
+          "unknown_name",
+          from,
+          "it has an update about a manager that is not a configured peer; the rest is accepted");
     }
     count("letters");
     act(fleet.heard(System.nanoTime(), peer, letter.with(known)));
   }
 
-  /** Counted each time, said once a second at most, never answered. */
+  /** Counts a rejected datagram and logs once a second at most; no reply is sent. */
   private void refused(String why, InetSocketAddress from, String said) {
     count("refused." + why);
     long now = System.nanoTime();
     if (now - saidAt >= SECOND) {
       saidAt = now;
-      Logger.warn("fleet: a datagram from {} cannot be used: {}", from, said);
+      Logger.warn("fleet: rejected all or part of a datagram from {}: {}", from, said);
     }
   }
 
@@ -252,7 +260,7 @@
             "fleet.twin",
             "another process uses the name '"
                 + twin.name()
-                + "' of this manager; give one of them another",
+                + "' of this manager; rename one of them",
             "manager",
             twin.name());
       }
@@ -268,7 +276,8 @@
     Word after = changed.after();
     boolean was = changed.before() != null && changed.before().standing().there();
     if (after.standing() == Standing.SUSPECT) {
-      count("suspicions"); // not said: over bad links there are many, and most are refuted
+      // Not logged: on lossy links there are many, and most are refuted.
+      count("suspicions");
     } else if (was != after.standing().there() || changed.before().life() != after.life()) {
       Event.info(
           "fleet.member",
@@ -276,7 +285,7 @@
               + after.name()
               + " is "
               + after.standing().name().toLowerCase(java.util.Locale.ROOT)
-              + (after.by().isEmpty() ? "" : ", says " + after.by()),
+              + (after.by().isEmpty() ? "" : ", reported by " + after.by()),
           "member",
           after.name(),
           "standing",
@@ -290,7 +299,7 @@
     counts.merge("fleet." + what, 1L, Long::sum);
   }
 
-  /** Lays ready what the loop may be asked for. */
+  /** Publishes the counts and the rows that the event loop reads. */
   private void show(long now) {
     shownAt = now;
     List<String[]> rows = new ArrayList<>();
@@ -325,7 +334,7 @@
     };
   }
 
-  // ---- The loop's side ----
+  // ---- Called on the manager's event loop ----
 
   @Override
   public void serving() {
@@ -347,7 +356,7 @@
     return shown;
   }
 
-  /** Says that it leaves, and ends. */
+  /** Announces that this member leaves, and stops. */
   @Override
   public void close() {
     hand(
@@ -357,7 +366,7 @@
         });
     try {
       thread.join(LAST_WORDS);
-      Thread.sleep(FLUSH); // MINA's thread writes behind this one
+      Thread.sleep(FLUSH);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/tansytrack/fleet/udp/Forms.java
+++ b/src/main/java/tansytrack/fleet/udp/Forms.java
@@ -13,8 +13,8 @@
 import tansytrack.fleet.proto.WordForm;
 
 /**
- * Letters as datagrams and back. A name stands for its address: where it is, each reader's own
- * table tells.
+ * Encodes and decodes messages. Addresses are not sent: a decoded state has the member's name as
+ * its address, which each receiver resolves by its own list of peers.
  */
 final class Forms {
 
@@ -22,7 +22,7 @@
 
   private Forms() {}
 
-  /** It is no letter, or of a kind of the future. */
+  /** The datagram is malformed, or has a kind or value that this version does not know. */
   static final class Unreadable extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -79,11 +79,11 @@
     try {
       form = LetterForm.parseFrom(datagram);
     } catch (InvalidProtocolBufferException e) {
-      throw new Unreadable("no letter: " + e.getMessage());
+      throw new Unreadable("not a valid message: " + e.getMessage());
     }
     int kind = form.getKindValue() - 1;
     if (kind < 0 || kind >= Letter.Kind.values().length) {
-      throw new Unreadable("a letter of unknown kind " + form.getKindValue());
+      throw new Unreadable("unknown message kind " + form.getKindValue());
     }
     List<Word> words = new ArrayList<>();
     for (WordForm word : form.getWordsList()) {
@@ -116,7 +116,7 @@
 
   private static long time(long micros) throws Unreadable {
     if (micros < 0 || micros > Long.MAX_VALUE / MICRO / 4) {
-      throw new Unreadable("a time of " + Long.toUnsignedString(micros) + " us");
+      throw new Unreadable("time out of range: " + Long.toUnsignedString(micros) + " us");
     }
     return micros * MICRO;
   }
@@ -125,9 +125,9 @@
     int standing = form.getStandingValue();
     int stage = form.getStageValue();
     if (standing < 0 || standing >= Standing.values().length || stage < 0) {
-      throw new Unreadable("a member of unknown standing " + standing + " or stage " + stage);
+      throw new Unreadable("unknown member status " + standing + " or stage " + stage);
     }
-    // A stage of the future: whatever it does, it is there.
+    // A later version may have added stages; such a member counts as serving.
     Stage does = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
     return new Word(
         form.getName(),
--- a/src/main/java/tansytrack/lab/world/EngineModel.java
+++ b/src/main/java/tansytrack/lab/world/EngineModel.java
@@ -7,25 +7,27 @@
 import java.util.Map;
 
 /**
- * An engine as decisions meet it: cores that all queries share, a start at part of its capacity, a
- * bound on queries, a fall when it is pushed while cold, and slow or failing modes. Without clock
- * or threads, so that processes and virtual time play the same one.
+ * Models an engine: cores shared by all queries, a start with part of the capacity, a limit of
+ * queries, a crash under overload while cold, and a slowdown. The model has neither clock nor
+ * threads, so that it serves both in processes and in virtual time.
  */
 public final class EngineModel {
 
-  private static final long STEP = 10_000_000L; // within which its capacity counts as steady
-  private static final double LEAST_WORK = 1e6; // of a query, in nanoseconds
+  // While the engine warms up, its capacity is taken as constant for this long.
+  private static final long STEP = 10_000_000L;
+  private static final double LEAST_WORK = 1e6;
 
   /**
-   * What it is.
+   * The parameters of an engine.
    *
-   * @param cores that work at once
-   * @param mostQueries held at a time; more are refused as full
-   * @param startCapacity the part that works at the start
-   * @param warmAfter until all does, growing evenly; 0: it starts warm
-   * @param multiple of its present capacity that makes it fall, where it is sent that for the
-   *     window
-   * @param window nanoseconds
+   * @param cores number of cores
+   * @param mostQueries maximum number of queries held at a time; more are refused as full
+   * @param startCapacity share of the capacity that is available at the start
+   * @param warmAfter time until the full capacity is available, growing linearly; 0 for an engine
+   *     that starts warm
+   * @param multiple multiple of its present capacity that crashes the engine if it is sent that
+   *     much during a window
+   * @param window length of that window
    */
   public record Spec(
       double cores,
@@ -35,7 +37,7 @@
       double multiple,
       long window) {}
 
-  /** What became of a query that came. */
+  /** The engine's response to a new query. */
   public enum Taken {
     STARTED,
     FULL,
@@ -44,7 +46,8 @@
 
   private static final class Query {
     final int threads;
-    double left; // nanoseconds of work on one core
+    // Nanoseconds on one core.
+    double left;
 
     Query(double work, int threads) {
       left = work;
@@ -58,21 +61,23 @@
   private final long startedAt;
   private final Map<String, Query> queries = new LinkedHashMap<>();
   private final ArrayDeque<Sent> pressure = new ArrayDeque<>();
-  private double pressed; // the sum of it
-  private double works; // all that came, and how many
+  // Sum of the work of the recent arrivals.
+  private double pressed;
+  // Sum of the work of all queries received; for the mean.
+  private double works;
   private long count;
   private long now;
   private double slow = 1;
   private boolean fallen;
 
-  /** An engine of that make, started cold at that time. */
+  /** An engine that starts at the given time. */
   public EngineModel(Spec spec, long startedAt) {
     this.spec = spec;
     this.startedAt = startedAt;
     now = startedAt;
   }
 
-  /** The part of its cores that works by then. */
+  /** The share of the capacity that is available at a time. */
   public double warmth(long at) {
     if (spec.warmAfter() <= 0 || at >= startedAt + spec.warmAfter()) {
       return 1;
@@ -81,23 +86,23 @@
     return spec.startCapacity() + (1 - spec.startCapacity()) * age;
   }
 
-  /** From now on all takes so many times longer. */
+  /** Makes all queries take that many times longer from now on. */
   public void slow(long at, double factor) {
     advance(at);
     slow = Math.max(1e-3, factor);
   }
 
-  /** Whether it ended for want of memory. */
+  /** Whether the engine has crashed under overload while cold. */
   public boolean fallen() {
     return fallen;
   }
 
-  /** How many queries it runs or keeps waiting. */
+  /** The number of queries running or waiting. */
   public int held() {
     return queries.size();
   }
 
-  /** The share of its cores in use, as a report tells it. */
+  /** The share of the cores in use, as a load report has it. */
   public double busy() {
     double threads = 0;
     for (Query one : queries.values()) {
@@ -106,7 +111,7 @@
     return Math.min(1, threads / spec.cores());
   }
 
-  /** A query comes; what comes counts as pressure whether or not it is taken. */
+  /** Receives a query; it counts towards the overload of a cold engine even if it is refused. */
   public Taken start(long at, String id, double work, int threads) {
     if (fallen) {
       return Taken.DOWN;
@@ -134,12 +139,12 @@
     return Taken.STARTED;
   }
 
-  /** Cancels a query, if it is still there. */
+  /** Cancels a query if it has not ended. */
   public void giveUp(long at, String id) {
     queries.remove(id);
   }
 
-  /** Lets time pass; those that ended meanwhile, in the order in which they came. */
+  /** Advances time; returns the queries that ended, in the order of their arrival. */
   public List<String> advance(long at) {
     List<String> ended = new ArrayList<>();
     while (now < at && !queries.isEmpty()) {
@@ -148,7 +153,8 @@
         threads += one.threads;
       }
       double capacity = spec.cores() * warmth(now) / slow;
-      double each = Math.min(1 / slow, capacity / threads); // of a core, for each thread
+      // The share of a core that each thread gets.
+      double each = Math.min(1 / slow, capacity / threads);
       double soonest = Double.MAX_VALUE;
       for (Query one : queries.values()) {
         soonest = Math.min(soonest, one.left / (each * one.threads));
--- a/src/main/java/tansytrack/lab/world/Explorer.java
+++ b/src/main/java/tansytrack/lab/world/Explorer.java
@@ -16,11 +16,12 @@
 import tansytrack.fleet.Word;
 
 /**
- * Explores three memberships exhaustively, breadth first up to a depth: letters delivered in any of
- * two orders, lost or doubled, one cut and its healing, one kill and one restart, time. From every
- * state reached, a fair continuation (links whole, letters in order) must end in agreement: who
- * runs is held to be there in the life that runs, who does not is not. States are told apart by
- * what is held and what is on its way, not by times and numbers.
+ * A bounded model checker for a membership of three. It explores all sequences of choices breadth
+ * first up to a depth: the first or the last message in flight is delivered, the first is lost or
+ * duplicated, one link is partitioned and healed, one member is killed and restarted, time passes.
+ * From every state reached, a fair continuation (no partition, messages in order) must converge:
+ * each running member considers live exactly the instances that run. States are distinguished by
+ * the members' views and the messages in flight, not by times and counters.
  */
 public final class Explorer {
 
@@ -29,23 +30,26 @@
   private static final int CHOICES = 9;
 
   private final Rules rules = Rules.usual(List.of("a"));
-  private final BiFunction<String, Letter, Letter>
-      post; // what becomes of a letter to that member: variants break it
+  // Applied to each message sent, with its recipient's address; tests break the protocol with it.
+  private final BiFunction<String, Letter, Letter> post;
 
   /**
-   * What was found: distinct states, and the choices that led to the first from which no agreement
-   * follows, or null.
+   * The outcome of a search.
+   *
+   * @param states number of distinct states
+   * @param depth largest number of choices made in a row
+   * @param broken the choices that lead to the first state that does not converge, or null
    */
   public record Found(int states, int depth, List<Integer> broken) {}
 
-  /** An explorer where each letter passes through the function, which may change it. */
+  /** A checker that passes each message through the given function, which may change it. */
   public Explorer(BiFunction<String, Letter, Letter> post) {
     this.post = post;
   }
 
   private record Pending(String from, String to, Letter letter) {}
 
-  /** One play of a row of choices. */
+  /** The state after a sequence of choices. */
   private final class Play {
     final TreeMap<String, Fleet> running = new TreeMap<>();
     final List<Pending> pending = new ArrayList<>();
@@ -99,7 +103,7 @@
       return true;
     }
 
-    /** Whether the choice can be made now; then it is. */
+    /** Makes a choice if it is possible in this state; returns whether it was. */
     boolean choose(int choice) {
       boolean any = !pending.isEmpty();
       return switch (choice) {
@@ -220,7 +224,7 @@
     return play;
   }
 
-  /** Explores up to so many choices in a row, and so many states. */
+  /** Explores sequences of up to {@code depth} choices, and a limited number of states. */
   public Found explore(int depth, int most) {
     Set<String> seen = new HashSet<>();
     ArrayDeque<List<Integer>> next = new ArrayDeque<>(List.of(List.of()));
--- a/src/main/java/tansytrack/lab/world/Faults.java
+++ b/src/main/java/tansytrack/lab/world/Faults.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What breaks when: one schedule for processes on sockets and for virtual time. Times in
- * nanoseconds from the start of the play.
+ * A schedule of faults, used both for processes on sockets and in virtual time. Times are in
+ * nanoseconds from the start of the run.
  */
 public record Faults(
     Weather base,
@@ -12,13 +12,14 @@
     List<ProcessTrouble> processes,
     List<StreamTrouble> streams) {
 
-  /** Faults of links and processes alone, without operations by people. */
+  /** A schedule of link and process faults, without faults of streams. */
   public Faults(Weather base, List<LinkTrouble> links, List<ProcessTrouble> processes) {
     this(base, links, processes, List.of());
   }
 
-  /** Who an end of a link is: a member by name, a place, or anybody. */
+  /** One end of a link: the name of a member, a place, or {@code *} for any. */
   public record End(String pattern) {
+    /** Matches everything. */
     public static final End ANY = new End("*");
 
     boolean is(String name, String place) {
@@ -27,8 +28,8 @@
   }
 
   /**
-   * For a while letters from the one to the other, or either way, have that weather; loss 1 is a
-   * cut. Within an end nothing is changed.
+   * Other link conditions for a time, one way or both ways; a loss of 1 is a partition. Links
+   * between members that match the same end are not affected.
    */
   public record LinkTrouble(
       long at, long lasts, End from, End to, boolean bothWays, Weather weather) {
@@ -46,10 +47,10 @@
   }
 
   /**
-   * What happens to a stream from a manager to an engine or the list: bytes wait until it is over;
-   * come later by the spread of the weather; connections are reset; new ones are refused; or a part
-   * of what a manager writes resets the connection, and half of that comes to the other side all
-   * the same, late.
+   * A fault of the connections from a manager to an engine or to the engine list. SILENT holds
+   * bytes back until the fault ends, SLOW delays them, RESET resets connections, REFUSED refuses
+   * new ones. With FLAKY a share of a manager's writes resets the connection, and half of the
+   * written bytes reach the other side all the same, late.
    */
   public enum StreamKind {
     SILENT,
@@ -59,7 +60,7 @@
     FLAKY
   }
 
-  /** For a while streams from the one to the other are so. */
+  /** A fault of the streams from one end to the other for a time. */
   public record StreamTrouble(
       long at, long lasts, End from, End to, StreamKind kind, long delay, double part) {
     boolean holds(long time, String name, String place, String toName, String toPlace) {
@@ -67,7 +68,7 @@
     }
   }
 
-  /** What holds on a stream at a time, or null: nothing. */
+  /** The first fault that affects a stream at a time, or null. */
   public StreamTrouble stream(long time, String name, String place, String toName, String toPlace) {
     for (StreamTrouble one : streams) {
       if (one.holds(time, name, place, toName, toPlace)) {
@@ -77,7 +78,7 @@
     return null;
   }
 
-  /** What happens to a process. */
+  /** A fault of a process: it is paused, killed, or told to end. */
   public enum Kind {
     STOP,
     KILL,
@@ -85,11 +86,12 @@
   }
 
   /**
-   * It is stopped for that long; or killed or told to end, and started again after it, 0: never.
+   * A member is paused for the duration; or it is killed or told to end, and started again after
+   * the duration, or never if that is 0.
    */
   public record ProcessTrouble(long at, long lasts, String member, Kind kind) {}
 
-  /** What holds on a way at a time: the last trouble named that does. */
+  /** The conditions of a link at a time: those of the last matching fault, or the baseline. */
   public Weather weather(long time, String name, String place, String toName, String toPlace) {
     for (int i = links.size() - 1; i >= 0; i--) {
       if (links.get(i).holds(time, name, place, toName, toPlace)) {
@@ -99,7 +101,7 @@
     return base;
   }
 
-  /** When the last cut ends; 0 where there is none. */
+  /** When the last partition ends; 0 if there is none. */
   public long healed() {
     return links.stream()
         .filter(LinkTrouble::cuts)
--- a/src/main/java/tansytrack/lab/world/FleetWorld.java
+++ b/src/main/java/tansytrack/lab/world/FleetWorld.java
@@ -17,9 +17,10 @@
 import tansytrack.fleet.Word;
 
 /**
- * Many memberships in one process and virtual time: the pure module as it runs on sockets, links
- * that lose, delay, double and reorder letters or are cut, members that are killed, stopped,
- * started again and whose clocks step. All chance and all order come from one seed.
+ * Simulates many members in virtual time: the same membership as on sockets, links that lose,
+ * delay, duplicate and reorder messages or are partitioned, and members that are killed, paused,
+ * restarted or have their clocks stepped. All randomness and the order of events derive from one
+ * seed.
  */
 public final class FleetWorld {
 
@@ -28,12 +29,14 @@
   private final Rules rules;
   private final SplittableRandom chance;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final TreeMap<String, Node> nodes = new TreeMap<>(); // by address
+  // By address.
+  private final TreeMap<String, Node> nodes = new TreeMap<>();
   private final Map<String, LinkModel> links = new HashMap<>();
   private final List<Letter> wiretap = new ArrayList<>();
   private final List<Seen> seen = new ArrayList<>();
   private Weather weather = Weather.FINE;
-  private Faults faults; // null: the weather is the same everywhere
+  // Null if all links have the same conditions.
+  private Faults faults;
   private long faultsFrom;
   private BiPredicate<Node, Node> cut = (from, to) -> false;
   private long now;
@@ -41,22 +44,29 @@
   private long lives = 1;
   private long digest;
 
-  /** Something that a member came to hold of another. */
+  /** A status that a member has assigned to another one. */
   public record Seen(long at, String by, String of, long life, Standing standing) {}
 
-  /** One process: what runs at an address. */
+  /** The process at an address. */
   public static final class Node {
     final String address;
     final String name;
     final String place;
-    Fleet fleet; // null: it is not running
-    long clockOff; // its steady clock against the world's
+    // Null while the process does not run.
+    Fleet fleet;
+    // Difference of the process's monotonic clock from the virtual time.
+    long clockOff;
     long stoppedUntil = -1;
     long life;
     long wakesAt = Long.MAX_VALUE;
-    final List<Runnable> held = new ArrayList<>(); // what came while it was stopped
+    final List<Runnable> held = new ArrayList<>();
+    /** Bytes of the messages sent, by their size estimate. */
     public long bytesSent;
+
+    /** Number of messages sent. */
     public long lettersSent;
+
+    /** Number of name conflicts reported. */
     public long twins;
 
     Node(String address, String name, String place) {
@@ -65,27 +75,27 @@
       this.place = place;
     }
 
-    /** The address that it has across all its lives. */
+    /** The address, which stays the same across restarts. */
     public String address() {
       return address;
     }
 
-    /** The name under which it is a member. */
+    /** The name of the member. */
     public String name() {
       return name;
     }
 
-    /** The place that it stands in. */
+    /** The place of the member. */
     public String place() {
       return place;
     }
 
-    /** Whether its process runs now. */
+    /** Whether the process is running. */
     public boolean running() {
       return fleet != null;
     }
 
-    /** Its membership in this life, null while it does not run. */
+    /** The membership of the running instance, or null. */
     public Fleet fleet() {
       return fleet;
     }
@@ -98,25 +108,25 @@
     }
   }
 
-  /** An empty world; everything random in it comes from the seed. */
+  /** A simulation without nodes. All randomness is derived from the seed. */
   public FleetWorld(Rules rules, long seed) {
     this.rules = rules;
     chance = new SplittableRandom(seed);
   }
 
-  // ---- The world's schedule ----
+  // ---- Virtual time and schedule ----
 
   /** The virtual time. */
   public long now() {
     return now;
   }
 
-  /** Runs something at a virtual time, at once if that has passed. */
+  /** Schedules an action at a virtual time, or at once if that has passed. */
   public void at(long time, Runnable what) {
     events.add(new Event(Math.max(now, time), order++, what));
   }
 
-  /** Plays all events up to a virtual time. */
+  /** Processes all events up to a virtual time. */
   public void run(long until) {
     while (!events.isEmpty() && events.peek().at <= until) {
       Event next = events.poll();
@@ -126,17 +136,17 @@
     now = until;
   }
 
-  /** Changes what all links do from now on. */
+  /** Sets the conditions of all links from now on. */
   public void weather(Weather next) {
     weather = next;
   }
 
-  /** Which letters never arrive, by who sends and who is to get them. */
+  /** Drops all messages for which the predicate on sender and recipient holds. */
   public void cut(BiPredicate<Node, Node> which) {
     cut = which;
   }
 
-  /** Plays a schedule from now on; members are named as their addresses are, with 'n' for 'm'. */
+  /** Starts a schedule of faults now; it names members by their names, not by addresses. */
   public void play(Faults schedule) {
     faults = schedule;
     faultsFrom = now;
@@ -165,35 +175,35 @@
 
   // ---- Members ----
 
-  /** The node at an address, made where there is none; it is not started. */
+  /** The node at an address, created but not started if there is none. */
   public Node node(String address, String name, String place) {
     return nodes.computeIfAbsent(address, at -> new Node(at, name, place));
   }
 
-  /** The node at an address, or null. */
+  /** The node at an address, or null if there is none. */
   public Node node(String address) {
     return nodes.get(address);
   }
 
-  /** Another process takes that address over; what runs there next has that name. */
+  /** Replaces the node at an address by one with another name, as if a new process took it over. */
   public void rename(String address, String name) {
     Node before = nodes.get(address);
     nodes.put(address, new Node(address, name, before.place));
   }
 
-  /** It says that of a subject from now on. */
+  /** Publishes a fact on a node that runs and is not paused. */
   public void tell(Node node, String kind, String subject, long value, long lasts) {
     if (node.fleet != null && node.stoppedUntil < 0) {
       act(node, node.fleet.tell(now + node.clockOff, kind, subject, new long[] {value}, lasts));
     }
   }
 
-  /** All nodes, running or not, by address. */
+  /** All nodes, running or not, ordered by address. */
   public Iterable<Node> nodes() {
     return nodes.values();
   }
 
-  /** Starts it, knowing nothing but the seeds. */
+  /** Starts a new instance, which knows nothing but the seeds. */
   public Node start(String address) {
     Node node = nodes.get(address);
     node.life = lives++;
@@ -210,19 +220,19 @@
     return node;
   }
 
-  /** Ends a node's process without a farewell. */
+  /** Ends a process without announcing that it leaves. */
   public void kill(String address) {
     nodes.get(address).fleet = null;
   }
 
-  /** Told to end: it says so, and ends. */
+  /** Ends a process that announces before that it leaves. */
   public void end(String address) {
     Node node = nodes.get(address);
     act(node, node.fleet.leave(now + node.clockOff));
     node.fleet = null;
   }
 
-  /** As SIGSTOP does: what comes meanwhile waits for it. */
+  /** Pauses a process as SIGSTOP does; messages that arrive meanwhile wait. */
   public void stop(String address, long length) {
     Node node = nodes.get(address);
     node.stoppedUntil = now + length;
@@ -239,7 +249,7 @@
         });
   }
 
-  /** Moves a node's clock by a step. */
+  /** Steps the clock of a node. */
   public void step(String address, long by) {
     nodes.get(address).clockOff += by;
   }
@@ -308,13 +318,14 @@
     }
   }
 
-  /** A letter comes to whatever runs there by then. */
+  /** Delivers a message to the instance that runs on the node, if any. */
   public void deliver(String from, Node to, Letter letter) {
     if (to.fleet == null) {
       return;
     }
     if (to.stoppedUntil >= 0) {
-      if (to.held.size() < 256) { // as a socket's buffer holds no more
+      // Limited, as the receive buffer of a socket is.
+      if (to.held.size() < 256) {
         to.held.add(() -> deliver(from, to, letter));
       }
       return;
@@ -322,24 +333,24 @@
     act(to, to.fleet.heard(now + to.clockOff, from, letter));
   }
 
-  // ---- What came of it ----
+  // ---- Results ----
 
-  /** Letters that were on their way, the first 65,536. */
+  /** The first 65,536 message copies put on a link. */
   public List<Letter> wiretap() {
     return wiretap;
   }
 
-  /** What members saw of each other, in order. */
+  /** All changes of status that members have observed, in order. */
   public List<Seen> seen() {
     return seen;
   }
 
-  /** Of all that was sent and held, in order. */
+  /** A digest of all messages and observations in order; equal for equal runs. */
   public long digest() {
     return digest;
   }
 
-  /** Do all that run hold each other to be there, and nobody else, in the lives that run? */
+  /** Whether each running member knows exactly the running instances as live, and suspects none. */
   public boolean agreed() {
     Map<String, Long> running = new TreeMap<>();
     nodes.values().stream().filter(Node::running).forEach(one -> running.put(one.name, one.life));
@@ -359,7 +370,7 @@
     return true;
   }
 
-  /** Runs on until they agree; how long that took, or -1 if it did not come by then. */
+  /** Runs until the members converge; returns the time taken, or -1 if it exceeds the limit. */
   public long untilAgreed(long most) {
     long from = now;
     while (now - from <= most) {
@@ -371,7 +382,7 @@
     return -1;
   }
 
-  /** A fleet of so many in three places, all started within a moment and run until they agree. */
+  /** Starts members in three places within 500 ms, and runs until they converge. */
   public static FleetWorld of(int members, Rules rules, long seed, Weather weather) {
     FleetWorld world = new FleetWorld(rules, seed);
     for (int i = 0; i < members; i++) {
@@ -381,7 +392,7 @@
     }
     world.run(500 * MS);
     if (world.untilAgreed(120_000 * MS) < 0) {
-      throw new IllegalStateException("a fleet of " + members + " did not come together in 120 s");
+      throw new IllegalStateException(members + " members did not converge within 120 s");
     }
     world.weather(weather);
     return world;
--- a/src/main/java/tansytrack/lab/world/LinkModel.java
+++ b/src/main/java/tansytrack/lab/world/LinkModel.java
@@ -2,20 +2,18 @@
 
 import java.util.SplittableRandom;
 
-/**
- * One link one way: what becomes of the next letter on it, by the weather and a seed of its own.
- */
+/** Models one direction of a link: loss, duplication and delay of messages, from its own seed. */
 public final class LinkModel {
 
   private final SplittableRandom chance;
-  private boolean bad; // in a bad stretch
+  private boolean bad;
 
-  /** A link whose losses and delays are drawn from the seed. */
+  /** A link whose losses and delays depend on the seed. */
   public LinkModel(long seed) {
     chance = new SplittableRandom(seed);
   }
 
-  /** How long each copy of it takes, in nanoseconds; none: it is lost. */
+  /** The delay of each copy of the next message, in nanoseconds; none if it is lost. */
   public long[] next(Weather weather) {
     if (lost(weather)) {
       return new long[0];
--- a/src/main/java/tansytrack/lab/world/MembershipFigures.java
+++ b/src/main/java/tansytrack/lab/world/MembershipFigures.java
@@ -10,18 +10,17 @@
 import tansytrack.fleet.Standing;
 
 /**
- * What members came to hold of one another, held against what was so: the membership's rules as
- * figures. Reads records only.
+ * Metrics of failure detection: compares the statuses that members observed of one another with the
+ * schedule of faults.
  */
 public final class MembershipFigures {
 
   private static final double MS = 1e6;
   private static final double NEVER = 1e9;
-  private static final long RETURNING =
-      3_000_000_000L; // behind a stop, in which a member refutes what is said of it
-
-  private static final long HEALING =
-      20_000_000_000L; // behind a cut, which has a figure of its own
+  // Time after a pause or restart in which a member may still be refuting its death.
+  private static final long RETURNING = 3_000_000_000L;
+  // Time after a partition that is not counted here; healed_ms_max measures it.
+  private static final long HEALING = 20_000_000_000L;
   private static final long LOOK = 50_000_000L;
 
   private final Collection<String> members;
@@ -30,8 +29,12 @@
   private final long end;
 
   /**
-   * Of the members that were to run from the start on; times from the start of the play, which
-   * ended then.
+   * Metrics of a run.
+   *
+   * @param members the members that were to run from the start
+   * @param faults the schedule of faults
+   * @param seen all observations; times from the start of the run
+   * @param end the end of the run
    */
   public MembershipFigures(
       Collection<String> members, Faults faults, List<FleetWorld.Seen> seen, long end) {
@@ -41,7 +44,7 @@
     this.end = end;
   }
 
-  /** Does it run and answer at that time, by the schedule? */
+  /** Whether a member runs and responds at a time according to the schedule. */
   private boolean up(String member, long time) {
     for (Faults.ProcessTrouble one : faults.processes()) {
       long until = one.lasts() == 0 ? Long.MAX_VALUE : one.at() + one.lasts() + RETURNING;
@@ -52,7 +55,7 @@
     return true;
   }
 
-  /** Is something cut, or was it until just now? */
+  /** Whether there is a partition, or was one until recently. */
   private boolean apart(long time) {
     return faults.links().stream()
         .anyMatch(one -> one.cuts() && time >= one.at() && time < one.at() + one.lasts() + HEALING);
@@ -62,7 +65,7 @@
     return members.contains(of);
   }
 
-  /** Figures by name; times in ms, the worst of all. */
+  /** The metrics by name: the worst time over all members, in milliseconds. */
   public Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
     figures.put("joined_ms_max", joined());
@@ -80,7 +83,7 @@
     return figures;
   }
 
-  /** Until each held all others to be there for the first time. */
+  /** The time until each member has considered each other one live for the first time. */
   private double joined() {
     Map<String, Long> first = new HashMap<>();
     for (FleetWorld.Seen one : seen) {
@@ -94,7 +97,7 @@
         : first.values().stream().mapToLong(Long::longValue).max().orElse(0) / MS;
   }
 
-  /** Until the last of those that were up throughout held it to be that. */
+  /** The time until the last member without faults has observed the status of a faulty one. */
   private double learned(Faults.ProcessTrouble of, Standing as) {
     double worst = 0;
     for (String by : members) {
@@ -119,7 +122,10 @@
     return worst;
   }
 
-  /** The longest that one up held another up to be dead or gone, cuts aside. */
+  /**
+   * The longest time for which a running member considered another running one dead or gone, not
+   * counting partitions.
+   */
   private double declared() {
     Map<String, List<FleetWorld.Seen>> pairs = new HashMap<>();
     for (FleetWorld.Seen one : seen) {
@@ -131,7 +137,7 @@
         FleetWorld.Seen one = pair.get(i);
         long until = i + 1 < pair.size() ? pair.get(i + 1).at() : end;
         boolean wrong = !one.standing().there() && known(one.by()) && known(one.of());
-        // Looked at step by step, as either may come up or go meanwhile.
+        // Sampled, as either member may stop or return meanwhile.
         long held = 0;
         for (long at = one.at(); wrong && at < until; at += LOOK) {
           boolean counts = up(one.by(), at) && up(one.of(), at) && !apart(at);
@@ -143,7 +149,7 @@
     return worst / MS;
   }
 
-  /** From that time until all that are up held all that are up to be there, and it stayed so. */
+  /** The time until all running members considered each other live and continued to do so. */
   private double settled(long from) {
     Map<String, Standing> held = new HashMap<>();
     long last = from;
--- a/src/main/java/tansytrack/lab/world/RuleCheck.java
+++ b/src/main/java/tansytrack/lab/world/RuleCheck.java
@@ -11,32 +11,44 @@
 import java.util.TreeMap;
 
 /**
- * The seven rules, summed over all managers, judged only by what stand-ins saw: clients, engines
- * and the list. Knows nothing of the program. Each rule is counted under its name.
+ * Checks seven invariants over all managers together, by a log of what simulated clients, engines
+ * and the engine list observed. It shares no code with the program under test. Violations are
+ * counted by the name of the invariant:
+ *
+ * <ol>
+ *   <li>{@code lost}: each task is answered once, by its deadline
+ *   <li>{@code twice}: a task that must not run twice is neither sent again nor bounced once it may
+ *       have run
+ *   <li>{@code drain}: no forward reaches an engine after the grace time of its drain
+ *   <li>{@code cold}: a cold engine is not overloaded
+ *   <li>{@code order}: tasks of one key are sent in order
+ *   <li>{@code place}: tasks are sent only to engines in places allowed for them
+ *   <li>{@code ration}: retries stay within the retry budget
+ * </ol>
  */
 public final class RuleCheck {
 
-  /** How effects may repeat. */
+  /** Whether a task may run more than once. */
   public enum Repeat {
     HARMLESS,
     STAMPED,
     ONE_SHOT
   }
 
-  /** How an answer came. */
+  /** The outcome of a task as its client sees it. */
   public enum Answer {
     HANDLED,
     BOUNCED,
     ABORTED
   }
 
-  /** Something that a stand-in saw. */
+  /** An event in the log. */
   public sealed interface Seen {
-    /** Time of the event, on the clock that all reporters share. */
+    /** The time of the event, on a clock that all reporters share. */
     long at();
   }
 
-  /** A client has written a task to that manager; key 0: none. */
+  /** A client has sent a task to a manager; key 0 if the task has none. */
   public record Asked(
       long at,
       String manager,
@@ -47,32 +59,42 @@
       Set<String> places)
       implements Seen {}
 
-  /** A client has its answer. */
+  /** A client has received the answer to a task. */
   public record Answered(long at, String task, Answer how) implements Seen {}
 
-  /** A client gave it up: none is owed. */
+  /** A client has abandoned a task; no answer is required. */
   public record Left(long at, String task) implements Seen {}
 
   /**
-   * A manager starts anew: what the life before had taken is lost with it, and rules count from
-   * here.
+   * A manager has restarted: the tasks of its previous instance are lost, and its counts restart.
    */
   public record Restarted(long at, String manager) implements Seen {}
 
-  /** A task has come whole to an engine, from that manager. */
+  /** A forward from a manager has reached an engine completely. */
   public record Arrived(long at, String manager, String engine, String task, double work)
       implements Seen {}
 
-  /** It ended there, or was given up; or it never ran. */
+  /** A forward has ended on an engine, was cancelled there, or never ran. */
   public record Over(long at, String engine, String task, boolean mayHaveRun) implements Seen {}
 
-  /** The list tells of an engine: usable or not, and when it started, 0: long ago. */
+  /** The engine list reports an engine, whether it is ready, and its start time (0: long ago). */
   public record Listed(long at, String engine, String place, boolean ready, long startedAt)
       implements Seen {}
 
   /**
-   * Figures of the rules; times in nanoseconds. Tasks of a key that were asked closer than {@code
-   * apart} have no order.
+   * The parameters of the invariants.
+   *
+   * @param slack tolerance for late answers
+   * @param apart tasks of one key that were sent closer together than this have no defined order
+   * @param drainGrace time after the start of a drain in which forwards may still arrive
+   * @param cores cores of an engine
+   * @param startCapacity share of the capacity that a cold engine starts with
+   * @param warmAfter time until an engine has its full capacity
+   * @param multiple allowed load of a cold engine, as a multiple of its present capacity
+   * @param window time over which that load is counted
+   * @param spare retries that are always allowed
+   * @param share further retries allowed per task
+   * @param rationWindow time over which retries are counted; 0 for no limit
    */
   public record Rules(
       long slack,
@@ -87,42 +109,43 @@
       double share,
       long rationWindow) {}
 
-  private static final long LOGGED_LATE =
-      300_000_000L; // a client's word, behind what the manager did next
+  // How much later a client may log an answer than the manager's next action.
+  private static final long LOGGED_LATE = 300_000_000L;
 
   private final Rules rules;
-  private final Map<String, Long> ends =
-      new HashMap<>(); // when tasks got their answers, or were given up
+  // When each task was answered or abandoned.
+  private final Map<String, Long> ends = new HashMap<>();
   private final Map<String, Integer> broken = new TreeMap<>();
   private final List<String> first = new ArrayList<>();
   private final Map<String, Asked> tasks = new HashMap<>();
   private final Map<String, Integer> answers = new HashMap<>();
   private final Set<String> owedNone = new HashSet<>();
-  private final Map<String, List<String>> out = new HashMap<>(); // engines that have it, by task
+  // By task, the engines on which it is open.
+  private final Map<String, List<String>> out = new HashMap<>();
   private final Set<String> mayHaveRun = new HashSet<>();
   private final Map<String, Integer> arrivals = new HashMap<>();
   private final Map<String, Listed> listed = new HashMap<>();
   private final Map<String, Long> notReadySince = new HashMap<>();
   private final Map<String, ArrayDeque<Arrived>> cold = new HashMap<>();
-  private final Map<String, ArrayDeque<Long>> taken =
-      new HashMap<>(); // by manager, within the ration's window
+  // By manager, the times of tasks and of retries within the retry window.
+  private final Map<String, ArrayDeque<Long>> taken = new HashMap<>();
   private final Map<String, ArrayDeque<Long>> further = new HashMap<>();
-  private final Map<String, List<Asked>> lines =
-      new HashMap<>(); // by manager and key, unanswered or out, as taken
+  // By manager and key, in the order sent.
+  private final Map<String, List<Asked>> lines = new HashMap<>();
   private double works;
   private long count;
-  private long from; // the log's first time
+  private long from;
 
   private RuleCheck(Rules rules) {
     this.rules = rules;
   }
 
-  /** How often each rule was broken; rules that held have 0. */
+  /** The number of violations of each invariant; 0 for those that hold. */
   public static Map<String, Integer> broken(Rules rules, List<? extends Seen> log) {
     return judged(rules, log).broken;
   }
 
-  /** The first break of each, in words; times from the log's first one. */
+  /** A description of the first violation of each invariant; times from the start of the log. */
   public static List<String> said(Rules rules, List<? extends Seen> log) {
     return judged(rules, log).first;
   }
@@ -191,13 +214,13 @@
     }
   }
 
-  /** Rule 1: one answer, in time. Rule 2: a bounce promises that trying again is harmless. */
+  /** Invariant 1, and invariant 2 for bounces: a bounce promises that a retry is safe. */
   private void answered(Answered answered) {
     Asked asked = tasks.get(answered.task());
     if (asked == null || answers.merge(answered.task(), 1, Integer::sum) > 1) {
-      broke("lost", answered.at(), answered.task() + " was answered twice, or never asked");
+      broke("lost", answered.at(), answered.task() + " was answered twice or never sent");
     } else if (answered.at() > asked.deadline() + rules.slack()) {
-      broke("lost", answered.at(), answered.task() + " was answered too late");
+      broke("lost", answered.at(), answered.task() + " was answered after its deadline");
     }
     boolean ran =
         mayHaveRun.contains(answered.task())
@@ -206,7 +229,7 @@
         && answered.how() == Answer.BOUNCED
         && asked.repeat() == Repeat.ONE_SHOT
         && ran) {
-      broke("twice", answered.at(), answered.task() + " was bounced, though it may have run");
+      broke("twice", answered.at(), answered.task() + " was bounced although it may have run");
     }
   }
 
@@ -218,7 +241,7 @@
     if (asked != null
         && asked.repeat() == Repeat.ONE_SHOT
         && (mayHaveRun.contains(arrived.task()) || !open.isEmpty())) {
-      broke("twice", arrived.at(), arrived.task() + " came again, though it may have run");
+      broke("twice", arrived.at(), arrived.task() + " was sent again although it may have run");
     }
     open.add(arrived.engine());
     Long since = notReadySince.get(arrived.engine());
@@ -227,11 +250,11 @@
           "drain",
           arrived.at(),
           arrived.task()
-              + " came to "
+              + " reached "
               + arrived.engine()
               + " "
               + (arrived.at() - since) / 1_000_000
-              + " ms behind its drain");
+              + " ms after its drain began");
     }
     if (asked != null
         && engine != null
@@ -240,7 +263,7 @@
       broke(
           "place",
           arrived.at(),
-          arrived.task() + " came to " + arrived.engine() + " in " + engine.place());
+          arrived.task() + " reached " + arrived.engine() + " in " + engine.place());
     }
     works += arrived.work();
     count++;
@@ -255,7 +278,7 @@
     }
   }
 
-  /** Rule 4: what all managers together send to a cold engine within the window. */
+  /** Invariant 4: the work that all managers together send to a cold engine within the window. */
   private void cold(Arrived arrived, Listed engine) {
     double age =
         engine.startedAt() == 0 || rules.warmAfter() <= 0
@@ -277,15 +300,15 @@
           "cold",
           arrived.at(),
           engine.engine()
-              + " was sent "
+              + " received "
               + Math.round(sent)
-              + " tasks of mean work, "
+              + " tasks of mean work; "
               + Math.round(allowed)
-              + " are allowed");
+              + " are allowed while it is cold");
     }
   }
 
-  /** Rule 5: none of a key while an earlier one of the same manager is unanswered or out. */
+  /** Invariant 5: no task while an earlier one of its key and manager is unanswered or open. */
   private void order(Arrived arrived, Asked asked) {
     for (Asked earlier : lines.getOrDefault(asked.manager() + '/' + asked.key(), List.of())) {
       if (asked.at() - earlier.at() < rules.apart()) {
@@ -298,12 +321,12 @@
         broke(
             "order",
             arrived.at(),
-            arrived.task() + " came while " + earlier.task() + " of the same key was not over");
+            arrived.task() + " arrived before " + earlier.task() + " of the same key had ended");
       }
     }
   }
 
-  /** Rule 7: further forwards of a manager within its ration. */
+  /** Invariant 7: the retries of a manager stay within its retry budget. */
   private void ration(Arrived arrived) {
     if (rules.rationWindow() <= 0) {
       return;
@@ -320,7 +343,7 @@
           arrived.manager()
               + " sent "
               + more.size()
-              + " further forwards for "
+              + " retries for "
               + all.size()
               + " tasks");
     }
--- a/src/main/java/tansytrack/lab/world/Weather.java
+++ b/src/main/java/tansytrack/lab/world/Weather.java
@@ -1,20 +1,21 @@
 package tansytrack.lab.world;
 
 /**
- * What links do to letters at one time. Loss comes in bursts where {@code burst} is over 1: a link
- * is then good or bad, and loses all while bad; {@code loss} is the long run's share in any case.
+ * The conditions of a link. With a mean burst length above 1, losses come in bursts, in which all
+ * messages are lost (Gilbert model); {@code loss} is the long-term share in either case.
  *
- * @param loss share of letters lost, 0 to 1
- * @param burst mean length of a bad stretch, in letters
- * @param doubled share that comes twice
- * @param least shortest way, in nanoseconds
- * @param spread the mean of what comes on top, exponential: letters overtake each other by it
+ * @param loss share of messages lost, 0 to 1
+ * @param burst mean length of a burst of losses, in messages
+ * @param doubled share of messages delivered twice
+ * @param least shortest delay
+ * @param spread mean of the exponentially distributed additional delay, which reorders messages
  */
 public record Weather(double loss, double burst, double doubled, long least, long spread) {
 
+  /** No loss and a delay of 1 ms on average. */
   public static final Weather FINE = new Weather(0, 1, 0, 500_000L, 500_000L);
 
-  /** The same weather with another share of lost datagrams. */
+  /** The same conditions with another share of lost messages. */
   public Weather losing(double share) {
     return new Weather(share, burst, doubled, least, spread);
   }
--- a/src/test/java/tansytrack/fleet/FleetTest.java
+++ b/src/test/java/tansytrack/fleet/FleetTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** One membership and its parts, letter by letter. */
+/** Tests a single membership and its parts, message by message. */
 class FleetTest {
 
   private static final long MS = 1_000_000L;
@@ -164,7 +164,7 @@
     assertThat(fleet.counts()).containsEntry("too_many", 10L);
   }
 
-  /** Guards against a forged or broken peer: whatever comes, it goes on, within its bounds. */
+  /** A forged or faulty peer may send any message; the membership continues within its limits. */
   @Test
   void aHundredThousandLettersOfChanceDoNoHarm() {
     SplittableRandom chance = new SplittableRandom(5);
@@ -235,10 +235,7 @@
     assertThat(rumours.take(110, 2)).isEmpty();
   }
 
-  /**
-   * Merging facts is commutative, associative and idempotent: any order, with any of them twice,
-   * ends in the same.
-   */
+  /** Merging facts is commutative, associative and idempotent. */
   @Property(tries = 300, seed = "9")
   void factsMergeToTheSameInAnyOrder(
       @ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
--- a/src/test/java/tansytrack/fleet/ReckoningTest.java
+++ b/src/test/java/tansytrack/fleet/ReckoningTest.java
@@ -10,7 +10,7 @@
 import tansytrack.lab.world.FleetWorld;
 import tansytrack.lab.world.Weather;
 
-/** By how many managers an even part is reckoned, and that all parts together stay one whole. */
+/** Tests the number by which a budget is divided, and that the shares never exceed the budget. */
 class ReckoningTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -27,18 +27,16 @@
     reckoning.changed(of("b", Standing.LEFT));
     reckoning.changed(of("c", Standing.LEFT));
     assertThat(reckoning.used(SECOND, 1)).isEqualTo(10);
-    reckoning.changed(of("c", Standing.ALIVE)); // back within the while: its part never moved
+    // It returns within the settling time, so its share was never redistributed.
+    reckoning.changed(of("c", Standing.ALIVE));
     assertThat(reckoning.used(20 * SECOND, 2)).isEqualTo(10);
     assertThat(reckoning.used(31 * SECOND, 2)).isEqualTo(9);
     reckoning.changed(of("b", Standing.ALIVE));
-    assertThat(reckoning.used(32 * SECOND, 3)).isEqualTo(10); // at once
+    assertThat(reckoning.used(32 * SECOND, 3)).isEqualTo(10);
     assertThat(reckoning.used(33 * SECOND, 14)).isEqualTo(14);
   }
 
-  /**
-   * A member that flaps moves the number once at most: down, and up again, and then no more until
-   * it has settled.
-   */
+  /** A member that leaves and returns within the settling time does not change the number. */
   @Test
   void whoComesAndGoesMovesNothing() {
     Reckoning reckoning = new Reckoning(9, 30 * SECOND);
@@ -49,9 +47,9 @@
   }
 
   /**
-   * Sixty seeded schedules of leaving, killing, restarting and cutting: the parts of all that run
-   * are one whole at most, but for those that left, came back after the while, and are not yet
-   * heard by all.
+   * Plays sixty seeded schedules of members that leave, are killed, restarted and partitioned. The
+   * shares of all running members add up to one budget at most, except for members that returned
+   * after the settling time and are not yet known to all.
    */
   @Test
   void thePartsOfAllThatRunAreOneWholeAtMost() {
@@ -123,8 +121,10 @@
         whole += unheard == 0 ? 1 : 0;
       }
     }
-    assertThat(moved).as("times that a part was larger than an even one of all").isPositive();
-    assertThat(whole).as("looks at which all were heard").isGreaterThan(60 * 1000);
+    assertThat(moved)
+        .as("samples in which a share was larger than that of all members")
+        .isPositive();
+    assertThat(whole).as("samples in which all members were known to all").isGreaterThan(60 * 1000);
   }
 
   private static boolean heardByAll(FleetWorld world, FleetWorld.Node one) {
--- a/src/test/java/tansytrack/fleet/udp/FleetLinkTest.java
+++ b/src/test/java/tansytrack/fleet/udp/FleetLinkTest.java
@@ -24,7 +24,7 @@
 import tansytrack.fleet.proto.LetterForm;
 import tansytrack.operator.OperatorFile;
 
-/** The membership on real datagrams, and its letters as bytes. */
+/** Tests the membership over real UDP sockets, and the encoding of its messages. */
 class FleetLinkTest {
 
   private static final long MS = 1_000_000L;
@@ -75,7 +75,7 @@
   private static void await(BooleanSupplier what) {
     long until = System.nanoTime() + 60_000 * MS;
     while (!what.getAsBoolean()) {
-      assertThat(System.nanoTime()).as("waited for too long").isLessThan(until);
+      assertThat(System.nanoTime()).as("timed out").isLessThan(until);
       try {
         Thread.sleep(5);
       } catch (InterruptedException e) {
@@ -92,7 +92,8 @@
   void threeFindEachOtherThoughTheSeedComesLastAndLeavingIsTold() throws IOException {
     FleetLink second = start(1, 50 * MS);
     FleetLink third = start(2, 50 * MS);
-    assertThat(reckoned[1].get()).isIn(0, 3); // those it does not know count
+    // Configured members count even while they are unknown.
+    assertThat(reckoned[1].get()).isIn(0, 3);
     FleetLink first = start(0, 50 * MS);
     await(() -> links.stream().allMatch(link -> there(link, Standing.ALIVE) == 3));
     third.serving();
@@ -108,7 +109,7 @@
   }
 
   /**
-   * Guards against a file that names a few seeds only, which would deal a cold engine's budget to
+   * An operator's file that names only a few seeds must not divide a cold engine's budget among
    * those few.
    */
   @Test
@@ -136,9 +137,11 @@
             new DatagramSocket(Integer.parseInt(host[1]), InetAddress.getLoopbackAddress());
         DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       stranger.send(new DatagramPacket(good, good.length, to));
-      peer.send(new DatagramPacket(good, good.length, to)); // m2's letter from m1's address
+      // A message of m2 from the address of m1.
+      peer.send(new DatagramPacket(good, good.length, to));
       peer.send(new DatagramPacket(tells, tells.length, to));
-      peer.send(new DatagramPacket(good, good.length - 1, to)); // a byte short
+      // A truncated message.
+      peer.send(new DatagramPacket(good, good.length - 1, to));
       byte[] future = LetterForm.newBuilder().setKindValue(99).build().toByteArray();
       peer.send(new DatagramPacket(future, future.length, to));
       await(() -> first.counts().getOrDefault("fleet.refused.unreadable", 0L) == 2);
@@ -147,8 +150,8 @@
           .containsEntry("fleet.refused.misnamed", 1L)
           .containsEntry("fleet.refused.unknown_name", 1L)
           .containsEntry("fleet.letters", 1L);
-      // What m1 says of itself is taken, though this one's file does not know whom else it speaks
-      // of.
+      // The state that m1 announces of itself is accepted although the message also has an update
+      // about an unknown member.
       assertThat(first.members().stream().map(row -> row[0])).containsExactly("m0", "m1");
       stranger.setSoTimeout(200);
       assertThatThrownBy(() -> stranger.receive(new DatagramPacket(new byte[1], 1)))
@@ -189,8 +192,8 @@
   }
 
   /**
-   * Fields and stages of the future are passed over; a letter's bytes with each one changed or cut
-   * never do more than not to be read.
+   * Truncated or corrupted messages are either decoded or rejected with the exception for it; no
+   * other exception escapes.
    */
   @Test
   void bytesOfChanceAreReadOrRefused() {
--- a/src/test/java/tansytrack/lab/world/ExplorerTest.java
+++ b/src/test/java/tansytrack/lab/world/ExplorerTest.java
@@ -6,21 +6,21 @@
 import tansytrack.fleet.Letter;
 
 /**
- * Every order of letters, losses, doubles, one cut, one kill and one restart of three members, as
- * deep as the time of a build allows.
+ * Model checks a membership of three under reordering, loss and duplication of messages, one
+ * partition, one kill and one restart, to a depth that keeps the build short.
  */
 class ExplorerTest {
 
   @Test
   void fromEveryStateReachedTheyComeToAgree() {
     Explorer.Found found = new Explorer((to, letter) -> letter).explore(7, 3000);
-    assertThat(found.broken()).as("choices that lead to a state without agreement").isNull();
+    assertThat(found.broken()).as("choices that lead to a state that does not converge").isNull();
     assertThat(found.states()).isGreaterThan(1000);
   }
 
   /**
-   * A variant whose members never hear what is said of themselves: who was once declared dead stays
-   * so, and that is found.
+   * If members never receive claims about themselves, they cannot refute their death. The checker
+   * must find a state that does not converge.
    */
   @Test
   void aVariantWithoutRefutationIsCaught() {
--- a/src/test/java/tansytrack/lab/world/FleetWorldTest.java
+++ b/src/test/java/tansytrack/lab/world/FleetWorldTest.java
@@ -14,7 +14,7 @@
 import tansytrack.fleet.Rules;
 import tansytrack.fleet.Standing;
 
-/** Memberships that talk over bad links, in virtual time. */
+/** Tests the membership over faulty links in virtual time. */
 class FleetWorldTest {
 
   private static final long MS = 1_000_000L;
@@ -32,7 +32,10 @@
         .count();
   }
 
-  /** All that run hold it to be dead or gone; since when. */
+  /**
+   * Asserts that all running members that know the member have it as dead or left; returns the time
+   * until the last one observed it.
+   */
   private static long knownGone(FleetWorld world, String name, Standing how, long after) {
     long by =
         world.seen().stream()
@@ -43,7 +46,7 @@
     for (FleetWorld.Node node : world.nodes()) {
       if (node.running()) {
         assertThat(node.fleet().others().stream().filter(word -> word.name().equals(name)))
-            .as("what %s holds of %s", node.name(), name)
+            .as("status that %s has of %s", node.name(), name)
             .allMatch(word -> word.standing() == how);
       }
     }
@@ -75,7 +78,7 @@
     }
   }
 
-  /** It must neither accuse everybody at its return nor stay dead. */
+  /** A paused member must neither suspect all others on its return nor stay dead. */
   @ParameterizedTest
   @ValueSource(longs = {3, 10, 40})
   void aMemberThatWasStoppedAccusesNobody(long seconds) {
@@ -100,7 +103,8 @@
   void aMemberWhoseLettersAllGetLostIsDeadToTheOthersAndOneThatHearsNothingDoubtsItself() {
     FleetWorld world = of(9, 3, 0);
     long from = world.now();
-    world.cut((sender, to) -> sender.name().equals("n4")); // it hears, and is never heard
+    // n4 receives messages, but none of its own arrive.
+    world.cut((sender, to) -> sender.name().equals("n4"));
     world.run(from + 30 * SECOND);
     knownGoneBut(world, "n4");
     assertThat(world.node("m4").fleet().health()).isGreaterThan(3);
@@ -116,7 +120,7 @@
     }
   }
 
-  /** A hears B, B never hears A; all others hear both: helpers keep both there. */
+  /** One direction between two members is lost; indirect probes keep both alive. */
   @Test
   void aLinkCutOneWayBringsNobodyDown() {
     FleetWorld world = of(9, 4, 0);
@@ -140,7 +144,7 @@
       long took = world.untilAgreed(30 * SECOND);
       assertThat(took).as("seed %d", seed).isBetween(0L, 20 * SECOND);
       assertThat(times(world, Standing.DEAD, healed))
-          .as("the dead of the other half, seed %d", seed)
+          .as("deaths carried over from the other side of the partition, seed %d", seed)
           .isZero();
     }
   }
@@ -193,7 +197,8 @@
   @ValueSource(longs = {-3600, 3600})
   void aRestartThatKnowsNothingWinsWhateverItsClockDid(long step) {
     FleetWorld world = of(9, 8, 0);
-    for (int i = 0; i < 5; i++) { // its incarnation grows meanwhile
+    // Its incarnation grows with each pause.
+    for (int i = 0; i < 5; i++) {
       world.stop("m4", 20 * SECOND);
       world.run(world.now() + 30 * SECOND);
     }
@@ -203,7 +208,7 @@
     assertThat(world.untilAgreed(10 * SECOND)).isNotNegative();
   }
 
-  /** The pure part is told steady times; a step is as a stall, or as time standing still. */
+  /** To the membership, a clock step looks like a pause or like time that stands still. */
   @ParameterizedTest
   @ValueSource(longs = {-3600, 3600})
   void aClockThatStepsWhileItRunsBringsNobodyElseDown(long step) {
@@ -266,9 +271,7 @@
     assertThat(times(world, Standing.DEAD, from)).isZero();
   }
 
-  /**
-   * What was on its way before a restart comes again behind it, in another order, three times over.
-   */
+  /** Messages sent before a restart are replayed after it in random order, three times over. */
   @Test
   void lettersOfBeforeARestartThatComeAgainChangeNothing() {
     FleetWorld world = of(9, 13, 0.1);
--- a/src/test/java/tansytrack/lab/world/RuleCheckTest.java
+++ b/src/test/java/tansytrack/lab/world/RuleCheckTest.java
@@ -23,8 +23,8 @@
 import tansytrack.lab.world.RuleCheck.Seen;
 
 /**
- * Each rule fires on a log that is wrong on purpose, and on no other; and the engine's model
- * against what can be reckoned.
+ * Tests that each invariant is reported for a log that violates it and for no other log, and tests
+ * the model of an engine against calculated values.
  */
 class RuleCheckTest {
 
@@ -202,14 +202,15 @@
     for (int i = 0; i < 4; i++) {
       engine.start(0, "q" + i, 300.0 * MS, 1);
     }
-    assertThat(engine.advance(900 * MS)).isEmpty(); // 1.2 core-seconds of work on 1.2 cores
+    // 1.2 core-seconds of work on 1.2 cores.
+    assertThat(engine.advance(900 * MS)).isEmpty();
     assertThat(engine.advance(1000 * MS)).hasSize(4);
     EngineModel pushed = new EngineModel(SPEC, 0);
     int taken = 0;
     while (pushed.start(100 * MS, "q" + taken, 300.0 * MS, 1) == EngineModel.Taken.STARTED) {
       taken++;
     }
-    // 2 x 0.307 x 4 / 0.3: 8.2 tasks, and 3 roots of that and 3 more.
+    // 2 x 0.307 x 4 / 0.3 = 8.2 tasks are allowed, plus 3 times the root of that, plus 3.
     assertThat(taken).isEqualTo(19);
     assertThat(pushed.fallen()).isTrue();
     assertThat(pushed.start(200 * MS, "late", MS, 1)).isEqualTo(EngineModel.Taken.DOWN);
