--- a/src/main/java/tansytrack/fleet/View.java
+++ b/src/main/java/tansytrack/fleet/View.java
@@ -5,6 +5,6 @@
  *
  * @param number increases with each change of the other two
  * @param there all live members, this one included
- * @param inPlace live members in this member's place, this one included
+ * @param inPlace live members in this member's zone, this one included
  */
 public record View(long number, int there, int inPlace) {}
--- a/src/main/java/tansytrack/lab/world/EngineModel.java
+++ b/src/main/java/tansytrack/lab/world/EngineModel.java
@@ -22,7 +22,7 @@
    *
    * @param cores number of cores
    * @param mostQueries maximum number of queries held at a time; more are refused as full
-   * @param startCapacity share of the capacity that is available at the start
+   * @param startCapacity fraction of the capacity that is available at the start
    * @param warmAfter time until the full capacity is available, growing linearly; 0 for an engine
    *     that starts warm
    * @param multiple multiple of its present capacity that crashes the engine if it is sent that
@@ -77,7 +77,7 @@
     now = startedAt;
   }
 
-  /** The share of the capacity that is available at a time. */
+  /** The fraction of the capacity that is available at a time. */
   public double warmth(long at) {
     if (spec.warmAfter() <= 0 || at >= startedAt + spec.warmAfter()) {
       return 1;
--- a/src/main/java/tansytrack/lab/world/Faults.java
+++ b/src/main/java/tansytrack/lab/world/Faults.java
@@ -17,7 +17,7 @@
     this(base, links, processes, List.of());
   }
 
-  /** One end of a link: the name of a member, a place, or {@code *} for any. */
+  /** One end of a link: the name of a member, a zone, or {@code *} for any. */
   public record End(String pattern) {
     /** Matches everything. */
     public static final End ANY = new End("*");
--- a/src/main/java/tansytrack/lab/world/FleetWorld.java
+++ b/src/main/java/tansytrack/lab/world/FleetWorld.java
@@ -85,7 +85,7 @@
       return name;
     }
 
-    /** The place of the member. */
+    /** The zone of the member. */
     public String place() {
       return place;
     }
@@ -382,7 +382,7 @@
     return -1;
   }
 
-  /** Starts members in three places within 500 ms, and runs until they converge. */
+  /** Starts members in three zones within 500 ms, and runs until they converge. */
   public static FleetWorld of(int members, Rules rules, long seed, Weather weather) {
     FleetWorld world = new FleetWorld(rules, seed);
     for (int i = 0; i < members; i++) {
--- a/src/main/java/tansytrack/lab/world/RuleCheck.java
+++ b/src/main/java/tansytrack/lab/world/RuleCheck.java
@@ -17,12 +17,12 @@
  *
  * <ol>
  *   <li>{@code lost}: each task is answered once, by its deadline
- *   <li>{@code twice}: a task that must not run twice is neither sent again nor bounced once it may
+ *   <li>{@code twice}: a task that must not run twice is neither sent again nor rejected once it may
  *       have run
  *   <li>{@code drain}: no forward reaches an engine after the grace time of its drain
  *   <li>{@code cold}: a cold engine is not overloaded
  *   <li>{@code order}: tasks of one key are sent in order
- *   <li>{@code place}: tasks are sent only to engines in places allowed for them
+ *   <li>{@code place}: tasks are sent only to engines in the zones allowed for them
  *   <li>{@code ration}: retries stay within the retry budget
  * </ol>
  */
@@ -88,7 +88,7 @@
    * @param apart tasks of one key that were sent closer together than this have no defined order
    * @param drainGrace time after the start of a drain in which forwards may still arrive
    * @param cores cores of an engine
-   * @param startCapacity share of the capacity that a cold engine starts with
+   * @param startCapacity fraction of the capacity that a cold engine starts with
    * @param warmAfter time until an engine has its full capacity
    * @param multiple allowed load of a cold engine, as a multiple of its present capacity
    * @param window time over which that load is counted
@@ -214,7 +214,7 @@
     }
   }
 
-  /** Invariant 1, and invariant 2 for bounces: a bounce promises that a retry is safe. */
+  /** Invariant 1, and invariant 2 for rejections: a rejection promises that a retry is safe. */
   private void answered(Answered answered) {
     Asked asked = tasks.get(answered.task());
     if (asked == null || answers.merge(answered.task(), 1, Integer::sum) > 1) {
@@ -229,7 +229,7 @@
         && answered.how() == Answer.BOUNCED
         && asked.repeat() == Repeat.ONE_SHOT
         && ran) {
-      broke("twice", answered.at(), answered.task() + " was bounced although it may have run");
+      broke("twice", answered.at(), answered.task() + " was rejected although it may have run");
     }
   }
 
