--- a/src/main/java/tansytrack/lab/world/RuleCheck.java
+++ b/src/main/java/tansytrack/lab/world/RuleCheck.java
@@ -17,8 +17,8 @@
  *
  * <ol>
  *   <li>{@code lost}: each task is answered once, by its deadline
- *   <li>{@code twice}: a task that must not run twice is neither sent again nor rejected once it may
- *       have run
+ *   <li>{@code twice}: a task that must not run twice is neither sent again nor rejected once it
+ *       may have run
  *   <li>{@code drain}: no forward reaches an engine after the grace time of its drain
  *   <li>{@code cold}: a cold engine is not overloaded
  *   <li>{@code order}: tasks of one key are sent in order
