--- a/src/main/java/tansytrack/fleet/Action.java
+++ b/src/main/java/tansytrack/fleet/Action.java
@@ -4,11 +4,11 @@
 public sealed interface Action {
 
   /** Send a message to an address. */
-  record Send(String address, Letter letter) implements Action {}
+  record Send(String address, Message message) implements Action {}
 
   /** The state held of a member has changed; {@code before} is null for a new member. */
-  record Changed(Word before, Word after) implements Action {}
+  record MemberChanged(MemberState before, MemberState after) implements Action {}
 
   /** Another running process uses this member's name. */
-  record Twin(String name, String address) implements Action {}
+  record NameConflict(String name, String address) implements Action {}
 }
--- a/src/main/java/tansytrack/fleet/Reckoning.java
+++ b/src/main/java/tansytrack/fleet/BudgetDivisor.java
@@ -10,31 +10,31 @@
  * settling time after that; a manager that joins counts at once. The cost is that the share of a
  * manager that died without leaving stays unused.
  */
-public final class Reckoning {
+public final class BudgetDivisor {
 
   // Other managers that the operator's file or the settings name.
-  private final int named;
-  private final long settle;
+  private final int namedPeers;
+  private final long settleNanos;
   private final Set<String> left = new TreeSet<>();
-  private int used;
+  private int divisor;
   // The highest number wanted since the wanted number fell below the used one.
-  private int lowest;
+  private int highestWanted;
   // When the wanted number fell below the used one; -1 if it has not.
-  private long since = -1;
+  private long lowerSince = -1;
 
   /**
    * Starts with all configured managers; the number decreases only after a lower one has been
    * wanted for the settling time.
    */
-  public Reckoning(int named, long settle) {
-    this.named = named;
-    this.settle = settle;
-    used = named + 1;
+  public BudgetDivisor(int named, long settle) {
+    this.namedPeers = named;
+    this.settleNanos = settle;
+    divisor = named + 1;
   }
 
   /** Records a changed member; members that are not configured count while they are live. */
-  public void changed(Word after) {
-    if (after.standing() == Standing.LEFT) {
+  public void memberChanged(MemberState after) {
+    if (after.status() == MemberStatus.LEFT) {
       left.add(after.name());
     } else {
       left.remove(after.name());
@@ -42,21 +42,21 @@
   }
 
   /** Updates and returns the number to use from now on. */
-  public int used(long now, int there) {
-    int wanted = Math.max(there, named + 1 - left.size());
-    if (wanted >= used) {
-      used = wanted;
-      since = -1;
-    } else if (since < 0) {
-      since = now;
-      lowest = wanted;
+  public int update(long now, int there) {
+    int wanted = Math.max(there, namedPeers + 1 - left.size());
+    if (wanted >= divisor) {
+      divisor = wanted;
+      lowerSince = -1;
+    } else if (lowerSince < 0) {
+      lowerSince = now;
+      highestWanted = wanted;
     } else {
-      lowest = Math.max(lowest, wanted);
-      if (now - since >= settle) {
-        used = lowest;
-        since = -1;
+      highestWanted = Math.max(highestWanted, wanted);
+      if (now - lowerSince >= settleNanos) {
+        divisor = highestWanted;
+        lowerSince = -1;
       }
     }
-    return used;
+    return divisor;
   }
 }
--- a/src/main/java/tansytrack/fleet/LocalState.java
+++ b/src/main/java/tansytrack/fleet/LocalState.java
@@ -7,18 +7,18 @@
 final class LocalState {
 
   // Probe intervals, probe timeouts and suspicions last 1 + score times as long, 9 times at most.
-  static final int MOST_HEALTH = 8;
+  static final int MAX_HEALTH_SCORE = 8;
 
   final Map<String, Long> counts = new TreeMap<>();
-  Word self;
+  MemberState self;
   // The latest time that was passed in.
   long now;
   // The local health score of Lifeguard; 0 is healthy.
-  int health;
+  int healthScore;
   // Members that are alive or suspected, this one included.
-  int there = 1;
+  int liveMembers = 1;
 
-  LocalState(Word self, long now) {
+  LocalState(MemberState self, long now) {
     this.self = self;
     this.now = now;
   }
@@ -27,7 +27,7 @@
     counts.merge(what, 1L, Long::sum);
   }
 
-  void doubt(int more) {
-    health = Math.min(MOST_HEALTH, health + more);
+  void raiseHealthScore(int more) {
+    healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + more);
   }
 }
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -6,15 +6,15 @@
 /** What this member knows of another one. */
 final class Member {
 
-  Word word;
-  long since;
+  MemberState state;
+  long statusSince;
   long suspectedAt;
   // The members that have reported the present suspicion.
-  final Set<String> accusers = new LinkedHashSet<>();
-  final Numbers numbers = new Numbers();
+  final Set<String> suspectors = new LinkedHashSet<>();
+  final ReplayWindow replayWindow = new ReplayWindow();
 
-  Member(Word word, long now) {
-    this.word = word;
-    since = now;
+  Member(MemberState word, long now) {
+    this.state = word;
+    statusSince = now;
   }
 }
--- a/src/main/java/tansytrack/fleet/Word.java
+++ b/src/main/java/tansytrack/fleet/MemberState.java
@@ -9,84 +9,96 @@
  * @param settings digest of the settings in use
  * @param by the member that reported the suspicion or death, or empty
  */
-public record Word(
+public record MemberState(
     String name,
     String address,
-    String place,
-    long life,
+    String zone,
+    long instanceId,
     long incarnation,
-    Standing standing,
+    MemberStatus status,
     Stage stage,
     String version,
-    String settings,
-    String by) {
+    String settingsDigest,
+    String reportedBy) {
 
   // Upper bound of the encoded numbers and length prefixes.
-  private static final int BESIDE_TEXT = 32;
-  private static final int LONGEST = 64;
-  /** Highest valid incarnation: a forged state must leave room for a higher one that refutes it. */
-  public static final long MOST_INCARNATION = 1L << 52;
+  private static final int FIXED_BYTES = 32;
+  private static final int MAX_TEXT_LENGTH = 64;
 
+  /** Highest valid incarnation: a forged state must leave room for a higher one that refutes it. */
+  public static final long MAX_INCARNATION = 1L << 52;
 
   /** The state with which a member starts. */
-  public static Word first(
+  public static MemberState initial(
       String name, String address, String place, long life, String version, String settings) {
-    return new Word(
-        name, address, place, life, 1, Standing.ALIVE, Stage.STARTING, version, settings, "");
+    return new MemberState(
+        name, address, place, life, 1, MemberStatus.ALIVE, Stage.STARTING, version, settings, "");
   }
 
   /**
    * Whether this state replaces another one of the same name. The order is total and the same on
    * all members.
    */
-  public boolean overrules(Word other) {
+  public boolean supersedes(MemberState other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
-        : life != other.life ? life > other.life : standing.compareTo(other.standing) > 0;
+        : instanceId != other.instanceId
+            ? instanceId > other.instanceId
+            : status.compareTo(other.status) > 0;
   }
 
   /** Whether both states are of the same instance of the member at the same incarnation. */
-  public boolean sameTerm(Word other) {
-    return incarnation == other.incarnation && life == other.life;
+  public boolean isSameIncarnation(MemberState other) {
+    return incarnation == other.incarnation && instanceId == other.instanceId;
   }
 
   /** Whether all fields are within their limits. */
-  public boolean usable() {
+  public boolean isValid() {
     return !name.isEmpty()
         && name.charAt(0) < '~'
         && !address.isEmpty()
         && isShort(name)
         && isShort(address)
-        && isShort(place)
+        && isShort(zone)
         && isShort(version)
-        && isShort(settings)
-        && isShort(by)
+        && isShort(settingsDigest)
+        && isShort(reportedBy)
         && incarnation > 0
-        && incarnation <= MOST_INCARNATION
-        && life != 0;
+        && incarnation <= MAX_INCARNATION
+        && instanceId != 0;
   }
 
   private static boolean isShort(String text) {
-    return text.length() <= LONGEST;
+    return text.length() <= MAX_TEXT_LENGTH;
   }
 
-  Word as(Standing next, String accuser) {
-    return new Word(
-        name, address, place, life, incarnation, next, stage, version, settings, accuser);
+  MemberState withStatus(MemberStatus next, String accuser) {
+    return new MemberState(
+        name,
+        address,
+        zone,
+        instanceId,
+        incarnation,
+        next,
+        stage,
+        version,
+        settingsDigest,
+        accuser);
   }
 
-  Word at(long next, Standing is, Stage does) {
-    return new Word(name, address, place, life, next, is, does, version, settings, "");
+  MemberState withIncarnation(long next, MemberStatus is, Stage does) {
+    return new MemberState(
+        name, address, zone, instanceId, next, is, does, version, settingsDigest, "");
   }
 
   /** An upper bound of the encoded size. */
-  int bytes() {
-    return BESIDE_TEXT
+  int maxEncodedBytes() {
+    return FIXED_BYTES
         + name.length()
         + address.length()
-        + place.length()
+        + zone.length()
         + version.length()
-        + settings.length()
-        + by.length();
+        + settingsDigest.length()
+        + reportedBy.length();
   }
 }
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -13,30 +13,35 @@
 /** All other known members: their states, the deadlines of suspicions, and the probe order. */
 final class MemberTable {
 
-  private final Rules rules;
+  private final MembershipConfig config;
   private final LocalState local;
   private final Outbox outbox;
-  private final Facts facts;
-  private final SplittableRandom chance;
+  private final FactStore facts;
+  private final SplittableRandom random;
   private final TreeMap<String, Member> members = new TreeMap<>();
   private final TreeSet<Member> suspects =
       new TreeSet<>(
-          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.word.name()));
+          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.state.name()));
   // Members still to be probed in the present round.
-  private final List<Member> round = new ArrayList<>();
-  private long changes;
-  private int inPlace = 1;
-
-  MemberTable(Rules rules, LocalState local, Outbox outbox, Facts facts, SplittableRandom chance) {
-    this.rules = rules;
+  private final List<Member> probeOrder = new ArrayList<>();
+  private long version;
+  private int liveMembersInZone = 1;
+
+  MemberTable(
+      MembershipConfig rules,
+      LocalState local,
+      Outbox outbox,
+      FactStore facts,
+      SplittableRandom chance) {
+    this.config = rules;
     this.local = local;
     this.outbox = outbox;
     this.facts = facts;
-    this.chance = chance;
+    this.random = chance;
   }
 
-  View view() {
-    return new View(changes, local.there, inPlace);
+  MembershipView view() {
+    return new MembershipView(version, local.liveMembers, liveMembersInZone);
   }
 
   /** The member with that name, or null. */
@@ -50,15 +55,15 @@
   }
 
   /** The states of the members whose names are equal to or greater than the given one. */
-  Iterable<Word> from(String name) {
-    return () -> members.tailMap(name).values().stream().map(one -> one.word).iterator();
+  Iterable<MemberState> statesFrom(String name) {
+    return () -> members.tailMap(name).values().stream().map(one -> one.state).iterator();
   }
 
   /** Declares the members dead that have not refuted their suspicion in time. */
-  void endSuspicions() {
-    while (!suspects.isEmpty() && nextEnd() <= local.now) {
-      Member late = suspects.stream().min(comparingLong(this::endOf)).orElseThrow();
-      hold(late, late.word.as(Standing.DEAD, local.self.name()));
+  void expireSuspicions() {
+    while (!suspects.isEmpty() && nextSuspicionDeadline() <= local.now) {
+      Member late = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
+      setState(late, late.state.withStatus(MemberStatus.DEAD, local.self.name()));
     }
   }
 
@@ -77,58 +82,60 @@
     members
         .values()
         .removeIf(
-            one -> !one.word.standing().there() && local.now - one.since > rules.forgetAfter());
+            one ->
+                !one.state.status().isLive()
+                    && local.now - one.statusSince > config.goneRetentionNanos());
   }
 
   /** Merges a received state of another member. */
-  void merge(Word word) {
+  void merge(MemberState word) {
     Member member = members.get(word.name());
     if (member == null) {
-      if (!word.standing().there()) {
+      if (!word.status().isLive()) {
         // An unknown member that is already gone is not worth tracking.
         return;
       }
-      if (members.size() >= rules.mostMembers()) {
+      if (members.size() >= config.maxMembers()) {
         local.count("too_many");
         return;
       }
-      member = new Member(word.as(Standing.ALIVE, ""), local.now);
+      member = new Member(word.withStatus(MemberStatus.ALIVE, ""), local.now);
       members.put(word.name(), member);
-      round.add(chance.nextInt(round.size() + 1), member);
-      changed(null, member.word);
+      probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
+      publishChange(null, member.state);
     }
-    if (word.overrules(member.word)) {
-      boolean later = !word.sameTerm(member.word);
-      switch (word.standing()) {
-        case ALIVE, LEFT -> hold(member, word);
+    if (word.supersedes(member.state)) {
+      boolean later = !word.isSameIncarnation(member.state);
+      switch (word.status()) {
+        case ALIVE, LEFT -> setState(member, word);
         case SUSPECT -> {
           if (later) {
-            hold(member, word.as(Standing.ALIVE, ""));
+            setState(member, word.withStatus(MemberStatus.ALIVE, ""));
           }
-          accuse(member, word.by());
+          suspect(member, word.reportedBy());
         }
-        case DEAD -> declaredDead(member, word, later);
+        case DEAD -> mergeDead(member, word, later);
         default -> throw new IllegalStateException();
       }
-    } else if (word.sameTerm(member.word)
-        && word.standing() == Standing.SUSPECT
-        && member.word.standing() == Standing.SUSPECT) {
-      accuse(member, word.by());
+    } else if (word.isSameIncarnation(member.state)
+        && word.status() == MemberStatus.SUSPECT
+        && member.state.status() == MemberStatus.SUSPECT) {
+      suspect(member, word.reportedBy());
     }
   }
 
-  private void declaredDead(Member member, Word word, boolean later) {
+  private void mergeDead(Member member, MemberState word, boolean later) {
     // A death declared on the other side of a partition is only suspected here, so that a member
     // that is live on this side has time to refute it.
-    if (later && member.word.standing().there()) {
-      hold(member, word.as(Standing.ALIVE, ""));
+    if (later && member.state.status().isLive()) {
+      setState(member, word.withStatus(MemberStatus.ALIVE, ""));
     }
-    if (!member.word.standing().there()
-        || (member.word.standing() == Standing.SUSPECT
-            && local.now - member.suspectedAt >= least())) {
-      hold(member, word);
+    if (!member.state.status().isLive()
+        || (member.state.status() == MemberStatus.SUSPECT
+            && local.now - member.suspectedAt >= minSuspicionNanos())) {
+      setState(member, word);
     } else {
-      accuse(member, word.by());
+      suspect(member, word.reportedBy());
     }
   }
 
@@ -136,85 +143,90 @@
    * Records that a member was reported not to respond. Each further independent report shortens the
    * time that the member has to refute the suspicion.
    */
-  void accuse(Member member, String accuser) {
-    if (member.word.standing() == Standing.ALIVE) {
+  void suspect(Member member, String accuser) {
+    if (member.state.status() == MemberStatus.ALIVE) {
       member.suspectedAt = local.now;
-      hold(member, member.word.as(Standing.SUSPECT, accuser));
-      member.accusers.add(accuser);
-    } else if (member.word.standing() == Standing.SUSPECT
-        && member.accusers.size() <= rules.helpers()
-        && member.accusers.add(accuser)) {
-      outbox.tell(member.word.as(Standing.SUSPECT, accuser));
+      setState(member, member.state.withStatus(MemberStatus.SUSPECT, accuser));
+      member.suspectors.add(accuser);
+    } else if (member.state.status() == MemberStatus.SUSPECT
+        && member.suspectors.size() <= config.indirectProbes()
+        && member.suspectors.add(accuser)) {
+      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, accuser));
     }
   }
 
   /** Replaces the state of a member; all changes of known members pass through here. */
-  private void hold(Member member, Word next) {
-    Word before = member.word;
+  private void setState(Member member, MemberState next) {
+    MemberState before = member.state;
     suspects.remove(member);
-    member.word = next;
-    member.since =
-        before.standing() == next.standing() && before.life() == next.life()
-            ? member.since
+    member.state = next;
+    member.statusSince =
+        before.status() == next.status() && before.instanceId() == next.instanceId()
+            ? member.statusSince
             : local.now;
-    if (next.standing() == Standing.SUSPECT) {
+    if (next.status() == MemberStatus.SUSPECT) {
       suspects.add(member);
     } else {
-      member.accusers.clear();
+      member.suspectors.clear();
     }
-    if (!next.standing().there()) {
-      facts.drop(next.name());
+    if (!next.status().isLive()) {
+      facts.removeOwnedBy(next.name());
     }
-    changed(before, next);
+    publishChange(before, next);
   }
 
-  private void changed(Word before, Word after) {
-    outbox.tell(after);
+  private void publishChange(MemberState before, MemberState after) {
+    outbox.gossip(after);
     int more =
-        (after.standing().there() ? 1 : 0) - (before != null && before.standing().there() ? 1 : 0);
-    local.there += more;
+        (after.status().isLive() ? 1 : 0) - (before != null && before.status().isLive() ? 1 : 0);
+    local.liveMembers += more;
     boolean was =
-        before != null && before.standing().there() && before.place().equals(local.self.place());
-    boolean is = after.standing().there() && after.place().equals(local.self.place());
-    inPlace += (is ? 1 : 0) - (was ? 1 : 0);
-    changes += more != 0 || was != is ? 1 : 0;
-    outbox.add(new Action.Changed(before, after));
+        before != null && before.status().isLive() && before.zone().equals(local.self.zone());
+    boolean is = after.status().isLive() && after.zone().equals(local.self.zone());
+    liveMembersInZone += (is ? 1 : 0) - (was ? 1 : 0);
+    version += more != 0 || was != is ? 1 : 0;
+    outbox.add(new Action.MemberChanged(before, after));
   }
 
-  private long least() {
-    return (long) (rules.least() * Math.max(1, Math.log10(local.there)) * rules.period());
+  private long minSuspicionNanos() {
+    return (long)
+        (config.suspicionMultiplier()
+            * Math.max(1, Math.log10(local.liveMembers))
+            * config.probeIntervalNanos());
   }
 
   /**
    * The deadline of a suspicion. It decreases with the logarithm of the number of reports, and is
    * extended in proportion to this member's local health score.
    */
-  private long endOf(Member member) {
-    int expected = Math.min(rules.helpers(), Math.max(0, local.there - 2));
-    double part = expected == 0 ? 1 : Math.log(member.accusers.size()) / Math.log(expected + 1);
-    double times = rules.most() - (rules.most() - 1) * Math.min(1, Math.max(0, part));
-    return member.suspectedAt + ((long) (least() * times)) * (1 + local.health);
+  private long suspicionDeadline(Member member) {
+    int expected = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
+    double part = expected == 0 ? 1 : Math.log(member.suspectors.size()) / Math.log(expected + 1);
+    double times =
+        config.maxSuspicionMultiplier()
+            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, part));
+    return member.suspectedAt + ((long) (minSuspicionNanos() * times)) * (1 + local.healthScore);
   }
 
   /** The earliest deadline of all suspicions. */
-  long nextEnd() {
-    return suspects.stream().mapToLong(this::endOf).min().orElse(Long.MAX_VALUE);
+  long nextSuspicionDeadline() {
+    return suspects.stream().mapToLong(this::suspicionDeadline).min().orElse(Long.MAX_VALUE);
   }
 
   /**
    * The next member to probe, or null if there is none. Round robin in an order that is shuffled
    * for each round, so that a member waits two rounds at most.
    */
-  Member next() {
+  Member nextProbeTarget() {
     for (int rounds = 0; rounds < 2; rounds++) {
-      while (!round.isEmpty()) {
-        Member one = round.remove(round.size() - 1);
-        if (members.get(one.word.name()) == one && one.word.standing().there()) {
+      while (!probeOrder.isEmpty()) {
+        Member one = probeOrder.remove(probeOrder.size() - 1);
+        if (members.get(one.state.name()) == one && one.state.status().isLive()) {
           return one;
         }
       }
-      members.values().stream().filter(one -> one.word.standing().there()).forEach(round::add);
-      shuffle(round);
+      members.values().stream().filter(one -> one.state.status().isLive()).forEach(probeOrder::add);
+      shuffle(probeOrder);
     }
     return null;
   }
@@ -222,16 +234,16 @@
   /** Shuffles a list, in an order that depends on the seed. */
   void shuffle(List<?> list) {
     for (int i = list.size() - 1; i > 0; i--) {
-      Collections.swap(list, i, chance.nextInt(i + 1));
+      Collections.swap(list, i, random.nextInt(i + 1));
     }
   }
 
   /** Up to that many random live members. */
-  List<Member> some(int count, Member except) {
+  List<Member> randomLiveMembers(int count, Member except) {
     List<Member> all =
         new ArrayList<>(
             members.values().stream()
-                .filter(one -> one.word.standing().there() && one != except)
+                .filter(one -> one.state.status().isLive() && one != except)
                 .toList());
     shuffle(all);
     return all.subList(0, Math.min(count, all.size()));
--- a/src/main/java/tansytrack/fleet/View.java
+++ b/src/main/java/tansytrack/fleet/MembershipView.java
@@ -7,4 +7,4 @@
  * @param there all live members, this one included
  * @param inPlace live members in this member's zone, this one included
  */
-public record View(long number, int there, int inPlace) {}
+public record MembershipView(long version, int liveMembers, int liveMembersInZone) {}
--- a/src/main/java/tansytrack/fleet/Letter.java
+++ b/src/main/java/tansytrack/fleet/Message.java
@@ -13,14 +13,14 @@
  * @param words piggybacked or synced member states
  * @param facts piggybacked or synced facts
  */
-public record Letter(
+public record Message(
     Kind kind,
-    long number,
-    long sequence,
-    Word from,
-    String about,
-    String next,
-    List<Word> words,
+    long messageNumber,
+    long requestId,
+    MemberState sender,
+    String targetOrStartKey,
+    String nextKey,
+    List<MemberState> updates,
     List<Fact> facts) {
 
   /**
@@ -30,27 +30,29 @@
   public enum Kind {
     PING,
     ACK,
-    ASK,
+    PING_REQ,
     NACK,
-    WHOLE,
-    PAGE
+    SYNC_REQUEST,
+    SYNC_RESPONSE
   }
 
-  static final int BESIDE_TEXT = 40;
+  static final int FIXED_BYTES = 40;
 
   /** A copy with other member states. */
-  public Letter with(List<Word> other) {
-    return new Letter(kind, number, sequence, from, about, next, other, facts);
+  public Message withUpdates(List<MemberState> other) {
+    return new Message(
+        kind, messageNumber, requestId, sender, targetOrStartKey, nextKey, other, facts);
   }
 
   /** An upper bound of the encoded size. */
-  public int bytes() {
-    int bytes = BESIDE_TEXT + from.bytes() + about.length() + next.length();
-    for (Word word : words) {
-      bytes += word.bytes();
+  public int maxEncodedBytes() {
+    int bytes =
+        FIXED_BYTES + sender.maxEncodedBytes() + targetOrStartKey.length() + nextKey.length();
+    for (MemberState word : updates) {
+      bytes += word.maxEncodedBytes();
     }
     for (Fact fact : facts) {
-      bytes += fact.bytes();
+      bytes += fact.maxEncodedBytes();
     }
     return bytes;
   }
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -10,41 +10,42 @@
 final class Outbox {
 
   // Each update is sent this often, times the binary logarithm of the number of live members.
-  private static final int TELL_PART = 3;
-  private static final long SECOND = 1_000_000_000L;
+  private static final int RETRANSMIT_MULTIPLIER = 3;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
   // Prefix of fact keys in sync pages; it sorts after all member names.
-  private static final String FACTS = "~";
+  private static final String FACT_KEY_PREFIX = "~";
 
-  private final Rules rules;
+  private final MembershipConfig config;
   private final LocalState local;
-  private final Facts facts;
-  private final Rumours<Word> words = new Rumours<>(Word::bytes);
-  private final Rumours<Fact> factsToTell = new Rumours<>(Fact::bytes);
+  private final FactStore facts;
+  private final GossipQueue<MemberState> memberQueue =
+      new GossipQueue<>(MemberState::maxEncodedBytes);
+  private final GossipQueue<Fact> factQueue = new GossipQueue<>(Fact::maxEncodedBytes);
   private List<Action> actions = new ArrayList<>();
-  private long number;
-  private long secondFrom;
-  private int secondBytes;
+  private long lastMessageNumber;
+  private long rateWindowStart;
+  private int rateWindowBytes;
 
-  Outbox(Rules rules, LocalState local, Facts facts) {
-    this.rules = rules;
+  Outbox(MembershipConfig rules, LocalState local, FactStore facts) {
+    this.config = rules;
     this.local = local;
     this.facts = facts;
   }
 
   /** Queues a member's state for gossip. */
-  void tell(Word word) {
-    words.put(word.name(), word);
+  void gossip(MemberState word) {
+    memberQueue.put(word.name(), word);
   }
 
   /** Queues a fact for gossip. */
-  void tell(Fact fact) {
-    factsToTell.put(fact.key(), fact);
+  void gossip(Fact fact) {
+    factQueue.put(fact.key(), fact);
   }
 
   /** Replaces this member's own state and queues it for gossip. */
-  void say(Word next) {
+  void updateSelf(MemberState next) {
     local.self = next;
-    tell(next);
+    gossip(next);
   }
 
   void add(Action action) {
@@ -52,7 +53,7 @@
   }
 
   /** Returns and clears the collected actions. */
-  List<Action> given() {
+  List<Action> drainActions() {
     List<Action> all = actions;
     actions = new ArrayList<>();
     return all;
@@ -62,90 +63,92 @@
    * Sends a page of a sync: the given first states in any case, then held states and facts from the
    * start key on, as many as fit.
    */
-  void sendPage(
-      Letter.Kind kind,
+  void sendSyncPage(
+      Message.Kind kind,
       String address,
       long as,
       String from,
-      List<Word> first,
-      Iterable<Word> held) {
-    List<Word> said = new ArrayList<>(first);
+      List<MemberState> first,
+      Iterable<MemberState> held) {
+    List<MemberState> said = new ArrayList<>(first);
     List<Fact> seen = new ArrayList<>();
-    Letter bare = new Letter(kind, 0, as, local.self, from, "", said, seen);
+    Message bare = new Message(kind, 0, as, local.self, from, "", said, seen);
     // 200 bytes are reserved for the key of the next page.
-    int left = rules.datagram() - bare.bytes() - 200;
+    int left = config.maxMessageBytes() - bare.maxEncodedBytes() - 200;
     String next = "";
-    for (Word one : held) {
-      left -= one.bytes();
+    for (MemberState one : held) {
+      left -= one.maxEncodedBytes();
       if (left < 0) {
         next = one.name();
         break;
       }
       said.add(one);
     }
-    String key = from.startsWith(FACTS) ? from.substring(FACTS.length()) : "";
-    for (Fact one = facts.from(local.now, key);
+    String key = from.startsWith(FACT_KEY_PREFIX) ? from.substring(FACT_KEY_PREFIX.length()) : "";
+    for (Fact one = facts.firstFrom(local.now, key);
         one != null && next.isEmpty();
-        one = facts.from(local.now, one.key() + '\0')) {
-      left -= one.bytes();
+        one = facts.firstFrom(local.now, one.key() + '\0')) {
+      left -= one.maxEncodedBytes();
       if (left < 0) {
-        next = FACTS + one.key();
+        next = FACT_KEY_PREFIX + one.key();
       } else {
         seen.add(one);
       }
     }
-    post(
+    transmit(
         address,
-        new Letter(kind, ++number, as, local.self, from, next, said, seen),
-        kind == Letter.Kind.PAGE);
+        new Message(kind, ++lastMessageNumber, as, local.self, from, next, said, seen),
+        kind == Message.Kind.SYNC_RESPONSE);
   }
 
-  void send(Letter.Kind kind, String address, long as, String about, String next, Word first) {
-    post(
+  void send(
+      Message.Kind kind, String address, long as, String about, String next, MemberState first) {
+    transmit(
         address,
-        write(kind, as, about, next, first == null ? List.of() : List.of(first)),
-        kind == Letter.Kind.ACK);
+        compose(kind, as, about, next, first == null ? List.of() : List.of(first)),
+        kind == Message.Kind.ACK);
   }
 
   /** Composes a message with as many queued updates as fit; none above the limit of bytes. */
-  Letter write(Letter.Kind kind, long as, String about, String next, List<Word> first) {
+  Message compose(Message.Kind kind, long as, String about, String next, List<MemberState> first) {
     int left =
-        rules.datagram()
-            - new Letter(kind, 0, as, local.self, about, next, first, List.of()).bytes();
-    List<Word> said = new ArrayList<>(first);
+        config.maxMessageBytes()
+            - new Message(kind, 0, as, local.self, about, next, first, List.of()).maxEncodedBytes();
+    List<MemberState> said = new ArrayList<>(first);
     List<Fact> seen = new ArrayList<>();
-    if (spent() < rules.bytesASecond()) {
-      int often = TELL_PART * (Integer.SIZE - Integer.numberOfLeadingZeros(local.there));
-      said.addAll(words.take(left, often));
-      left -= said.stream().skip(first.size()).mapToInt(Word::bytes).sum();
-      for (Fact fact : factsToTell.take(left, often)) {
-        Fact aged = facts.now(local.now, fact);
+    if (bytesInRateWindow() < config.maxBytesPerSecond()) {
+      int often =
+          RETRANSMIT_MULTIPLIER * (Integer.SIZE - Integer.numberOfLeadingZeros(local.liveMembers));
+      said.addAll(memberQueue.take(left, often));
+      left -= said.stream().skip(first.size()).mapToInt(MemberState::maxEncodedBytes).sum();
+      for (Fact fact : factQueue.take(left, often)) {
+        Fact aged = facts.current(local.now, fact);
         if (aged != null) {
           seen.add(aged);
         }
       }
     }
-    return new Letter(kind, ++number, as, local.self, about, next, said, seen);
+    return new Message(kind, ++lastMessageNumber, as, local.self, about, next, said, seen);
   }
 
-  private int spent() {
-    if (local.now - secondFrom >= SECOND) {
-      secondFrom = local.now;
-      secondBytes = 0;
+  private int bytesInRateWindow() {
+    if (local.now - rateWindowStart >= NANOS_PER_SECOND) {
+      rateWindowStart = local.now;
+      rateWindowBytes = 0;
     }
-    return secondBytes;
+    return rateWindowBytes;
   }
 
   /**
    * Emits a message; all messages pass through here. At twice the limit of bytes per second all but
    * acks and sync responses are withheld.
    */
-  void post(String address, Letter letter, boolean owed) {
-    if (!owed && spent() >= 2 * rules.bytesASecond()) {
+  void transmit(String address, Message letter, boolean owed) {
+    if (!owed && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
       local.count("withheld");
       return;
     }
-    secondBytes = spent() + letter.bytes();
+    rateWindowBytes = bytesInRateWindow() + letter.maxEncodedBytes();
     actions.add(new Action.Send(address, letter));
   }
 }
--- a/src/main/java/tansytrack/lab/world/Weather.java
+++ b/src/main/java/tansytrack/lab/simulation/LinkConditions.java
@@ -1,4 +1,4 @@
-package tansytrack.lab.world;
+package tansytrack.lab.simulation;
 
 /**
  * The conditions of a link. With a mean burst length above 1, losses come in bursts, in which all
@@ -10,13 +10,19 @@
  * @param least shortest delay
  * @param spread mean of the exponentially distributed additional delay, which reorders messages
  */
-public record Weather(double loss, double burst, double doubled, long least, long spread) {
+public record LinkConditions(
+    double loss,
+    double meanBurstLength,
+    double duplication,
+    long minDelayNanos,
+    long meanExtraDelayNanos) {
 
   /** No loss and a delay of 1 ms on average. */
-  public static final Weather FINE = new Weather(0, 1, 0, 500_000L, 500_000L);
+  public static final LinkConditions GOOD = new LinkConditions(0, 1, 0, 500_000L, 500_000L);
 
   /** The same conditions with another share of lost messages. */
-  public Weather losing(double share) {
-    return new Weather(share, burst, doubled, least, spread);
+  public LinkConditions withLoss(double share) {
+    return new LinkConditions(
+        share, meanBurstLength, duplication, minDelayNanos, meanExtraDelayNanos);
   }
 }
