--- a/src/main/java/tansytrack/FleetCommands.java
+++ b/src/main/java/tansytrack/FleetCommands.java
@@ -49,7 +49,7 @@
         required = true,
         metaVar = "ADDRESS",
         usage = "the address of a running manager's listener, as in 127.0.0.1:6565")
-    private String at;
+    private String address;
 
     @Option(name = "--json", usage = "print a JSON object instead of a table")
     private boolean json;
@@ -63,31 +63,33 @@
 
     @Override
     protected int execute() throws IOException {
-      int colon = at.lastIndexOf(':');
-      if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}")) {
+      int colon = address.lastIndexOf(':');
+      if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
         throw new InvalidInputException(
-            "'" + at + "'; allowed: an address with a port, as in 127.0.0.1:6565");
+            "'" + address + "'; allowed: an address with a port, as in 127.0.0.1:6565");
       }
       LabClient.Answer answer;
       try (LabClient client =
           new LabClient(
               new InetSocketAddress(
-                  at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
+                  address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
               TIMEOUT_MS)) {
         answer = client.ask("SHOW FLEET");
       } catch (IOException e) {
-        throw new IOException(at + " cannot be asked: " + e.getMessage(), e);
+        throw new IOException(address + " cannot be asked: " + e.getMessage(), e);
       }
       if (!answer.handled()) {
         System.err.println(
-            "tansytrack: " + at + " has no membership: its operator's file has no fleet section");
+            "tansytrack: "
+                + address
+                + " has no membership: its operator's file has no fleet section");
         return EXIT_DIFFERENCE;
       }
-      System.out.print(json ? object(answer) : table(answer));
+      System.out.print(json ? toJson(answer) : toTable(answer));
       return 0;
     }
 
-    private static String table(LabClient.Answer answer) {
+    private static String toTable(LabClient.Answer answer) {
       StringBuilder text = new StringBuilder();
       int[] widths = new int[answer.columns().size()];
       for (int i = 0; i < widths.length; i++) {
@@ -96,12 +98,12 @@
           widths[i] = Math.max(widths[i], row.get(i).length());
         }
       }
-      line(text, answer.columns(), widths);
-      answer.cells().forEach(row -> line(text, row, widths));
+      appendRow(text, answer.columns(), widths);
+      answer.cells().forEach(row -> appendRow(text, row, widths));
       return text.toString();
     }
 
-    private static void line(StringBuilder text, List<String> cells, int[] widths) {
+    private static void appendRow(StringBuilder text, List<String> cells, int[] widths) {
       for (int i = 0; i < widths.length; i++) {
         text.append(i > 0 ? "  " : "")
             .append(
@@ -112,19 +114,19 @@
       text.append('\n');
     }
 
-    private static String object(LabClient.Answer answer) {
+    private static String toJson(LabClient.Answer answer) {
       StringBuilder text = new StringBuilder("{\"members\":[");
       for (int i = 0; i < answer.rows(); i++) {
         text.append(i > 0 ? "," : "").append('{');
         for (int j = 0; j < answer.columns().size(); j++) {
           String cell = answer.cells().get(i).get(j);
-          boolean figure =
+          boolean isNumber =
               cell.matches("[0-9]{1,18}")
                   && !answer.columns().get(j).matches("name|place|version|settings");
           text.append(j > 0 ? "," : "")
               .append(JsonLinesWriter.quote(answer.columns().get(j)))
               .append(':')
-              .append(figure ? cell : JsonLinesWriter.quote(cell));
+              .append(isNumber ? cell : JsonLinesWriter.quote(cell));
         }
         text.append('}');
       }
--- a/src/main/java/tansytrack/fleet/BudgetDivisor.java
+++ b/src/main/java/tansytrack/fleet/BudgetDivisor.java
@@ -26,24 +26,24 @@
    * Starts with all configured managers; the number decreases only after a lower one has been
    * wanted for the settling time.
    */
-  public BudgetDivisor(int named, long settle) {
-    this.namedPeers = named;
-    this.settleNanos = settle;
-    divisor = named + 1;
+  public BudgetDivisor(int namedPeers, long settleTimeNanos) {
+    this.namedPeers = namedPeers;
+    this.settleNanos = settleTimeNanos;
+    divisor = namedPeers + 1;
   }
 
   /** Records a changed member; members that are not configured count while they are live. */
-  public void memberChanged(MemberState after) {
-    if (after.status() == MemberStatus.LEFT) {
-      left.add(after.name());
+  public void memberChanged(MemberState state) {
+    if (state.status() == MemberStatus.LEFT) {
+      left.add(state.name());
     } else {
-      left.remove(after.name());
+      left.remove(state.name());
     }
   }
 
   /** Updates and returns the number to use from now on. */
-  public int update(long now, int there) {
-    int wanted = Math.max(there, namedPeers + 1 - left.size());
+  public int update(long now, int liveMembers) {
+    int wanted = Math.max(liveMembers, namedPeers + 1 - left.size());
     if (wanted >= divisor) {
       divisor = wanted;
       lowerSince = -1;
--- a/src/main/java/tansytrack/fleet/Fact.java
+++ b/src/main/java/tansytrack/fleet/Fact.java
@@ -39,8 +39,9 @@
         && version == other.version;
   }
 
-  Fact withAge(long now) {
-    return new Fact(owner, incarnation, instanceId, kind, subject, version, values, now, ttlNanos);
+  Fact withAge(long newAge) {
+    return new Fact(
+        owner, incarnation, instanceId, kind, subject, version, values, newAge, ttlNanos);
   }
 
   boolean isValid() {
--- a/src/main/java/tansytrack/fleet/FactStore.java
+++ b/src/main/java/tansytrack/fleet/FactStore.java
@@ -27,30 +27,30 @@
     }
   }
 
-  FactStore(int most) {
-    this.maxFacts = most;
+  FactStore(int maxFacts) {
+    this.maxFacts = maxFacts;
   }
 
   /** Stores a fact that is newer than the held one; returns whether it must be gossiped. */
   boolean merge(long now, Fact fact) {
-    Entry next = new Entry(fact, now + fact.ttlNanos() - fact.ageNanos());
-    if (next.expiresAt <= now) {
+    Entry candidate = new Entry(fact, now + fact.ttlNanos() - fact.ageNanos());
+    if (candidate.expiresAt <= now) {
       return false;
     }
-    Entry old = entries.get(fact.key());
-    if (old == null && entries.size() >= maxFacts) {
+    Entry held = entries.get(fact.key());
+    if (held == null && entries.size() >= maxFacts) {
       refused++;
       return false;
     }
-    boolean later = old == null || fact.supersedes(old.fact);
-    if (later || (fact.isSameVersion(old.fact) && next.expiresAt < old.expiresAt)) {
-      if (old != null) {
-        byExpiry.remove(old);
+    boolean newer = held == null || fact.supersedes(held.fact);
+    if (newer || (fact.isSameVersion(held.fact) && candidate.expiresAt < held.expiresAt)) {
+      if (held != null) {
+        byExpiry.remove(held);
       }
-      entries.put(fact.key(), next);
-      byExpiry.add(next);
+      entries.put(fact.key(), candidate);
+      byExpiry.add(candidate);
     }
-    return later;
+    return newer;
   }
 
   /** Removes expired facts. */
@@ -62,9 +62,9 @@
 
   /** Removes all facts of an owner that is dead or has left. */
   void removeOwnedBy(String owner) {
-    Map<String, Entry> theirs = entries(owner);
-    theirs.values().forEach(byExpiry::remove);
-    theirs.clear();
+    Map<String, Entry> owned = entries(owner);
+    owned.values().forEach(byExpiry::remove);
+    owned.clear();
   }
 
   private Map<String, Entry> entries(String owner) {
@@ -78,29 +78,29 @@
 
   /** All facts of a kind, ordered by owner and subject, with their age at the given time. */
   public List<Fact> ofKind(long now, String kind) {
-    List<Fact> all = new ArrayList<>();
-    for (Entry one : entries.values()) {
-      if (one.fact.kind().equals(kind) && one.expiresAt > now) {
-        all.add(withCurrentAge(now, one));
+    List<Fact> facts = new ArrayList<>();
+    for (Entry entry : entries.values()) {
+      if (entry.fact.kind().equals(kind) && entry.expiresAt > now) {
+        facts.add(withCurrentAge(now, entry));
       }
     }
-    return all;
+    return facts;
   }
 
   /** The first fact whose key is equal to or greater than the given one, or null. */
   Fact firstFrom(long now, String key) {
-    Map.Entry<String, Entry> next = entries.ceilingEntry(key);
-    return next == null ? null : withCurrentAge(now, next.getValue());
+    Map.Entry<String, Entry> entry = entries.ceilingEntry(key);
+    return entry == null ? null : withCurrentAge(now, entry.getValue());
   }
 
   /** The held version of a fact with its present age, or null if it has expired. */
   Fact current(long now, Fact fact) {
-    Entry one = entries.get(fact.key());
-    return one == null || one.expiresAt <= now ? null : withCurrentAge(now, one);
+    Entry entry = entries.get(fact.key());
+    return entry == null || entry.expiresAt <= now ? null : withCurrentAge(now, entry);
   }
 
-  private static Fact withCurrentAge(long now, Entry one) {
-    return one.fact.withAge(Math.max(0, one.fact.ttlNanos() - (one.expiresAt - now)));
+  private static Fact withCurrentAge(long now, Entry entry) {
+    return entry.fact.withAge(Math.max(0, entry.fact.ttlNanos() - (entry.expiresAt - now)));
   }
 
   /** The number of facts held. */
--- a/src/main/java/tansytrack/fleet/GossipQueue.java
+++ b/src/main/java/tansytrack/fleet/GossipQueue.java
@@ -20,19 +20,19 @@
   private final TreeSet<Entry<T>> order =
       new TreeSet<>(
           Comparator.<Entry<T>>comparingInt(one -> one.transmissions)
-              .thenComparingLong(one -> -one.number));
-  private long count;
+              .thenComparingLong(one -> -one.insertionOrder));
+  private long insertions;
 
   private static final class Entry<T> {
     final String key;
     final T update;
-    final long number;
+    final long insertionOrder;
     int transmissions;
 
-    Entry(String key, T what, long number) {
+    Entry(String key, T update, long insertionOrder) {
       this.key = key;
-      this.update = what;
-      this.number = number;
+      this.update = update;
+      this.insertionOrder = insertionOrder;
     }
   }
 
@@ -40,11 +40,11 @@
     this.bytes = bytes;
   }
 
-  void put(String key, T what) {
+  void put(String key, T update) {
     remove(key);
-    Entry<T> rumour = new Entry<>(key, what, count++);
-    byKey.put(key, rumour);
-    order.add(rumour);
+    Entry<T> entry = new Entry<>(key, update, insertions++);
+    byKey.put(key, entry);
+    order.add(entry);
   }
 
   void remove(String key) {
@@ -62,29 +62,29 @@
    * Takes the updates that fit into a number of bytes and counts a transmission of each; an update
    * is removed once it has been transmitted the given number of times.
    */
-  List<T> take(int room, int often) {
+  List<T> take(int maxBytes, int maxTransmissions) {
     List<Entry<T>> taken = new ArrayList<>();
-    int left = room;
-    for (Entry<T> one : order) {
-      int size = bytes.applyAsInt(one.update);
-      if (size <= left) {
-        left -= size;
-        taken.add(one);
+    int remainingBytes = maxBytes;
+    for (Entry<T> entry : order) {
+      int size = bytes.applyAsInt(entry.update);
+      if (size <= remainingBytes) {
+        remainingBytes -= size;
+        taken.add(entry);
       }
-      if (left < Message.FIXED_BYTES) {
+      if (remainingBytes < Message.FIXED_BYTES) {
         break;
       }
     }
-    List<T> said = new ArrayList<>();
-    for (Entry<T> one : taken) {
-      said.add(one.update);
-      order.remove(one);
-      if (++one.transmissions < often) {
-        order.add(one);
+    List<T> updates = new ArrayList<>();
+    for (Entry<T> entry : taken) {
+      updates.add(entry.update);
+      order.remove(entry);
+      if (++entry.transmissions < maxTransmissions) {
+        order.add(entry);
       } else {
-        byKey.remove(one.key);
+        byKey.remove(entry.key);
       }
     }
-    return said;
+    return updates;
   }
 }
--- a/src/main/java/tansytrack/fleet/LocalState.java
+++ b/src/main/java/tansytrack/fleet/LocalState.java
@@ -23,11 +23,11 @@
     this.now = now;
   }
 
-  void count(String what) {
-    counts.merge(what, 1L, Long::sum);
+  void count(String event) {
+    counts.merge(event, 1L, Long::sum);
   }
 
-  void raiseHealthScore(int more) {
-    healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + more);
+  void raiseHealthScore(int increase) {
+    healthScore = Math.min(MAX_HEALTH_SCORE, healthScore + increase);
   }
 }
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -13,8 +13,8 @@
   final Set<String> suspectors = new LinkedHashSet<>();
   final ReplayWindow replayWindow = new ReplayWindow();
 
-  Member(MemberState word, long now) {
-    this.state = word;
+  Member(MemberState state, long now) {
+    this.state = state;
     statusSince = now;
   }
 }
--- a/src/main/java/tansytrack/fleet/MemberState.java
+++ b/src/main/java/tansytrack/fleet/MemberState.java
@@ -30,9 +30,23 @@
 
   /** The state with which a member starts. */
   public static MemberState initial(
-      String name, String address, String place, long life, String version, String settings) {
+      String name,
+      String address,
+      String zone,
+      long instanceId,
+      String version,
+      String settingsDigest) {
     return new MemberState(
-        name, address, place, life, 1, MemberStatus.ALIVE, Stage.STARTING, version, settings, "");
+        name,
+        address,
+        zone,
+        instanceId,
+        1,
+        MemberStatus.ALIVE,
+        Stage.STARTING,
+        version,
+        settingsDigest,
+        "");
   }
 
   /**
@@ -57,38 +71,47 @@
     return !name.isEmpty()
         && name.charAt(0) < '~'
         && !address.isEmpty()
-        && isShort(name)
-        && isShort(address)
-        && isShort(zone)
-        && isShort(version)
-        && isShort(settingsDigest)
-        && isShort(reportedBy)
+        && isWithinLimit(name)
+        && isWithinLimit(address)
+        && isWithinLimit(zone)
+        && isWithinLimit(version)
+        && isWithinLimit(settingsDigest)
+        && isWithinLimit(reportedBy)
         && incarnation > 0
         && incarnation <= MAX_INCARNATION
         && instanceId != 0;
   }
 
-  private static boolean isShort(String text) {
+  private static boolean isWithinLimit(String text) {
     return text.length() <= MAX_TEXT_LENGTH;
   }
 
-  MemberState withStatus(MemberStatus next, String accuser) {
+  MemberState withStatus(MemberStatus newStatus, String reporter) {
     return new MemberState(
         name,
         address,
         zone,
         instanceId,
         incarnation,
-        next,
+        newStatus,
         stage,
         version,
         settingsDigest,
-        accuser);
+        reporter);
   }
 
-  MemberState withIncarnation(long next, MemberStatus is, Stage does) {
+  MemberState withIncarnation(long newIncarnation, MemberStatus newStatus, Stage newStage) {
     return new MemberState(
-        name, address, zone, instanceId, next, is, does, version, settingsDigest, "");
+        name,
+        address,
+        zone,
+        instanceId,
+        newIncarnation,
+        newStatus,
+        newStage,
+        version,
+        settingsDigest,
+        "");
   }
 
   /** An upper bound of the encoded size. */
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -28,16 +28,16 @@
   private int liveMembersInZone = 1;
 
   MemberTable(
-      MembershipConfig rules,
+      MembershipConfig config,
       LocalState local,
       Outbox outbox,
       FactStore facts,
-      SplittableRandom chance) {
-    this.config = rules;
+      SplittableRandom random) {
+    this.config = config;
     this.local = local;
     this.outbox = outbox;
     this.facts = facts;
-    this.random = chance;
+    this.random = random;
   }
 
   MembershipView view() {
@@ -56,24 +56,24 @@
 
   /** The states of the members whose names are equal to or greater than the given one. */
   Iterable<MemberState> statesFrom(String name) {
-    return () -> members.tailMap(name).values().stream().map(one -> one.state).iterator();
+    return () -> members.tailMap(name).values().stream().map(member -> member.state).iterator();
   }
 
   /** Declares the members dead that have not refuted their suspicion in time. */
   void expireSuspicions() {
     while (!suspects.isEmpty() && nextSuspicionDeadline() <= local.now) {
-      Member late = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
-      setState(late, late.state.withStatus(MemberStatus.DEAD, local.self.name()));
+      Member expired = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
+      setState(expired, expired.state.withStatus(MemberStatus.DEAD, local.self.name()));
     }
   }
 
   /** Extends all suspicions by a duration. */
-  void postponeSuspicions(long by) {
-    List<Member> all = new ArrayList<>(suspects);
+  void postponeSuspicions(long duration) {
+    List<Member> postponed = new ArrayList<>(suspects);
     suspects.clear();
-    for (Member one : all) {
-      one.suspectedAt += by;
-      suspects.add(one);
+    for (Member member : postponed) {
+      member.suspectedAt += duration;
+      suspects.add(member);
     }
   }
 
@@ -82,16 +82,16 @@
     members
         .values()
         .removeIf(
-            one ->
-                !one.state.status().isLive()
-                    && local.now - one.statusSince > config.goneRetentionNanos());
+            member ->
+                !member.state.status().isLive()
+                    && local.now - member.statusSince > config.goneRetentionNanos());
   }
 
   /** Merges a received state of another member. */
-  void merge(MemberState word) {
-    Member member = members.get(word.name());
+  void merge(MemberState state) {
+    Member member = members.get(state.name());
     if (member == null) {
-      if (!word.status().isLive()) {
+      if (!state.status().isLive()) {
         // An unknown member that is already gone is not worth tracking.
         return;
       }
@@ -99,43 +99,43 @@
         local.count("too_many");
         return;
       }
-      member = new Member(word.withStatus(MemberStatus.ALIVE, ""), local.now);
-      members.put(word.name(), member);
+      member = new Member(state.withStatus(MemberStatus.ALIVE, ""), local.now);
+      members.put(state.name(), member);
       probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
       publishChange(null, member.state);
     }
-    if (word.supersedes(member.state)) {
-      boolean later = !word.isSameIncarnation(member.state);
-      switch (word.status()) {
-        case ALIVE, LEFT -> setState(member, word);
+    if (state.supersedes(member.state)) {
+      boolean isNewIncarnation = !state.isSameIncarnation(member.state);
+      switch (state.status()) {
+        case ALIVE, LEFT -> setState(member, state);
         case SUSPECT -> {
-          if (later) {
-            setState(member, word.withStatus(MemberStatus.ALIVE, ""));
+          if (isNewIncarnation) {
+            setState(member, state.withStatus(MemberStatus.ALIVE, ""));
           }
-          suspect(member, word.reportedBy());
+          suspect(member, state.reportedBy());
         }
-        case DEAD -> mergeDead(member, word, later);
+        case DEAD -> mergeDead(member, state, isNewIncarnation);
         default -> throw new IllegalStateException();
       }
-    } else if (word.isSameIncarnation(member.state)
-        && word.status() == MemberStatus.SUSPECT
+    } else if (state.isSameIncarnation(member.state)
+        && state.status() == MemberStatus.SUSPECT
         && member.state.status() == MemberStatus.SUSPECT) {
-      suspect(member, word.reportedBy());
+      suspect(member, state.reportedBy());
     }
   }
 
-  private void mergeDead(Member member, MemberState word, boolean later) {
+  private void mergeDead(Member member, MemberState state, boolean isNewIncarnation) {
     // A death declared on the other side of a partition is only suspected here, so that a member
     // that is live on this side has time to refute it.
-    if (later && member.state.status().isLive()) {
-      setState(member, word.withStatus(MemberStatus.ALIVE, ""));
+    if (isNewIncarnation && member.state.status().isLive()) {
+      setState(member, state.withStatus(MemberStatus.ALIVE, ""));
     }
     if (!member.state.status().isLive()
         || (member.state.status() == MemberStatus.SUSPECT
             && local.now - member.suspectedAt >= minSuspicionNanos())) {
-      setState(member, word);
+      setState(member, state);
     } else {
-      suspect(member, word.reportedBy());
+      suspect(member, state.reportedBy());
     }
   }
 
@@ -143,48 +143,48 @@
    * Records that a member was reported not to respond. Each further independent report shortens the
    * time that the member has to refute the suspicion.
    */
-  void suspect(Member member, String accuser) {
+  void suspect(Member member, String reporter) {
     if (member.state.status() == MemberStatus.ALIVE) {
       member.suspectedAt = local.now;
-      setState(member, member.state.withStatus(MemberStatus.SUSPECT, accuser));
-      member.suspectors.add(accuser);
+      setState(member, member.state.withStatus(MemberStatus.SUSPECT, reporter));
+      member.suspectors.add(reporter);
     } else if (member.state.status() == MemberStatus.SUSPECT
         && member.suspectors.size() <= config.indirectProbes()
-        && member.suspectors.add(accuser)) {
-      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, accuser));
+        && member.suspectors.add(reporter)) {
+      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, reporter));
     }
   }
 
   /** Replaces the state of a member; all changes of known members pass through here. */
-  private void setState(Member member, MemberState next) {
+  private void setState(Member member, MemberState after) {
     MemberState before = member.state;
     suspects.remove(member);
-    member.state = next;
+    member.state = after;
     member.statusSince =
-        before.status() == next.status() && before.instanceId() == next.instanceId()
+        before.status() == after.status() && before.instanceId() == after.instanceId()
             ? member.statusSince
             : local.now;
-    if (next.status() == MemberStatus.SUSPECT) {
+    if (after.status() == MemberStatus.SUSPECT) {
       suspects.add(member);
     } else {
       member.suspectors.clear();
     }
-    if (!next.status().isLive()) {
-      facts.removeOwnedBy(next.name());
+    if (!after.status().isLive()) {
+      facts.removeOwnedBy(after.name());
     }
-    publishChange(before, next);
+    publishChange(before, after);
   }
 
   private void publishChange(MemberState before, MemberState after) {
     outbox.gossip(after);
-    int more =
+    int liveDelta =
         (after.status().isLive() ? 1 : 0) - (before != null && before.status().isLive() ? 1 : 0);
-    local.liveMembers += more;
-    boolean was =
+    local.liveMembers += liveDelta;
+    boolean wasInZone =
         before != null && before.status().isLive() && before.zone().equals(local.self.zone());
-    boolean is = after.status().isLive() && after.zone().equals(local.self.zone());
-    liveMembersInZone += (is ? 1 : 0) - (was ? 1 : 0);
-    version += more != 0 || was != is ? 1 : 0;
+    boolean isInZone = after.status().isLive() && after.zone().equals(local.self.zone());
+    liveMembersInZone += (isInZone ? 1 : 0) - (wasInZone ? 1 : 0);
+    version += liveDelta != 0 || wasInZone != isInZone ? 1 : 0;
     outbox.add(new Action.MemberChanged(before, after));
   }
 
@@ -200,12 +200,16 @@
    * extended in proportion to this member's local health score.
    */
   private long suspicionDeadline(Member member) {
-    int expected = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
-    double part = expected == 0 ? 1 : Math.log(member.suspectors.size()) / Math.log(expected + 1);
-    double times =
+    int expectedReports = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
+    double reduction =
+        expectedReports == 0
+            ? 1
+            : Math.log(member.suspectors.size()) / Math.log(expectedReports + 1);
+    double multiplier =
         config.maxSuspicionMultiplier()
-            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, part));
-    return member.suspectedAt + ((long) (minSuspicionNanos() * times)) * (1 + local.healthScore);
+            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, reduction));
+    return member.suspectedAt
+        + ((long) (minSuspicionNanos() * multiplier)) * (1 + local.healthScore);
   }
 
   /** The earliest deadline of all suspicions. */
@@ -220,12 +224,14 @@
   Member nextProbeTarget() {
     for (int rounds = 0; rounds < 2; rounds++) {
       while (!probeOrder.isEmpty()) {
-        Member one = probeOrder.remove(probeOrder.size() - 1);
-        if (members.get(one.state.name()) == one && one.state.status().isLive()) {
-          return one;
+        Member member = probeOrder.remove(probeOrder.size() - 1);
+        if (members.get(member.state.name()) == member && member.state.status().isLive()) {
+          return member;
         }
       }
-      members.values().stream().filter(one -> one.state.status().isLive()).forEach(probeOrder::add);
+      members.values().stream()
+          .filter(member -> member.state.status().isLive())
+          .forEach(probeOrder::add);
       shuffle(probeOrder);
     }
     return null;
@@ -239,13 +245,13 @@
   }
 
   /** Up to that many random live members. */
-  List<Member> randomLiveMembers(int count, Member except) {
-    List<Member> all =
+  List<Member> randomLiveMembers(int count, Member excluded) {
+    List<Member> candidates =
         new ArrayList<>(
             members.values().stream()
-                .filter(one -> one.state.status().isLive() && one != except)
+                .filter(member -> member.state.status().isLive() && member != excluded)
                 .toList());
-    shuffle(all);
-    return all.subList(0, Math.min(count, all.size()));
+    shuffle(candidates);
+    return candidates.subList(0, Math.min(count, candidates.size()));
   }
 }
--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -54,10 +54,10 @@
     boolean acknowledged;
     boolean indirect;
 
-    Probe(Member target, long sequence, long askAt) {
+    Probe(Member target, long requestId, long directTimeoutAt) {
       this.target = target;
-      this.requestId = sequence;
-      this.directTimeoutAt = askAt;
+      this.requestId = requestId;
+      this.directTimeoutAt = directTimeoutAt;
     }
   }
 
@@ -69,16 +69,16 @@
       String address, long requestId, String startKey, int retries, long deadline) {}
 
   /** A membership that knows only this member. All randomness is derived from the seed. */
-  public Membership(MembershipConfig rules, MemberState self, long seed, long now) {
-    this.config = rules;
+  public Membership(MembershipConfig config, MemberState self, long seed, long now) {
+    this.config = config;
     local = new LocalState(self, now);
     random = new SplittableRandom(seed);
-    facts = new FactStore(rules.maxFacts());
-    outbox = new Outbox(rules, local, facts);
-    members = new MemberTable(rules, local, outbox, facts, random);
+    facts = new FactStore(config.maxFacts());
+    outbox = new Outbox(config, local, facts);
+    members = new MemberTable(config, local, outbox, facts, random);
     // A random phase keeps managers that start together from probing at the same moment.
-    nextProbeAt = now + (long) (random.nextDouble() * rules.probeIntervalNanos());
-    nextSyncAt = now + rules.syncIntervalNanos();
+    nextProbeAt = now + (long) (random.nextDouble() * config.probeIntervalNanos());
+    nextSyncAt = now + config.syncIntervalNanos();
   }
 
   // ---- Queries ----
@@ -95,7 +95,7 @@
 
   /** The states of all other known members, ordered by name. */
   public List<MemberState> others() {
-    return members.all().stream().map(one -> one.state).toList();
+    return members.all().stream().map(member -> member.state).toList();
   }
 
   /** The time since which a member has had its status, or -1 for an unknown member. */
@@ -121,21 +121,21 @@
 
   /** The time at which {@link #tick} must be called next. */
   public long nextDeadline() {
-    long next = nextProbeAt;
+    long deadline = nextProbeAt;
     if (probe != null && !probe.indirect && !probe.acknowledged) {
-      next = Math.min(next, probe.directTimeoutAt);
+      deadline = Math.min(deadline, probe.directTimeoutAt);
     }
     if (!indirectProbes.isEmpty()) {
-      next = Math.min(next, indirectProbes.values().iterator().next().deadline);
+      deadline = Math.min(deadline, indirectProbes.values().iterator().next().deadline);
     }
-    return Math.min(next, members.nextSuspicionDeadline());
+    return Math.min(deadline, members.nextSuspicionDeadline());
   }
 
   // ---- Inputs ----
 
   /** Processes the deadlines that have passed by the given time. */
-  public List<Action> tick(long at) {
-    advanceClock(at);
+  public List<Action> tick(long now) {
+    advanceClock(now);
     if (probe != null
         && !probe.acknowledged
         && !probe.indirect
@@ -143,13 +143,20 @@
       probeIndirectly();
     }
     members.expireSuspicions();
-    for (Iterator<IndirectProbe> oldest = indirectProbes.values().iterator(); oldest.hasNext(); ) {
-      IndirectProbe relay = oldest.next();
-      if (relay.deadline > local.now) {
+    for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
+        iterator.hasNext(); ) {
+      IndirectProbe indirectProbe = iterator.next();
+      if (indirectProbe.deadline > local.now) {
         break;
       }
-      oldest.remove();
-      outbox.send(Message.Kind.NACK, relay.requester, relay.requestId, relay.target, "", null);
+      iterator.remove();
+      outbox.send(
+          Message.Kind.NACK,
+          indirectProbe.requester,
+          indirectProbe.requestId,
+          indirectProbe.target,
+          "",
+          null);
     }
     if (local.now >= nextProbeAt) {
       startProbeRound();
@@ -158,29 +165,30 @@
   }
 
   /** Processes a message received from an address. */
-  public List<Action> receive(long at, String address, Message letter) {
-    advanceClock(at);
-    if (!letter.sender().isValid()
-        || !letter.updates().stream().allMatch(MemberState::isValid)
-        || !letter.facts().stream().allMatch(Fact::isValid)) {
+  public List<Action> receive(long now, String address, Message message) {
+    advanceClock(now);
+    if (!message.sender().isValid()
+        || !message.updates().stream().allMatch(MemberState::isValid)
+        || !message.facts().stream().allMatch(Fact::isValid)) {
       local.count("unusable");
       return outbox.drainActions();
     }
-    MemberState from = letter.sender();
-    if (from.name().equals(local.self.name()) && from.instanceId() == local.self.instanceId()) {
+    MemberState senderState = message.sender();
+    if (senderState.name().equals(local.self.name())
+        && senderState.instanceId() == local.self.instanceId()) {
       local.count("own");
       return outbox.drainActions();
     }
-    merge(from);
-    Member sender = members.get(from.name());
+    merge(senderState);
+    Member sender = members.get(senderState.name());
     if (sender != null
-        && sender.state.instanceId() == from.instanceId()
-        && !sender.replayWindow.accept(from.instanceId(), letter.messageNumber())) {
+        && sender.state.instanceId() == senderState.instanceId()
+        && !sender.replayWindow.accept(senderState.instanceId(), message.messageNumber())) {
       local.count("repeated");
       return outbox.drainActions();
     }
-    letter.updates().forEach(this::merge);
-    for (Fact fact : letter.facts()) {
+    message.updates().forEach(this::merge);
+    for (Fact fact : message.facts()) {
       // Only facts of the owner's present instance are accepted: facts from before a restart may be
       // delayed or replayed.
       Member owner = members.get(fact.owner());
@@ -191,12 +199,12 @@
         outbox.gossip(fact);
       }
     }
-    switch (letter.kind()) {
-      case PING -> onPing(address, letter);
-      case ACK -> onAck(letter);
-      case PING_REQ -> onPingReq(address, letter);
+    switch (message.kind()) {
+      case PING -> onPing(address, message);
+      case ACK -> onAck(message);
+      case PING_REQ -> onPingReq(address, message);
       case NACK -> {
-        if (probe != null && probe.requestId == letter.requestId()) {
+        if (probe != null && probe.requestId == message.requestId()) {
           probe.nacks++;
         }
       }
@@ -204,18 +212,18 @@
           sendPage(
               Message.Kind.SYNC_RESPONSE,
               address,
-              letter.requestId(),
-              letter.targetOrStartKey(),
-              correctionFor(from));
-      case SYNC_RESPONSE -> onSyncResponse(letter);
+              message.requestId(),
+              message.targetOrStartKey(),
+              correctionFor(senderState));
+      case SYNC_RESPONSE -> onSyncResponse(message);
       default -> throw new IllegalStateException();
     }
     return outbox.drainActions();
   }
 
   /** Sets and announces this member's stage. */
-  public List<Action> setStage(long at, Stage stage) {
-    advanceClock(at);
+  public List<Action> setStage(long now, Stage stage) {
+    advanceClock(now);
     if (local.self.stage() != stage) {
       outbox.updateSelf(
           local.self.withIncarnation(local.self.incarnation() + 1, MemberStatus.ALIVE, stage));
@@ -224,20 +232,26 @@
   }
 
   /** Leaves: announces it at once to several members, as no later message will carry it. */
-  public List<Action> leave(long at) {
-    advanceClock(at);
+  public List<Action> leave(long now) {
+    advanceClock(now);
     outbox.updateSelf(
         local.self.withIncarnation(local.self.incarnation() + 1, MemberStatus.LEFT, Stage.LEAVING));
-    for (Member one : members.randomLiveMembers(config.indirectProbes() * 2, null)) {
+    for (Member member : members.randomLiveMembers(config.indirectProbes() * 2, null)) {
       outbox.send(
-          Message.Kind.PING, one.state.address(), ++lastRequestId, one.state.name(), "", null);
+          Message.Kind.PING,
+          member.state.address(),
+          ++lastRequestId,
+          member.state.name(),
+          "",
+          null);
     }
     return outbox.drainActions();
   }
 
   /** Publishes this member's value for a subject; it expires unless it is published again. */
-  public List<Action> publishFact(long at, String kind, String subject, long[] values, long lasts) {
-    advanceClock(at);
+  public List<Action> publishFact(
+      long now, String kind, String subject, long[] values, long ttlNanos) {
+    advanceClock(now);
     Fact fact =
         new Fact(
             local.self.name(),
@@ -248,7 +262,7 @@
             ++lastFactVersion,
             values,
             0,
-            lasts);
+            ttlNanos);
     if (facts.merge(local.now, fact)) {
       outbox.gossip(fact);
     }
@@ -262,16 +276,16 @@
    * others for it: pending probes are discarded, suspicions are extended by the pause, and the
    * local health score is set to its maximum.
    */
-  private void advanceClock(long at) {
-    long late = at - Math.max(local.now, nextDeadline());
-    local.now = Math.max(local.now, at);
-    if (late > config.probeIntervalNanos()) {
+  private void advanceClock(long now) {
+    long delay = now - Math.max(local.now, nextDeadline());
+    local.now = Math.max(local.now, now);
+    if (delay > config.probeIntervalNanos()) {
       local.count("stalled");
       local.healthScore = LocalState.MAX_HEALTH_SCORE;
       probe = null;
       sync = null;
       indirectProbes.clear();
-      members.postponeSuspicions(late);
+      members.postponeSuspicions(delay);
       nextProbeAt = local.now;
     }
     facts.removeExpired(local.now);
@@ -320,7 +334,7 @@
                       * Math.max(1, local.liveMembers / (double) SYNC_SCALING_MEMBERS));
       members
           .randomLiveMembers(1, null)
-          .forEach(one -> sync = requestSync(one.state.address(), "", 0, one.state));
+          .forEach(member -> sync = requestSync(member.state.address(), "", 0, member.state));
     }
   }
 
@@ -363,25 +377,26 @@
    * seeds were down when it started.
    */
   private void contactUnreachable() {
-    List<String> away = new ArrayList<>();
-    Map<String, MemberState> by = new HashMap<>();
-    for (Member one : members.all()) {
-      by.put(one.state.address(), one.state);
-      if (one.state.status() == MemberStatus.DEAD) {
-        away.add(one.state.address());
+    List<String> addresses = new ArrayList<>();
+    Map<String, MemberState> byAddress = new HashMap<>();
+    for (Member member : members.all()) {
+      byAddress.put(member.state.address(), member.state);
+      if (member.state.status() == MemberStatus.DEAD) {
+        addresses.add(member.state.address());
       }
     }
     for (String seed : config.seeds()) {
-      MemberState known = by.get(seed);
+      MemberState known = byAddress.get(seed);
       if (!seed.equals(local.self.address())
           && (known == null || known.status() == MemberStatus.LEFT)) {
-        away.add(seed);
+        addresses.add(seed);
       }
     }
-    members.shuffle(away);
+    members.shuffle(addresses);
     for (String address :
-        away.subList(0, Math.min(local.liveMembers == 1 ? MAX_SEEDS_PER_REJOIN : 1, away.size()))) {
-      MemberState known = by.get(address);
+        addresses.subList(
+            0, Math.min(local.liveMembers == 1 ? MAX_SEEDS_PER_REJOIN : 1, addresses.size()))) {
+      MemberState known = byAddress.get(address);
       sendPage(
           Message.Kind.SYNC_REQUEST,
           address,
@@ -393,134 +408,149 @@
 
   // ---- Messages ----
 
-  private void onPing(String address, Message letter) {
+  private void onPing(String address, Message message) {
     // A process that has taken over another member's address must not answer on its behalf: the ack
     // has request ID 0 and only introduces the process.
-    boolean me = letter.targetOrStartKey().equals(local.self.name());
-    Message answer =
+    boolean isTarget = message.targetOrStartKey().equals(local.self.name());
+    Message ack =
         outbox.compose(
             Message.Kind.ACK,
-            me ? letter.requestId() : 0,
+            isTarget ? message.requestId() : 0,
             local.self.name(),
             "",
-            correctionFor(letter.sender()));
-    outbox.transmit(address, answer, true);
+            correctionFor(message.sender()));
+    outbox.transmit(address, ack, true);
   }
 
   /**
    * The state held of the sender if it differs from what the sender announces; the sender may not
    * know of the claim that it has to refute.
    */
-  private List<MemberState> correctionFor(MemberState from) {
-    Member sender = members.get(from.name());
+  private List<MemberState> correctionFor(MemberState announced) {
+    Member sender = members.get(announced.name());
     MemberState held =
-        sender == null ? from.name().equals(local.self.name()) ? local.self : null : sender.state;
-    return held == null || held.equals(from) ? List.of() : List.of(held);
+        sender == null
+            ? announced.name().equals(local.self.name()) ? local.self : null
+            : sender.state;
+    return held == null || held.equals(announced) ? List.of() : List.of(held);
   }
 
-  private void onAck(Message letter) {
+  private void onAck(Message message) {
     if (probe != null
-        && probe.requestId == letter.requestId()
-        && probe.target.state.name().equals(letter.targetOrStartKey())) {
+        && probe.requestId == message.requestId()
+        && probe.target.state.name().equals(message.targetOrStartKey())) {
       probe.acknowledged = true;
     }
-    IndirectProbe relay = indirectProbes.get(letter.requestId());
-    if (relay != null && relay.target.equals(letter.sender().name())) {
-      indirectProbes.remove(letter.requestId());
-      outbox.send(Message.Kind.ACK, relay.requester, relay.requestId, relay.target, "", null);
+    IndirectProbe indirectProbe = indirectProbes.get(message.requestId());
+    if (indirectProbe != null && indirectProbe.target.equals(message.sender().name())) {
+      indirectProbes.remove(message.requestId());
+      outbox.send(
+          Message.Kind.ACK,
+          indirectProbe.requester,
+          indirectProbe.requestId,
+          indirectProbe.target,
+          "",
+          null);
     }
   }
 
-  private void onPingReq(String address, Message letter) {
-    Member target = members.get(letter.targetOrStartKey());
+  private void onPingReq(String address, Message message) {
+    Member target = members.get(message.targetOrStartKey());
     if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
       indirectProbes.put(
           ++lastRequestId,
           new IndirectProbe(
               address,
-              letter.requestId(),
-              letter.targetOrStartKey(),
+              message.requestId(),
+              message.targetOrStartKey(),
               local.now + config.probeTimeoutNanos()));
       outbox.send(
           Message.Kind.PING,
           target.state.address(),
           lastRequestId,
-          letter.targetOrStartKey(),
+          message.targetOrStartKey(),
           "",
           target.state);
     }
   }
 
-  private Sync requestSync(String address, String from, int tries, MemberState known) {
+  private Sync requestSync(String address, String startKey, int retries, MemberState known) {
     sendPage(
         Message.Kind.SYNC_REQUEST,
         address,
         ++lastRequestId,
-        from,
+        startKey,
         known == null ? List.of() : List.of(known));
-    return new Sync(address, lastRequestId, from, tries, local.now + config.probeIntervalNanos());
+    return new Sync(
+        address, lastRequestId, startKey, retries, local.now + config.probeIntervalNanos());
   }
 
-  private void onSyncResponse(Message letter) {
-    boolean mine = sync != null && sync.requestId == letter.requestId();
-    boolean goesOn =
-        !letter.nextKey().isEmpty() && letter.nextKey().compareTo(letter.targetOrStartKey()) > 0;
-    if (goesOn && (mine || sync == null)) {
-      sync = requestSync(letter.sender().address(), letter.nextKey(), 0, null);
-    } else if (mine) {
+  private void onSyncResponse(Message message) {
+    boolean isCurrentSync = sync != null && sync.requestId == message.requestId();
+    boolean hasNextPage =
+        !message.nextKey().isEmpty() && message.nextKey().compareTo(message.targetOrStartKey()) > 0;
+    if (hasNextPage && (isCurrentSync || sync == null)) {
+      sync = requestSync(message.sender().address(), message.nextKey(), 0, null);
+    } else if (isCurrentSync) {
       sync = null;
     }
   }
 
   private void sendPage(
-      Message.Kind kind, String address, long as, String from, List<MemberState> first) {
-    outbox.sendSyncPage(kind, address, as, from, first, members.statesFrom(from));
+      Message.Kind kind,
+      String address,
+      long requestId,
+      String startKey,
+      List<MemberState> firstStates) {
+    outbox.sendSyncPage(
+        kind, address, requestId, startKey, firstStates, members.statesFrom(startKey));
   }
 
-  private void merge(MemberState word) {
-    if (word.name().equals(local.self.name())) {
-      mergeClaimAboutSelf(word);
+  private void merge(MemberState state) {
+    if (state.name().equals(local.self.name())) {
+      mergeClaimAboutSelf(state);
     } else {
-      members.merge(word);
+      members.merge(state);
     }
   }
 
   // ---- Claims about this member ----
 
-  private void mergeClaimAboutSelf(MemberState word) {
-    if (word.instanceId() == local.self.instanceId()) {
-      if (word.incarnation() >= local.self.incarnation()
-          && word.status() != MemberStatus.ALIVE
+  private void mergeClaimAboutSelf(MemberState claim) {
+    if (claim.instanceId() == local.self.instanceId()) {
+      if (claim.incarnation() >= local.self.incarnation()
+          && claim.status() != MemberStatus.ALIVE
           && local.self.status() != MemberStatus.LEFT) {
         local.count("refuted");
         local.raiseHealthScore(1);
         outbox.updateSelf(
             local.self.withIncarnation(
-                word.incarnation() + 1, MemberStatus.ALIVE, local.self.stage()));
+                claim.incarnation() + 1, MemberStatus.ALIVE, local.self.stage()));
       }
       return;
     }
-    if (!word.supersedes(local.self)) {
+    if (!claim.supersedes(local.self)) {
       return;
     }
-    Long overruled = refutedIncarnations.get(word.instanceId());
-    boolean twin = overruled != null && word.incarnation() > overruled;
-    if (twin) {
+    Long refutedAt = refutedIncarnations.get(claim.instanceId());
+    boolean isConflict = refutedAt != null && claim.incarnation() > refutedAt;
+    if (isConflict) {
       local.count("twin");
       if (local.now - nameConflictAt < NAME_CONFLICT_INTERVAL_NANOS
           && nameConflictAt != Long.MIN_VALUE) {
         return;
       }
       nameConflictAt = local.now;
-      outbox.add(new Action.NameConflict(word.name(), word.address()));
+      outbox.add(new Action.NameConflict(claim.name(), claim.address()));
     }
     // The claim is of an earlier instance of this member or of another process with its name. The
     // highest incarnation holds the name.
-    long next = word.incarnation() + 1;
+    long nextIncarnation = claim.incarnation() + 1;
     refutedIncarnations.clear();
-    refutedIncarnations.put(word.instanceId(), next);
-    if (next <= MemberState.MAX_INCARNATION) {
-      outbox.updateSelf(local.self.withIncarnation(next, local.self.status(), local.self.stage()));
+    refutedIncarnations.put(claim.instanceId(), nextIncarnation);
+    if (nextIncarnation <= MemberState.MAX_INCARNATION) {
+      outbox.updateSelf(
+          local.self.withIncarnation(nextIncarnation, local.self.status(), local.self.stage()));
     }
   }
 }
--- a/src/main/java/tansytrack/fleet/MembershipConfig.java
+++ b/src/main/java/tansytrack/fleet/MembershipConfig.java
@@ -41,18 +41,19 @@
   }
 
   /** The defaults for a probe interval and a rate; other times derive from the interval. */
-  public static MembershipConfig defaults(List<String> seeds, long period, int bytesASecond) {
+  public static MembershipConfig defaults(
+      List<String> seeds, long probeIntervalNanos, int maxBytesPerSecond) {
     return new MembershipConfig(
-        period,
-        3 * period / 10,
+        probeIntervalNanos,
+        3 * probeIntervalNanos / 10,
         3,
         4,
         4,
         1200,
-        bytesASecond,
+        maxBytesPerSecond,
         1024,
         8192,
-        20 * period,
+        20 * probeIntervalNanos,
         600_000 * NANOS_PER_MS,
         seeds);
   }
--- a/src/main/java/tansytrack/fleet/Message.java
+++ b/src/main/java/tansytrack/fleet/Message.java
@@ -39,17 +39,17 @@
   static final int FIXED_BYTES = 40;
 
   /** A copy with other member states. */
-  public Message withUpdates(List<MemberState> other) {
+  public Message withUpdates(List<MemberState> states) {
     return new Message(
-        kind, messageNumber, requestId, sender, targetOrStartKey, nextKey, other, facts);
+        kind, messageNumber, requestId, sender, targetOrStartKey, nextKey, states, facts);
   }
 
   /** An upper bound of the encoded size. */
   public int maxEncodedBytes() {
     int bytes =
         FIXED_BYTES + sender.maxEncodedBytes() + targetOrStartKey.length() + nextKey.length();
-    for (MemberState word : updates) {
-      bytes += word.maxEncodedBytes();
+    for (MemberState state : updates) {
+      bytes += state.maxEncodedBytes();
     }
     for (Fact fact : facts) {
       bytes += fact.maxEncodedBytes();
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -26,15 +26,15 @@
   private long rateWindowStart;
   private int rateWindowBytes;
 
-  Outbox(MembershipConfig rules, LocalState local, FactStore facts) {
-    this.config = rules;
+  Outbox(MembershipConfig config, LocalState local, FactStore facts) {
+    this.config = config;
     this.local = local;
     this.facts = facts;
   }
 
   /** Queues a member's state for gossip. */
-  void gossip(MemberState word) {
-    memberQueue.put(word.name(), word);
+  void gossip(MemberState state) {
+    memberQueue.put(state.name(), state);
   }
 
   /** Queues a fact for gossip. */
@@ -43,9 +43,9 @@
   }
 
   /** Replaces this member's own state and queues it for gossip. */
-  void updateSelf(MemberState next) {
-    local.self = next;
-    gossip(next);
+  void updateSelf(MemberState state) {
+    local.self = state;
+    gossip(state);
   }
 
   void add(Action action) {
@@ -54,9 +54,9 @@
 
   /** Returns and clears the collected actions. */
   List<Action> drainActions() {
-    List<Action> all = actions;
+    List<Action> drained = actions;
     actions = new ArrayList<>();
-    return all;
+    return drained;
   }
 
   /**
@@ -66,69 +66,112 @@
   void sendSyncPage(
       Message.Kind kind,
       String address,
-      long as,
-      String from,
-      List<MemberState> first,
-      Iterable<MemberState> held) {
-    List<MemberState> said = new ArrayList<>(first);
-    List<Fact> seen = new ArrayList<>();
-    Message bare = new Message(kind, 0, as, local.self, from, "", said, seen);
+      long requestId,
+      String startKey,
+      List<MemberState> firstStates,
+      Iterable<MemberState> heldStates) {
+    List<MemberState> pageStates = new ArrayList<>(firstStates);
+    List<Fact> pageFacts = new ArrayList<>();
+    Message header =
+        new Message(kind, 0, requestId, local.self, startKey, "", pageStates, pageFacts);
     // 200 bytes are reserved for the key of the next page.
-    int left = config.maxMessageBytes() - bare.maxEncodedBytes() - 200;
-    String next = "";
-    for (MemberState one : held) {
-      left -= one.maxEncodedBytes();
-      if (left < 0) {
-        next = one.name();
+    int remainingBytes = config.maxMessageBytes() - header.maxEncodedBytes() - 200;
+    String nextKey = "";
+    for (MemberState one : heldStates) {
+      remainingBytes -= one.maxEncodedBytes();
+      if (remainingBytes < 0) {
+        nextKey = one.name();
         break;
       }
-      said.add(one);
+      pageStates.add(one);
     }
-    String key = from.startsWith(FACT_KEY_PREFIX) ? from.substring(FACT_KEY_PREFIX.length()) : "";
-    for (Fact one = facts.firstFrom(local.now, key);
-        one != null && next.isEmpty();
+    String factKey =
+        startKey.startsWith(FACT_KEY_PREFIX) ? startKey.substring(FACT_KEY_PREFIX.length()) : "";
+    for (Fact one = facts.firstFrom(local.now, factKey);
+        one != null && nextKey.isEmpty();
         one = facts.firstFrom(local.now, one.key() + '\0')) {
-      left -= one.maxEncodedBytes();
-      if (left < 0) {
-        next = FACT_KEY_PREFIX + one.key();
+      remainingBytes -= one.maxEncodedBytes();
+      if (remainingBytes < 0) {
+        nextKey = FACT_KEY_PREFIX + one.key();
       } else {
-        seen.add(one);
+        pageFacts.add(one);
       }
     }
     transmit(
         address,
-        new Message(kind, ++lastMessageNumber, as, local.self, from, next, said, seen),
+        new Message(
+            kind,
+            ++lastMessageNumber,
+            requestId,
+            local.self,
+            startKey,
+            nextKey,
+            pageStates,
+            pageFacts),
         kind == Message.Kind.SYNC_RESPONSE);
   }
 
   void send(
-      Message.Kind kind, String address, long as, String about, String next, MemberState first) {
+      Message.Kind kind,
+      String address,
+      long requestId,
+      String targetOrStartKey,
+      String nextKey,
+      MemberState firstState) {
     transmit(
         address,
-        compose(kind, as, about, next, first == null ? List.of() : List.of(first)),
+        compose(
+            kind,
+            requestId,
+            targetOrStartKey,
+            nextKey,
+            firstState == null ? List.of() : List.of(firstState)),
         kind == Message.Kind.ACK);
   }
 
   /** Composes a message with as many queued updates as fit; none above the limit of bytes. */
-  Message compose(Message.Kind kind, long as, String about, String next, List<MemberState> first) {
-    int left =
+  Message compose(
+      Message.Kind kind,
+      long requestId,
+      String targetOrStartKey,
+      String nextKey,
+      List<MemberState> firstStates) {
+    int remainingBytes =
         config.maxMessageBytes()
-            - new Message(kind, 0, as, local.self, about, next, first, List.of()).maxEncodedBytes();
-    List<MemberState> said = new ArrayList<>(first);
-    List<Fact> seen = new ArrayList<>();
+            - new Message(
+                    kind,
+                    0,
+                    requestId,
+                    local.self,
+                    targetOrStartKey,
+                    nextKey,
+                    firstStates,
+                    List.of())
+                .maxEncodedBytes();
+    List<MemberState> states = new ArrayList<>(firstStates);
+    List<Fact> currentFacts = new ArrayList<>();
     if (bytesInRateWindow() < config.maxBytesPerSecond()) {
-      int often =
+      int maxTransmissions =
           RETRANSMIT_MULTIPLIER * (Integer.SIZE - Integer.numberOfLeadingZeros(local.liveMembers));
-      said.addAll(memberQueue.take(left, often));
-      left -= said.stream().skip(first.size()).mapToInt(MemberState::maxEncodedBytes).sum();
-      for (Fact fact : factQueue.take(left, often)) {
-        Fact aged = facts.current(local.now, fact);
-        if (aged != null) {
-          seen.add(aged);
+      states.addAll(memberQueue.take(remainingBytes, maxTransmissions));
+      remainingBytes -=
+          states.stream().skip(firstStates.size()).mapToInt(MemberState::maxEncodedBytes).sum();
+      for (Fact fact : factQueue.take(remainingBytes, maxTransmissions)) {
+        Fact current = facts.current(local.now, fact);
+        if (current != null) {
+          currentFacts.add(current);
         }
       }
     }
-    return new Message(kind, ++lastMessageNumber, as, local.self, about, next, said, seen);
+    return new Message(
+        kind,
+        ++lastMessageNumber,
+        requestId,
+        local.self,
+        targetOrStartKey,
+        nextKey,
+        states,
+        currentFacts);
   }
 
   private int bytesInRateWindow() {
@@ -143,12 +186,12 @@
    * Emits a message; all messages pass through here. At twice the limit of bytes per second all but
    * acks and sync responses are withheld.
    */
-  void transmit(String address, Message letter, boolean owed) {
-    if (!owed && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
+  void transmit(String address, Message message, boolean required) {
+    if (!required && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
       local.count("withheld");
       return;
     }
-    rateWindowBytes = bytesInRateWindow() + letter.maxEncodedBytes();
-    actions.add(new Action.Send(address, letter));
+    rateWindowBytes = bytesInRateWindow() + message.maxEncodedBytes();
+    actions.add(new Action.Send(address, message));
   }
 }
--- a/src/main/java/tansytrack/fleet/ReplayWindow.java
+++ b/src/main/java/tansytrack/fleet/ReplayWindow.java
@@ -13,24 +13,24 @@
   private long seenBits;
 
   /** Whether a message is received for the first time; then it is recorded. */
-  boolean accept(long ofLife, long number) {
-    if (ofLife != instanceId) {
-      instanceId = ofLife;
+  boolean accept(long sender, long number) {
+    if (sender != instanceId) {
+      instanceId = sender;
       highest = number;
       seenBits = 1;
       return true;
     }
     if (number > highest) {
-      long by = number - highest;
-      seenBits = by >= WINDOW_SIZE ? 1 : seenBits << by | 1;
+      long shift = number - highest;
+      seenBits = shift >= WINDOW_SIZE ? 1 : seenBits << shift | 1;
       highest = number;
       return true;
     }
-    long back = highest - number;
-    if (back >= WINDOW_SIZE || (seenBits >>> back & 1) != 0) {
+    long distance = highest - number;
+    if (distance >= WINDOW_SIZE || (seenBits >>> distance & 1) != 0) {
       return false;
     }
-    seenBits |= 1L << back;
+    seenBits |= 1L << distance;
     return true;
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/MessageCodec.java
+++ b/src/main/java/tansytrack/fleet/udp/MessageCodec.java
@@ -26,23 +26,23 @@
   static final class DecodeException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    DecodeException(String why) {
-      super(why);
+    DecodeException(String message) {
+      super(message);
     }
   }
 
-  static byte[] encode(Message letter) {
-    LetterForm.Builder form =
+  static byte[] encode(Message message) {
+    LetterForm.Builder proto =
         LetterForm.newBuilder()
-            .setKindValue(letter.kind().ordinal() + 1)
-            .setNumber(letter.messageNumber())
-            .setSequence(letter.requestId())
-            .setFrom(toProto(letter.sender()))
-            .setAbout(letter.targetOrStartKey())
-            .setNext(letter.nextKey());
-    letter.updates().forEach(word -> form.addWords(toProto(word)));
-    for (Fact fact : letter.facts()) {
-      FactForm.Builder one =
+            .setKindValue(message.kind().ordinal() + 1)
+            .setNumber(message.messageNumber())
+            .setSequence(message.requestId())
+            .setFrom(toProto(message.sender()))
+            .setAbout(message.targetOrStartKey())
+            .setNext(message.nextKey());
+    message.updates().forEach(state -> proto.addWords(toProto(state)));
+    for (Fact fact : message.facts()) {
+      FactForm.Builder factProto =
           FactForm.newBuilder()
               .setOwner(fact.owner())
               .setIncarnation(fact.incarnation())
@@ -53,44 +53,44 @@
               .setAgeUs(fact.ageNanos() / NANOS_PER_US)
               .setLastsUs(fact.ttlNanos() / NANOS_PER_US);
       for (long value : fact.values()) {
-        one.addValues(value);
+        factProto.addValues(value);
       }
-      form.addFacts(one);
+      proto.addFacts(factProto);
     }
-    return form.build().toByteArray();
+    return proto.build().toByteArray();
   }
 
-  private static WordForm toProto(MemberState word) {
+  private static WordForm toProto(MemberState state) {
     return WordForm.newBuilder()
-        .setName(word.name())
-        .setPlace(word.zone())
-        .setLife(word.instanceId())
-        .setIncarnation(word.incarnation())
-        .setStandingValue(word.status().ordinal())
-        .setStageValue(word.stage().ordinal())
-        .setVersion(word.version())
-        .setSettings(word.settingsDigest())
-        .setBy(word.reportedBy())
+        .setName(state.name())
+        .setPlace(state.zone())
+        .setLife(state.instanceId())
+        .setIncarnation(state.incarnation())
+        .setStandingValue(state.status().ordinal())
+        .setStageValue(state.stage().ordinal())
+        .setVersion(state.version())
+        .setSettings(state.settingsDigest())
+        .setBy(state.reportedBy())
         .build();
   }
 
   static Message decode(byte[] datagram) throws DecodeException {
-    LetterForm form;
+    LetterForm proto;
     try {
-      form = LetterForm.parseFrom(datagram);
+      proto = LetterForm.parseFrom(datagram);
     } catch (InvalidProtocolBufferException e) {
       throw new DecodeException("not a valid message: " + e.getMessage());
     }
-    int kind = form.getKindValue() - 1;
+    int kind = proto.getKindValue() - 1;
     if (kind < 0 || kind >= Message.Kind.values().length) {
-      throw new DecodeException("unknown message kind " + form.getKindValue());
+      throw new DecodeException("unknown message kind " + proto.getKindValue());
     }
-    List<MemberState> words = new ArrayList<>();
-    for (WordForm word : form.getWordsList()) {
-      words.add(fromProto(word));
+    List<MemberState> updates = new ArrayList<>();
+    for (WordForm update : proto.getWordsList()) {
+      updates.add(fromProto(update));
     }
     List<Fact> facts = new ArrayList<>();
-    for (FactForm fact : form.getFactsList()) {
+    for (FactForm fact : proto.getFactsList()) {
       facts.add(
           new Fact(
               fact.getOwner(),
@@ -105,12 +105,12 @@
     }
     return new Message(
         Message.Kind.values()[kind],
-        form.getNumber(),
-        form.getSequence(),
-        fromProto(form.getFrom()),
-        form.getAbout(),
-        form.getNext(),
-        words,
+        proto.getNumber(),
+        proto.getSequence(),
+        fromProto(proto.getFrom()),
+        proto.getAbout(),
+        proto.getNext(),
+        updates,
         facts);
   }
 
@@ -121,24 +121,24 @@
     return micros * NANOS_PER_US;
   }
 
-  private static MemberState fromProto(WordForm form) throws DecodeException {
-    int standing = form.getStandingValue();
-    int stage = form.getStageValue();
-    if (standing < 0 || standing >= MemberStatus.values().length || stage < 0) {
-      throw new DecodeException("unknown member status " + standing + " or stage " + stage);
+  private static MemberState fromProto(WordForm proto) throws DecodeException {
+    int status = proto.getStandingValue();
+    int stage = proto.getStageValue();
+    if (status < 0 || status >= MemberStatus.values().length || stage < 0) {
+      throw new DecodeException("unknown member status " + status + " or stage " + stage);
     }
     // A later version may have added stages; such a member counts as serving.
-    Stage does = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
+    Stage knownStage = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
     return new MemberState(
-        form.getName(),
-        form.getName(),
-        form.getPlace(),
-        form.getLife(),
-        form.getIncarnation(),
-        MemberStatus.values()[standing],
-        does,
-        form.getVersion(),
-        form.getSettings(),
-        form.getBy());
+        proto.getName(),
+        proto.getName(),
+        proto.getPlace(),
+        proto.getLife(),
+        proto.getIncarnation(),
+        MemberStatus.values()[status],
+        knownStage,
+        proto.getVersion(),
+        proto.getSettings(),
+        proto.getBy());
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/UdpMembership.java
+++ b/src/main/java/tansytrack/fleet/udp/UdpMembership.java
@@ -67,34 +67,40 @@
       OperatorFile.FleetSection section,
       String name,
       String version,
-      String settings,
-      int configured,
-      IntConsumer siblings) {
+      String settingsDigest,
+      int configuredManagers,
+      IntConsumer divisorListener) {
     this.name = name;
-    this.divisorListener = siblings;
+    this.divisorListener = divisorListener;
     localAddress = parseAddress(section.address());
     List<String> seeds = new ArrayList<>();
-    boolean any = section.peers().stream().anyMatch(OperatorFile.FleetPeer::seed);
+    boolean hasSeeds = section.peers().stream().anyMatch(OperatorFile.FleetPeer::seed);
     for (OperatorFile.FleetPeer peer : section.peers()) {
       addresses.put(peer.name(), parseAddress(peer.address()));
       names.put(parseAddress(peer.address()), peer.name());
-      if (peer.seed() || !any) {
+      if (peer.seed() || !hasSeeds) {
         seeds.add(peer.name());
       }
     }
-    MembershipConfig rules =
+    MembershipConfig config =
         MembershipConfig.defaults(seeds, section.probeIntervalNanos(), section.maxBytesPerSecond());
-    SecureRandom chance = new SecureRandom();
-    long life = chance.nextLong();
+    SecureRandom random = new SecureRandom();
+    long instanceId = random.nextLong();
     membership =
         new Membership(
-            rules,
+            config,
             MemberState.initial(
-                name, name, section.zone(), life == 0 ? 1 : life, version, settings),
-            chance.nextLong(),
+                name,
+                name,
+                section.zone(),
+                instanceId == 0 ? 1 : instanceId,
+                version,
+                settingsDigest),
+            random.nextLong(),
             System.nanoTime());
     budgetDivisor =
-        new BudgetDivisor(Math.max(section.peers().size(), configured - 1), section.settleNanos());
+        new BudgetDivisor(
+            Math.max(section.peers().size(), configuredManagers - 1), section.settleNanos());
   }
 
   /**
@@ -106,21 +112,23 @@
       OperatorFile.FleetSection section,
       String name,
       String version,
-      String settings,
-      int configured,
-      IntConsumer siblings)
+      String settingsDigest,
+      int configuredManagers,
+      IntConsumer divisorListener)
       throws IOException {
-    UdpMembership link = new UdpMembership(section, name, version, settings, configured, siblings);
-    link.socket.getSessionConfig().setReadBufferSize(RECEIVE_BUFFER_BYTES);
-    link.socket.setHandler(link.new Handler());
+    UdpMembership membership =
+        new UdpMembership(
+            section, name, version, settingsDigest, configuredManagers, divisorListener);
+    membership.socket.getSessionConfig().setReadBufferSize(RECEIVE_BUFFER_BYTES);
+    membership.socket.setHandler(membership.new Handler());
     try {
-      link.socket.bind(link.localAddress);
+      membership.socket.bind(membership.localAddress);
     } catch (IOException e) {
-      link.socket.dispose();
+      membership.socket.dispose();
       throw new IOException("address " + section.address() + ": " + e.getMessage(), e);
     }
-    link.thread.setDaemon(true);
-    link.thread.start();
+    membership.thread.setDaemon(true);
+    membership.thread.start();
     Event.info(
         "fleet",
         name + " gossips with " + section.peers().size() + " peers from " + section.address(),
@@ -130,7 +138,7 @@
         section.peers().size(),
         "address",
         section.address());
-    return link;
+    return membership;
   }
 
   private static InetSocketAddress parseAddress(String text) {
@@ -166,8 +174,8 @@
   }
 
   /** Never blocks: if the queue is full, the work is dropped and counted. */
-  private void enqueue(Runnable what) {
-    if (eventQueue.offer(what)) {
+  private void enqueue(Runnable event) {
+    if (eventQueue.offer(event)) {
       LockSupport.unpark(thread);
     } else {
       countDropped();
@@ -183,8 +191,8 @@
   private void run() {
     try {
       while (!stopped) {
-        for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
-          next.run();
+        for (Runnable event = eventQueue.poll(); event != null; event = eventQueue.poll()) {
+          event.run();
         }
         long now = System.nanoTime();
         if (membership.nextDeadline() <= now) {
@@ -207,44 +215,48 @@
   }
 
   private void receive(InetSocketAddress from, String peer, byte[] datagram) {
-    Message letter;
+    Message message;
     try {
-      letter = MessageCodec.decode(datagram);
+      message = MessageCodec.decode(datagram);
     } catch (MessageCodec.DecodeException e) {
       reject("unreadable", from, e.getMessage());
       return;
     }
-    String who = letter.sender().name();
-    if (!who.equals(peer) && !who.equals(name)) {
+    String claimedName = message.sender().name();
+    if (!claimedName.equals(peer) && !claimedName.equals(name)) {
       reject(
           "misnamed",
           from,
-          "it claims to be from '" + who + "', but its source address is that of '" + peer + "'");
+          "it claims to be from '"
+              + claimedName
+              + "', but its source address is that of '"
+              + peer
+              + "'");
       return;
     }
     // Only the updates about unknown members are dropped. If whole messages were, a manager would
     // look dead to those whose operator's files name fewer peers.
-    List<MemberState> known =
-        letter.updates().stream()
-            .filter(word -> addresses.containsKey(word.name()) || word.name().equals(name))
+    List<MemberState> knownUpdates =
+        message.updates().stream()
+            .filter(update -> addresses.containsKey(update.name()) || update.name().equals(name))
             .toList();
-    if (known.size() < letter.updates().size()) {
+    if (knownUpdates.size() < message.updates().size()) {
       reject(
           "unknown_name",
           from,
           "it has an update about a manager that is not a configured peer; the rest is accepted");
     }
     count("letters");
-    execute(membership.receive(System.nanoTime(), peer, letter.withUpdates(known)));
+    execute(membership.receive(System.nanoTime(), peer, message.withUpdates(knownUpdates)));
   }
 
   /** Counts a rejected datagram and logs once a second at most; no reply is sent. */
-  private void reject(String why, InetSocketAddress from, String said) {
-    count("refused." + why);
+  private void reject(String reason, InetSocketAddress from, String detail) {
+    count("refused." + reason);
     long now = System.nanoTime();
     if (now - lastRefusalLoggedAt >= NANOS_PER_SECOND) {
       lastRefusalLoggedAt = now;
-      Logger.warn("fleet: rejected all or part of a datagram from {}: {}", from, said);
+      Logger.warn("fleet: rejected all or part of a datagram from {}: {}", from, detail);
     }
   }
 
@@ -262,30 +274,30 @@
         budgetDivisor.memberChanged(changed.after());
         logStatusChange(changed);
         publishedAt = 0;
-      } else if (action instanceof Action.NameConflict twin) {
+      } else if (action instanceof Action.NameConflict conflict) {
         Event.warn(
             "fleet.twin",
             "another process uses the name '"
-                + twin.name()
+                + conflict.name()
                 + "' of this manager; rename one of them",
             "manager",
-            twin.name());
+            conflict.name());
       }
     }
-    int next = budgetDivisor.update(System.nanoTime(), membership.view().liveMembers());
-    if (next != lastDivisor) {
-      lastDivisor = next;
-      divisorListener.accept(next);
+    int divisor = budgetDivisor.update(System.nanoTime(), membership.view().liveMembers());
+    if (divisor != lastDivisor) {
+      lastDivisor = divisor;
+      divisorListener.accept(divisor);
     }
   }
 
   private void logStatusChange(Action.MemberChanged changed) {
     MemberState after = changed.after();
-    boolean was = changed.before() != null && changed.before().status().isLive();
+    boolean wasLive = changed.before() != null && changed.before().status().isLive();
     if (after.status() == MemberStatus.SUSPECT) {
       // Not logged: on lossy links there are many, and most are refuted.
       count("suspicions");
-    } else if (was != after.status().isLive()
+    } else if (wasLive != after.status().isLive()
         || changed.before().instanceId() != after.instanceId()) {
       Event.info(
           "fleet.member",
@@ -303,8 +315,8 @@
     }
   }
 
-  private void count(String what) {
-    counts.merge("fleet." + what, 1L, Long::sum);
+  private void count(String name) {
+    counts.merge("fleet." + name, 1L, Long::sum);
   }
 
   /** Publishes the counts and the rows that the event loop reads. */
@@ -312,33 +324,33 @@
     publishedAt = now;
     List<String[]> rows = new ArrayList<>();
     rows.add(row(membership.self(), 0));
-    for (MemberState word : membership.others()) {
-      rows.add(row(word, (now - membership.statusSince(word.name())) / NANOS_PER_SECOND));
+    for (MemberState state : membership.others()) {
+      rows.add(row(state, (now - membership.statusSince(state.name())) / NANOS_PER_SECOND));
     }
     publishedRows = List.copyOf(rows);
-    Map<String, Long> all = new TreeMap<>(counts);
-    membership.counts().forEach((what, times) -> all.put("fleet." + what, times));
-    all.put("fleet.there", (long) membership.view().liveMembers());
-    all.put("fleet.in_place", (long) membership.view().liveMembersInZone());
-    all.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
-    all.put("fleet.health", (long) membership.healthScore());
-    all.put("fleet.facts", (long) membership.facts().size());
-    all.put("fleet.facts_refused", membership.facts().refused());
-    all.put("fleet.overflow", droppedEvents);
-    publishedCounts = Map.copyOf(all);
+    Map<String, Long> snapshot = new TreeMap<>(counts);
+    membership.counts().forEach((name, count) -> snapshot.put("fleet." + name, count));
+    snapshot.put("fleet.there", (long) membership.view().liveMembers());
+    snapshot.put("fleet.in_place", (long) membership.view().liveMembersInZone());
+    snapshot.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
+    snapshot.put("fleet.health", (long) membership.healthScore());
+    snapshot.put("fleet.facts", (long) membership.facts().size());
+    snapshot.put("fleet.facts_refused", membership.facts().refused());
+    snapshot.put("fleet.overflow", droppedEvents);
+    publishedCounts = Map.copyOf(snapshot);
   }
 
-  private String[] row(MemberState word, long since) {
+  private String[] row(MemberState state, long sinceSeconds) {
     return new String[] {
-      word.name(),
-      word.zone(),
-      word.status().name(),
-      word.stage().name(),
-      Long.toString(since),
-      Long.toString(word.incarnation()),
-      word.version(),
-      word.settingsDigest(),
-      Long.toString(membership.facts().countOwnedBy(word.name()))
+      state.name(),
+      state.zone(),
+      state.status().name(),
+      state.stage().name(),
+      Long.toString(sinceSeconds),
+      Long.toString(state.incarnation()),
+      state.version(),
+      state.settingsDigest(),
+      Long.toString(membership.facts().countOwnedBy(state.name()))
     };
   }
 
--- a/src/main/java/tansytrack/lab/simulation/EngineModel.java
+++ b/src/main/java/tansytrack/lab/simulation/EngineModel.java
@@ -105,8 +105,8 @@
   /** The share of the cores in use, as a load report has it. */
   public double utilization() {
     double threads = 0;
-    for (Query one : queries.values()) {
-      threads += one.threads;
+    for (Query query : queries.values()) {
+      threads += query.threads;
     }
     return Math.min(1, threads / spec.cores());
   }
@@ -150,15 +150,16 @@
     List<String> ended = new ArrayList<>();
     while (now < at && !queries.isEmpty()) {
       double threads = 0;
-      for (Query one : queries.values()) {
-        threads += one.threads;
+      for (Query query : queries.values()) {
+        threads += query.threads;
       }
       double capacity = spec.cores() * capacityFraction(now) / slowdown;
       // The share of a core that each thread gets.
-      double each = Math.min(1 / slowdown, capacity / threads);
-      double soonest = Double.MAX_VALUE;
-      for (Query one : queries.values()) {
-        soonest = Math.min(soonest, one.remainingWork / (each * one.threads));
+      double coreShare = Math.min(1 / slowdown, capacity / threads);
+      double timeToFirstEnd = Double.MAX_VALUE;
+      for (Query query : queries.values()) {
+        timeToFirstEnd =
+            Math.min(timeToFirstEnd, query.remainingWork / (coreShare * query.threads));
       }
       double step =
           Math.max(
@@ -167,14 +168,14 @@
                   (double) (at - now),
                   Math.min(
                       (double) (capacityFraction(now) < 1 ? CAPACITY_STEP_NANOS : Long.MAX_VALUE),
-                      Math.ceil(soonest))));
-      for (Query one : queries.values()) {
-        one.remainingWork -= step * each * one.threads;
+                      Math.ceil(timeToFirstEnd))));
+      for (Query query : queries.values()) {
+        query.remainingWork -= step * coreShare * query.threads;
       }
       now += (long) step;
       queries
           .entrySet()
-          .removeIf(one -> one.getValue().remainingWork <= 1e-3 && ended.add(one.getKey()));
+          .removeIf(query -> query.getValue().remainingWork <= 1e-3 && ended.add(query.getKey()));
     }
     now = Math.max(now, at);
     return ended;
--- a/src/main/java/tansytrack/lab/simulation/FaultSchedule.java
+++ b/src/main/java/tansytrack/lab/simulation/FaultSchedule.java
@@ -22,8 +22,8 @@
     /** Matches everything. */
     public static final Endpoint ANY = new Endpoint("*");
 
-    boolean matches(String name, String place) {
-      return pattern.equals("*") || pattern.equals(name) || pattern.equals(place);
+    boolean matches(String name, String zone) {
+      return pattern.equals("*") || pattern.equals(name) || pattern.equals(zone);
     }
   }
 
@@ -39,12 +39,15 @@
       boolean bothWays,
       LinkConditions conditions) {
 
-    boolean isActive(long time, String name, String place, String toName, String toPlace) {
-      boolean there = from.matches(name, place) && to.matches(toName, toPlace);
-      boolean back = bothWays && from.matches(toName, toPlace) && to.matches(name, place);
-      boolean within =
-          !from.equals(Endpoint.ANY) && from.matches(name, place) && from.matches(toName, toPlace);
-      return time >= startNanos && time < startNanos + durationNanos && (there || back) && !within;
+    boolean isActive(long time, String name, String zone, String toName, String toZone) {
+      boolean forward = from.matches(name, zone) && to.matches(toName, toZone);
+      boolean backward = bothWays && from.matches(toName, toZone) && to.matches(name, zone);
+      boolean withinEnd =
+          !from.equals(Endpoint.ANY) && from.matches(name, zone) && from.matches(toName, toZone);
+      return time >= startNanos
+          && time < startNanos + durationNanos
+          && (forward || backward)
+          && !withinEnd;
     }
 
     boolean isPartition() {
@@ -75,20 +78,20 @@
       StreamFaultKind kind,
       long delayNanos,
       double share) {
-    boolean isActive(long time, String name, String place, String toName, String toPlace) {
+    boolean isActive(long time, String name, String zone, String toName, String toZone) {
       return time >= startNanos
           && time < startNanos + durationNanos
-          && from.matches(name, place)
-          && to.matches(toName, toPlace);
+          && from.matches(name, zone)
+          && to.matches(toName, toZone);
     }
   }
 
   /** The first fault that affects a stream at a time, or null. */
   public StreamFault activeStreamFault(
-      long time, String name, String place, String toName, String toPlace) {
-    for (StreamFault one : streams) {
-      if (one.isActive(time, name, place, toName, toPlace)) {
-        return one;
+      long time, String name, String zone, String toName, String toZone) {
+    for (StreamFault fault : streams) {
+      if (fault.isActive(time, name, zone, toName, toZone)) {
+        return fault;
       }
     }
     return null;
@@ -110,9 +113,9 @@
 
   /** The conditions of a link at a time: those of the last matching fault, or the baseline. */
   public LinkConditions linkConditions(
-      long time, String name, String place, String toName, String toPlace) {
+      long time, String name, String zone, String toName, String toZone) {
     for (int i = links.size() - 1; i >= 0; i--) {
-      if (links.get(i).isActive(time, name, place, toName, toPlace)) {
+      if (links.get(i).isActive(time, name, zone, toName, toZone)) {
         return links.get(i).conditions();
       }
     }
@@ -123,7 +126,7 @@
   public long lastPartitionEnd() {
     return links.stream()
         .filter(LinkFault::isPartition)
-        .mapToLong(one -> one.startNanos() + one.durationNanos())
+        .mapToLong(fault -> fault.startNanos() + fault.durationNanos())
         .max()
         .orElse(0);
   }
--- a/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
@@ -137,172 +137,183 @@
   private long totalForwards;
   private long logStart;
 
-  private InvariantChecker(Limits rules) {
-    this.limits = rules;
+  private InvariantChecker(Limits limits) {
+    this.limits = limits;
   }
 
   /** The number of violations of each invariant; 0 for those that hold. */
-  public static Map<String, Integer> violations(Limits rules, List<? extends Event> log) {
-    return check(rules, log).violations;
+  public static Map<String, Integer> violations(Limits limits, List<? extends Event> log) {
+    return check(limits, log).violations;
   }
 
   /** A description of the first violation of each invariant; times from the start of the log. */
-  public static List<String> firstViolations(Limits rules, List<? extends Event> log) {
-    return check(rules, log).firstMessages;
+  public static List<String> firstViolations(Limits limits, List<? extends Event> log) {
+    return check(limits, log).firstMessages;
   }
 
-  private static InvariantChecker check(Limits rules, List<? extends Event> log) {
-    InvariantChecker check = new InvariantChecker(rules);
-    for (String rule : List.of("lost", "twice", "drain", "cold", "order", "place", "ration")) {
-      check.violations.put(rule, 0);
+  private static InvariantChecker check(Limits limits, List<? extends Event> log) {
+    InvariantChecker checker = new InvariantChecker(limits);
+    for (String invariant : List.of("lost", "twice", "drain", "cold", "order", "place", "ration")) {
+      checker.violations.put(invariant, 0);
     }
     List<Event> sorted = new ArrayList<>(log);
     sorted.sort(Comparator.comparingLong(Event::at));
-    for (Event one : sorted) {
-      if (one instanceof TaskAnswered answered) {
-        check.endTimes.putIfAbsent(answered.task(), answered.at());
-      } else if (one instanceof TaskAbandoned left) {
-        check.endTimes.putIfAbsent(left.task(), left.at());
+    for (Event event : sorted) {
+      if (event instanceof TaskAnswered taskAnswered) {
+        checker.endTimes.putIfAbsent(taskAnswered.task(), taskAnswered.at());
+      } else if (event instanceof TaskAbandoned taskAbandoned) {
+        checker.endTimes.putIfAbsent(taskAbandoned.task(), taskAbandoned.at());
       }
     }
-    check.logStart = sorted.isEmpty() ? 0 : sorted.get(0).at();
-    sorted.forEach(check::process);
-    check.checkUnanswered();
-    return check;
+    checker.logStart = sorted.isEmpty() ? 0 : sorted.get(0).at();
+    sorted.forEach(checker::process);
+    checker.checkUnanswered();
+    return checker;
   }
 
-  private void violate(String rule, long at, String what) {
-    if (violations.merge(rule, 1, Integer::sum) == 1) {
-      firstMessages.add(rule + " at " + (at - logStart) / 1_000_000 + " ms: " + what);
+  private void violate(String invariant, long at, String description) {
+    if (violations.merge(invariant, 1, Integer::sum) == 1) {
+      firstMessages.add(invariant + " at " + (at - logStart) / 1_000_000 + " ms: " + description);
     }
   }
 
-  private void process(Event one) {
-    if (one instanceof TaskSubmitted asked) {
-      submitted(asked);
-    } else if (one instanceof TaskAnswered answered) {
-      answered(answered);
-    } else if (one instanceof TaskAbandoned left) {
-      abandoned.add(left.task());
-    } else if (one instanceof ManagerRestarted restarted) {
-      tasksByKey.keySet().removeIf(key -> key.startsWith(restarted.manager() + '/'));
-      recentTasks.remove(restarted.manager());
-      recentRetries.remove(restarted.manager());
-    } else if (one instanceof ForwardArrived arrived) {
-      arrived(arrived);
-    } else if (one instanceof ForwardEnded over) {
-      outstanding.getOrDefault(over.task(), new ArrayList<>()).remove(over.engine());
-      if (over.mayHaveRun()) {
-        mayHaveRun.add(over.task());
+  private void process(Event event) {
+    if (event instanceof TaskSubmitted taskSubmitted) {
+      submitted(taskSubmitted);
+    } else if (event instanceof TaskAnswered taskAnswered) {
+      onAnswered(taskAnswered);
+    } else if (event instanceof TaskAbandoned taskAbandoned) {
+      abandoned.add(taskAbandoned.task());
+    } else if (event instanceof ManagerRestarted managerRestarted) {
+      tasksByKey.keySet().removeIf(key -> key.startsWith(managerRestarted.manager() + '/'));
+      recentTasks.remove(managerRestarted.manager());
+      recentRetries.remove(managerRestarted.manager());
+    } else if (event instanceof ForwardArrived forwardArrived) {
+      onArrived(forwardArrived);
+    } else if (event instanceof ForwardEnded forwardEnded) {
+      outstanding
+          .getOrDefault(forwardEnded.task(), new ArrayList<>())
+          .remove(forwardEnded.engine());
+      if (forwardEnded.mayHaveRun()) {
+        mayHaveRun.add(forwardEnded.task());
       }
-    } else if (one instanceof EngineListed now) {
-      listed.put(now.engine(), now);
-      if (now.ready()) {
-        notReadySince.remove(now.engine());
+    } else if (event instanceof EngineListed engineListed) {
+      listed.put(engineListed.engine(), engineListed);
+      if (engineListed.ready()) {
+        notReadySince.remove(engineListed.engine());
       } else {
-        notReadySince.putIfAbsent(now.engine(), now.at());
+        notReadySince.putIfAbsent(engineListed.engine(), engineListed.at());
       }
     }
   }
 
-  private void submitted(TaskSubmitted asked) {
-    tasks.put(asked.task(), asked);
-    recentTasks.computeIfAbsent(asked.manager(), key -> new ArrayDeque<>()).add(asked.at());
-    if (asked.key() != 0) {
+  private void submitted(TaskSubmitted submission) {
+    tasks.put(submission.task(), submission);
+    recentTasks
+        .computeIfAbsent(submission.manager(), key -> new ArrayDeque<>())
+        .add(submission.at());
+    if (submission.key() != 0) {
       tasksByKey
-          .computeIfAbsent(asked.manager() + '/' + asked.key(), key -> new ArrayList<>())
-          .add(asked);
+          .computeIfAbsent(submission.manager() + '/' + submission.key(), key -> new ArrayList<>())
+          .add(submission);
     }
   }
 
   /** Invariant 1, and invariant 2 for rejections: a rejection promises that a retry is safe. */
-  private void answered(TaskAnswered answered) {
-    TaskSubmitted asked = tasks.get(answered.task());
-    if (asked == null || answers.merge(answered.task(), 1, Integer::sum) > 1) {
-      violate("lost", answered.at(), answered.task() + " was answered twice or never sent");
-    } else if (answered.at() > asked.deadline() + limits.answerSlackNanos()) {
-      violate("lost", answered.at(), answered.task() + " was answered after its deadline");
+  private void onAnswered(TaskAnswered answer) {
+    TaskSubmitted submission = tasks.get(answer.task());
+    if (submission == null || answers.merge(answer.task(), 1, Integer::sum) > 1) {
+      violate("lost", answer.at(), answer.task() + " was answered twice or never sent");
+    } else if (answer.at() > submission.deadline() + limits.answerSlackNanos()) {
+      violate("lost", answer.at(), answer.task() + " was answered after its deadline");
     }
-    boolean ran =
-        mayHaveRun.contains(answered.task())
-            || !outstanding.getOrDefault(answered.task(), List.of()).isEmpty();
-    if (asked != null
-        && answered.outcome() == TaskResult.REJECTED
-        && asked.retrySafety() == RetrySafety.NON_IDEMPOTENT
-        && ran) {
-      violate("twice", answered.at(), answered.task() + " was rejected although it may have run");
+    boolean mayHaveBeenRun =
+        mayHaveRun.contains(answer.task())
+            || !outstanding.getOrDefault(answer.task(), List.of()).isEmpty();
+    if (submission != null
+        && answer.outcome() == TaskResult.REJECTED
+        && submission.retrySafety() == RetrySafety.NON_IDEMPOTENT
+        && mayHaveBeenRun) {
+      violate("twice", answer.at(), answer.task() + " was rejected although it may have run");
     }
   }
 
-  private void arrived(ForwardArrived arrived) {
-    TaskSubmitted asked = tasks.get(arrived.task());
-    EngineListed engine = listed.get(arrived.engine());
-    int before = arrivals.merge(arrived.task(), 1, Integer::sum) - 1;
-    List<String> open = outstanding.computeIfAbsent(arrived.task(), key -> new ArrayList<>());
-    if (asked != null
-        && asked.retrySafety() == RetrySafety.NON_IDEMPOTENT
-        && (mayHaveRun.contains(arrived.task()) || !open.isEmpty())) {
-      violate("twice", arrived.at(), arrived.task() + " was sent again although it may have run");
+  private void onArrived(ForwardArrived arrival) {
+    TaskSubmitted submission = tasks.get(arrival.task());
+    EngineListed engine = listed.get(arrival.engine());
+    int earlierArrivals = arrivals.merge(arrival.task(), 1, Integer::sum) - 1;
+    List<String> openOn = outstanding.computeIfAbsent(arrival.task(), key -> new ArrayList<>());
+    if (submission != null
+        && submission.retrySafety() == RetrySafety.NON_IDEMPOTENT
+        && (mayHaveRun.contains(arrival.task()) || !openOn.isEmpty())) {
+      violate("twice", arrival.at(), arrival.task() + " was sent again although it may have run");
     }
-    open.add(arrived.engine());
-    Long since = notReadySince.get(arrived.engine());
-    if (since != null && arrived.at() > since + limits.drainGraceNanos()) {
+    openOn.add(arrival.engine());
+    Long drainingSince = notReadySince.get(arrival.engine());
+    if (drainingSince != null && arrival.at() > drainingSince + limits.drainGraceNanos()) {
       violate(
           "drain",
-          arrived.at(),
-          arrived.task()
+          arrival.at(),
+          arrival.task()
               + " reached "
-              + arrived.engine()
+              + arrival.engine()
               + " "
-              + (arrived.at() - since) / 1_000_000
+              + (arrival.at() - drainingSince) / 1_000_000
               + " ms after its drain began");
     }
-    if (asked != null
+    if (submission != null
         && engine != null
-        && !asked.allowedZones().isEmpty()
-        && !asked.allowedZones().contains(engine.zone())) {
+        && !submission.allowedZones().isEmpty()
+        && !submission.allowedZones().contains(engine.zone())) {
       violate(
           "place",
-          arrived.at(),
-          arrived.task() + " reached " + arrived.engine() + " in " + engine.zone());
+          arrival.at(),
+          arrival.task() + " reached " + arrival.engine() + " in " + engine.zone());
     }
-    totalWork += arrived.work();
+    totalWork += arrival.work();
     totalForwards++;
     if (engine != null) {
-      coldArrivals(arrived, engine);
+      checkColdStart(arrival, engine);
     }
-    if (asked != null && asked.key() != 0) {
-      order(arrived, asked);
+    if (submission != null && submission.key() != 0) {
+      checkOrder(arrival, submission);
     }
-    if (before > 0) {
-      ration(arrived);
+    if (earlierArrivals > 0) {
+      checkRetryBudget(arrival);
     }
   }
 
   /** Invariant 4: the work that all managers together send to a cold engine within the window. */
-  private void coldArrivals(ForwardArrived arrived, EngineListed engine) {
-    double age =
+  private void checkColdStart(ForwardArrived arrival, EngineListed engine) {
+    double warmUpProgress =
         engine.startedAt() == 0 || limits.warmUpNanos() <= 0
             ? 1
-            : (arrived.at() - engine.startedAt()) / (double) limits.warmUpNanos();
-    ArrayDeque<ForwardArrived> window =
+            : (arrival.at() - engine.startedAt()) / (double) limits.warmUpNanos();
+    ArrayDeque<ForwardArrived> recent =
         coldArrivals.computeIfAbsent(engine.engine(), key -> new ArrayDeque<>());
-    window.removeIf(
-        one -> one.at() <= arrived.at() - limits.windowNanos() || one.at() < engine.startedAt());
-    if (age >= 1) {
+    recent.removeIf(
+        earlier ->
+            earlier.at() <= arrival.at() - limits.windowNanos()
+                || earlier.at() < engine.startedAt());
+    if (warmUpProgress >= 1) {
       return;
     }
-    window.add(arrived);
-    double mean = totalWork / totalForwards;
-    double warmth =
-        limits.startCapacityFraction() + (1 - limits.startCapacityFraction()) * Math.max(0, age);
+    recent.add(arrival);
+    double meanWork = totalWork / totalForwards;
+    double capacityFraction =
+        limits.startCapacityFraction()
+            + (1 - limits.startCapacityFraction()) * Math.max(0, warmUpProgress);
     double allowed =
-        limits.overloadFactor() * warmth * limits.cores() * limits.windowNanos() / mean;
-    double sent = window.stream().mapToDouble(ForwardArrived::work).sum() / mean;
+        limits.overloadFactor()
+            * capacityFraction
+            * limits.cores()
+            * limits.windowNanos()
+            / meanWork;
+    double sent = recent.stream().mapToDouble(ForwardArrived::work).sum() / meanWork;
     if (sent > allowed + 3 * Math.sqrt(allowed) + 3) {
       violate(
           "cold",
-          arrived.at(),
+          arrival.at(),
           engine.engine()
               + " received "
               + Math.round(sent)
@@ -313,49 +324,54 @@
   }
 
   /** Invariant 5: no task while an earlier one of its key and manager is unanswered or open. */
-  private void order(ForwardArrived arrived, TaskSubmitted asked) {
+  private void checkOrder(ForwardArrived arrival, TaskSubmitted submission) {
     for (TaskSubmitted earlier :
-        tasksByKey.getOrDefault(asked.manager() + '/' + asked.key(), List.of())) {
-      if (asked.at() - earlier.at() < limits.keyCooldownNanos()) {
+        tasksByKey.getOrDefault(submission.manager() + '/' + submission.key(), List.of())) {
+      if (submission.at() - earlier.at() < limits.keyCooldownNanos()) {
         return;
       }
-      boolean done =
+      boolean ended =
           (endTimes.getOrDefault(earlier.task(), Long.MAX_VALUE)
-                  <= arrived.at() + CLIENT_LOG_LAG_NANOS)
+                  <= arrival.at() + CLIENT_LOG_LAG_NANOS)
               && outstanding.getOrDefault(earlier.task(), List.of()).isEmpty();
-      if (!done) {
+      if (!ended) {
         violate(
             "order",
-            arrived.at(),
-            arrived.task() + " arrived before " + earlier.task() + " of the same key had ended");
+            arrival.at(),
+            arrival.task() + " arrived before " + earlier.task() + " of the same key had ended");
       }
     }
   }
 
   /** Invariant 7: the retries of a manager stay within its retry budget. */
-  private void ration(ForwardArrived arrived) {
+  private void checkRetryBudget(ForwardArrived arrival) {
     if (limits.retryBudgetWindowNanos() <= 0) {
       return;
     }
-    ArrayDeque<Long> more =
-        recentRetries.computeIfAbsent(arrived.manager(), key -> new ArrayDeque<>());
-    ArrayDeque<Long> all =
-        recentTasks.computeIfAbsent(arrived.manager(), key -> new ArrayDeque<>());
-    more.add(arrived.at());
-    more.removeIf(one -> one <= arrived.at() - limits.retryBudgetWindowNanos());
-    all.removeIf(one -> one <= arrived.at() - limits.retryBudgetWindowNanos());
-    if (more.size() > limits.spareAttempts() + limits.extraPerRequest() * all.size()) {
+    ArrayDeque<Long> retries =
+        recentRetries.computeIfAbsent(arrival.manager(), key -> new ArrayDeque<>());
+    ArrayDeque<Long> managerTasks =
+        recentTasks.computeIfAbsent(arrival.manager(), key -> new ArrayDeque<>());
+    retries.add(arrival.at());
+    retries.removeIf(time -> time <= arrival.at() - limits.retryBudgetWindowNanos());
+    managerTasks.removeIf(time -> time <= arrival.at() - limits.retryBudgetWindowNanos());
+    if (retries.size() > limits.spareAttempts() + limits.extraPerRequest() * managerTasks.size()) {
       violate(
           "ration",
-          arrived.at(),
-          arrived.manager() + " sent " + more.size() + " retries for " + all.size() + " tasks");
+          arrival.at(),
+          arrival.manager()
+              + " sent "
+              + retries.size()
+              + " retries for "
+              + managerTasks.size()
+              + " tasks");
     }
   }
 
   private void checkUnanswered() {
-    for (TaskSubmitted asked : tasks.values()) {
-      if (!answers.containsKey(asked.task()) && !abandoned.contains(asked.task())) {
-        violate("lost", asked.deadline(), asked.task() + " was never answered");
+    for (TaskSubmitted submission : tasks.values()) {
+      if (!answers.containsKey(submission.task()) && !abandoned.contains(submission.task())) {
+        violate("lost", submission.deadline(), submission.task() + " was never answered");
       }
     }
   }
--- a/src/main/java/tansytrack/lab/simulation/LinkModel.java
+++ b/src/main/java/tansytrack/lab/simulation/LinkModel.java
@@ -14,25 +14,25 @@
   }
 
   /** The delay of each copy of the next message, in nanoseconds; none if it is lost. */
-  public long[] deliveryDelays(LinkConditions weather) {
-    if (lost(weather)) {
+  public long[] deliveryDelays(LinkConditions conditions) {
+    if (isLost(conditions)) {
       return new long[0];
     }
-    long[] copies = new long[random.nextDouble() < weather.duplication() ? 2 : 1];
+    long[] copies = new long[random.nextDouble() < conditions.duplication() ? 2 : 1];
     for (int i = 0; i < copies.length; i++) {
       copies[i] =
-          weather.minDelayNanos()
-              + (long) (-Math.log(1 - random.nextDouble()) * weather.meanExtraDelayNanos());
+          conditions.minDelayNanos()
+              + (long) (-Math.log(1 - random.nextDouble()) * conditions.meanExtraDelayNanos());
     }
     return copies;
   }
 
-  private boolean lost(LinkConditions weather) {
-    if (weather.loss() >= 1 || weather.meanBurstLength() <= 1) {
-      return random.nextDouble() < weather.loss();
+  private boolean isLost(LinkConditions conditions) {
+    if (conditions.loss() >= 1 || conditions.meanBurstLength() <= 1) {
+      return random.nextDouble() < conditions.loss();
     }
-    double toGood = 1 / weather.meanBurstLength();
-    double toBad = toGood * weather.loss() / (1 - weather.loss());
+    double toGood = 1 / conditions.meanBurstLength();
+    double toBad = toGood * conditions.loss() / (1 - conditions.loss());
     inLossBurst = random.nextDouble() < (inLossBurst ? 1 - toGood : toBad);
     return inLossBurst;
   }
--- a/src/main/java/tansytrack/lab/simulation/MembershipMetrics.java
+++ b/src/main/java/tansytrack/lab/simulation/MembershipMetrics.java
@@ -33,18 +33,18 @@
    *
    * @param members the members that were to run from the start
    * @param faults the schedule of faults
-   * @param seen all observations; times from the start of the run
+   * @param observations all observations; times from the start of the run
    * @param end the end of the run
    */
   public MembershipMetrics(
       Collection<String> members,
       FaultSchedule faults,
-      List<MembershipSimulation.Observation> seen,
+      List<MembershipSimulation.Observation> observations,
       long end) {
     this.members = members;
     this.faults = faults;
     this.observations =
-        seen.stream()
+        observations.stream()
             .sorted(Comparator.comparingLong(MembershipSimulation.Observation::at))
             .toList();
     this.end = end;
@@ -52,12 +52,12 @@
 
   /** Whether a member runs and responds at a time according to the schedule. */
   private boolean isUp(String member, long time) {
-    for (FaultSchedule.ProcessFault one : faults.processes()) {
-      long until =
-          one.durationNanos() == 0
+    for (FaultSchedule.ProcessFault fault : faults.processes()) {
+      long back =
+          fault.durationNanos() == 0
               ? Long.MAX_VALUE
-              : one.startNanos() + one.durationNanos() + RETURN_GRACE_NANOS;
-      if (one.member().equals(member) && time >= one.startNanos() && time < until) {
+              : fault.startNanos() + fault.durationNanos() + RETURN_GRACE_NANOS;
+      if (fault.member().equals(member) && time >= fault.startNanos() && time < back) {
         return false;
       }
     }
@@ -68,65 +68,68 @@
   private boolean isPartitioned(long time) {
     return faults.links().stream()
         .anyMatch(
-            one ->
-                one.isPartition()
-                    && time >= one.startNanos()
-                    && time < one.startNanos() + one.durationNanos() + HEALING_GRACE_NANOS);
+            fault ->
+                fault.isPartition()
+                    && time >= fault.startNanos()
+                    && time < fault.startNanos() + fault.durationNanos() + HEALING_GRACE_NANOS);
   }
 
-  private boolean isMember(String of) {
-    return members.contains(of);
+  private boolean isMember(String name) {
+    return members.contains(name);
   }
 
   /** The metrics by name: the worst time over all members, in milliseconds. */
   public Map<String, Double> compute() {
-    Map<String, Double> figures = new TreeMap<>();
-    figures.put("joined_ms_max", joinTime());
-    for (FaultSchedule.ProcessFault one : faults.processes()) {
-      if (one.kind() == FaultSchedule.ProcessFaultKind.KILL && one.durationNanos() == 0) {
-        figures.merge("killed.known_ms_max", detectionTime(one, MemberStatus.DEAD), Math::max);
-      } else if (one.kind() == FaultSchedule.ProcessFaultKind.END && one.durationNanos() == 0) {
-        figures.merge("ended.known_ms_max", detectionTime(one, MemberStatus.LEFT), Math::max);
+    Map<String, Double> metrics = new TreeMap<>();
+    metrics.put("joined_ms_max", joinTime());
+    for (FaultSchedule.ProcessFault fault : faults.processes()) {
+      if (fault.kind() == FaultSchedule.ProcessFaultKind.KILL && fault.durationNanos() == 0) {
+        metrics.merge("killed.known_ms_max", detectionTime(fault, MemberStatus.DEAD), Math::max);
+      } else if (fault.kind() == FaultSchedule.ProcessFaultKind.END && fault.durationNanos() == 0) {
+        metrics.merge("ended.known_ms_max", detectionTime(fault, MemberStatus.LEFT), Math::max);
       }
     }
-    figures.put("living.dead_ms_max", longestFalseDeath());
+    metrics.put("living.dead_ms_max", longestFalseDeath());
     if (faults.lastPartitionEnd() > 0) {
-      figures.put("healed_ms_max", convergenceTime(faults.lastPartitionEnd()));
+      metrics.put("healed_ms_max", convergenceTime(faults.lastPartitionEnd()));
     }
-    return figures;
+    return metrics;
   }
 
   /** The time until each member has considered each other one live for the first time. */
   private double joinTime() {
-    Map<String, Long> first = new HashMap<>();
-    for (MembershipSimulation.Observation one : observations) {
-      if (isMember(one.observer()) && isMember(one.member()) && one.status().isLive()) {
-        first.putIfAbsent(one.observer() + '>' + one.member(), one.at());
+    Map<String, Long> firstSeenLive = new HashMap<>();
+    for (MembershipSimulation.Observation observation : observations) {
+      if (isMember(observation.observer())
+          && isMember(observation.member())
+          && observation.status().isLive()) {
+        firstSeenLive.putIfAbsent(
+            observation.observer() + '>' + observation.member(), observation.at());
       }
     }
     int pairs = members.size() * (members.size() - 1);
-    return first.size() < pairs
+    return firstSeenLive.size() < pairs
         ? NEVER_MS
-        : first.values().stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS;
+        : firstSeenLive.values().stream().mapToLong(Long::longValue).max().orElse(0) / NANOS_PER_MS;
   }
 
   /** The time until the last member without faults has observed the status of a faulty one. */
-  private double detectionTime(FaultSchedule.ProcessFault of, MemberStatus as) {
+  private double detectionTime(FaultSchedule.ProcessFault fault, MemberStatus expected) {
     double worst = 0;
-    for (String by : members) {
-      if (!by.equals(of.member())
-          && faults.processes().stream().noneMatch(one -> one.member().equals(by))) {
+    for (String observer : members) {
+      if (!observer.equals(fault.member())
+          && faults.processes().stream().noneMatch(entry -> entry.member().equals(observer))) {
         worst =
             Math.max(
                 worst,
                 observations.stream()
                         .filter(
-                            one ->
-                                one.at() >= of.startNanos()
-                                    && one.observer().equals(by)
-                                    && one.member().equals(of.member())
-                                    && one.status() == as)
-                        .mapToLong(one -> one.at() - of.startNanos())
+                            entry ->
+                                entry.at() >= fault.startNanos()
+                                    && entry.observer().equals(observer)
+                                    && entry.member().equals(fault.member())
+                                    && entry.status() == expected)
+                        .mapToLong(entry -> entry.at() - fault.startNanos())
                         .min()
                         .orElse((long) (NEVER_MS * NANOS_PER_MS))
                     / NANOS_PER_MS);
@@ -140,23 +143,31 @@
    * counting partitions.
    */
   private double longestFalseDeath() {
-    Map<String, List<MembershipSimulation.Observation>> pairs = new HashMap<>();
-    for (MembershipSimulation.Observation one : observations) {
-      pairs.computeIfAbsent(one.observer() + '>' + one.member(), key -> new ArrayList<>()).add(one);
+    Map<String, List<MembershipSimulation.Observation>> byPair = new HashMap<>();
+    for (MembershipSimulation.Observation observation : observations) {
+      byPair
+          .computeIfAbsent(
+              observation.observer() + '>' + observation.member(), key -> new ArrayList<>())
+          .add(observation);
     }
     long worst = 0;
-    for (List<MembershipSimulation.Observation> pair : pairs.values()) {
+    for (List<MembershipSimulation.Observation> pair : byPair.values()) {
       for (int i = 0; i < pair.size(); i++) {
-        MembershipSimulation.Observation one = pair.get(i);
+        MembershipSimulation.Observation observation = pair.get(i);
         long until = i + 1 < pair.size() ? pair.get(i + 1).at() : end;
         boolean wrong =
-            !one.status().isLive() && isMember(one.observer()) && isMember(one.member());
+            !observation.status().isLive()
+                && isMember(observation.observer())
+                && isMember(observation.member());
         // Sampled, as either member may stop or return meanwhile.
-        long held = 0;
-        for (long at = one.at(); wrong && at < until; at += SAMPLE_INTERVAL_NANOS) {
-          boolean counts = isUp(one.observer(), at) && isUp(one.member(), at) && !isPartitioned(at);
-          held = counts ? held + Math.min(SAMPLE_INTERVAL_NANOS, until - at) : 0;
-          worst = Math.max(worst, held);
+        long duration = 0;
+        for (long at = observation.at(); wrong && at < until; at += SAMPLE_INTERVAL_NANOS) {
+          boolean counts =
+              isUp(observation.observer(), at)
+                  && isUp(observation.member(), at)
+                  && !isPartitioned(at);
+          duration = counts ? duration + Math.min(SAMPLE_INTERVAL_NANOS, until - at) : 0;
+          worst = Math.max(worst, duration);
         }
       }
     }
@@ -165,30 +176,31 @@
 
   /** The time until all running members considered each other live and continued to do so. */
   private double convergenceTime(long from) {
-    Map<String, MemberStatus> held = new HashMap<>();
-    long last = from;
-    boolean agreed = false;
+    Map<String, MemberStatus> statuses = new HashMap<>();
+    long convergedAt = from;
+    boolean converged = false;
     for (int i = 0; i < observations.size(); i++) {
-      MembershipSimulation.Observation one = observations.get(i);
-      held.put(one.observer() + '>' + one.member(), one.status());
-      boolean more = i + 1 < observations.size() && observations.get(i + 1).at() == one.at();
-      if (!more) {
-        boolean now = hasConverged(held, one.at());
-        last = now && !agreed ? Math.max(from, one.at()) : last;
-        agreed = now;
+      MembershipSimulation.Observation observation = observations.get(i);
+      statuses.put(observation.observer() + '>' + observation.member(), observation.status());
+      boolean moreAtSameTime =
+          i + 1 < observations.size() && observations.get(i + 1).at() == observation.at();
+      if (!moreAtSameTime) {
+        boolean convergedNow = hasConverged(statuses, observation.at());
+        convergedAt = convergedNow && !converged ? Math.max(from, observation.at()) : convergedAt;
+        converged = convergedNow;
       }
     }
-    return agreed ? (last - from) / NANOS_PER_MS : NEVER_MS;
+    return converged ? (convergedAt - from) / NANOS_PER_MS : NEVER_MS;
   }
 
-  private boolean hasConverged(Map<String, MemberStatus> held, long time) {
-    for (String by : members) {
-      for (String of : members) {
-        MemberStatus standing = held.get(by + '>' + of);
-        if (!by.equals(of)
-            && isUp(by, time)
-            && isUp(of, time)
-            && (standing == null || !standing.isLive())) {
+  private boolean hasConverged(Map<String, MemberStatus> statuses, long time) {
+    for (String observer : members) {
+      for (String member : members) {
+        MemberStatus status = statuses.get(observer + '>' + member);
+        if (!observer.equals(member)
+            && isUp(observer, time)
+            && isUp(member, time)
+            && (status == null || !status.isLive())) {
           return false;
         }
       }
--- a/src/main/java/tansytrack/lab/simulation/MembershipModelChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/MembershipModelChecker.java
@@ -43,8 +43,8 @@
   public record Result(int states, int depth, List<Integer> counterexample) {}
 
   /** A checker that passes each message through the given function, which may change it. */
-  public MembershipModelChecker(BiFunction<String, Message, Message> post) {
-    this.messageFilter = post;
+  public MembershipModelChecker(BiFunction<String, Message, Message> messageFilter) {
+    this.messageFilter = messageFilter;
   }
 
   private record InFlightMessage(String from, String to, Message letter) {}
@@ -89,33 +89,33 @@
       }
     }
 
-    void deliver(InFlightMessage one) {
-      Membership to = running.get(one.to);
-      if (to != null) {
-        execute(one.to, to.receive(now, one.from, one.letter));
+    void deliver(InFlightMessage message) {
+      Membership recipient = running.get(message.to);
+      if (recipient != null) {
+        execute(message.to, recipient.receive(now, message.from, message.letter));
       }
     }
 
     boolean advanceTime() {
-      String first =
+      String earliest =
           running.entrySet().stream()
               .min((x, y) -> Long.compare(x.getValue().nextDeadline(), y.getValue().nextDeadline()))
               .orElseThrow()
               .getKey();
-      now = Math.max(now, running.get(first).nextDeadline());
-      execute(first, running.get(first).tick(now));
+      now = Math.max(now, running.get(earliest).nextDeadline());
+      execute(earliest, running.get(earliest).tick(now));
       return true;
     }
 
     /** Makes a choice if it is possible in this state; returns whether it was. */
     boolean apply(int choice) {
-      boolean any = !inFlight.isEmpty();
+      boolean anyInFlight = !inFlight.isEmpty();
       return switch (choice) {
         case 0 -> advanceTime();
-        case 1 -> any && deliverNow(inFlight.remove(0));
+        case 1 -> anyInFlight && deliverNow(inFlight.remove(0));
         case 2 -> inFlight.size() > 1 && deliverNow(inFlight.remove(inFlight.size() - 1));
-        case 3 -> any && inFlight.remove(0) != null;
-        case 4 -> any && deliverNow(inFlight.get(0));
+        case 3 -> anyInFlight && inFlight.remove(0) != null;
+        case 4 -> anyInFlight && deliverNow(inFlight.get(0));
         case 5 -> partitionLink();
         case 6 -> healLink();
         case 7 -> killThird();
@@ -153,16 +153,16 @@
       return true;
     }
 
-    private boolean deliverNow(InFlightMessage one) {
-      deliver(one);
+    private boolean deliverNow(InFlightMessage message) {
+      deliver(message);
       return true;
     }
 
-    void runFairly(long length) {
+    void runFairly(long duration) {
       healed = true;
-      long until = now + length;
+      long until = now + duration;
       while (now < until
-          && !(now > until - length + 5 * NANOS_PER_SECOND
+          && !(now > until - duration + 5 * NANOS_PER_SECOND
               && inFlight.isEmpty()
               && hasConverged())) {
         while (!inFlight.isEmpty()) {
@@ -174,19 +174,19 @@
     }
 
     boolean hasConverged() {
-      for (Membership one : running.values()) {
+      for (Membership observer : running.values()) {
         for (String name : MEMBER_NAMES) {
           Membership other = running.get(name);
-          boolean there =
-              one == other
-                  || one.others().stream()
+          boolean considersLive =
+              observer == other
+                  || observer.others().stream()
                       .anyMatch(
-                          word ->
-                              word.name().equals(name)
-                                  && word.status().isLive()
+                          state ->
+                              state.name().equals(name)
+                                  && state.status().isLive()
                                   && (other == null
-                                      || word.instanceId() == other.self().instanceId()));
-          if (there != (other != null)) {
+                                      || state.instanceId() == other.self().instanceId()));
+          if (considersLive != (other != null)) {
             return false;
           }
         }
@@ -195,68 +195,68 @@
     }
 
     String fingerprint() {
-      StringJoiner all = new StringJoiner(";");
-      all.add(partitioned + "," + healed + ',' + killed + ',' + restarted);
+      StringJoiner fingerprint = new StringJoiner(";");
+      fingerprint.add(partitioned + "," + healed + ',' + killed + ',' + restarted);
       running.forEach(
-          (name, fleet) ->
-              all.add(
+          (name, membership) ->
+              fingerprint.add(
                   name
-                      + describe(fleet.self())
-                      + fleet.others().stream().map(Execution.this::describe).toList()));
+                      + describe(membership.self())
+                      + membership.others().stream().map(Execution.this::describe).toList()));
       inFlight.forEach(
-          one ->
-              all.add(
-                  one.from
+          message ->
+              fingerprint.add(
+                  message.from
                       + '>'
-                      + one.to
-                      + one.letter.kind()
-                      + describe(one.letter.sender())
-                      + one.letter.targetOrStartKey()
-                      + one.letter.updates().stream().map(this::describe).toList()));
-      return all.toString();
+                      + message.to
+                      + message.letter.kind()
+                      + describe(message.letter.sender())
+                      + message.letter.targetOrStartKey()
+                      + message.letter.updates().stream().map(this::describe).toList()));
+      return fingerprint.toString();
     }
 
-    private String describe(MemberState word) {
-      return word.name()
-          + word.instanceId()
+    private String describe(MemberState state) {
+      return state.name()
+          + state.instanceId()
           + '.'
-          + word.incarnation()
-          + word.status().name().charAt(0)
-          + (word.status() == MemberStatus.SUSPECT ? word.reportedBy() : "");
+          + state.incarnation()
+          + state.status().name().charAt(0)
+          + (state.status() == MemberStatus.SUSPECT ? state.reportedBy() : "");
     }
   }
 
   private Execution replay(List<Integer> choices) {
-    Execution play = new Execution();
-    choices.forEach(play::apply);
-    return play;
+    Execution execution = new Execution();
+    choices.forEach(execution::apply);
+    return execution;
   }
 
   /** Explores sequences of up to {@code depth} choices, and a limited number of states. */
-  public Result explore(int depth, int most) {
+  public Result explore(int depth, int maxStates) {
     Set<String> seen = new HashSet<>();
-    ArrayDeque<List<Integer>> next = new ArrayDeque<>(List.of(List.of()));
-    int deepest = 0;
-    while (!next.isEmpty() && seen.size() < most) {
-      List<Integer> path = next.poll();
-      Execution here = replay(path);
-      if (!seen.add(here.fingerprint())) {
+    ArrayDeque<List<Integer>> frontier = new ArrayDeque<>(List.of(List.of()));
+    int maxDepth = 0;
+    while (!frontier.isEmpty() && seen.size() < maxStates) {
+      List<Integer> path = frontier.poll();
+      Execution execution = replay(path);
+      if (!seen.add(execution.fingerprint())) {
         continue;
       }
-      deepest = path.size();
-      here.runFairly(120 * NANOS_PER_SECOND);
-      if (!here.hasConverged()) {
-        return new Result(seen.size(), deepest, path);
+      maxDepth = path.size();
+      execution.runFairly(120 * NANOS_PER_SECOND);
+      if (!execution.hasConverged()) {
+        return new Result(seen.size(), maxDepth, path);
       }
       for (int choice = 0; path.size() < depth && choice < CHOICES; choice++) {
-        Execution after = replay(path);
-        if (after.apply(choice) && !seen.contains(after.fingerprint())) {
-          List<Integer> longer = new ArrayList<>(path);
-          longer.add(choice);
-          next.add(longer);
+        Execution successor = replay(path);
+        if (successor.apply(choice) && !seen.contains(successor.fingerprint())) {
+          List<Integer> extended = new ArrayList<>(path);
+          extended.add(choice);
+          frontier.add(extended);
         }
       }
     }
-    return new Result(seen.size(), deepest, null);
+    return new Result(seen.size(), maxDepth, null);
   }
 }
--- a/src/main/java/tansytrack/lab/simulation/MembershipSimulation.java
+++ b/src/main/java/tansytrack/lab/simulation/MembershipSimulation.java
@@ -71,10 +71,10 @@
     /** Number of name conflicts reported. */
     public long nameConflicts;
 
-    Node(String address, String name, String place) {
+    Node(String address, String name, String zone) {
       this.address = address;
       this.name = name;
-      this.zone = place;
+      this.zone = zone;
     }
 
     /** The address, which stays the same across restarts. */
@@ -111,8 +111,8 @@
   }
 
   /** A simulation without nodes. All randomness is derived from the seed. */
-  public MembershipSimulation(MembershipConfig rules, long seed) {
-    this.config = rules;
+  public MembershipSimulation(MembershipConfig config, long seed) {
+    this.config = config;
     random = new SplittableRandom(seed);
   }
 
@@ -124,8 +124,8 @@
   }
 
   /** Schedules an action at a virtual time, or at once if that has passed. */
-  public void schedule(long time, Runnable what) {
-    events.add(new Event(Math.max(now, time), nextEventOrder++, what));
+  public void schedule(long time, Runnable action) {
+    events.add(new Event(Math.max(now, time), nextEventOrder++, action));
   }
 
   /** Processes all events up to a virtual time. */
@@ -139,38 +139,38 @@
   }
 
   /** Sets the conditions of all links from now on. */
-  public void linkConditions(LinkConditions next) {
-    linkConditions = next;
+  public void linkConditions(LinkConditions conditions) {
+    linkConditions = conditions;
   }
 
   /** Drops all messages for which the predicate on sender and recipient holds. */
-  public void partition(BiPredicate<Node, Node> which) {
-    partition = which;
+  public void partition(BiPredicate<Node, Node> dropped) {
+    partition = dropped;
   }
 
   /** Starts a schedule of faults now; it names members by their names, not by addresses. */
   public void injectFaults(FaultSchedule schedule) {
     faults = schedule;
     faultsStartedAt = now;
-    for (FaultSchedule.ProcessFault one : schedule.processes()) {
+    for (FaultSchedule.ProcessFault fault : schedule.processes()) {
       String address =
           nodes.values().stream()
-              .filter(node -> node.name.equals(one.member()))
+              .filter(node -> node.name.equals(fault.member()))
               .findFirst()
               .orElseThrow()
               .address;
       schedule(
-          now + one.startNanos(),
+          now + fault.startNanos(),
           () -> {
-            switch (one.kind()) {
-              case STOP -> pause(address, one.durationNanos());
+            switch (fault.kind()) {
+              case STOP -> pause(address, fault.durationNanos());
               case KILL -> kill(address);
               case END -> shutDown(address);
               default -> throw new IllegalStateException();
             }
           });
-      if (one.kind() != FaultSchedule.ProcessFaultKind.STOP && one.durationNanos() > 0) {
-        schedule(now + one.startNanos() + one.durationNanos(), () -> start(address));
+      if (fault.kind() != FaultSchedule.ProcessFaultKind.STOP && fault.durationNanos() > 0) {
+        schedule(now + fault.startNanos() + fault.durationNanos(), () -> start(address));
       }
     }
   }
@@ -178,8 +178,8 @@
   // ---- Members ----
 
   /** The node at an address, created but not started if there is none. */
-  public Node node(String address, String name, String place) {
-    return nodes.computeIfAbsent(address, at -> new Node(at, name, place));
+  public Node node(String address, String name, String zone) {
+    return nodes.computeIfAbsent(address, key -> new Node(key, name, zone));
   }
 
   /** The node at an address, or null if there is none. */
@@ -194,12 +194,12 @@
   }
 
   /** Publishes a fact on a node that runs and is not paused. */
-  public void publishFact(Node node, String kind, String subject, long value, long lasts) {
+  public void publishFact(Node node, String kind, String subject, long value, long ttlNanos) {
     if (node.membership != null && node.pausedUntil < 0) {
       execute(
           node,
           node.membership.publishFact(
-              now + node.clockOffsetNanos, kind, subject, new long[] {value}, lasts));
+              now + node.clockOffsetNanos, kind, subject, new long[] {value}, ttlNanos));
     }
   }
 
@@ -238,29 +238,29 @@
   }
 
   /** Pauses a process as SIGSTOP does; messages that arrive meanwhile wait. */
-  public void pause(String address, long length) {
+  public void pause(String address, long duration) {
     Node node = nodes.get(address);
-    node.pausedUntil = now + length;
+    node.pausedUntil = now + duration;
     schedule(
-        now + length,
+        now + duration,
         () -> {
           if (node.pausedUntil == now && node.membership != null) {
             node.pausedUntil = -1;
-            List<Runnable> waiting = new ArrayList<>(node.receivedWhilePaused);
+            List<Runnable> received = new ArrayList<>(node.receivedWhilePaused);
             node.receivedWhilePaused.clear();
-            waiting.forEach(Runnable::run);
+            received.forEach(Runnable::run);
             wake(node, node.instanceId);
           }
         });
   }
 
   /** Steps the clock of a node. */
-  public void stepClock(String address, long by) {
-    nodes.get(address).clockOffsetNanos += by;
+  public void stepClock(String address, long offset) {
+    nodes.get(address).clockOffsetNanos += offset;
   }
 
-  private void wake(Node node, long life) {
-    if (node.membership == null || node.instanceId != life || node.pausedUntil >= 0) {
+  private void wake(Node node, long instanceId) {
+    if (node.membership == null || node.instanceId != instanceId || node.pausedUntil >= 0) {
       return;
     }
     if (node.wakesAt <= now) {
@@ -295,8 +295,8 @@
             : Math.max(now, node.membership.nextDeadline() - node.clockOffsetNanos);
     if (due < node.wakesAt) {
       node.wakesAt = due;
-      long life = node.instanceId;
-      schedule(due, () -> wake(node, life));
+      long instanceId = node.instanceId;
+      schedule(due, () -> wake(node, instanceId));
     }
   }
 
@@ -310,34 +310,34 @@
     if (to == null || partition.test(from, to)) {
       return;
     }
-    LinkConditions here =
+    LinkConditions conditions =
         faults == null
             ? linkConditions
             : faults.linkConditions(now - faultsStartedAt, from.name, from.zone, to.name, to.zone);
     LinkModel link =
         links.computeIfAbsent(
             from.address + '>' + to.address, key -> new LinkModel(random.nextLong()));
-    for (long takes : link.deliveryDelays(here)) {
+    for (long delay : link.deliveryDelays(conditions)) {
       if (capturedMessages.size() < 1 << 16) {
         capturedMessages.add(send.message());
       }
-      schedule(now + takes, () -> deliver(from.address, to, send.message()));
+      schedule(now + delay, () -> deliver(from.address, to, send.message()));
     }
   }
 
   /** Delivers a message to the instance that runs on the node, if any. */
-  public void deliver(String from, Node to, Message letter) {
+  public void deliver(String from, Node to, Message message) {
     if (to.membership == null) {
       return;
     }
     if (to.pausedUntil >= 0) {
       // Limited, as the receive buffer of a socket is.
       if (to.receivedWhilePaused.size() < 256) {
-        to.receivedWhilePaused.add(() -> deliver(from, to, letter));
+        to.receivedWhilePaused.add(() -> deliver(from, to, message));
       }
       return;
     }
-    execute(to, to.membership.receive(now + to.clockOffsetNanos, from, letter));
+    execute(to, to.membership.receive(now + to.clockOffsetNanos, from, message));
   }
 
   // ---- Results ----
@@ -362,17 +362,17 @@
     Map<String, Long> running = new TreeMap<>();
     nodes.values().stream()
         .filter(Node::running)
-        .forEach(one -> running.put(one.name, one.instanceId));
-    for (Node one : nodes.values()) {
-      if (one.running()) {
-        Map<String, Long> held = new TreeMap<>();
-        held.put(one.name, one.instanceId);
-        one.membership.others().stream()
-            .filter(word -> word.status().isLive())
-            .forEach(word -> held.put(word.name(), word.instanceId()));
-        if (!held.equals(running)
-            || one.membership.others().stream()
-                .anyMatch(word -> word.status() == MemberStatus.SUSPECT)) {
+        .forEach(node -> running.put(node.name, node.instanceId));
+    for (Node node : nodes.values()) {
+      if (node.running()) {
+        Map<String, Long> considered = new TreeMap<>();
+        considered.put(node.name, node.instanceId);
+        node.membership.others().stream()
+            .filter(state -> state.status().isLive())
+            .forEach(state -> considered.put(state.name(), state.instanceId()));
+        if (!considered.equals(running)
+            || node.membership.others().stream()
+                .anyMatch(state -> state.status() == MemberStatus.SUSPECT)) {
           return false;
         }
       }
@@ -381,11 +381,11 @@
   }
 
   /** Runs until the members converge; returns the time taken, or -1 if it exceeds the limit. */
-  public long runUntilConverged(long most) {
-    long from = now;
-    while (now - from <= most) {
+  public long runUntilConverged(long limit) {
+    long start = now;
+    while (now - start <= limit) {
       if (hasConverged()) {
-        return now - from;
+        return now - start;
       }
       runUntil(now + 100 * NANOS_PER_MS);
     }
@@ -394,18 +394,19 @@
 
   /** Starts members in three zones within 500 ms, and runs until they converge. */
   public static MembershipSimulation startConverged(
-      int members, MembershipConfig rules, long seed, LinkConditions weather) {
-    MembershipSimulation world = new MembershipSimulation(rules, seed);
+      int members, MembershipConfig config, long seed, LinkConditions conditions) {
+    MembershipSimulation simulation = new MembershipSimulation(config, seed);
     for (int i = 0; i < members; i++) {
       String address = "m" + i;
-      world.node(address, "n" + i, "place-" + i % 3);
-      world.schedule(world.random.nextLong(500 * NANOS_PER_MS), () -> world.start(address));
+      simulation.node(address, "n" + i, "place-" + i % 3);
+      simulation.schedule(
+          simulation.random.nextLong(500 * NANOS_PER_MS), () -> simulation.start(address));
     }
-    world.runUntil(500 * NANOS_PER_MS);
-    if (world.runUntilConverged(120_000 * NANOS_PER_MS) < 0) {
+    simulation.runUntil(500 * NANOS_PER_MS);
+    if (simulation.runUntilConverged(120_000 * NANOS_PER_MS) < 0) {
       throw new IllegalStateException(members + " members did not converge within 120 s");
     }
-    world.linkConditions(weather);
-    return world;
+    simulation.linkConditions(conditions);
+    return simulation;
   }
 }
