--- a/src/main/java/tansytrack/fleet/MemberState.java
+++ b/src/main/java/tansytrack/fleet/MemberState.java
@@ -4,10 +4,10 @@
  * The state of a member as it is gossiped. Only the member itself raises its incarnation; others
  * report it as suspected or dead at the incarnation that they know.
  *
- * @param life identifies one start of the process; random rather than a time, as clocks may step
- *     back
- * @param settings digest of the settings in use
- * @param by the member that reported the suspicion or death, or empty
+ * @param instanceId identifies one start of the process; random rather than a time, as clocks may
+ *     step back
+ * @param settingsDigest digest of the settings in use
+ * @param reportedBy the member that reported the suspicion or death, or empty
  */
 public record MemberState(
     String name,
--- a/src/main/java/tansytrack/fleet/MembershipConfig.java
+++ b/src/main/java/tansytrack/fleet/MembershipConfig.java
@@ -5,18 +5,19 @@
 /**
  * The parameters of a membership.
  *
- * @param period time between two probes
- * @param timeout time to wait for an ack before indirect probes are sent
- * @param helpers number of members asked for an indirect probe
- * @param least shortest suspicion, in probe intervals per factor of ten of live members
- * @param most longest suspicion, as a multiple of the shortest
- * @param datagram maximum size of a message
- * @param bytesASecond rate above which no updates are piggybacked; at twice the rate only acks and
- *     sync responses are sent
- * @param mostMembers maximum number of other members known at a time
- * @param mostFacts maximum number of facts held at a time
- * @param exchangeEvery time between two anti-entropy syncs
- * @param forgetAfter time after which dead members and members that left are forgotten
+ * @param probeIntervalNanos time between two probes
+ * @param probeTimeoutNanos time to wait for an ack before indirect probes are sent
+ * @param indirectProbes number of members asked for an indirect probe
+ * @param suspicionMultiplier shortest suspicion, in probe intervals per factor of ten of live
+ *     members
+ * @param maxSuspicionMultiplier longest suspicion, as a multiple of the shortest
+ * @param maxMessageBytes maximum size of a message
+ * @param maxBytesPerSecond rate above which no updates are piggybacked; at twice the rate only acks
+ *     and sync responses are sent
+ * @param maxMembers maximum number of other members known at a time
+ * @param maxFacts maximum number of facts held at a time
+ * @param syncIntervalNanos time between two anti-entropy syncs
+ * @param goneRetentionNanos time after which dead members and members that left are forgotten
  * @param seeds addresses of members to join through
  */
 public record MembershipConfig(
--- a/src/main/java/tansytrack/fleet/Message.java
+++ b/src/main/java/tansytrack/fleet/Message.java
@@ -5,12 +5,12 @@
 /**
  * A message between two members.
  *
- * @param number counts the sender's messages, to detect duplicates
- * @param sequence joins a reply to its request
- * @param from the sender's own state
- * @param about the probed member; in a sync, the key at which the page begins
- * @param next in a sync, the key at which the next page begins; empty after the last page
- * @param words piggybacked or synced member states
+ * @param messageNumber counts the sender's messages, to detect duplicates
+ * @param requestId joins a reply to its request
+ * @param sender the sender's own state
+ * @param targetOrStartKey the probed member; in a sync, the key at which the page begins
+ * @param nextKey in a sync, the key at which the next page begins; empty after the last page
+ * @param updates piggybacked or synced member states
  * @param facts piggybacked or synced facts
  */
 public record Message(
--- a/src/main/java/tansytrack/lab/simulation/EngineModel.java
+++ b/src/main/java/tansytrack/lab/simulation/EngineModel.java
@@ -21,13 +21,13 @@
    * The parameters of an engine.
    *
    * @param cores number of cores
-   * @param mostQueries maximum number of queries held at a time; more are refused as full
-   * @param startCapacity fraction of the capacity that is available at the start
-   * @param warmAfter time until the full capacity is available, growing linearly; 0 for an engine
+   * @param maxQueries maximum number of queries held at a time; more are refused as full
+   * @param startCapacityFraction fraction of the capacity that is available at the start
+   * @param warmUpNanos time until the full capacity is available, growing linearly; 0 for an engine
    *     that starts warm
-   * @param multiple multiple of its present capacity that crashes the engine if it is sent that
-   *     much during a window
-   * @param window length of that window
+   * @param overloadFactor multiple of its present capacity that crashes the engine if it is sent
+   *     that much during a window
+   * @param windowNanos length of that window
    */
   public record Spec(
       double cores,
--- a/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
@@ -85,17 +85,18 @@
   /**
    * The parameters of the invariants.
    *
-   * @param slack tolerance for late answers
-   * @param apart tasks of one key that were sent closer together than this have no defined order
-   * @param drainGrace time after the start of a drain in which forwards may still arrive
+   * @param answerSlackNanos tolerance for late answers
+   * @param keyCooldownNanos tasks of one key that were sent closer together than this have no
+   *     defined order
+   * @param drainGraceNanos time after the start of a drain in which forwards may still arrive
    * @param cores cores of an engine
-   * @param startCapacity fraction of the capacity that a cold engine starts with
-   * @param warmAfter time until an engine has its full capacity
-   * @param multiple allowed load of a cold engine, as a multiple of its present capacity
-   * @param window time over which that load is counted
-   * @param spare retries that are always allowed
-   * @param share further retries allowed per task
-   * @param rationWindow time over which retries are counted; 0 for no limit
+   * @param startCapacityFraction fraction of the capacity that a cold engine starts with
+   * @param warmUpNanos time until an engine has its full capacity
+   * @param overloadFactor allowed load of a cold engine, as a multiple of its present capacity
+   * @param windowNanos time over which that load is counted
+   * @param spareAttempts retries that are always allowed
+   * @param extraPerRequest further retries allowed per task
+   * @param retryWindowNanos time over which retries are counted; 0 for no limit
    */
   public record Limits(
       long answerSlackNanos,
--- a/src/main/java/tansytrack/lab/simulation/LinkConditions.java
+++ b/src/main/java/tansytrack/lab/simulation/LinkConditions.java
@@ -5,10 +5,11 @@
  * messages are lost (Gilbert model); {@code loss} is the long-term share in either case.
  *
  * @param loss share of messages lost, 0 to 1
- * @param burst mean length of a burst of losses, in messages
- * @param doubled share of messages delivered twice
- * @param least shortest delay
- * @param spread mean of the exponentially distributed additional delay, which reorders messages
+ * @param meanBurstLength mean length of a burst of losses, in messages
+ * @param duplication share of messages delivered twice
+ * @param minDelayNanos shortest delay
+ * @param meanExtraDelayNanos mean of the exponentially distributed additional delay, which reorders
+ *     messages
  */
 public record LinkConditions(
     double loss,
--- a/src/main/java/tansytrack/lab/simulation/MembershipModelChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/MembershipModelChecker.java
@@ -38,7 +38,7 @@
    *
    * @param states number of distinct states
    * @param depth largest number of choices made in a row
-   * @param broken the choices that lead to the first state that does not converge, or null
+   * @param counterexample the choices that lead to the first state that does not converge, or null
    */
   public record Result(int states, int depth, List<Integer> counterexample) {}
 
