--- a/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
@@ -96,7 +96,7 @@
    * @param windowNanos time over which that load is counted
    * @param spareAttempts retries that are always allowed
    * @param extraPerRequest further retries allowed per task
-   * @param retryWindowNanos time over which retries are counted; 0 for no limit
+   * @param retryBudgetWindowNanos time over which retries are counted; 0 for no limit
    */
   public record Limits(
       long answerSlackNanos,
