--- a/src/main/java/tansytrack/fleet/udp/MessageCodec.java
+++ b/src/main/java/tansytrack/fleet/udp/MessageCodec.java
@@ -8,9 +8,9 @@
 import tansytrack.fleet.MemberStatus;
 import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.proto.FactForm;
-import tansytrack.fleet.proto.LetterForm;
-import tansytrack.fleet.proto.WordForm;
+import tansytrack.fleet.proto.FactUpdate;
+import tansytrack.fleet.proto.GossipMessage;
+import tansytrack.fleet.proto.MemberUpdate;
 
 /**
  * Encodes and decodes messages. Addresses are not sent: a decoded state has the member's name as
@@ -32,26 +32,26 @@
   }
 
   static byte[] encode(Message message) {
-    LetterForm.Builder proto =
-        LetterForm.newBuilder()
+    GossipMessage.Builder proto =
+        GossipMessage.newBuilder()
             .setKindValue(message.kind().ordinal() + 1)
-            .setNumber(message.messageNumber())
-            .setSequence(message.requestId())
-            .setFrom(toProto(message.sender()))
-            .setAbout(message.targetOrStartKey())
-            .setNext(message.nextKey());
-    message.updates().forEach(state -> proto.addWords(toProto(state)));
+            .setMessageNumber(message.messageNumber())
+            .setRequestId(message.requestId())
+            .setSender(toProto(message.sender()))
+            .setTargetOrStartKey(message.targetOrStartKey())
+            .setNextKey(message.nextKey());
+    message.updates().forEach(state -> proto.addUpdates(toProto(state)));
     for (Fact fact : message.facts()) {
-      FactForm.Builder factProto =
-          FactForm.newBuilder()
+      FactUpdate.Builder factProto =
+          FactUpdate.newBuilder()
               .setOwner(fact.owner())
               .setIncarnation(fact.incarnation())
-              .setLife(fact.instanceId())
+              .setInstanceId(fact.instanceId())
               .setKind(fact.kind())
               .setSubject(fact.subject())
-              .setNumber(fact.version())
+              .setVersion(fact.version())
               .setAgeUs(fact.ageNanos() / NANOS_PER_US)
-              .setLastsUs(fact.ttlNanos() / NANOS_PER_US);
+              .setTtlUs(fact.ttlNanos() / NANOS_PER_US);
       for (long value : fact.values()) {
         factProto.addValues(value);
       }
@@ -60,24 +60,24 @@
     return proto.build().toByteArray();
   }
 
-  private static WordForm toProto(MemberState state) {
-    return WordForm.newBuilder()
+  private static MemberUpdate toProto(MemberState state) {
+    return MemberUpdate.newBuilder()
         .setName(state.name())
-        .setPlace(state.zone())
-        .setLife(state.instanceId())
+        .setZone(state.zone())
+        .setInstanceId(state.instanceId())
         .setIncarnation(state.incarnation())
-        .setStandingValue(state.status().ordinal())
+        .setStatusValue(state.status().ordinal())
         .setStageValue(state.stage().ordinal())
         .setVersion(state.version())
-        .setSettings(state.settingsDigest())
-        .setBy(state.reportedBy())
+        .setSettingsDigest(state.settingsDigest())
+        .setReportedBy(state.reportedBy())
         .build();
   }
 
   static Message decode(byte[] datagram) throws DecodeException {
-    LetterForm proto;
+    GossipMessage proto;
     try {
-      proto = LetterForm.parseFrom(datagram);
+      proto = GossipMessage.parseFrom(datagram);
     } catch (InvalidProtocolBufferException e) {
       throw new DecodeException("not a valid message: " + e.getMessage());
     }
@@ -86,30 +86,30 @@
       throw new DecodeException("unknown message kind " + proto.getKindValue());
     }
     List<MemberState> updates = new ArrayList<>();
-    for (WordForm update : proto.getWordsList()) {
+    for (MemberUpdate update : proto.getUpdatesList()) {
       updates.add(fromProto(update));
     }
     List<Fact> facts = new ArrayList<>();
-    for (FactForm fact : proto.getFactsList()) {
+    for (FactUpdate fact : proto.getFactsList()) {
       facts.add(
           new Fact(
               fact.getOwner(),
               fact.getIncarnation(),
-              fact.getLife(),
+              fact.getInstanceId(),
               fact.getKind(),
               fact.getSubject(),
-              fact.getNumber(),
+              fact.getVersion(),
               fact.getValuesList().stream().mapToLong(Long::longValue).toArray(),
               toNanos(fact.getAgeUs()),
-              toNanos(fact.getLastsUs())));
+              toNanos(fact.getTtlUs())));
     }
     return new Message(
         Message.Kind.values()[kind],
-        proto.getNumber(),
-        proto.getSequence(),
-        fromProto(proto.getFrom()),
-        proto.getAbout(),
-        proto.getNext(),
+        proto.getMessageNumber(),
+        proto.getRequestId(),
+        fromProto(proto.getSender()),
+        proto.getTargetOrStartKey(),
+        proto.getNextKey(),
         updates,
         facts);
   }
@@ -121,8 +121,8 @@
     return micros * NANOS_PER_US;
   }
 
-  private static MemberState fromProto(WordForm proto) throws DecodeException {
-    int status = proto.getStandingValue();
+  private static MemberState fromProto(MemberUpdate proto) throws DecodeException {
+    int status = proto.getStatusValue();
     int stage = proto.getStageValue();
     if (status < 0 || status >= MemberStatus.values().length || stage < 0) {
       throw new DecodeException("unknown member status " + status + " or stage " + stage);
@@ -132,13 +132,13 @@
     return new MemberState(
         proto.getName(),
         proto.getName(),
-        proto.getPlace(),
-        proto.getLife(),
+        proto.getZone(),
+        proto.getInstanceId(),
         proto.getIncarnation(),
         MemberStatus.values()[status],
         knownStage,
         proto.getVersion(),
-        proto.getSettings(),
-        proto.getBy());
+        proto.getSettingsDigest(),
+        proto.getReportedBy());
   }
 }
--- a/src/test/java/tansytrack/fleet/udp/UdpMembershipTest.java
+++ b/src/test/java/tansytrack/fleet/udp/UdpMembershipTest.java
@@ -21,7 +21,7 @@
 import tansytrack.fleet.MemberStatus;
 import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.proto.LetterForm;
+import tansytrack.fleet.proto.GossipMessage;
 import tansytrack.operator.OperatorFile;
 
 /** Tests the membership over real UDP sockets, and the encoding of its messages. */
@@ -156,7 +156,7 @@
       peer.send(new DatagramPacket(withUnknownMember, withUnknownMember.length, to));
       // A truncated message.
       peer.send(new DatagramPacket(valid, valid.length - 1, to));
-      byte[] unknownKind = LetterForm.newBuilder().setKindValue(99).build().toByteArray();
+      byte[] unknownKind = GossipMessage.newBuilder().setKindValue(99).build().toByteArray();
       peer.send(new DatagramPacket(unknownKind, unknownKind.length, to));
       await(() -> first.counts().getOrDefault("fleet.refused.unreadable", 0L) == 2);
       assertThat(first.counts())
