--- a/src/main/java/tansytrack/fleet/BudgetDivisor.java
+++ b/src/main/java/tansytrack/fleet/BudgetDivisor.java
@@ -12,19 +12,19 @@
  */
 public final class BudgetDivisor {
 
-  // Other managers that the operator's file or the settings name.
+  // The number of other managers that are named in the operator file or in the settings.
   private final int namedPeers;
   private final long settleNanos;
-  private final Set<String> left = new TreeSet<>();
+  private final Set<String> leftMembers = new TreeSet<>();
   private int divisor;
-  // The highest number wanted since the wanted number fell below the used one.
-  private int highestWanted;
-  // When the wanted number fell below the used one; -1 if it has not.
+  // The highest required number since it fell below the used one.
+  private int highestRequired;
+  // When the required number fell below the used one; -1 if it has not.
   private long lowerSince = -1;
 
   /**
    * Starts with all configured managers; the number decreases only after a lower one has been
-   * wanted for the settling time.
+   * required for the settling time.
    */
   public BudgetDivisor(int namedPeers, long settleTimeNanos) {
     this.namedPeers = namedPeers;
@@ -35,25 +35,25 @@
   /** Records a changed member; members that are not configured count while they are live. */
   public void memberChanged(MemberState state) {
     if (state.status() == MemberStatus.LEFT) {
-      left.add(state.name());
+      leftMembers.add(state.name());
     } else {
-      left.remove(state.name());
+      leftMembers.remove(state.name());
     }
   }
 
   /** Updates and returns the number to use from now on. */
   public int update(long now, int liveMembers) {
-    int wanted = Math.max(liveMembers, namedPeers + 1 - left.size());
-    if (wanted >= divisor) {
-      divisor = wanted;
+    int required = Math.max(liveMembers, namedPeers + 1 - leftMembers.size());
+    if (required >= divisor) {
+      divisor = required;
       lowerSince = -1;
     } else if (lowerSince < 0) {
       lowerSince = now;
-      highestWanted = wanted;
+      highestRequired = required;
     } else {
-      highestWanted = Math.max(highestWanted, wanted);
+      highestRequired = Math.max(highestRequired, required);
       if (now - lowerSince >= settleNanos) {
-        divisor = highestWanted;
+        divisor = highestRequired;
         lowerSince = -1;
       }
     }
--- a/src/main/java/tansytrack/fleet/FactStore.java
+++ b/src/main/java/tansytrack/fleet/FactStore.java
@@ -16,7 +16,7 @@
   private final int maxFacts;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final TreeSet<Entry> byExpiry = new TreeSet<>();
-  private long refused;
+  private long rejected;
 
   private record Entry(Fact fact, long expiresAt) implements Comparable<Entry> {
     @Override
@@ -39,7 +39,7 @@
     }
     Entry held = entries.get(fact.key());
     if (held == null && entries.size() >= maxFacts) {
-      refused++;
+      rejected++;
       return false;
     }
     boolean newer = held == null || fact.supersedes(held.fact);
@@ -108,8 +108,8 @@
     return entries.size();
   }
 
-  /** The number of facts refused because the store was full. */
-  public long refused() {
-    return refused;
+  /** The number of facts rejected because the store was full. */
+  public long rejected() {
+    return rejected;
   }
 }
--- a/src/main/java/tansytrack/fleet/GossipQueue.java
+++ b/src/main/java/tansytrack/fleet/GossipQueue.java
@@ -19,8 +19,8 @@
   private final Map<String, Entry<T>> byKey = new HashMap<>();
   private final TreeSet<Entry<T>> order =
       new TreeSet<>(
-          Comparator.<Entry<T>>comparingInt(one -> one.transmissions)
-              .thenComparingLong(one -> -one.insertionOrder));
+          Comparator.<Entry<T>>comparingInt(entry -> entry.transmissions)
+              .thenComparingLong(entry -> -entry.insertionOrder));
   private long insertions;
 
   private static final class Entry<T> {
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What this member knows of another one. */
+/** The state that this member holds of another member. */
 final class Member {
 
   MemberState state;
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -21,8 +21,9 @@
   private final TreeMap<String, Member> members = new TreeMap<>();
   private final TreeSet<Member> suspects =
       new TreeSet<>(
-          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.state.name()));
-  // Members still to be probed in the present round.
+          comparingLong((Member member) -> member.suspectedAt)
+              .thenComparing(member -> member.state.name()));
+  // Members still to be probed in the current round.
   private final List<Member> probeOrder = new ArrayList<>();
   private long version;
   private int liveMembersInZone = 1;
--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -83,7 +83,7 @@
 
   // ---- Queries ----
 
-  /** The number of live members; its version changes with each change. */
+  /** The number of live members, with a version that changes whenever the number does. */
   public MembershipView view() {
     return members.view();
   }
@@ -189,7 +189,7 @@
     }
     message.updates().forEach(this::merge);
     for (Fact fact : message.facts()) {
-      // Only facts of the owner's present instance are accepted: facts from before a restart may be
+      // Only facts of the owner's current instance are accepted: facts from before a restart may be
       // delayed or replayed.
       Member owner = members.get(fact.owner());
       if (owner != null
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -77,24 +77,24 @@
     // 200 bytes are reserved for the key of the next page.
     int remainingBytes = config.maxMessageBytes() - header.maxEncodedBytes() - 200;
     String nextKey = "";
-    for (MemberState one : heldStates) {
-      remainingBytes -= one.maxEncodedBytes();
+    for (MemberState state : heldStates) {
+      remainingBytes -= state.maxEncodedBytes();
       if (remainingBytes < 0) {
-        nextKey = one.name();
+        nextKey = state.name();
         break;
       }
-      pageStates.add(one);
+      pageStates.add(state);
     }
     String factKey =
         startKey.startsWith(FACT_KEY_PREFIX) ? startKey.substring(FACT_KEY_PREFIX.length()) : "";
-    for (Fact one = facts.firstFrom(local.now, factKey);
-        one != null && nextKey.isEmpty();
-        one = facts.firstFrom(local.now, one.key() + '\0')) {
-      remainingBytes -= one.maxEncodedBytes();
+    for (Fact fact = facts.firstFrom(local.now, factKey);
+        fact != null && nextKey.isEmpty();
+        fact = facts.firstFrom(local.now, fact.key() + '\0')) {
+      remainingBytes -= fact.maxEncodedBytes();
       if (remainingBytes < 0) {
-        nextKey = FACT_KEY_PREFIX + one.key();
+        nextKey = FACT_KEY_PREFIX + fact.key();
       } else {
-        pageFacts.add(one);
+        pageFacts.add(fact);
       }
     }
     transmit(
--- a/src/main/java/tansytrack/fleet/udp/UdpMembership.java
+++ b/src/main/java/tansytrack/fleet/udp/UdpMembership.java
@@ -60,7 +60,7 @@
   private volatile long droppedEvents;
   private volatile boolean stopped;
   private long publishedAt;
-  private long lastRefusalLoggedAt;
+  private long lastRejectionLoggedAt;
   private int lastDivisor = -1;
 
   private UdpMembership(
@@ -106,7 +106,7 @@
   /**
    * Binds the socket and starts the membership. Each change of the number of managers that share a
    * cold engine's budget is passed to the listener on the membership's thread. Managers that are
-   * configured but missing in the operator's file still count.
+   * configured but missing in the operator file still count.
    */
   public static UdpMembership start(
       OperatorFile.FleetSection section,
@@ -235,7 +235,7 @@
       return;
     }
     // Only the updates about unknown members are dropped. If whole messages were, a manager would
-    // look dead to those whose operator's files name fewer peers.
+    // look dead to those whose operator files name fewer peers.
     List<MemberState> knownUpdates =
         message.updates().stream()
             .filter(update -> addresses.containsKey(update.name()) || update.name().equals(name))
@@ -254,8 +254,8 @@
   private void reject(String reason, InetSocketAddress from, String detail) {
     count("refused." + reason);
     long now = System.nanoTime();
-    if (now - lastRefusalLoggedAt >= NANOS_PER_SECOND) {
-      lastRefusalLoggedAt = now;
+    if (now - lastRejectionLoggedAt >= NANOS_PER_SECOND) {
+      lastRejectionLoggedAt = now;
       Logger.warn("fleet: rejected all or part of a datagram from {}: {}", from, detail);
     }
   }
@@ -335,7 +335,7 @@
     snapshot.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
     snapshot.put("fleet.health", (long) membership.healthScore());
     snapshot.put("fleet.facts", (long) membership.facts().size());
-    snapshot.put("fleet.facts_refused", membership.facts().refused());
+    snapshot.put("fleet.facts_refused", membership.facts().rejected());
     snapshot.put("fleet.overflow", droppedEvents);
     publishedCounts = Map.copyOf(snapshot);
   }
