--- a/src/test/java/tansytrack/lab/simulation/InvariantCheckerTest.java
+++ b/src/test/java/tansytrack/lab/simulation/InvariantCheckerTest.java
@@ -154,7 +154,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("wrong")
+  @MethodSource("violatingLogs")
   void reportsOnlyTheViolatedInvariant(String invariant, List<Event> violation) {
     List<Event> log = validLog();
     log.addAll(violation);
