--- a/src/test/java/tansytrack/fleet/MembershipTest.java
+++ b/src/test/java/tansytrack/fleet/MembershipTest.java
@@ -161,19 +161,21 @@
     MemberState valid = state("b", 1, 1, MemberStatus.ALIVE);
     return Stream.of(
         arguments("no name", state("", 1, 1, MemberStatus.ALIVE), valid),
-        arguments("a name behind all others", state("~b", 1, 1, MemberStatus.ALIVE), valid),
-        arguments("a name too long", state("b".repeat(65), 1, 1, MemberStatus.ALIVE), valid),
+        arguments(
+            "a name that sorts after all others", state("~b", 1, 1, MemberStatus.ALIVE), valid),
+        arguments(
+            "a name that is too long", state("b".repeat(65), 1, 1, MemberStatus.ALIVE), valid),
         arguments("incarnation 0", state("b", 1, 0, MemberStatus.ALIVE), valid),
         arguments(
             "an incarnation without room",
             state("b", 1, Long.MAX_VALUE, MemberStatus.ALIVE),
             valid),
-        arguments("no life", state("b", 0, 1, MemberStatus.ALIVE), valid),
-        arguments("a word among others", valid, state("c", 1, -1, MemberStatus.ALIVE)));
+        arguments("no instance ID", state("b", 0, 1, MemberStatus.ALIVE), valid),
+        arguments("an invalid update", valid, state("c", 1, -1, MemberStatus.ALIVE)));
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("unusable")
+  @MethodSource("invalidStates")
   void countsAndIgnoresInvalidMessages(String name, MemberState sender, MemberState update) {
     assertThat(receive(sender, update)).isEmpty();
     assertThat(membership.others()).isEmpty();
