--- a/src/main/java/tansytrack/FleetCommands.java
+++ b/src/main/java/tansytrack/FleetCommands.java
@@ -15,14 +15,14 @@
 import tansytrack.log.JsonLinesWriter;
 import tansytrack.settings.InvalidInputException;
 
-/** The command group `fleet`: what a running manager knows of the others. */
+/** The command group {@code fleet}: the membership as a running manager sees it. */
 public final class FleetCommands {
 
   private static final int TIMEOUT_MS = 3000;
 
   private FleetCommands() {}
 
-  /** The group. */
+  /** The command group. */
   public static final class All extends CommandGroup {
     @Argument(
         required = true,
@@ -34,7 +34,7 @@
 
     @Override
     public String description() {
-      return "fleet: what a running manager knows of the others. Commands: show.";
+      return "fleet: the membership as a running manager sees it. Commands: show.";
     }
 
     @Override
@@ -43,53 +43,53 @@
     }
   }
 
-  /** Asks one. */
+  /** Asks a running manager for its members. */
   public static final class Show extends ErrorReportingCommand {
     @Argument(
         required = true,
         metaVar = "ADDRESS",
-        usage = "the listener of a running manager, as in 127.0.0.1:6565")
-    private String at;
+        usage = "the address of a running manager's listener, as in 127.0.0.1:6565")
+    private String address;
 
-    @Option(name = "--json", usage = "as a JSON object instead of a table")
+    @Option(name = "--json", usage = "print a JSON object instead of a table")
     private boolean json;
 
     @Override
     public String description() {
-      return "fleet show: its members as that manager sees them, itself first. Exit code 1: it"
-          + " keeps in touch with nobody; 2: it\n"
-          + "cannot be asked.";
+      return "fleet show: lists the members that the manager knows, itself first. Exit code 1: the"
+          + " manager has no fleet section;\n"
+          + "2: it cannot be asked.";
     }
 
     @Override
     protected int execute() throws IOException {
-      int colon = at.lastIndexOf(':');
-      if (colon < 1 || !at.substring(colon + 1).matches("[0-9]{1,5}")) {
+      int colon = address.lastIndexOf(':');
+      if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
         throw new InvalidInputException(
-            "'" + at + "'; allowed: an address with a port, as in 127.0.0.1:6565");
+            "'" + address + "'; allowed: an address with a port, as in 127.0.0.1:6565");
       }
       LabClient.Answer answer;
       try (LabClient client =
           new LabClient(
               new InetSocketAddress(
-                  at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
+                  address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
               TIMEOUT_MS)) {
         answer = client.query("SHOW FLEET");
       } catch (IOException e) {
-        throw new IOException(at + " cannot be asked: " + e.getMessage(), e);
+        throw new IOException(address + " cannot be asked: " + e.getMessage(), e);
       }
       if (!answer.handled()) {
         System.err.println(
             "tansytrack: "
-                + at
-                + " keeps in touch with no others: its operators' file has no fleet section");
+                + address
+                + " has no membership: its operator's file has no fleet section");
         return EXIT_DIFFERENCE;
       }
-      System.out.print(json ? object(answer) : table(answer));
+      System.out.print(json ? toJson(answer) : toTable(answer));
       return 0;
     }
 
-    private static String table(LabClient.Answer answer) {
+    private static String toTable(LabClient.Answer answer) {
       StringBuilder text = new StringBuilder();
       int[] widths = new int[answer.columns().size()];
       for (int i = 0; i < widths.length; i++) {
@@ -98,12 +98,12 @@
           widths[i] = Math.max(widths[i], row.get(i).length());
         }
       }
-      line(text, answer.columns(), widths);
-      answer.cells().forEach(row -> line(text, row, widths));
+      appendRow(text, answer.columns(), widths);
+      answer.cells().forEach(row -> appendRow(text, row, widths));
       return text.toString();
     }
 
-    private static void line(StringBuilder text, List<String> cells, int[] widths) {
+    private static void appendRow(StringBuilder text, List<String> cells, int[] widths) {
       for (int i = 0; i < widths.length; i++) {
         text.append(i > 0 ? "  " : "")
             .append(
@@ -114,19 +114,19 @@
       text.append('\n');
     }
 
-    private static String object(LabClient.Answer answer) {
+    private static String toJson(LabClient.Answer answer) {
       StringBuilder text = new StringBuilder("{\"members\":[");
       for (int i = 0; i < answer.rowCount(); i++) {
         text.append(i > 0 ? "," : "").append('{');
         for (int j = 0; j < answer.columns().size(); j++) {
           String cell = answer.cells().get(i).get(j);
-          boolean figure =
+          boolean isNumber =
               cell.matches("[0-9]{1,18}")
                   && !answer.columns().get(j).matches("name|place|version|settings");
           text.append(j > 0 ? "," : "")
               .append(JsonLinesWriter.quote(answer.columns().get(j)))
               .append(':')
-              .append(figure ? cell : JsonLinesWriter.quote(cell));
+              .append(isNumber ? cell : JsonLinesWriter.quote(cell));
         }
         text.append('}');
       }
--- a/src/main/java/tansytrack/fleet/BudgetDivisor.java
+++ b/src/main/java/tansytrack/fleet/BudgetDivisor.java
@@ -4,39 +4,46 @@
 import java.util.TreeSet;
 
 /**
- * How many managers an even part of what cold engines bear is reckoned by. Guards against a budget
- * that is dealt twice: a manager that is silent may still send, on the other side of a cut, so each
- * one that is named counts until it has said that it leaves, and for a while longer; one that comes
- * counts at once. Harm: of a manager that died without a word nobody takes the part.
+ * The number of managers among which the load budget of cold engines is divided. No share may be
+ * handed out twice: a silent manager may still send forwards on the other side of a partition.
+ * Therefore each configured manager counts until it has announced that it leaves, and for the
+ * settling time after that; a manager that joins counts at once. The cost is that the share of a
+ * manager that died without leaving stays unused.
  */
 public final class BudgetDivisor {
 
-  private final int namedPeers; // other managers, in the operators' file or by the settings
+  // The number of other managers that are named in the operator file or in the settings.
+  private final int namedPeers;
   private final long settleNanos;
   private final Set<String> leftMembers = new TreeSet<>();
   private int divisor;
-  private int highestRequired; // the most that was wanted since less than what is used is wanted
-  private long lowerSince = -1; // that is; -1: it is not
+  // The highest required number since it fell below the used one.
+  private int highestRequired;
+  // When the required number fell below the used one; -1 if it has not.
+  private long lowerSince = -1;
 
-  /** With so many others named; fewer count once that has been wanted for so long. */
-  public BudgetDivisor(int named, long settle) {
-    this.namedPeers = named;
-    this.settleNanos = settle;
-    divisor = named + 1;
+  /**
+   * Starts with all configured managers; the number decreases only after a lower one has been
+   * required for the settling time.
+   */
+  public BudgetDivisor(int namedPeers, long settleTimeNanos) {
+    this.namedPeers = namedPeers;
+    this.settleNanos = settleTimeNanos;
+    divisor = namedPeers + 1;
   }
 
-  /** Something else is held of a member; unknown names count as they are there. */
-  public void memberChanged(MemberState after) {
-    if (after.status() == MemberStatus.LEFT) {
-      leftMembers.add(after.name());
+  /** Records a changed member; members that are not configured count while they are live. */
+  public void memberChanged(MemberState state) {
+    if (state.status() == MemberStatus.LEFT) {
+      leftMembers.add(state.name());
     } else {
-      leftMembers.remove(after.name());
+      leftMembers.remove(state.name());
     }
   }
 
-  /** The number to use from now on. */
-  public int update(long now, int there) {
-    int required = Math.max(there, namedPeers + 1 - leftMembers.size());
+  /** Updates and returns the number to use from now on. */
+  public int update(long now, int liveMembers) {
+    int required = Math.max(liveMembers, namedPeers + 1 - leftMembers.size());
     if (required >= divisor) {
       divisor = required;
       lowerSince = -1;
--- a/src/main/java/tansytrack/fleet/GossipQueue.java
+++ b/src/main/java/tansytrack/fleet/GossipQueue.java
@@ -9,8 +9,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What is new and to be passed on beside other letters, each so often at most, the least told
- * first. Bounded by its keys: a later rumour of the same takes the place of the one before.
+ * Updates to piggyback on messages, each for a limited number of transmissions; those transmitted
+ * least often come first, newer ones before older ones. A newer update replaces the one with the
+ * same key, so the size is bounded by the number of keys.
  */
 final class GossipQueue<T> {
 
@@ -18,20 +19,20 @@
   private final Map<String, Entry<T>> byKey = new HashMap<>();
   private final TreeSet<Entry<T>> order =
       new TreeSet<>(
-          Comparator.<Entry<T>>comparingInt(one -> one.transmissions)
-              .thenComparingLong(one -> -one.number));
-  private long count;
+          Comparator.<Entry<T>>comparingInt(entry -> entry.transmissions)
+              .thenComparingLong(entry -> -entry.insertionOrder));
+  private long insertions;
 
   private static final class Entry<T> {
     final String key;
     final T update;
-    final long number;
+    final long insertionOrder;
     int transmissions;
 
-    Entry(String key, T what, long number) {
+    Entry(String key, T update, long insertionOrder) {
       this.key = key;
-      this.update = what;
-      this.number = number;
+      this.update = update;
+      this.insertionOrder = insertionOrder;
     }
   }
 
@@ -39,11 +40,11 @@
     this.bytes = bytes;
   }
 
-  void put(String key, T what) {
+  void put(String key, T update) {
     remove(key);
-    Entry<T> rumour = new Entry<>(key, what, count++);
-    byKey.put(key, rumour);
-    order.add(rumour);
+    Entry<T> entry = new Entry<>(key, update, insertions++);
+    byKey.put(key, entry);
+    order.add(entry);
   }
 
   void remove(String key) {
@@ -57,30 +58,33 @@
     return byKey.size();
   }
 
-  /** Takes what fits into so many bytes, and counts it as told once more. */
-  List<T> take(int room, int often) {
+  /**
+   * Takes the updates that fit into a number of bytes and counts a transmission of each; an update
+   * is removed once it has been transmitted the given number of times.
+   */
+  List<T> take(int maxBytes, int maxTransmissions) {
     List<Entry<T>> taken = new ArrayList<>();
-    int left = room;
-    for (Entry<T> one : order) {
-      int size = bytes.applyAsInt(one.update);
-      if (size <= left) {
-        left -= size;
-        taken.add(one);
+    int remainingBytes = maxBytes;
+    for (Entry<T> entry : order) {
+      int size = bytes.applyAsInt(entry.update);
+      if (size <= remainingBytes) {
+        remainingBytes -= size;
+        taken.add(entry);
       }
-      if (left < Message.FIXED_BYTES) {
+      if (remainingBytes < Message.FIXED_BYTES) {
         break;
       }
     }
-    List<T> said = new ArrayList<>();
-    for (Entry<T> one : taken) {
-      said.add(one.update);
-      order.remove(one);
-      if (++one.transmissions < often) {
-        order.add(one);
+    List<T> updates = new ArrayList<>();
+    for (Entry<T> entry : taken) {
+      updates.add(entry.update);
+      order.remove(entry);
+      if (++entry.transmissions < maxTransmissions) {
+        order.add(entry);
       } else {
-        byKey.remove(one.key);
+        byKey.remove(entry.key);
       }
     }
-    return said;
+    return updates;
   }
 }
--- a/src/main/java/tansytrack/fleet/Member.java
+++ b/src/main/java/tansytrack/fleet/Member.java
@@ -3,17 +3,18 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What is held of another member. */
+/** The state that this member holds of another member. */
 final class Member {
 
   MemberState state;
-  long statusSince; // it is held to be that
+  long statusSince;
   long suspectedAt;
-  final Set<String> suspectors = new LinkedHashSet<>(); // of the present suspicion
+  // The members that have reported the present suspicion.
+  final Set<String> suspectors = new LinkedHashSet<>();
   final ReplayWindow replayWindow = new ReplayWindow();
 
-  Member(MemberState word, long now) {
-    this.state = word;
+  Member(MemberState state, long now) {
+    this.state = state;
     statusSince = now;
   }
 }
--- a/src/main/java/tansytrack/fleet/MemberState.java
+++ b/src/main/java/tansytrack/fleet/MemberState.java
@@ -1,9 +1,13 @@
 package tansytrack.fleet;
 
 /**
- * What is said of a member. Only the member itself raises its incarnation; others say that it is
- * suspected or dead at the incarnation that they know. A life is one start of the program: chance,
- * not a clock, which may step back.
+ * The state of a member as it is gossiped. Only the member itself raises its incarnation; others
+ * report it as suspected or dead at the incarnation that they know.
+ *
+ * @param instanceId identifies one start of the process; random rather than a time, as clocks may
+ *     step back
+ * @param settingsDigest digest of the settings in use
+ * @param reportedBy the member that reported the suspicion or death, or empty
  */
 public record MemberState(
     String name,
@@ -17,20 +21,37 @@
     String settingsDigest,
     String reportedBy) {
 
-  private static final int FIXED_BYTES = 32; // bytes, of figures and lengths
+  // Upper bound of the encoded numbers and length prefixes.
+  private static final int FIXED_BYTES = 32;
   private static final int MAX_TEXT_LENGTH = 64;
-  public static final long MAX_INCARNATION =
-      1L << 52; // a forged one must not take the room to refute it
 
-  /** A member's first word of itself. */
+  /** Highest valid incarnation: a forged state must leave room for a higher one that refutes it. */
+  public static final long MAX_INCARNATION = 1L << 52;
+
+  /** The state with which a member starts. */
   public static MemberState initial(
-      String name, String address, String place, long life, String version, String settings) {
+      String name,
+      String address,
+      String zone,
+      long instanceId,
+      String version,
+      String settingsDigest) {
     return new MemberState(
-        name, address, place, life, 1, MemberStatus.ALIVE, Stage.STARTING, version, settings, "");
+        name,
+        address,
+        zone,
+        instanceId,
+        1,
+        MemberStatus.ALIVE,
+        Stage.STARTING,
+        version,
+        settingsDigest,
+        "");
   }
 
   /**
-   * One order for all that can be said of a name, the same everywhere: what is later in it is held.
+   * Whether this state replaces another one of the same name. The order is total and the same on
+   * all members.
    */
   public boolean supersedes(MemberState other) {
     return incarnation != other.incarnation
@@ -40,51 +61,60 @@
             : status.compareTo(other.status) > 0;
   }
 
-  /** Whether both speak of the same incarnation and the same life of the member. */
+  /** Whether both states are of the same instance of the member at the same incarnation. */
   public boolean isSameIncarnation(MemberState other) {
     return incarnation == other.incarnation && instanceId == other.instanceId;
   }
 
-  /** Whether name and address can be those of a member. */
+  /** Whether all fields are within their limits. */
   public boolean isValid() {
     return !name.isEmpty()
         && name.charAt(0) < '~'
         && !address.isEmpty()
-        && isShort(name)
-        && isShort(address)
-        && isShort(zone)
-        && isShort(version)
-        && isShort(settingsDigest)
-        && isShort(reportedBy)
+        && isWithinLimit(name)
+        && isWithinLimit(address)
+        && isWithinLimit(zone)
+        && isWithinLimit(version)
+        && isWithinLimit(settingsDigest)
+        && isWithinLimit(reportedBy)
         && incarnation > 0
         && incarnation <= MAX_INCARNATION
         && instanceId != 0;
   }
 
-  private static boolean isShort(String text) {
+  private static boolean isWithinLimit(String text) {
     return text.length() <= MAX_TEXT_LENGTH;
   }
 
-  MemberState withStatus(MemberStatus next, String accuser) {
+  MemberState withStatus(MemberStatus newStatus, String reporter) {
     return new MemberState(
         name,
         address,
         zone,
         instanceId,
         incarnation,
-        next,
+        newStatus,
         stage,
         version,
         settingsDigest,
-        accuser);
+        reporter);
   }
 
-  MemberState withIncarnation(long next, MemberStatus is, Stage does) {
+  MemberState withIncarnation(long newIncarnation, MemberStatus newStatus, Stage newStage) {
     return new MemberState(
-        name, address, zone, instanceId, next, is, does, version, settingsDigest, "");
+        name,
+        address,
+        zone,
+        instanceId,
+        newIncarnation,
+        newStatus,
+        newStage,
+        version,
+        settingsDigest,
+        "");
   }
 
-  /** At most so many bytes in a datagram. */
+  /** An upper bound of the encoded size. */
   int maxEncodedBytes() {
     return FIXED_BYTES
         + name.length()
--- a/src/main/java/tansytrack/fleet/MemberTable.java
+++ b/src/main/java/tansytrack/fleet/MemberTable.java
@@ -10,10 +10,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/**
- * What a member holds of all others: who is there, who is suspected and until when, and in which
- * order they are probed.
- */
+/** All other known members: their states, the deadlines of suspicions, and the probe order. */
 final class MemberTable {
 
   private final MembershipConfig config;
@@ -24,169 +21,171 @@
   private final TreeMap<String, Member> members = new TreeMap<>();
   private final TreeSet<Member> suspects =
       new TreeSet<>(
-          comparingLong((Member one) -> one.suspectedAt).thenComparing(one -> one.state.name()));
-  private final List<Member> probeOrder =
-      new ArrayList<>(); // who is still to be probed in this one
+          comparingLong((Member member) -> member.suspectedAt)
+              .thenComparing(member -> member.state.name()));
+  // Members still to be probed in the current round.
+  private final List<Member> probeOrder = new ArrayList<>();
   private long version;
   private int liveMembersInZone = 1;
 
   MemberTable(
-      MembershipConfig rules,
+      MembershipConfig config,
       LocalState local,
       Outbox outbox,
       FactStore facts,
-      SplittableRandom chance) {
-    this.config = rules;
+      SplittableRandom random) {
+    this.config = config;
     this.local = local;
     this.outbox = outbox;
     this.facts = facts;
-    this.random = chance;
+    this.random = random;
   }
 
   MembershipView view() {
     return new MembershipView(version, local.liveMembers, liveMembersInZone);
   }
 
-  /** What is held of a member, or null. */
+  /** The member with that name, or null. */
   Member get(String name) {
     return members.get(name);
   }
 
-  /** All members, by name. */
+  /** All other members, ordered by name. */
   Collection<Member> all() {
     return members.values();
   }
 
-  /** What is held of the members from that name on. */
+  /** The states of the members whose names are equal to or greater than the given one. */
   Iterable<MemberState> statesFrom(String name) {
-    return () -> members.tailMap(name).values().stream().map(one -> one.state).iterator();
+    return () -> members.tailMap(name).values().stream().map(member -> member.state).iterator();
   }
 
-  /** Declares dead whose time to refute it is over. */
+  /** Declares the members dead that have not refuted their suspicion in time. */
   void expireSuspicions() {
     while (!suspects.isEmpty() && nextSuspicionDeadline() <= local.now) {
-      Member late = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
-      setState(late, late.state.withStatus(MemberStatus.DEAD, local.self.name()));
+      Member expired = suspects.stream().min(comparingLong(this::suspicionDeadline)).orElseThrow();
+      setState(expired, expired.state.withStatus(MemberStatus.DEAD, local.self.name()));
     }
   }
 
-  /** Lets all suspicions last so much longer. */
-  void postponeSuspicions(long by) {
-    List<Member> all = new ArrayList<>(suspects);
+  /** Extends all suspicions by a duration. */
+  void postponeSuspicions(long duration) {
+    List<Member> postponed = new ArrayList<>(suspects);
     suspects.clear();
-    for (Member one : all) {
-      one.suspectedAt += by;
-      suspects.add(one);
+    for (Member member : postponed) {
+      member.suspectedAt += duration;
+      suspects.add(member);
     }
   }
 
-  /** Forgets who has been gone for long. */
+  /** Removes members that have been dead or gone for longer than the retention time. */
   void forgetGone() {
     members
         .values()
         .removeIf(
-            one ->
-                !one.state.status().isLive()
-                    && local.now - one.statusSince > config.goneRetentionNanos());
+            member ->
+                !member.state.status().isLive()
+                    && local.now - member.statusSince > config.goneRetentionNanos());
   }
 
-  /** Takes what is said of another member. */
-  void merge(MemberState word) {
-    Member member = members.get(word.name());
+  /** Merges a received state of another member. */
+  void merge(MemberState state) {
+    Member member = members.get(state.name());
     if (member == null) {
-      if (!word.status().isLive()) {
-        return; // it was never known here, and is gone
+      if (!state.status().isLive()) {
+        // An unknown member that is already gone is not worth tracking.
+        return;
       }
       if (members.size() >= config.maxMembers()) {
         local.count("too_many");
         return;
       }
-      member = new Member(word.withStatus(MemberStatus.ALIVE, ""), local.now);
-      members.put(word.name(), member);
+      member = new Member(state.withStatus(MemberStatus.ALIVE, ""), local.now);
+      members.put(state.name(), member);
       probeOrder.add(random.nextInt(probeOrder.size() + 1), member);
       publishChange(null, member.state);
     }
-    if (word.supersedes(member.state)) {
-      boolean later = !word.isSameIncarnation(member.state);
-      switch (word.status()) {
-        case ALIVE, LEFT -> setState(member, word);
+    if (state.supersedes(member.state)) {
+      boolean isNewIncarnation = !state.isSameIncarnation(member.state);
+      switch (state.status()) {
+        case ALIVE, LEFT -> setState(member, state);
         case SUSPECT -> {
-          if (later) {
-            setState(member, word.withStatus(MemberStatus.ALIVE, ""));
+          if (isNewIncarnation) {
+            setState(member, state.withStatus(MemberStatus.ALIVE, ""));
           }
-          suspect(member, word.reportedBy());
+          suspect(member, state.reportedBy());
         }
-        case DEAD -> mergeDead(member, word, later);
+        case DEAD -> mergeDead(member, state, isNewIncarnation);
         default -> throw new IllegalStateException();
       }
-    } else if (word.isSameIncarnation(member.state)
-        && word.status() == MemberStatus.SUSPECT
+    } else if (state.isSameIncarnation(member.state)
+        && state.status() == MemberStatus.SUSPECT
         && member.state.status() == MemberStatus.SUSPECT) {
-      suspect(member, word.reportedBy());
+      suspect(member, state.reportedBy());
     }
   }
 
-  private void mergeDead(Member member, MemberState word, boolean later) {
-    // Guards against the dead of another half of the fleet: who is there here gets time to
-    // refute it.
-    if (later && member.state.status().isLive()) {
-      setState(member, word.withStatus(MemberStatus.ALIVE, ""));
+  private void mergeDead(Member member, MemberState state, boolean isNewIncarnation) {
+    // A death declared on the other side of a partition is only suspected here, so that a member
+    // that is live on this side has time to refute it.
+    if (isNewIncarnation && member.state.status().isLive()) {
+      setState(member, state.withStatus(MemberStatus.ALIVE, ""));
     }
     if (!member.state.status().isLive()
         || (member.state.status() == MemberStatus.SUSPECT
             && local.now - member.suspectedAt >= minSuspicionNanos())) {
-      setState(member, word);
+      setState(member, state);
     } else {
-      suspect(member, word.reportedBy());
+      suspect(member, state.reportedBy());
     }
   }
 
   /**
-   * Somebody says that it does not answer; more independent ones shorten the time it has to refute
-   * that.
+   * Records that a member was reported not to respond. Each further independent report shortens the
+   * time that the member has to refute the suspicion.
    */
-  void suspect(Member member, String accuser) {
+  void suspect(Member member, String reporter) {
     if (member.state.status() == MemberStatus.ALIVE) {
       member.suspectedAt = local.now;
-      setState(member, member.state.withStatus(MemberStatus.SUSPECT, accuser));
-      member.suspectors.add(accuser);
+      setState(member, member.state.withStatus(MemberStatus.SUSPECT, reporter));
+      member.suspectors.add(reporter);
     } else if (member.state.status() == MemberStatus.SUSPECT
         && member.suspectors.size() <= config.indirectProbes()
-        && member.suspectors.add(accuser)) {
-      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, accuser));
+        && member.suspectors.add(reporter)) {
+      outbox.gossip(member.state.withStatus(MemberStatus.SUSPECT, reporter));
     }
   }
 
-  /** The one place where something else is held of a member. */
-  private void setState(Member member, MemberState next) {
+  /** Replaces the state of a member; all changes of known members pass through here. */
+  private void setState(Member member, MemberState after) {
     MemberState before = member.state;
     suspects.remove(member);
-    member.state = next;
+    member.state = after;
     member.statusSince =
-        before.status() == next.status() && before.instanceId() == next.instanceId()
+        before.status() == after.status() && before.instanceId() == after.instanceId()
             ? member.statusSince
             : local.now;
-    if (next.status() == MemberStatus.SUSPECT) {
+    if (after.status() == MemberStatus.SUSPECT) {
       suspects.add(member);
     } else {
       member.suspectors.clear();
     }
-    if (!next.status().isLive()) {
-      facts.removeOwnedBy(next.name());
+    if (!after.status().isLive()) {
+      facts.removeOwnedBy(after.name());
     }
-    publishChange(before, next);
+    publishChange(before, after);
   }
 
   private void publishChange(MemberState before, MemberState after) {
     outbox.gossip(after);
-    int more =
+    int liveDelta =
         (after.status().isLive() ? 1 : 0) - (before != null && before.status().isLive() ? 1 : 0);
-    local.liveMembers += more;
-    boolean was =
+    local.liveMembers += liveDelta;
+    boolean wasInZone =
         before != null && before.status().isLive() && before.zone().equals(local.self.zone());
-    boolean is = after.status().isLive() && after.zone().equals(local.self.zone());
-    liveMembersInZone += (is ? 1 : 0) - (was ? 1 : 0);
-    version += more != 0 || was != is ? 1 : 0;
+    boolean isInZone = after.status().isLive() && after.zone().equals(local.self.zone());
+    liveMembersInZone += (isInZone ? 1 : 0) - (wasInZone ? 1 : 0);
+    version += liveDelta != 0 || wasInZone != isInZone ? 1 : 0;
     outbox.add(new Action.MemberChanged(before, after));
   }
 
@@ -198,56 +197,62 @@
   }
 
   /**
-   * When a suspicion ends: the sooner the more have said it, by the logarithm; later while this one
-   * doubts itself.
+   * The deadline of a suspicion. It decreases with the logarithm of the number of reports, and is
+   * extended in proportion to this member's local health score.
    */
   private long suspicionDeadline(Member member) {
-    int expected = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
-    double part = expected == 0 ? 1 : Math.log(member.suspectors.size()) / Math.log(expected + 1);
-    double times =
+    int expectedReports = Math.min(config.indirectProbes(), Math.max(0, local.liveMembers - 2));
+    double reduction =
+        expectedReports == 0
+            ? 1
+            : Math.log(member.suspectors.size()) / Math.log(expectedReports + 1);
+    double multiplier =
         config.maxSuspicionMultiplier()
-            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, part));
-    return member.suspectedAt + ((long) (minSuspicionNanos() * times)) * (1 + local.healthScore);
+            - (config.maxSuspicionMultiplier() - 1) * Math.min(1, Math.max(0, reduction));
+    return member.suspectedAt
+        + ((long) (minSuspicionNanos() * multiplier)) * (1 + local.healthScore);
   }
 
-  /** When the next suspicion ends, if nothing is heard until then. */
+  /** The earliest deadline of all suspicions. */
   long nextSuspicionDeadline() {
     return suspects.stream().mapToLong(this::suspicionDeadline).min().orElse(Long.MAX_VALUE);
   }
 
   /**
-   * Round robin in an order drawn anew each round, so that each is probed within two rounds at
-   * most.
+   * The next member to probe, or null if there is none. Round robin in an order that is shuffled
+   * for each round, so that a member waits two rounds at most.
    */
   Member nextProbeTarget() {
     for (int rounds = 0; rounds < 2; rounds++) {
       while (!probeOrder.isEmpty()) {
-        Member one = probeOrder.remove(probeOrder.size() - 1);
-        if (members.get(one.state.name()) == one && one.state.status().isLive()) {
-          return one;
+        Member member = probeOrder.remove(probeOrder.size() - 1);
+        if (members.get(member.state.name()) == member && member.state.status().isLive()) {
+          return member;
         }
       }
-      members.values().stream().filter(one -> one.state.status().isLive()).forEach(probeOrder::add);
+      members.values().stream()
+          .filter(member -> member.state.status().isLive())
+          .forEach(probeOrder::add);
       shuffle(probeOrder);
     }
     return null;
   }
 
-  /** Puts a list into an order drawn from the seed. */
+  /** Shuffles a list, in an order that depends on the seed. */
   void shuffle(List<?> list) {
     for (int i = list.size() - 1; i > 0; i--) {
       Collections.swap(list, i, random.nextInt(i + 1));
     }
   }
 
-  /** Some of those that are there, drawn. */
-  List<Member> randomLiveMembers(int count, Member except) {
-    List<Member> all =
+  /** Up to that many random live members. */
+  List<Member> randomLiveMembers(int count, Member excluded) {
+    List<Member> candidates =
         new ArrayList<>(
             members.values().stream()
-                .filter(one -> one.state.status().isLive() && one != except)
+                .filter(member -> member.state.status().isLive() && member != excluded)
                 .toList());
-    shuffle(all);
-    return all.subList(0, Math.min(count, all.size()));
+    shuffle(candidates);
+    return candidates.subList(0, Math.min(count, candidates.size()));
   }
 }
--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -9,20 +9,20 @@
 import java.util.SplittableRandom;
 
 /**
- * The membership as one member sees it: SWIM with the refinements that docs/fleet.md lists. It
- * hears letters and that time passes, and gives back what is to be done; no I/O, no clock, no
- * thread. One instance a member, on one thread.
+ * The membership as one member sees it: SWIM with the refinements that docs/fleet.md lists. A state
+ * machine without I/O, clock or threads: it is given messages and the time, and returns the actions
+ * to execute. There is one instance per member, used by one thread.
  */
 public final class Membership {
 
-  private static final int SYNC_SCALING_MEMBERS =
-      32; // members, beyond which full exchanges are rarer: each is longer
-  private static final int REJOIN_EVERY_PROBES =
-      3; // periods between tries to reach the dead and the seeds
-  private static final int MAX_SEEDS_PER_REJOIN = 3; // that are tried at once
+  // Above this many members the sync interval grows with their number, because each sync is longer.
+  private static final int SYNC_SCALING_MEMBERS = 32;
+  // Probe rounds between two attempts to contact dead members and unknown seeds.
+  private static final int REJOIN_EVERY_PROBES = 3;
+  private static final int MAX_SEEDS_PER_REJOIN = 3;
   private static final int MAX_INDIRECT_PROBES = 256;
-  private static final long NAME_CONFLICT_INTERVAL_NANOS =
-      60_000_000_000L; // between two attempts to hold a name that another uses too
+  // Minimum time between two attempts to reclaim a name that another process uses too.
+  private static final long NAME_CONFLICT_INTERVAL_NANOS = 60_000_000_000L;
 
   private final MembershipConfig config;
   private final SplittableRandom random;
@@ -30,10 +30,10 @@
   private final Outbox outbox;
   private final MemberTable members;
   private final FactStore facts;
-  private final LinkedHashMap<Long, IndirectProbe> indirectProbes =
-      new LinkedHashMap<>(); // all wait as long: the oldest ends first
-  private final Map<Long, Long> refutedIncarnations =
-      new HashMap<>(); // by life: the incarnation with which this one overruled it
+  // By request ID. All have the same timeout, so the oldest expires first.
+  private final LinkedHashMap<Long, IndirectProbe> indirectProbes = new LinkedHashMap<>();
+  // By instance ID of another process with this name: the incarnation that superseded its claim.
+  private final Map<Long, Long> refutedIncarnations = new HashMap<>();
   private long lastRequestId;
   private long lastFactVersion;
   private long probeRounds;
@@ -43,97 +43,99 @@
   private long nextSyncAt;
   private long nameConflictAt = Long.MIN_VALUE;
 
+  /** The probe of the current round. */
   private static final class Probe {
     final Member target;
     final long requestId;
     final long directTimeoutAt;
-    int helpersAsked; // helpers
-    int nacks; // of those: they say that they got no answer either
+    int helpersAsked;
+    // Helpers that received no ack from the target either.
+    int nacks;
     boolean acknowledged;
     boolean indirect;
 
-    Probe(Member target, long sequence, long askAt) {
+    Probe(Member target, long requestId, long directTimeoutAt) {
       this.target = target;
-      this.requestId = sequence;
-      this.directTimeoutAt = askAt;
+      this.requestId = requestId;
+      this.directTimeoutAt = directTimeoutAt;
     }
   }
 
-  /** A probe made for another: whom to tell, under which of its numbers, until when. */
+  /** A probe made on behalf of another member, under the requester's own request ID. */
   private record IndirectProbe(String requester, long requestId, String target, long deadline) {}
 
-  /** A full exchange that this member leads, page by page. */
+  /** An anti-entropy sync that this member has started; it proceeds page by page. */
   private record Sync(
       String address, long requestId, String startKey, int retries, long deadline) {}
 
-  /** A membership that knows itself alone; everything random in it comes from the seed. */
-  public Membership(MembershipConfig rules, MemberState self, long seed, long now) {
-    this.config = rules;
+  /** A membership that knows only this member. All randomness is derived from the seed. */
+  public Membership(MembershipConfig config, MemberState self, long seed, long now) {
+    this.config = config;
     local = new LocalState(self, now);
     random = new SplittableRandom(seed);
-    facts = new FactStore(rules.maxFacts());
-    outbox = new Outbox(rules, local, facts);
-    members = new MemberTable(rules, local, outbox, facts, random);
-    // Not all of a fleet that starts at once in the same moment.
-    nextProbeAt = now + (long) (random.nextDouble() * rules.probeIntervalNanos());
-    nextSyncAt = now + rules.syncIntervalNanos();
+    facts = new FactStore(config.maxFacts());
+    outbox = new Outbox(config, local, facts);
+    members = new MemberTable(config, local, outbox, facts, random);
+    // A random phase keeps managers that start together from probing at the same moment.
+    nextProbeAt = now + (long) (random.nextDouble() * config.probeIntervalNanos());
+    nextSyncAt = now + config.syncIntervalNanos();
   }
 
-  // ---- What is asked of it ----
+  // ---- Queries ----
 
-  /** How many members are thought to run now; the number changes with each change. */
+  /** The number of live members, with a version that changes whenever the number does. */
   public MembershipView view() {
     return members.view();
   }
 
-  /** What this member says of itself. */
+  /** The state that this member announces of itself. */
   public MemberState self() {
     return local.self;
   }
 
-  /** All others that are known, by name. */
+  /** The states of all other known members, ordered by name. */
   public List<MemberState> others() {
-    return members.all().stream().map(one -> one.state).toList();
+    return members.all().stream().map(member -> member.state).toList();
   }
 
-  /** Since when that is held of a member; -1: it is not known. */
+  /** The time since which a member has had its status, or -1 for an unknown member. */
   public long statusSince(String name) {
     Member member = members.get(name);
     return member == null ? -1 : member.statusSince;
   }
 
-  /** The facts that members pass on to each other. */
+  /** The facts that members replicate to each other. */
   public FactStore facts() {
     return facts;
   }
 
-  /** What was counted, by kind. */
+  /** Event counters by name. */
   public Map<String, Long> counts() {
     return local.counts;
   }
 
-  /** How much this member doubts itself, 0 for not at all. */
+  /** The local health score of Lifeguard: 0 is healthy, higher values lengthen timeouts. */
   public int healthScore() {
     return local.healthScore;
   }
 
-  /** When it next wants to be told that time has passed. */
+  /** The time at which {@link #tick} must be called next. */
   public long nextDeadline() {
-    long next = nextProbeAt;
+    long deadline = nextProbeAt;
     if (probe != null && !probe.indirect && !probe.acknowledged) {
-      next = Math.min(next, probe.directTimeoutAt);
+      deadline = Math.min(deadline, probe.directTimeoutAt);
     }
     if (!indirectProbes.isEmpty()) {
-      next = Math.min(next, indirectProbes.values().iterator().next().deadline);
+      deadline = Math.min(deadline, indirectProbes.values().iterator().next().deadline);
     }
-    return Math.min(next, members.nextSuspicionDeadline());
+    return Math.min(deadline, members.nextSuspicionDeadline());
   }
 
-  // ---- What it is told ----
+  // ---- Inputs ----
 
-  /** Does what is due by that time. */
-  public List<Action> tick(long at) {
-    advanceClock(at);
+  /** Processes the deadlines that have passed by the given time. */
+  public List<Action> tick(long now) {
+    advanceClock(now);
     if (probe != null
         && !probe.acknowledged
         && !probe.indirect
@@ -141,13 +143,20 @@
       probeIndirectly();
     }
     members.expireSuspicions();
-    for (Iterator<IndirectProbe> oldest = indirectProbes.values().iterator(); oldest.hasNext(); ) {
-      IndirectProbe relay = oldest.next();
-      if (relay.deadline > local.now) {
+    for (Iterator<IndirectProbe> iterator = indirectProbes.values().iterator();
+        iterator.hasNext(); ) {
+      IndirectProbe indirectProbe = iterator.next();
+      if (indirectProbe.deadline > local.now) {
         break;
       }
-      oldest.remove();
-      outbox.send(Message.Kind.NACK, relay.requester, relay.requestId, relay.target, "", null);
+      iterator.remove();
+      outbox.send(
+          Message.Kind.NACK,
+          indirectProbe.requester,
+          indirectProbe.requestId,
+          indirectProbe.target,
+          "",
+          null);
     }
     if (local.now >= nextProbeAt) {
       startProbeRound();
@@ -155,32 +164,33 @@
     return outbox.drainActions();
   }
 
-  /** A letter has come from that address. */
-  public List<Action> receive(long at, String address, Message letter) {
-    advanceClock(at);
-    if (!letter.sender().isValid()
-        || !letter.updates().stream().allMatch(MemberState::isValid)
-        || !letter.facts().stream().allMatch(Fact::isValid)) {
+  /** Processes a message received from an address. */
+  public List<Action> receive(long now, String address, Message message) {
+    advanceClock(now);
+    if (!message.sender().isValid()
+        || !message.updates().stream().allMatch(MemberState::isValid)
+        || !message.facts().stream().allMatch(Fact::isValid)) {
       local.count("unusable");
       return outbox.drainActions();
     }
-    MemberState from = letter.sender();
-    if (from.name().equals(local.self.name()) && from.instanceId() == local.self.instanceId()) {
+    MemberState senderState = message.sender();
+    if (senderState.name().equals(local.self.name())
+        && senderState.instanceId() == local.self.instanceId()) {
       local.count("own");
       return outbox.drainActions();
     }
-    merge(from);
-    Member sender = members.get(from.name());
+    merge(senderState);
+    Member sender = members.get(senderState.name());
     if (sender != null
-        && sender.state.instanceId() == from.instanceId()
-        && !sender.replayWindow.accept(from.instanceId(), letter.messageNumber())) {
+        && sender.state.instanceId() == senderState.instanceId()
+        && !sender.replayWindow.accept(senderState.instanceId(), message.messageNumber())) {
       local.count("repeated");
       return outbox.drainActions();
     }
-    letter.updates().forEach(this::merge);
-    for (Fact fact : letter.facts()) {
-      // Only of a life that is there: what was said before a restart, and comes late or again, must
-      // not count.
+    message.updates().forEach(this::merge);
+    for (Fact fact : message.facts()) {
+      // Only facts of the owner's current instance are accepted: facts from before a restart may be
+      // delayed or replayed.
       Member owner = members.get(fact.owner());
       if (owner != null
           && owner.state.status().isLive()
@@ -189,12 +199,12 @@
         outbox.gossip(fact);
       }
     }
-    switch (letter.kind()) {
-      case PING -> onPing(address, letter);
-      case ACK -> onAck(letter);
-      case PING_REQ -> onPingReq(address, letter);
+    switch (message.kind()) {
+      case PING -> onPing(address, message);
+      case ACK -> onAck(message);
+      case PING_REQ -> onPingReq(address, message);
       case NACK -> {
-        if (probe != null && probe.requestId == letter.requestId()) {
+        if (probe != null && probe.requestId == message.requestId()) {
           probe.nacks++;
         }
       }
@@ -202,18 +212,18 @@
           sendPage(
               Message.Kind.SYNC_RESPONSE,
               address,
-              letter.requestId(),
-              letter.targetOrStartKey(),
-              correctionFor(from));
-      case SYNC_RESPONSE -> onSyncResponse(letter);
+              message.requestId(),
+              message.targetOrStartKey(),
+              correctionFor(senderState));
+      case SYNC_RESPONSE -> onSyncResponse(message);
       default -> throw new IllegalStateException();
     }
     return outbox.drainActions();
   }
 
-  /** This member does that now. */
-  public List<Action> setStage(long at, Stage stage) {
-    advanceClock(at);
+  /** Sets and announces this member's stage. */
+  public List<Action> setStage(long now, Stage stage) {
+    advanceClock(now);
     if (local.self.stage() != stage) {
       outbox.updateSelf(
           local.self.withIncarnation(local.self.incarnation() + 1, MemberStatus.ALIVE, stage));
@@ -221,24 +231,27 @@
     return outbox.drainActions();
   }
 
-  /** It leaves: told to some at once, as this is the last that is heard of it. */
-  public List<Action> leave(long at) {
-    advanceClock(at);
+  /** Leaves: announces it at once to several members, as no later message will carry it. */
+  public List<Action> leave(long now) {
+    advanceClock(now);
     outbox.updateSelf(
         local.self.withIncarnation(local.self.incarnation() + 1, MemberStatus.LEFT, Stage.LEAVING));
-    for (Member one : members.randomLiveMembers(config.indirectProbes() * 2, null)) {
+    for (Member member : members.randomLiveMembers(config.indirectProbes() * 2, null)) {
       outbox.send(
-          Message.Kind.PING, one.state.address(), ++lastRequestId, one.state.name(), "", null);
+          Message.Kind.PING,
+          member.state.address(),
+          ++lastRequestId,
+          member.state.name(),
+          "",
+          null);
     }
     return outbox.drainActions();
   }
 
-  /**
-   * What this member says of a subject from now on, for so long; said again before that, it goes
-   * on.
-   */
-  public List<Action> publishFact(long at, String kind, String subject, long[] values, long lasts) {
-    advanceClock(at);
+  /** Publishes this member's value for a subject; it expires unless it is published again. */
+  public List<Action> publishFact(
+      long now, String kind, String subject, long[] values, long ttlNanos) {
+    advanceClock(now);
     Fact fact =
         new Fact(
             local.self.name(),
@@ -249,29 +262,30 @@
             ++lastFactVersion,
             values,
             0,
-            lasts);
+            ttlNanos);
     if (facts.merge(local.now, fact)) {
       outbox.gossip(fact);
     }
     return outbox.drainActions();
   }
 
-  // ---- Time ----
+  // ---- Timers ----
 
   /**
-   * Guards against a member that was stopped for a while and blames others for its own silence:
-   * what it waited for is void, suspicions last as much longer, and it doubts itself.
+   * Advances the clock. A process that was paused has heard nobody meanwhile and must not blame the
+   * others for it: pending probes are discarded, suspicions are extended by the pause, and the
+   * local health score is set to its maximum.
    */
-  private void advanceClock(long at) {
-    long late = at - Math.max(local.now, nextDeadline());
-    local.now = Math.max(local.now, at);
-    if (late > config.probeIntervalNanos()) {
+  private void advanceClock(long now) {
+    long delay = now - Math.max(local.now, nextDeadline());
+    local.now = Math.max(local.now, now);
+    if (delay > config.probeIntervalNanos()) {
       local.count("stalled");
       local.healthScore = LocalState.MAX_HEALTH_SCORE;
       probe = null;
       sync = null;
       indirectProbes.clear();
-      members.postponeSuspicions(late);
+      members.postponeSuspicions(delay);
       nextProbeAt = local.now;
     }
     facts.removeExpired(local.now);
@@ -320,11 +334,11 @@
                       * Math.max(1, local.liveMembers / (double) SYNC_SCALING_MEMBERS));
       members
           .randomLiveMembers(1, null)
-          .forEach(one -> sync = requestSync(one.state.address(), "", 0, one.state));
+          .forEach(member -> sync = requestSync(member.state.address(), "", 0, member.state));
     }
   }
 
-  /** What came of the last period's probe. */
+  /** Evaluates the probe of the previous round. */
   private void finishProbe() {
     if (probe == null) {
       return;
@@ -333,15 +347,14 @@
     if (probe.acknowledged) {
       local.healthScore = Math.max(0, local.healthScore - 1);
     } else if (members.get(target.state.name()) == target && target.state.status().isLive()) {
-      // Guards against a member with bad links of its own: helpers that do not even refuse speak
-      // against itself.
+      // Helpers that send not even a nack indicate that this member's own links are faulty.
       local.raiseHealthScore(probe.helpersAsked > 0 && probe.nacks == 0 ? 2 : 1);
       members.suspect(target, local.self.name());
     }
     probe = null;
   }
 
-  /** The target did not answer in time: it is pinged once more, and others are asked to try. */
+  /** The target's ack is overdue: pings it once more and asks other members to probe it. */
   private void probeIndirectly() {
     probe.indirect = true;
     MemberState target = probe.target.state;
@@ -359,29 +372,31 @@
   }
 
   /**
-   * Tries the dead and the seeds that nobody here holds. Guards against halves of a fleet that have
-   * declared each other dead while they were cut off, and against a start whose seeds were down.
+   * Contacts dead members and seeds that are unknown or have left. Without this, the two sides of a
+   * healed partition that declared each other dead would stay apart, and so would a member whose
+   * seeds were down when it started.
    */
   private void contactUnreachable() {
-    List<String> away = new ArrayList<>();
-    Map<String, MemberState> by = new HashMap<>();
-    for (Member one : members.all()) {
-      by.put(one.state.address(), one.state);
-      if (one.state.status() == MemberStatus.DEAD) {
-        away.add(one.state.address());
+    List<String> addresses = new ArrayList<>();
+    Map<String, MemberState> byAddress = new HashMap<>();
+    for (Member member : members.all()) {
+      byAddress.put(member.state.address(), member.state);
+      if (member.state.status() == MemberStatus.DEAD) {
+        addresses.add(member.state.address());
       }
     }
     for (String seed : config.seeds()) {
-      MemberState known = by.get(seed);
+      MemberState known = byAddress.get(seed);
       if (!seed.equals(local.self.address())
           && (known == null || known.status() == MemberStatus.LEFT)) {
-        away.add(seed);
+        addresses.add(seed);
       }
     }
-    members.shuffle(away);
+    members.shuffle(addresses);
     for (String address :
-        away.subList(0, Math.min(local.liveMembers == 1 ? MAX_SEEDS_PER_REJOIN : 1, away.size()))) {
-      MemberState known = by.get(address);
+        addresses.subList(
+            0, Math.min(local.liveMembers == 1 ? MAX_SEEDS_PER_REJOIN : 1, addresses.size()))) {
+      MemberState known = byAddress.get(address);
       sendPage(
           Message.Kind.SYNC_REQUEST,
           address,
@@ -391,136 +406,151 @@
     }
   }
 
-  // ---- Letters ----
+  // ---- Messages ----
 
-  private void onPing(String address, Message letter) {
-    // One that came up at another's address is not the other: it tells who it is, and answers for
-    // nobody.
-    boolean me = letter.targetOrStartKey().equals(local.self.name());
-    Message answer =
+  private void onPing(String address, Message message) {
+    // A process that has taken over another member's address must not answer on its behalf: the ack
+    // has request ID 0 and only introduces the process.
+    boolean isTarget = message.targetOrStartKey().equals(local.self.name());
+    Message ack =
         outbox.compose(
             Message.Kind.ACK,
-            me ? letter.requestId() : 0,
+            isTarget ? message.requestId() : 0,
             local.self.name(),
             "",
-            correctionFor(letter.sender()));
-    outbox.transmit(address, answer, true);
+            correctionFor(message.sender()));
+    outbox.transmit(address, ack, true);
   }
 
   /**
-   * What is held of the sender, where it says other than that: it may not know what it has to
-   * refute.
+   * The state held of the sender if it differs from what the sender announces; the sender may not
+   * know of the claim that it has to refute.
    */
-  private List<MemberState> correctionFor(MemberState from) {
-    Member sender = members.get(from.name());
+  private List<MemberState> correctionFor(MemberState announced) {
+    Member sender = members.get(announced.name());
     MemberState held =
-        sender == null ? from.name().equals(local.self.name()) ? local.self : null : sender.state;
-    return held == null || held.equals(from) ? List.of() : List.of(held);
+        sender == null
+            ? announced.name().equals(local.self.name()) ? local.self : null
+            : sender.state;
+    return held == null || held.equals(announced) ? List.of() : List.of(held);
   }
 
-  private void onAck(Message letter) {
+  private void onAck(Message message) {
     if (probe != null
-        && probe.requestId == letter.requestId()
-        && probe.target.state.name().equals(letter.targetOrStartKey())) {
+        && probe.requestId == message.requestId()
+        && probe.target.state.name().equals(message.targetOrStartKey())) {
       probe.acknowledged = true;
     }
-    IndirectProbe relay = indirectProbes.get(letter.requestId());
-    if (relay != null && relay.target.equals(letter.sender().name())) {
-      indirectProbes.remove(letter.requestId());
-      outbox.send(Message.Kind.ACK, relay.requester, relay.requestId, relay.target, "", null);
+    IndirectProbe indirectProbe = indirectProbes.get(message.requestId());
+    if (indirectProbe != null && indirectProbe.target.equals(message.sender().name())) {
+      indirectProbes.remove(message.requestId());
+      outbox.send(
+          Message.Kind.ACK,
+          indirectProbe.requester,
+          indirectProbe.requestId,
+          indirectProbe.target,
+          "",
+          null);
     }
   }
 
-  private void onPingReq(String address, Message letter) {
-    Member target = members.get(letter.targetOrStartKey());
+  private void onPingReq(String address, Message message) {
+    Member target = members.get(message.targetOrStartKey());
     if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
       indirectProbes.put(
           ++lastRequestId,
           new IndirectProbe(
               address,
-              letter.requestId(),
-              letter.targetOrStartKey(),
+              message.requestId(),
+              message.targetOrStartKey(),
               local.now + config.probeTimeoutNanos()));
       outbox.send(
           Message.Kind.PING,
           target.state.address(),
           lastRequestId,
-          letter.targetOrStartKey(),
+          message.targetOrStartKey(),
           "",
           target.state);
     }
   }
 
-  private Sync requestSync(String address, String from, int tries, MemberState known) {
+  private Sync requestSync(String address, String startKey, int retries, MemberState known) {
     sendPage(
         Message.Kind.SYNC_REQUEST,
         address,
         ++lastRequestId,
-        from,
+        startKey,
         known == null ? List.of() : List.of(known));
-    return new Sync(address, lastRequestId, from, tries, local.now + config.probeIntervalNanos());
+    return new Sync(
+        address, lastRequestId, startKey, retries, local.now + config.probeIntervalNanos());
   }
 
-  private void onSyncResponse(Message letter) {
-    boolean mine = sync != null && sync.requestId == letter.requestId();
-    boolean goesOn =
-        !letter.nextKey().isEmpty() && letter.nextKey().compareTo(letter.targetOrStartKey()) > 0;
-    if (goesOn && (mine || sync == null)) {
-      sync = requestSync(letter.sender().address(), letter.nextKey(), 0, null);
-    } else if (mine) {
+  private void onSyncResponse(Message message) {
+    boolean isCurrentSync = sync != null && sync.requestId == message.requestId();
+    boolean hasNextPage =
+        !message.nextKey().isEmpty() && message.nextKey().compareTo(message.targetOrStartKey()) > 0;
+    if (hasNextPage && (isCurrentSync || sync == null)) {
+      sync = requestSync(message.sender().address(), message.nextKey(), 0, null);
+    } else if (isCurrentSync) {
       sync = null;
     }
   }
 
   private void sendPage(
-      Message.Kind kind, String address, long as, String from, List<MemberState> first) {
-    outbox.sendSyncPage(kind, address, as, from, first, members.statesFrom(from));
+      Message.Kind kind,
+      String address,
+      long requestId,
+      String startKey,
+      List<MemberState> firstStates) {
+    outbox.sendSyncPage(
+        kind, address, requestId, startKey, firstStates, members.statesFrom(startKey));
   }
 
-  private void merge(MemberState word) {
-    if (word.name().equals(local.self.name())) {
-      mergeClaimAboutSelf(word);
+  private void merge(MemberState state) {
+    if (state.name().equals(local.self.name())) {
+      mergeClaimAboutSelf(state);
     } else {
-      members.merge(word);
+      members.merge(state);
     }
   }
 
-  // ---- What others say of this one ----
+  // ---- Claims about this member ----
 
-  private void mergeClaimAboutSelf(MemberState word) {
-    if (word.instanceId() == local.self.instanceId()) {
-      if (word.incarnation() >= local.self.incarnation()
-          && word.status() != MemberStatus.ALIVE
+  private void mergeClaimAboutSelf(MemberState claim) {
+    if (claim.instanceId() == local.self.instanceId()) {
+      if (claim.incarnation() >= local.self.incarnation()
+          && claim.status() != MemberStatus.ALIVE
           && local.self.status() != MemberStatus.LEFT) {
         local.count("refuted");
         local.raiseHealthScore(1);
         outbox.updateSelf(
             local.self.withIncarnation(
-                word.incarnation() + 1, MemberStatus.ALIVE, local.self.stage()));
+                claim.incarnation() + 1, MemberStatus.ALIVE, local.self.stage()));
       }
       return;
     }
-    if (!word.supersedes(local.self)) {
+    if (!claim.supersedes(local.self)) {
       return;
     }
-    Long overruled = refutedIncarnations.get(word.instanceId());
-    boolean twin = overruled != null && word.incarnation() > overruled;
-    if (twin) {
+    Long refutedAt = refutedIncarnations.get(claim.instanceId());
+    boolean isConflict = refutedAt != null && claim.incarnation() > refutedAt;
+    if (isConflict) {
       local.count("twin");
       if (local.now - nameConflictAt < NAME_CONFLICT_INTERVAL_NANOS
           && nameConflictAt != Long.MIN_VALUE) {
         return;
       }
       nameConflictAt = local.now;
-      outbox.add(new Action.NameConflict(word.name(), word.address()));
+      outbox.add(new Action.NameConflict(claim.name(), claim.address()));
     }
-    // A life before this one, or another process under this name: whoever speaks last holds the
-    // name.
-    long next = word.incarnation() + 1;
+    // The claim is of an earlier instance of this member or of another process with its name. The
+    // highest incarnation holds the name.
+    long nextIncarnation = claim.incarnation() + 1;
     refutedIncarnations.clear();
-    refutedIncarnations.put(word.instanceId(), next);
-    if (next <= MemberState.MAX_INCARNATION) {
-      outbox.updateSelf(local.self.withIncarnation(next, local.self.status(), local.self.stage()));
+    refutedIncarnations.put(claim.instanceId(), nextIncarnation);
+    if (nextIncarnation <= MemberState.MAX_INCARNATION) {
+      outbox.updateSelf(
+          local.self.withIncarnation(nextIncarnation, local.self.status(), local.self.stage()));
     }
   }
 }
--- a/src/main/java/tansytrack/fleet/MembershipConfig.java
+++ b/src/main/java/tansytrack/fleet/MembershipConfig.java
@@ -3,20 +3,22 @@
 import java.util.List;
 
 /**
- * The figures of a membership; times in nanoseconds.
+ * The parameters of a membership.
  *
- * @param period between two probes
- * @param timeout of a probe before others are asked to try
- * @param helpers that are asked
- * @param least shortest suspicion, in periods a factor of ten of members
- * @param most longest suspicion, in shortest ones
- * @param datagram the most bytes of a letter
- * @param bytesASecond sent, letters that are owed aside
- * @param mostMembers known at a time
- * @param mostFacts held at a time
- * @param exchangeEvery between two full exchanges
- * @param forgetAfter what is dead or has left is no longer known
- * @param seeds addresses to join by
+ * @param probeIntervalNanos time between two probes
+ * @param probeTimeoutNanos time to wait for an ack before indirect probes are sent
+ * @param indirectProbes number of members asked for an indirect probe
+ * @param suspicionMultiplier shortest suspicion, in probe intervals per factor of ten of live
+ *     members
+ * @param maxSuspicionMultiplier longest suspicion, as a multiple of the shortest
+ * @param maxMessageBytes maximum size of a message
+ * @param maxBytesPerSecond rate above which no updates are piggybacked; at twice the rate only acks
+ *     and sync responses are sent
+ * @param maxMembers maximum number of other members known at a time
+ * @param maxFacts maximum number of facts held at a time
+ * @param syncIntervalNanos time between two anti-entropy syncs
+ * @param goneRetentionNanos time after which dead members and members that left are forgotten
+ * @param seeds addresses of members to join through
  */
 public record MembershipConfig(
     long probeIntervalNanos,
@@ -34,24 +36,25 @@
 
   private static final long NANOS_PER_MS = 1_000_000L;
 
-  /** The usual rules, with the usual timing and bound on sending. */
+  /** The default configuration: a probe every 500 ms and 16 KiB per second. */
   public static MembershipConfig defaults(List<String> seeds) {
     return defaults(seeds, 500 * NANOS_PER_MS, 16_384);
   }
 
-  /** With a probe in so long and so many bytes a second; the rest follows. */
-  public static MembershipConfig defaults(List<String> seeds, long period, int bytesASecond) {
+  /** The defaults for a probe interval and a rate; other times derive from the interval. */
+  public static MembershipConfig defaults(
+      List<String> seeds, long probeIntervalNanos, int maxBytesPerSecond) {
     return new MembershipConfig(
-        period,
-        3 * period / 10,
+        probeIntervalNanos,
+        3 * probeIntervalNanos / 10,
         3,
         4,
         4,
         1200,
-        bytesASecond,
+        maxBytesPerSecond,
         1024,
         8192,
-        20 * period,
+        20 * probeIntervalNanos,
         600_000 * NANOS_PER_MS,
         seeds);
   }
--- a/src/main/java/tansytrack/fleet/MembershipView.java
+++ b/src/main/java/tansytrack/fleet/MembershipView.java
@@ -1,7 +1,10 @@
 package tansytrack.fleet;
 
 /**
- * What decisions use of the fleet: members there, this one among them, in all and in its place;
- * grows in number with each change.
+ * The numbers of live members that routing decisions use.
+ *
+ * @param version increases with each change of the other two
+ * @param liveMembers all live members, this one included
+ * @param liveMembersInZone live members in this member's zone, this one included
  */
 public record MembershipView(long version, int liveMembers, int liveMembersInZone) {}
--- a/src/main/java/tansytrack/fleet/Message.java
+++ b/src/main/java/tansytrack/fleet/Message.java
@@ -3,9 +3,15 @@
 import java.util.List;
 
 /**
- * One message between two members. {@code about} names who is asked for, or answers; in pages it is
- * the key that the page begins at, and {@code next} the one that the next begins at, empty behind
- * the last.
+ * A message between two members.
+ *
+ * @param messageNumber counts the sender's messages, to detect duplicates
+ * @param requestId joins a reply to its request
+ * @param sender the sender's own state
+ * @param targetOrStartKey the probed member; in a sync, the key at which the page begins
+ * @param nextKey in a sync, the key at which the next page begins; empty after the last page
+ * @param updates piggybacked or synced member states
+ * @param facts piggybacked or synced facts
  */
 public record Message(
     Kind kind,
@@ -17,7 +23,10 @@
     List<MemberState> updates,
     List<Fact> facts) {
 
-  /** ASK has a third one pinged; WHOLE and PAGE are the two halves of a full exchange. */
+  /**
+   * The kind of a message. PING_REQ asks the recipient to probe a third member; SYNC_REQUEST and
+   * SYNC_RESPONSE carry the pages of an anti-entropy sync.
+   */
   public enum Kind {
     PING,
     ACK,
@@ -29,18 +38,18 @@
 
   static final int FIXED_BYTES = 40;
 
-  /** The same, saying that of members instead. */
-  public Message withUpdates(List<MemberState> other) {
+  /** A copy with other member states. */
+  public Message withUpdates(List<MemberState> states) {
     return new Message(
-        kind, messageNumber, requestId, sender, targetOrStartKey, nextKey, other, facts);
+        kind, messageNumber, requestId, sender, targetOrStartKey, nextKey, states, facts);
   }
 
-  /** At most so many bytes as a datagram. */
+  /** An upper bound of the encoded size. */
   public int maxEncodedBytes() {
     int bytes =
         FIXED_BYTES + sender.maxEncodedBytes() + targetOrStartKey.length() + nextKey.length();
-    for (MemberState word : updates) {
-      bytes += word.maxEncodedBytes();
+    for (MemberState state : updates) {
+      bytes += state.maxEncodedBytes();
     }
     for (Fact fact : facts) {
       bytes += fact.maxEncodedBytes();
--- a/src/main/java/tansytrack/fleet/Outbox.java
+++ b/src/main/java/tansytrack/fleet/Outbox.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * What leaves a member: its actions in order, among them messages that carry as many updates as
- * fit, within the bound on bytes a second.
+ * Collects a member's actions in order. Messages carry as many piggybacked updates as fit, within
+ * the limit of bytes per second.
  */
 final class Outbox {
 
-  private static final int RETRANSMIT_MULTIPLIER =
-      3; // each update goes out so often, times the binary logarithm
+  // Each update is sent this often, times the binary logarithm of the number of live members.
+  private static final int RETRANSMIT_MULTIPLIER = 3;
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
-  private static final String FACT_KEY_PREFIX =
-      "~"; // before the keys of facts in pages: behind all names
+  // Prefix of fact keys in sync pages; it sorts after all member names.
+  private static final String FACT_KEY_PREFIX = "~";
 
   private final MembershipConfig config;
   private final LocalState local;
@@ -22,110 +22,156 @@
       new GossipQueue<>(MemberState::maxEncodedBytes);
   private final GossipQueue<Fact> factQueue = new GossipQueue<>(Fact::maxEncodedBytes);
   private List<Action> actions = new ArrayList<>();
-  private long lastMessageNumber; // of letters sent
+  private long lastMessageNumber;
   private long rateWindowStart;
   private int rateWindowBytes;
 
-  Outbox(MembershipConfig rules, LocalState local, FactStore facts) {
-    this.config = rules;
+  Outbox(MembershipConfig config, LocalState local, FactStore facts) {
+    this.config = config;
     this.local = local;
     this.facts = facts;
   }
 
-  /** Passes on what is held of a member. */
-  void gossip(MemberState word) {
-    memberQueue.put(word.name(), word);
+  /** Queues a member's state for gossip. */
+  void gossip(MemberState state) {
+    memberQueue.put(state.name(), state);
   }
 
-  /** Passes on a fact. */
+  /** Queues a fact for gossip. */
   void gossip(Fact fact) {
     factQueue.put(fact.key(), fact);
   }
 
-  /** Changes what this member says of itself, and passes it on. */
-  void updateSelf(MemberState next) {
-    local.self = next;
-    gossip(next);
+  /** Replaces this member's own state and queues it for gossip. */
+  void updateSelf(MemberState state) {
+    local.self = state;
+    gossip(state);
   }
 
   void add(Action action) {
     actions.add(action);
   }
 
-  /** The actions since it was asked last. */
+  /** Returns and clears the collected actions. */
   List<Action> drainActions() {
-    List<Action> all = actions;
+    List<Action> drained = actions;
     actions = new ArrayList<>();
-    return all;
+    return drained;
   }
 
-  /** A page of what is held, which is given from that key on; what comes first goes in any case. */
+  /**
+   * Sends a page of a sync: the given first states in any case, then held states and facts from the
+   * start key on, as many as fit.
+   */
   void sendSyncPage(
       Message.Kind kind,
       String address,
-      long as,
-      String from,
-      List<MemberState> first,
-      Iterable<MemberState> held) {
-    List<MemberState> said = new ArrayList<>(first);
-    List<Fact> seen = new ArrayList<>();
-    Message bare = new Message(kind, 0, as, local.self, from, "", said, seen);
-    int left =
-        config.maxMessageBytes() - bare.maxEncodedBytes() - 200; // for the key of the next page
-    String next = "";
-    for (MemberState one : held) {
-      left -= one.maxEncodedBytes();
-      if (left < 0) {
-        next = one.name();
+      long requestId,
+      String startKey,
+      List<MemberState> firstStates,
+      Iterable<MemberState> heldStates) {
+    List<MemberState> pageStates = new ArrayList<>(firstStates);
+    List<Fact> pageFacts = new ArrayList<>();
+    Message header =
+        new Message(kind, 0, requestId, local.self, startKey, "", pageStates, pageFacts);
+    // 200 bytes are reserved for the key of the next page.
+    int remainingBytes = config.maxMessageBytes() - header.maxEncodedBytes() - 200;
+    String nextKey = "";
+    for (MemberState state : heldStates) {
+      remainingBytes -= state.maxEncodedBytes();
+      if (remainingBytes < 0) {
+        nextKey = state.name();
         break;
       }
-      said.add(one);
+      pageStates.add(state);
     }
-    String key = from.startsWith(FACT_KEY_PREFIX) ? from.substring(FACT_KEY_PREFIX.length()) : "";
-    for (Fact one = facts.firstFrom(local.now, key);
-        one != null && next.isEmpty();
-        one = facts.firstFrom(local.now, one.key() + '\0')) {
-      left -= one.maxEncodedBytes();
-      if (left < 0) {
-        next = FACT_KEY_PREFIX + one.key();
+    String factKey =
+        startKey.startsWith(FACT_KEY_PREFIX) ? startKey.substring(FACT_KEY_PREFIX.length()) : "";
+    for (Fact fact = facts.firstFrom(local.now, factKey);
+        fact != null && nextKey.isEmpty();
+        fact = facts.firstFrom(local.now, fact.key() + '\0')) {
+      remainingBytes -= fact.maxEncodedBytes();
+      if (remainingBytes < 0) {
+        nextKey = FACT_KEY_PREFIX + fact.key();
       } else {
-        seen.add(one);
+        pageFacts.add(fact);
       }
     }
     transmit(
         address,
-        new Message(kind, ++lastMessageNumber, as, local.self, from, next, said, seen),
+        new Message(
+            kind,
+            ++lastMessageNumber,
+            requestId,
+            local.self,
+            startKey,
+            nextKey,
+            pageStates,
+            pageFacts),
         kind == Message.Kind.SYNC_RESPONSE);
   }
 
   void send(
-      Message.Kind kind, String address, long as, String about, String next, MemberState first) {
+      Message.Kind kind,
+      String address,
+      long requestId,
+      String targetOrStartKey,
+      String nextKey,
+      MemberState firstState) {
     transmit(
         address,
-        compose(kind, as, about, next, first == null ? List.of() : List.of(first)),
+        compose(
+            kind,
+            requestId,
+            targetOrStartKey,
+            nextKey,
+            firstState == null ? List.of() : List.of(firstState)),
         kind == Message.Kind.ACK);
   }
 
-  /** A letter with as many rumours as fit; none beyond the bound on bytes a second. */
-  Message compose(Message.Kind kind, long as, String about, String next, List<MemberState> first) {
-    int left =
+  /** Composes a message with as many queued updates as fit; none above the limit of bytes. */
+  Message compose(
+      Message.Kind kind,
+      long requestId,
+      String targetOrStartKey,
+      String nextKey,
+      List<MemberState> firstStates) {
+    int remainingBytes =
         config.maxMessageBytes()
-            - new Message(kind, 0, as, local.self, about, next, first, List.of()).maxEncodedBytes();
-    List<MemberState> said = new ArrayList<>(first);
-    List<Fact> seen = new ArrayList<>();
+            - new Message(
+                    kind,
+                    0,
+                    requestId,
+                    local.self,
+                    targetOrStartKey,
+                    nextKey,
+                    firstStates,
+                    List.of())
+                .maxEncodedBytes();
+    List<MemberState> states = new ArrayList<>(firstStates);
+    List<Fact> currentFacts = new ArrayList<>();
     if (bytesInRateWindow() < config.maxBytesPerSecond()) {
-      int often =
+      int maxTransmissions =
           RETRANSMIT_MULTIPLIER * (Integer.SIZE - Integer.numberOfLeadingZeros(local.liveMembers));
-      said.addAll(memberQueue.take(left, often));
-      left -= said.stream().skip(first.size()).mapToInt(MemberState::maxEncodedBytes).sum();
-      for (Fact fact : factQueue.take(left, often)) {
-        Fact aged = facts.current(local.now, fact);
-        if (aged != null) {
-          seen.add(aged);
+      states.addAll(memberQueue.take(remainingBytes, maxTransmissions));
+      remainingBytes -=
+          states.stream().skip(firstStates.size()).mapToInt(MemberState::maxEncodedBytes).sum();
+      for (Fact fact : factQueue.take(remainingBytes, maxTransmissions)) {
+        Fact current = facts.current(local.now, fact);
+        if (current != null) {
+          currentFacts.add(current);
         }
       }
     }
-    return new Message(kind, ++lastMessageNumber, as, local.self, about, next, said, seen);
+    return new Message(
+        kind,
+        ++lastMessageNumber,
+        requestId,
+        local.self,
+        targetOrStartKey,
+        nextKey,
+        states,
+        currentFacts);
   }
 
   private int bytesInRateWindow() {
@@ -136,13 +182,16 @@
     return rateWindowBytes;
   }
 
-  /** The one place that letters leave by: what is not owed stays within twice the bound. */
-  void transmit(String address, Message letter, boolean owed) {
-    if (!owed && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
+  /**
+   * Emits a message; all messages pass through here. At twice the limit of bytes per second all but
+   * acks and sync responses are withheld.
+   */
+  void transmit(String address, Message message, boolean required) {
+    if (!required && bytesInRateWindow() >= 2 * config.maxBytesPerSecond()) {
       local.count("withheld");
       return;
     }
-    rateWindowBytes = bytesInRateWindow() + letter.maxEncodedBytes();
-    actions.add(new Action.Send(address, letter));
+    rateWindowBytes = bytesInRateWindow() + message.maxEncodedBytes();
+    actions.add(new Action.Send(address, message));
   }
 }
--- a/src/main/java/tansytrack/fleet/ReplayWindow.java
+++ b/src/main/java/tansytrack/fleet/ReplayWindow.java
@@ -1,35 +1,36 @@
 package tansytrack.fleet;
 
 /**
- * Which letters of one life have come. Guards against doubled and replayed ones: each counts once,
- * and one that is older than the last 64 not at all.
+ * Detects duplicated and replayed messages of one sender. Each message number of an instance is
+ * accepted once; numbers 64 or more below the highest one are rejected.
  */
 final class ReplayWindow {
 
   private static final int WINDOW_SIZE = 64;
   private long instanceId;
   private long highest;
-  private long seenBits; // a bit each for the highest and those below it
+  // Bit n is set if the message number highest - n has been received.
+  private long seenBits;
 
-  /** Is it the first time that this letter comes? */
-  boolean accept(long ofLife, long number) {
-    if (ofLife != instanceId) {
-      instanceId = ofLife;
+  /** Whether a message is received for the first time; then it is recorded. */
+  boolean accept(long sender, long number) {
+    if (sender != instanceId) {
+      instanceId = sender;
       highest = number;
       seenBits = 1;
       return true;
     }
     if (number > highest) {
-      long by = number - highest;
-      seenBits = by >= WINDOW_SIZE ? 1 : seenBits << by | 1;
+      long shift = number - highest;
+      seenBits = shift >= WINDOW_SIZE ? 1 : seenBits << shift | 1;
       highest = number;
       return true;
     }
-    long back = highest - number;
-    if (back >= WINDOW_SIZE || (seenBits >>> back & 1) != 0) {
+    long distance = highest - number;
+    if (distance >= WINDOW_SIZE || (seenBits >>> distance & 1) != 0) {
       return false;
     }
-    seenBits |= 1L << back;
+    seenBits |= 1L << distance;
     return true;
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/MessageCodec.java
+++ b/src/main/java/tansytrack/fleet/udp/MessageCodec.java
@@ -8,13 +8,13 @@
 import tansytrack.fleet.MemberStatus;
 import tansytrack.fleet.Message;
 import tansytrack.fleet.Stage;
-import tansytrack.fleet.proto.FactForm;
-import tansytrack.fleet.proto.LetterForm;
-import tansytrack.fleet.proto.WordForm;
+import tansytrack.fleet.proto.FactUpdate;
+import tansytrack.fleet.proto.GossipMessage;
+import tansytrack.fleet.proto.MemberUpdate;
 
 /**
- * Letters as datagrams and back. A name stands for its address: where it is, each reader's own
- * table tells.
+ * Encodes and decodes messages. Addresses are not sent: a decoded state has the member's name as
+ * its address, which each receiver resolves by its own list of peers.
  */
 final class MessageCodec {
 
@@ -22,123 +22,123 @@
 
   private MessageCodec() {}
 
-  /** It is no letter, or of a kind of the future. */
+  /** The datagram is malformed, or has a kind or value that this version does not know. */
   static final class DecodeException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    DecodeException(String why) {
-      super(why);
+    DecodeException(String message) {
+      super(message);
     }
   }
 
-  static byte[] encode(Message letter) {
-    LetterForm.Builder form =
-        LetterForm.newBuilder()
-            .setKindValue(letter.kind().ordinal() + 1)
-            .setNumber(letter.messageNumber())
-            .setSequence(letter.requestId())
-            .setFrom(toProto(letter.sender()))
-            .setAbout(letter.targetOrStartKey())
-            .setNext(letter.nextKey());
-    letter.updates().forEach(word -> form.addWords(toProto(word)));
-    for (Fact fact : letter.facts()) {
-      FactForm.Builder one =
-          FactForm.newBuilder()
+  static byte[] encode(Message message) {
+    GossipMessage.Builder proto =
+        GossipMessage.newBuilder()
+            .setKindValue(message.kind().ordinal() + 1)
+            .setMessageNumber(message.messageNumber())
+            .setRequestId(message.requestId())
+            .setSender(toProto(message.sender()))
+            .setTargetOrStartKey(message.targetOrStartKey())
+            .setNextKey(message.nextKey());
+    message.updates().forEach(state -> proto.addUpdates(toProto(state)));
+    for (Fact fact : message.facts()) {
+      FactUpdate.Builder factProto =
+          FactUpdate.newBuilder()
               .setOwner(fact.owner())
               .setIncarnation(fact.incarnation())
-              .setLife(fact.instanceId())
+              .setInstanceId(fact.instanceId())
               .setKind(fact.kind())
               .setSubject(fact.subject())
-              .setNumber(fact.version())
+              .setVersion(fact.version())
               .setAgeUs(fact.ageNanos() / NANOS_PER_US)
-              .setLastsUs(fact.ttlNanos() / NANOS_PER_US);
+              .setTtlUs(fact.ttlNanos() / NANOS_PER_US);
       for (long value : fact.values()) {
-        one.addValues(value);
+        factProto.addValues(value);
       }
-      form.addFacts(one);
+      proto.addFacts(factProto);
     }
-    return form.build().toByteArray();
+    return proto.build().toByteArray();
   }
 
-  private static WordForm toProto(MemberState word) {
-    return WordForm.newBuilder()
-        .setName(word.name())
-        .setPlace(word.zone())
-        .setLife(word.instanceId())
-        .setIncarnation(word.incarnation())
-        .setStandingValue(word.status().ordinal())
-        .setStageValue(word.stage().ordinal())
-        .setVersion(word.version())
-        .setSettings(word.settingsDigest())
-        .setBy(word.reportedBy())
+  private static MemberUpdate toProto(MemberState state) {
+    return MemberUpdate.newBuilder()
+        .setName(state.name())
+        .setZone(state.zone())
+        .setInstanceId(state.instanceId())
+        .setIncarnation(state.incarnation())
+        .setStatusValue(state.status().ordinal())
+        .setStageValue(state.stage().ordinal())
+        .setVersion(state.version())
+        .setSettingsDigest(state.settingsDigest())
+        .setReportedBy(state.reportedBy())
         .build();
   }
 
   static Message decode(byte[] datagram) throws DecodeException {
-    LetterForm form;
+    GossipMessage proto;
     try {
-      form = LetterForm.parseFrom(datagram);
+      proto = GossipMessage.parseFrom(datagram);
     } catch (InvalidProtocolBufferException e) {
-      throw new DecodeException("no letter: " + e.getMessage());
+      throw new DecodeException("not a valid message: " + e.getMessage());
     }
-    int kind = form.getKindValue() - 1;
+    int kind = proto.getKindValue() - 1;
     if (kind < 0 || kind >= Message.Kind.values().length) {
-      throw new DecodeException("a letter of unknown kind " + form.getKindValue());
+      throw new DecodeException("unknown message kind " + proto.getKindValue());
     }
-    List<MemberState> words = new ArrayList<>();
-    for (WordForm word : form.getWordsList()) {
-      words.add(fromProto(word));
+    List<MemberState> updates = new ArrayList<>();
+    for (MemberUpdate update : proto.getUpdatesList()) {
+      updates.add(fromProto(update));
     }
     List<Fact> facts = new ArrayList<>();
-    for (FactForm fact : form.getFactsList()) {
+    for (FactUpdate fact : proto.getFactsList()) {
       facts.add(
           new Fact(
               fact.getOwner(),
               fact.getIncarnation(),
-              fact.getLife(),
+              fact.getInstanceId(),
               fact.getKind(),
               fact.getSubject(),
-              fact.getNumber(),
+              fact.getVersion(),
               fact.getValuesList().stream().mapToLong(Long::longValue).toArray(),
               toNanos(fact.getAgeUs()),
-              toNanos(fact.getLastsUs())));
+              toNanos(fact.getTtlUs())));
     }
     return new Message(
         Message.Kind.values()[kind],
-        form.getNumber(),
-        form.getSequence(),
-        fromProto(form.getFrom()),
-        form.getAbout(),
-        form.getNext(),
-        words,
+        proto.getMessageNumber(),
+        proto.getRequestId(),
+        fromProto(proto.getSender()),
+        proto.getTargetOrStartKey(),
+        proto.getNextKey(),
+        updates,
         facts);
   }
 
   private static long toNanos(long micros) throws DecodeException {
     if (micros < 0 || micros > Long.MAX_VALUE / NANOS_PER_US / 4) {
-      throw new DecodeException("a time of " + Long.toUnsignedString(micros) + " us");
+      throw new DecodeException("time out of range: " + Long.toUnsignedString(micros) + " us");
     }
     return micros * NANOS_PER_US;
   }
 
-  private static MemberState fromProto(WordForm form) throws DecodeException {
-    int standing = form.getStandingValue();
-    int stage = form.getStageValue();
-    if (standing < 0 || standing >= MemberStatus.values().length || stage < 0) {
-      throw new DecodeException("a member of unknown standing " + standing + " or stage " + stage);
+  private static MemberState fromProto(MemberUpdate proto) throws DecodeException {
+    int status = proto.getStatusValue();
+    int stage = proto.getStageValue();
+    if (status < 0 || status >= MemberStatus.values().length || stage < 0) {
+      throw new DecodeException("unknown member status " + status + " or stage " + stage);
     }
-    // A stage of the future: whatever it does, it is there.
-    Stage does = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
+    // A later version may have added stages; such a member counts as serving.
+    Stage knownStage = stage < Stage.values().length ? Stage.values()[stage] : Stage.SERVING;
     return new MemberState(
-        form.getName(),
-        form.getName(),
-        form.getPlace(),
-        form.getLife(),
-        form.getIncarnation(),
-        MemberStatus.values()[standing],
-        does,
-        form.getVersion(),
-        form.getSettings(),
-        form.getBy());
+        proto.getName(),
+        proto.getName(),
+        proto.getZone(),
+        proto.getInstanceId(),
+        proto.getIncarnation(),
+        MemberStatus.values()[status],
+        knownStage,
+        proto.getVersion(),
+        proto.getSettingsDigest(),
+        proto.getReportedBy());
   }
 }
--- a/src/main/java/tansytrack/fleet/udp/UdpMembership.java
+++ b/src/main/java/tansytrack/fleet/udp/UdpMembership.java
@@ -29,20 +29,20 @@
 import tansytrack.state.PeerManagers;
 
 /**
- * The membership on datagrams: MINA's thread hands over what comes, bounded, and one thread owns
- * the pure module. What the loop wants to know lies ready for it; what it is to hear goes into its
- * inbox.
+ * Runs the membership over UDP. MINA's thread puts received datagrams into a bounded queue, and one
+ * thread owns the membership. For the event loop of the manager that thread publishes counts and
+ * rows, and it reports the number of managers through the listener.
  */
 public final class UdpMembership implements PeerManagers {
 
   private static final long NANOS_PER_MS = 1_000_000L;
   private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
   private static final int MAX_QUEUED_EVENTS = 4096;
-  private static final int RECEIVE_BUFFER_BYTES = 2048; // a datagram; letters are shorter
-  private static final long LEAVE_TIMEOUT_MS =
-      200; // ms that the end waits for the thread to say them
-
-  private static final long FLUSH_MS = 20; // ms
+  private static final int RECEIVE_BUFFER_BYTES = 2048;
+  // How long close() waits for the thread to announce that this member leaves.
+  private static final long LEAVE_TIMEOUT_MS = 200;
+  // How long close() waits for MINA's thread to write the last datagrams.
+  private static final long FLUSH_MS = 20;
 
   private final Membership membership;
   private final BudgetDivisor budgetDivisor;
@@ -67,69 +67,78 @@
       OperatorFile.FleetSection section,
       String name,
       String version,
-      String settings,
-      int configured,
-      IntConsumer siblings) {
+      String settingsDigest,
+      int configuredManagers,
+      IntConsumer divisorListener) {
     this.name = name;
-    this.divisorListener = siblings;
+    this.divisorListener = divisorListener;
     localAddress = parseAddress(section.address());
     List<String> seeds = new ArrayList<>();
-    boolean any = section.peers().stream().anyMatch(OperatorFile.FleetPeer::seed);
+    boolean hasSeeds = section.peers().stream().anyMatch(OperatorFile.FleetPeer::seed);
     for (OperatorFile.FleetPeer peer : section.peers()) {
       addresses.put(peer.name(), parseAddress(peer.address()));
       names.put(parseAddress(peer.address()), peer.name());
-      if (peer.seed() || !any) {
+      if (peer.seed() || !hasSeeds) {
         seeds.add(peer.name());
       }
     }
-    MembershipConfig rules =
+    MembershipConfig config =
         MembershipConfig.defaults(seeds, section.probeIntervalNanos(), section.maxBytesPerSecond());
-    SecureRandom chance = new SecureRandom();
-    long life = chance.nextLong();
+    SecureRandom random = new SecureRandom();
+    long instanceId = random.nextLong();
     membership =
         new Membership(
-            rules,
+            config,
             MemberState.initial(
-                name, name, section.zone(), life == 0 ? 1 : life, version, settings),
-            chance.nextLong(),
+                name,
+                name,
+                section.zone(),
+                instanceId == 0 ? 1 : instanceId,
+                version,
+                settingsDigest),
+            random.nextLong(),
             System.nanoTime());
     budgetDivisor =
-        new BudgetDivisor(Math.max(section.peers().size(), configured - 1), section.settleNanos());
+        new BudgetDivisor(
+            Math.max(section.peers().size(), configuredManagers - 1), section.settleNanos());
   }
 
   /**
-   * Binds and starts it. The number of managers to reckon by is said on its thread, whenever it is
-   * another; a file that names fewer than were configured lowers it by nobody.
+   * Binds the socket and starts the membership. Each change of the number of managers that share a
+   * cold engine's budget is passed to the listener on the membership's thread. Managers that are
+   * configured but missing in the operator file still count.
    */
   public static UdpMembership start(
       OperatorFile.FleetSection section,
       String name,
       String version,
-      String settings,
-      int configured,
-      IntConsumer siblings)
+      String settingsDigest,
+      int configuredManagers,
+      IntConsumer divisorListener)
       throws IOException {
-    UdpMembership link = new UdpMembership(section, name, version, settings, configured, siblings);
-    link.socket.getSessionConfig().setReadBufferSize(RECEIVE_BUFFER_BYTES);
-    link.socket.setHandler(link.new Handler());
+    UdpMembership membership =
+        new UdpMembership(
+            section, name, version, settingsDigest, configuredManagers, divisorListener);
+    membership.socket.getSessionConfig().setReadBufferSize(RECEIVE_BUFFER_BYTES);
+    membership.socket.setHandler(membership.new Handler());
     try {
-      link.socket.bind(link.localAddress);
+      membership.socket.bind(membership.localAddress);
     } catch (IOException e) {
-      link.socket.dispose();
+      membership.socket.dispose();
       throw new IOException("address " + section.address() + ": " + e.getMessage(), e);
     }
-    link.thread.setDaemon(true);
-    link.thread.start();
+    membership.thread.setDaemon(true);
+    membership.thread.start();
     Event.info(
         "fleet",
-        name + " speaks to " + section.peers().size() + " peers from " + section.address(),
+        name + " gossips with " + section.peers().size() + " peers from " + section.address(),
         "manager",
         name,
         "peers",
         section.peers().size(),
         "address",
         section.address());
-    return link;
+    return membership;
   }
 
   private static InetSocketAddress parseAddress(String text) {
@@ -138,7 +147,7 @@
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  /** Runs on MINA's thread: nothing here but handing over. */
+  /** Runs on MINA's thread; only enqueues work for the membership's thread. */
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void messageReceived(IoSession session, Object message) {
@@ -148,10 +157,11 @@
       InetSocketAddress from = (InetSocketAddress) session.getRemoteAddress();
       String peer = names.get(from);
       if (peer == null) {
-        // Guards against a flood from ever new addresses: MINA keeps something for each until it is
-        // closed.
+        // MINA keeps a session per source address until it is closed; without this, a flood from
+        // many addresses would exhaust memory.
         session.closeNow();
-        enqueue(() -> reject("stranger", from, "its address is not that of a peer"));
+        enqueue(
+            () -> reject("stranger", from, "the source address is not that of a configured peer"));
       } else {
         enqueue(() -> receive(from, peer, datagram));
       }
@@ -163,9 +173,9 @@
     }
   }
 
-  /** Never waits: what is too much is counted and lost, as datagrams may be. */
-  private void enqueue(Runnable what) {
-    if (eventQueue.offer(what)) {
+  /** Never blocks: if the queue is full, the work is dropped and counted. */
+  private void enqueue(Runnable event) {
+    if (eventQueue.offer(event)) {
       LockSupport.unpark(thread);
     } else {
       countDropped();
@@ -176,13 +186,13 @@
     droppedEvents++;
   }
 
-  // ---- The one thread ----
+  // ---- The membership's thread ----
 
   private void run() {
     try {
       while (!stopped) {
-        for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
-          next.run();
+        for (Runnable event = eventQueue.poll(); event != null; event = eventQueue.poll()) {
+          event.run();
         }
         long now = System.nanoTime();
         if (membership.nextDeadline() <= now) {
@@ -198,46 +208,55 @@
         }
       }
     } catch (RuntimeException | Error e) {
-      // The manager goes on alone: the number that was told last stays, which is the larger one.
+      // The manager continues without membership and keeps the last number of managers, which is
+      // the larger one.
       Logger.error(e, "the membership ended with a failure; this manager goes on without it");
     }
   }
 
   private void receive(InetSocketAddress from, String peer, byte[] datagram) {
-    Message letter;
+    Message message;
     try {
-      letter = MessageCodec.decode(datagram);
+      message = MessageCodec.decode(datagram);
     } catch (MessageCodec.DecodeException e) {
       reject("unreadable", from, e.getMessage());
       return;
     }
-    String who = letter.sender().name();
-    if (!who.equals(peer) && !who.equals(name)) {
+    String claimedName = message.sender().name();
+    if (!claimedName.equals(peer) && !claimedName.equals(name)) {
       reject(
-          "misnamed", from, "it says it is '" + who + "', its address is that of '" + peer + "'");
+          "misnamed",
+          from,
+          "it claims to be from '"
+              + claimedName
+              + "', but its source address is that of '"
+              + peer
+              + "'");
       return;
     }
-    // Guards against managers that look dead to those whose files name fewer: only what is said of
-    // unknown ones is passed over.
-    List<MemberState> known =
-        letter.updates().stream()
-            .filter(word -> addresses.containsKey(word.name()) || word.name().equals(name))
+    // Only the updates about unknown members are dropped. If whole messages were, a manager would
+    // look dead to those whose operator files name fewer peers.
+    List<MemberState> knownUpdates =
+        message.updates().stream()
+            .filter(update -> addresses.containsKey(update.name()) || update.name().equals(name))
             .toList();
-    if (known.size() < letter.updates().size()) {
+    if (knownUpdates.size() < message.updates().size()) {
       reject(
-          "unknown_name", from, "it speaks of a manager that is no peer here; the rest is taken");
+          "unknown_name",
+          from,
+          "it has an update about a manager that is not a configured peer; the rest is accepted");
     }
     count("letters");
-    execute(membership.receive(System.nanoTime(), peer, letter.withUpdates(known)));
+    execute(membership.receive(System.nanoTime(), peer, message.withUpdates(knownUpdates)));
   }
 
-  /** Counted each time, said once a second at most, never answered. */
-  private void reject(String why, InetSocketAddress from, String said) {
-    count("refused." + why);
+  /** Counts a rejected datagram and logs once a second at most; no reply is sent. */
+  private void reject(String reason, InetSocketAddress from, String detail) {
+    count("refused." + reason);
     long now = System.nanoTime();
     if (now - lastRejectionLoggedAt >= NANOS_PER_SECOND) {
       lastRejectionLoggedAt = now;
-      Logger.warn("fleet: a datagram from {} cannot be used: {}", from, said);
+      Logger.warn("fleet: rejected all or part of a datagram from {}: {}", from, detail);
     }
   }
 
@@ -255,29 +274,30 @@
         budgetDivisor.memberChanged(changed.after());
         logStatusChange(changed);
         publishedAt = 0;
-      } else if (action instanceof Action.NameConflict twin) {
+      } else if (action instanceof Action.NameConflict conflict) {
         Event.warn(
             "fleet.twin",
             "another process uses the name '"
-                + twin.name()
-                + "' of this manager; give one of them another",
+                + conflict.name()
+                + "' of this manager; rename one of them",
             "manager",
-            twin.name());
+            conflict.name());
       }
     }
-    int next = budgetDivisor.update(System.nanoTime(), membership.view().liveMembers());
-    if (next != lastDivisor) {
-      lastDivisor = next;
-      divisorListener.accept(next);
+    int divisor = budgetDivisor.update(System.nanoTime(), membership.view().liveMembers());
+    if (divisor != lastDivisor) {
+      lastDivisor = divisor;
+      divisorListener.accept(divisor);
     }
   }
 
   private void logStatusChange(Action.MemberChanged changed) {
     MemberState after = changed.after();
-    boolean was = changed.before() != null && changed.before().status().isLive();
+    boolean wasLive = changed.before() != null && changed.before().status().isLive();
     if (after.status() == MemberStatus.SUSPECT) {
-      count("suspicions"); // not said: over bad links there are many, and most are refuted
-    } else if (was != after.status().isLive()
+      // Not logged: on lossy links there are many, and most are refuted.
+      count("suspicions");
+    } else if (wasLive != after.status().isLive()
         || changed.before().instanceId() != after.instanceId()) {
       Event.info(
           "fleet.member",
@@ -285,7 +305,7 @@
               + after.name()
               + " is "
               + after.status().name().toLowerCase(java.util.Locale.ROOT)
-              + (after.reportedBy().isEmpty() ? "" : ", says " + after.reportedBy()),
+              + (after.reportedBy().isEmpty() ? "" : ", reported by " + after.reportedBy()),
           "member",
           after.name(),
           "standing",
@@ -295,46 +315,46 @@
     }
   }
 
-  private void count(String what) {
-    counts.merge("fleet." + what, 1L, Long::sum);
+  private void count(String name) {
+    counts.merge("fleet." + name, 1L, Long::sum);
   }
 
-  /** Lays ready what the loop may be asked for. */
+  /** Publishes the counts and the rows that the event loop reads. */
   private void publish(long now) {
     publishedAt = now;
     List<String[]> rows = new ArrayList<>();
     rows.add(row(membership.self(), 0));
-    for (MemberState word : membership.others()) {
-      rows.add(row(word, (now - membership.statusSince(word.name())) / NANOS_PER_SECOND));
+    for (MemberState state : membership.others()) {
+      rows.add(row(state, (now - membership.statusSince(state.name())) / NANOS_PER_SECOND));
     }
     publishedRows = List.copyOf(rows);
-    Map<String, Long> all = new TreeMap<>(counts);
-    membership.counts().forEach((what, times) -> all.put("fleet." + what, times));
-    all.put("fleet.there", (long) membership.view().liveMembers());
-    all.put("fleet.in_place", (long) membership.view().liveMembersInZone());
-    all.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
-    all.put("fleet.health", (long) membership.healthScore());
-    all.put("fleet.facts", (long) membership.facts().size());
-    all.put("fleet.facts_refused", membership.facts().rejected());
-    all.put("fleet.overflow", droppedEvents);
-    publishedCounts = Map.copyOf(all);
+    Map<String, Long> snapshot = new TreeMap<>(counts);
+    membership.counts().forEach((name, count) -> snapshot.put("fleet." + name, count));
+    snapshot.put("fleet.there", (long) membership.view().liveMembers());
+    snapshot.put("fleet.in_place", (long) membership.view().liveMembersInZone());
+    snapshot.put("fleet.reckoned", (long) Math.max(0, lastDivisor));
+    snapshot.put("fleet.health", (long) membership.healthScore());
+    snapshot.put("fleet.facts", (long) membership.facts().size());
+    snapshot.put("fleet.facts_refused", membership.facts().rejected());
+    snapshot.put("fleet.overflow", droppedEvents);
+    publishedCounts = Map.copyOf(snapshot);
   }
 
-  private String[] row(MemberState word, long since) {
+  private String[] row(MemberState state, long sinceSeconds) {
     return new String[] {
-      word.name(),
-      word.zone(),
-      word.status().name(),
-      word.stage().name(),
-      Long.toString(since),
-      Long.toString(word.incarnation()),
-      word.version(),
-      word.settingsDigest(),
-      Long.toString(membership.facts().countOwnedBy(word.name()))
+      state.name(),
+      state.zone(),
+      state.status().name(),
+      state.stage().name(),
+      Long.toString(sinceSeconds),
+      Long.toString(state.incarnation()),
+      state.version(),
+      state.settingsDigest(),
+      Long.toString(membership.facts().countOwnedBy(state.name()))
     };
   }
 
-  // ---- The loop's side ----
+  // ---- Called on the manager's event loop ----
 
   @Override
   public void markServing() {
@@ -356,7 +376,7 @@
     return publishedRows;
   }
 
-  /** Says that it leaves, and ends. */
+  /** Announces that this member leaves, and stops. */
   @Override
   public void close() {
     enqueue(
@@ -366,7 +386,7 @@
         });
     try {
       thread.join(LEAVE_TIMEOUT_MS);
-      Thread.sleep(FLUSH_MS); // MINA's thread writes behind this one
+      Thread.sleep(FLUSH_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/tansytrack/lab/simulation/EngineModel.java
+++ b/src/main/java/tansytrack/lab/simulation/EngineModel.java
@@ -7,26 +7,27 @@
 import java.util.Map;
 
 /**
- * An engine as decisions meet it: cores that all queries share, a start at part of its capacity, a
- * bound on queries, a fall when it is pushed while cold, and slow or failing modes. Without clock
- * or threads, so that processes and virtual time play the same one.
+ * Models an engine: cores shared by all queries, a start with part of the capacity, a limit of
+ * queries, a crash under overload while cold, and a slowdown. The model has neither clock nor
+ * threads, so that it serves both in processes and in virtual time.
  */
 public final class EngineModel {
 
-  private static final long CAPACITY_STEP_NANOS =
-      10_000_000L; // within which its capacity counts as steady
-  private static final double MIN_WORK_NANOS = 1e6; // of a query, in nanoseconds
+  // While the engine warms up, its capacity is taken as constant for this long.
+  private static final long CAPACITY_STEP_NANOS = 10_000_000L;
+  private static final double MIN_WORK_NANOS = 1e6;
 
   /**
-   * What it is.
+   * The parameters of an engine.
    *
-   * @param cores that work at once
-   * @param mostQueries held at a time; more are refused as full
-   * @param startCapacity the part that works at the start
-   * @param warmAfter until all does, growing evenly; 0: it starts warm
-   * @param multiple of its present capacity that makes it fall, where it is sent that for the
-   *     window
-   * @param window nanoseconds
+   * @param cores number of cores
+   * @param maxQueries maximum number of queries held at a time; more are refused as full
+   * @param startCapacityFraction fraction of the capacity that is available at the start
+   * @param warmUpNanos time until the full capacity is available, growing linearly; 0 for an engine
+   *     that starts warm
+   * @param overloadFactor multiple of its present capacity that crashes the engine if it is sent
+   *     that much during a window
+   * @param windowNanos length of that window
    */
   public record Spec(
       double cores,
@@ -36,7 +37,7 @@
       double overloadFactor,
       long windowNanos) {}
 
-  /** What became of a query that came. */
+  /** The engine's response to a new query. */
   public enum Admission {
     STARTED,
     FULL,
@@ -45,7 +46,8 @@
 
   private static final class Query {
     final int threads;
-    double remainingWork; // nanoseconds of work on one core
+    // Nanoseconds on one core.
+    double remainingWork;
 
     Query(double work, int threads) {
       remainingWork = work;
@@ -59,21 +61,23 @@
   private final long startedAt;
   private final Map<String, Query> queries = new LinkedHashMap<>();
   private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
-  private double recentWork; // the sum of it
-  private double totalWork; // all that came, and how many
+  // Sum of the work of the recent arrivals.
+  private double recentWork;
+  // Sum of the work of all queries received; for the mean.
+  private double totalWork;
   private long totalQueries;
   private long now;
   private double slowdown = 1;
   private boolean crashed;
 
-  /** An engine of that make, started cold at that time. */
+  /** An engine that starts at the given time. */
   public EngineModel(Spec spec, long startedAt) {
     this.spec = spec;
     this.startedAt = startedAt;
     now = startedAt;
   }
 
-  /** The part of its cores that works by then. */
+  /** The fraction of the capacity that is available at a time. */
   public double capacityFraction(long at) {
     if (spec.warmUpNanos() <= 0 || at >= startedAt + spec.warmUpNanos()) {
       return 1;
@@ -82,32 +86,32 @@
     return spec.startCapacityFraction() + (1 - spec.startCapacityFraction()) * age;
   }
 
-  /** From now on all takes so many times longer. */
+  /** Makes all queries take that many times longer from now on. */
   public void slowdown(long at, double factor) {
     advance(at);
     slowdown = Math.max(1e-3, factor);
   }
 
-  /** Whether it ended for want of memory. */
+  /** Whether the engine has crashed under overload while cold. */
   public boolean crashed() {
     return crashed;
   }
 
-  /** How many queries it runs or keeps waiting. */
+  /** The number of queries running or waiting. */
   public int queryCount() {
     return queries.size();
   }
 
-  /** The share of its cores in use, as a report tells it. */
+  /** The share of the cores in use, as a load report has it. */
   public double utilization() {
     double threads = 0;
-    for (Query one : queries.values()) {
-      threads += one.threads;
+    for (Query query : queries.values()) {
+      threads += query.threads;
     }
     return Math.min(1, threads / spec.cores());
   }
 
-  /** A query comes; what comes counts as pressure whether or not it is taken. */
+  /** Receives a query; it counts towards the overload of a cold engine even if it is refused. */
   public Admission start(long at, String id, double work, int threads) {
     if (crashed) {
       return Admission.DOWN;
@@ -136,24 +140,26 @@
     return Admission.STARTED;
   }
 
-  /** Cancels a query, if it is still there. */
+  /** Cancels a query if it has not ended. */
   public void cancel(long at, String id) {
     queries.remove(id);
   }
 
-  /** Lets time pass; those that ended meanwhile, in the order in which they came. */
+  /** Advances time; returns the queries that ended, in the order of their arrival. */
   public List<String> advance(long at) {
     List<String> ended = new ArrayList<>();
     while (now < at && !queries.isEmpty()) {
       double threads = 0;
-      for (Query one : queries.values()) {
-        threads += one.threads;
+      for (Query query : queries.values()) {
+        threads += query.threads;
       }
       double capacity = spec.cores() * capacityFraction(now) / slowdown;
-      double each = Math.min(1 / slowdown, capacity / threads); // of a core, for each thread
-      double soonest = Double.MAX_VALUE;
-      for (Query one : queries.values()) {
-        soonest = Math.min(soonest, one.remainingWork / (each * one.threads));
+      // The share of a core that each thread gets.
+      double coreShare = Math.min(1 / slowdown, capacity / threads);
+      double timeToFirstEnd = Double.MAX_VALUE;
+      for (Query query : queries.values()) {
+        timeToFirstEnd =
+            Math.min(timeToFirstEnd, query.remainingWork / (coreShare * query.threads));
       }
       double step =
           Math.max(
@@ -162,14 +168,14 @@
                   (double) (at - now),
                   Math.min(
                       (double) (capacityFraction(now) < 1 ? CAPACITY_STEP_NANOS : Long.MAX_VALUE),
-                      Math.ceil(soonest))));
-      for (Query one : queries.values()) {
-        one.remainingWork -= step * each * one.threads;
+                      Math.ceil(timeToFirstEnd))));
+      for (Query query : queries.values()) {
+        query.remainingWork -= step * coreShare * query.threads;
       }
       now += (long) step;
       queries
           .entrySet()
-          .removeIf(one -> one.getValue().remainingWork <= 1e-3 && ended.add(one.getKey()));
+          .removeIf(query -> query.getValue().remainingWork <= 1e-3 && ended.add(query.getKey()));
     }
     now = Math.max(now, at);
     return ended;
--- a/src/main/java/tansytrack/lab/simulation/FaultSchedule.java
+++ b/src/main/java/tansytrack/lab/simulation/FaultSchedule.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What breaks when: one schedule for processes on sockets and for virtual time. Times in
- * nanoseconds from the start of the play.
+ * A schedule of faults, used both for processes on sockets and in virtual time. Times are in
+ * nanoseconds from the start of the run.
  */
 public record FaultSchedule(
     LinkConditions baseline,
@@ -12,23 +12,24 @@
     List<ProcessFault> processes,
     List<StreamFault> streams) {
 
-  /** Faults of links and processes alone, without operations by people. */
+  /** A schedule of link and process faults, without faults of streams. */
   public FaultSchedule(LinkConditions base, List<LinkFault> links, List<ProcessFault> processes) {
     this(base, links, processes, List.of());
   }
 
-  /** Who an end of a link is: a member by name, a place, or anybody. */
+  /** One end of a link: the name of a member, a zone, or {@code *} for any. */
   public record Endpoint(String pattern) {
+    /** Matches everything. */
     public static final Endpoint ANY = new Endpoint("*");
 
-    boolean matches(String name, String place) {
-      return pattern.equals("*") || pattern.equals(name) || pattern.equals(place);
+    boolean matches(String name, String zone) {
+      return pattern.equals("*") || pattern.equals(name) || pattern.equals(zone);
     }
   }
 
   /**
-   * For a while letters from the one to the other, or either way, have that weather; loss 1 is a
-   * cut. Within an end nothing is changed.
+   * Other link conditions for a time, one way or both ways; a loss of 1 is a partition. Links
+   * between members that match the same end are not affected.
    */
   public record LinkFault(
       long startNanos,
@@ -38,12 +39,15 @@
       boolean bothWays,
       LinkConditions conditions) {
 
-    boolean isActive(long time, String name, String place, String toName, String toPlace) {
-      boolean there = from.matches(name, place) && to.matches(toName, toPlace);
-      boolean back = bothWays && from.matches(toName, toPlace) && to.matches(name, place);
-      boolean within =
-          !from.equals(Endpoint.ANY) && from.matches(name, place) && from.matches(toName, toPlace);
-      return time >= startNanos && time < startNanos + durationNanos && (there || back) && !within;
+    boolean isActive(long time, String name, String zone, String toName, String toZone) {
+      boolean forward = from.matches(name, zone) && to.matches(toName, toZone);
+      boolean backward = bothWays && from.matches(toName, toZone) && to.matches(name, zone);
+      boolean withinEnd =
+          !from.equals(Endpoint.ANY) && from.matches(name, zone) && from.matches(toName, toZone);
+      return time >= startNanos
+          && time < startNanos + durationNanos
+          && (forward || backward)
+          && !withinEnd;
     }
 
     boolean isPartition() {
@@ -52,10 +56,10 @@
   }
 
   /**
-   * What happens to a stream from a manager to an engine or the list: bytes wait until it is over;
-   * come later by the spread of the weather; connections are reset; new ones are refused; or a part
-   * of what a manager writes resets the connection, and half of that comes to the other side all
-   * the same, late.
+   * A fault of the connections from a manager to an engine or to the engine list. SILENT holds
+   * bytes back until the fault ends, SLOW delays them, RESET resets connections, REFUSED refuses
+   * new ones. With FLAKY a share of a manager's writes resets the connection, and half of the
+   * written bytes reach the other side all the same, late.
    */
   public enum StreamFaultKind {
     SILENT,
@@ -65,7 +69,7 @@
     FLAKY
   }
 
-  /** For a while streams from the one to the other are so. */
+  /** A fault of the streams from one end to the other for a time. */
   public record StreamFault(
       long startNanos,
       long durationNanos,
@@ -74,26 +78,26 @@
       StreamFaultKind kind,
       long delayNanos,
       double share) {
-    boolean isActive(long time, String name, String place, String toName, String toPlace) {
+    boolean isActive(long time, String name, String zone, String toName, String toZone) {
       return time >= startNanos
           && time < startNanos + durationNanos
-          && from.matches(name, place)
-          && to.matches(toName, toPlace);
+          && from.matches(name, zone)
+          && to.matches(toName, toZone);
     }
   }
 
-  /** What holds on a stream at a time, or null: nothing. */
+  /** The first fault that affects a stream at a time, or null. */
   public StreamFault activeStreamFault(
-      long time, String name, String place, String toName, String toPlace) {
-    for (StreamFault one : streams) {
-      if (one.isActive(time, name, place, toName, toPlace)) {
-        return one;
+      long time, String name, String zone, String toName, String toZone) {
+    for (StreamFault fault : streams) {
+      if (fault.isActive(time, name, zone, toName, toZone)) {
+        return fault;
       }
     }
     return null;
   }
 
-  /** What happens to a process. */
+  /** A fault of a process: it is paused, killed, or told to end. */
   public enum ProcessFaultKind {
     STOP,
     KILL,
@@ -101,27 +105,28 @@
   }
 
   /**
-   * It is stopped for that long; or killed or told to end, and started again after it, 0: never.
+   * A member is paused for the duration; or it is killed or told to end, and started again after
+   * the duration, or never if that is 0.
    */
   public record ProcessFault(
       long startNanos, long durationNanos, String member, ProcessFaultKind kind) {}
 
-  /** What holds on a way at a time: the last trouble named that does. */
+  /** The conditions of a link at a time: those of the last matching fault, or the baseline. */
   public LinkConditions linkConditions(
-      long time, String name, String place, String toName, String toPlace) {
+      long time, String name, String zone, String toName, String toZone) {
     for (int i = links.size() - 1; i >= 0; i--) {
-      if (links.get(i).isActive(time, name, place, toName, toPlace)) {
+      if (links.get(i).isActive(time, name, zone, toName, toZone)) {
         return links.get(i).conditions();
       }
     }
     return baseline;
   }
 
-  /** When the last cut ends; 0 where there is none. */
+  /** When the last partition ends; 0 if there is none. */
   public long lastPartitionEnd() {
     return links.stream()
         .filter(LinkFault::isPartition)
-        .mapToLong(one -> one.startNanos() + one.durationNanos())
+        .mapToLong(fault -> fault.startNanos() + fault.durationNanos())
         .max()
         .orElse(0);
   }
--- a/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
+++ b/src/main/java/tansytrack/lab/simulation/InvariantChecker.java
@@ -11,32 +11,44 @@
 import java.util.TreeMap;
 
 /**
- * The seven rules, summed over all managers, judged only by what stand-ins saw: clients, engines
- * and the list. Knows nothing of the program. Each rule is counted under its name.
+ * Checks seven invariants over all managers together, by a log of what simulated clients, engines
+ * and the engine list observed. It shares no code with the program under test. Violations are
+ * counted by the name of the invariant:
+ *
+ * <ol>
+ *   <li>{@code lost}: each task is answered once, by its deadline
+ *   <li>{@code twice}: a task that must not run twice is neither sent again nor rejected once it
+ *       may have run
+ *   <li>{@code drain}: no forward reaches an engine after the grace time of its drain
+ *   <li>{@code cold}: a cold engine is not overloaded
+ *   <li>{@code order}: tasks of one key are sent in order
+ *   <li>{@code place}: tasks are sent only to engines in the zones allowed for them
+ *   <li>{@code ration}: retries stay within the retry budget
+ * </ol>
  */
 public final class InvariantChecker {
 
-  /** How effects may repeat. */
+  /** Whether a task may run more than once. */
   public enum RetrySafety {
     IDEMPOTENT,
     DEDUPLICATED,
     NON_IDEMPOTENT
   }
 
-  /** How an answer came. */
+  /** The outcome of a task as its client sees it. */
   public enum TaskResult {
     HANDLED,
     REJECTED,
     ABORTED
   }
 
-  /** Something that a stand-in saw. */
+  /** An event in the log. */
   public sealed interface Event {
-    /** Time of the event, on the clock that all reporters share. */
+    /** The time of the event, on a clock that all reporters share. */
     long at();
   }
 
-  /** A client has written a task to that manager; key 0: none. */
+  /** A client has sent a task to a manager; key 0 if the task has none. */
   public record TaskSubmitted(
       long at,
       String manager,
@@ -47,33 +59,44 @@
       Set<String> allowedZones)
       implements Event {}
 
-  /** A client has its answer. */
+  /** A client has received the answer to a task. */
   public record TaskAnswered(long at, String task, TaskResult outcome) implements Event {}
 
-  /** A client gave it up: none is owed. */
+  /** A client has abandoned a task; no answer is required. */
   public record TaskAbandoned(long at, String task) implements Event {}
 
   /**
-   * A manager starts anew: what the life before had taken is lost with it, and rules count from
-   * here.
+   * A manager has restarted: the tasks of its previous instance are lost, and its counts restart.
    */
   public record ManagerRestarted(long at, String manager) implements Event {}
 
-  /** A task has come whole to an engine, from that manager. */
+  /** A forward from a manager has reached an engine completely. */
   public record ForwardArrived(long at, String manager, String engine, String task, double work)
       implements Event {}
 
-  /** It ended there, or was given up; or it never ran. */
+  /** A forward has ended on an engine, was cancelled there, or never ran. */
   public record ForwardEnded(long at, String engine, String task, boolean mayHaveRun)
       implements Event {}
 
-  /** The list tells of an engine: usable or not, and when it started, 0: long ago. */
+  /** The engine list reports an engine, whether it is ready, and its start time (0: long ago). */
   public record EngineListed(long at, String engine, String zone, boolean ready, long startedAt)
       implements Event {}
 
   /**
-   * Figures of the rules; times in nanoseconds. Tasks of a key that were asked closer than {@code
-   * apart} have no order.
+   * The parameters of the invariants.
+   *
+   * @param answerSlackNanos tolerance for late answers
+   * @param keyCooldownNanos tasks of one key that were sent closer together than this have no
+   *     defined order
+   * @param drainGraceNanos time after the start of a drain in which forwards may still arrive
+   * @param cores cores of an engine
+   * @param startCapacityFraction fraction of the capacity that a cold engine starts with
+   * @param warmUpNanos time until an engine has its full capacity
+   * @param overloadFactor allowed load of a cold engine, as a multiple of its present capacity
+   * @param windowNanos time over which that load is counted
+   * @param spareAttempts retries that are always allowed
+   * @param extraPerRequest further retries allowed per task
+   * @param retryBudgetWindowNanos time over which retries are counted; 0 for no limit
    */
   public record Limits(
       long answerSlackNanos,
@@ -88,257 +111,268 @@
       double extraPerRequest,
       long retryBudgetWindowNanos) {}
 
-  private static final long CLIENT_LOG_LAG_NANOS =
-      300_000_000L; // a client's word, behind what the manager did next
+  // How much later a client may log an answer than the manager's next action.
+  private static final long CLIENT_LOG_LAG_NANOS = 300_000_000L;
 
   private final Limits limits;
-  private final Map<String, Long> endTimes =
-      new HashMap<>(); // when tasks got their answers, or were given up
+  // When each task was answered or abandoned.
+  private final Map<String, Long> endTimes = new HashMap<>();
   private final Map<String, Integer> violations = new TreeMap<>();
   private final List<String> firstMessages = new ArrayList<>();
   private final Map<String, TaskSubmitted> tasks = new HashMap<>();
   private final Map<String, Integer> answers = new HashMap<>();
   private final Set<String> abandoned = new HashSet<>();
-  private final Map<String, List<String>> outstanding =
-      new HashMap<>(); // engines that have it, by task
+  // By task, the engines on which it is open.
+  private final Map<String, List<String>> outstanding = new HashMap<>();
   private final Set<String> mayHaveRun = new HashSet<>();
   private final Map<String, Integer> arrivals = new HashMap<>();
   private final Map<String, EngineListed> listed = new HashMap<>();
   private final Map<String, Long> notReadySince = new HashMap<>();
   private final Map<String, ArrayDeque<ForwardArrived>> coldArrivals = new HashMap<>();
-  private final Map<String, ArrayDeque<Long>> recentTasks =
-      new HashMap<>(); // by manager, within the ration's window
+  // By manager, the times of tasks and of retries within the retry window.
+  private final Map<String, ArrayDeque<Long>> recentTasks = new HashMap<>();
   private final Map<String, ArrayDeque<Long>> recentRetries = new HashMap<>();
-  private final Map<String, List<TaskSubmitted>> tasksByKey =
-      new HashMap<>(); // by manager and key, unanswered or out, as taken
+  // By manager and key, in the order sent.
+  private final Map<String, List<TaskSubmitted>> tasksByKey = new HashMap<>();
   private double totalWork;
   private long totalForwards;
-  private long logStart; // the log's first time
+  private long logStart;
 
-  private InvariantChecker(Limits rules) {
-    this.limits = rules;
+  private InvariantChecker(Limits limits) {
+    this.limits = limits;
   }
 
-  /** How often each rule was broken; rules that held have 0. */
-  public static Map<String, Integer> violations(Limits rules, List<? extends Event> log) {
-    return check(rules, log).violations;
+  /** The number of violations of each invariant; 0 for those that hold. */
+  public static Map<String, Integer> violations(Limits limits, List<? extends Event> log) {
+    return check(limits, log).violations;
   }
 
-  /** The first break of each, in words; times from the log's first one. */
-  public static List<String> firstViolations(Limits rules, List<? extends Event> log) {
-    return check(rules, log).firstMessages;
+  /** A description of the first violation of each invariant; times from the start of the log. */
+  public static List<String> firstViolations(Limits limits, List<? extends Event> log) {
+    return check(limits, log).firstMessages;
   }
 
-  private static InvariantChecker check(Limits rules, List<? extends Event> log) {
-    InvariantChecker check = new InvariantChecker(rules);
-    for (String rule : List.of("lost", "twice", "drain", "cold", "order", "place", "ration")) {
-      check.violations.put(rule, 0);
+  private static InvariantChecker check(Limits limits, List<? extends Event> log) {
+    InvariantChecker checker = new InvariantChecker(limits);
+    for (String invariant : List.of("lost", "twice", "drain", "cold", "order", "place", "ration")) {
+      checker.violations.put(invariant, 0);
     }
     List<Event> sorted = new ArrayList<>(log);
     sorted.sort(Comparator.comparingLong(Event::at));
-    for (Event one : sorted) {
-      if (one instanceof TaskAnswered answered) {
-        check.endTimes.putIfAbsent(answered.task(), answered.at());
-      } else if (one instanceof TaskAbandoned left) {
-        check.endTimes.putIfAbsent(left.task(), left.at());
+    for (Event event : sorted) {
+      if (event instanceof TaskAnswered taskAnswered) {
+        checker.endTimes.putIfAbsent(taskAnswered.task(), taskAnswered.at());
+      } else if (event instanceof TaskAbandoned taskAbandoned) {
+        checker.endTimes.putIfAbsent(taskAbandoned.task(), taskAbandoned.at());
       }
     }
-    check.logStart = sorted.isEmpty() ? 0 : sorted.get(0).at();
-    sorted.forEach(check::process);
-    check.checkUnanswered();
-    return check;
+    checker.logStart = sorted.isEmpty() ? 0 : sorted.get(0).at();
+    sorted.forEach(checker::process);
+    checker.checkUnanswered();
+    return checker;
   }
 
-  private void violate(String rule, long at, String what) {
-    if (violations.merge(rule, 1, Integer::sum) == 1) {
-      firstMessages.add(rule + " at " + (at - logStart) / 1_000_000 + " ms: " + what);
+  private void violate(String invariant, long at, String description) {
+    if (violations.merge(invariant, 1, Integer::sum) == 1) {
+      firstMessages.add(invariant + " at " + (at - logStart) / 1_000_000 + " ms: " + description);
     }
   }
 
-  private void process(Event one) {
-    if (one instanceof TaskSubmitted asked) {
-      submitted(asked);
-    } else if (one instanceof TaskAnswered answered) {
-      answered(answered);
-    } else if (one instanceof TaskAbandoned left) {
-      abandoned.add(left.task());
-    } else if (one instanceof ManagerRestarted restarted) {
-      tasksByKey.keySet().removeIf(key -> key.startsWith(restarted.manager() + '/'));
-      recentTasks.remove(restarted.manager());
-      recentRetries.remove(restarted.manager());
-    } else if (one instanceof ForwardArrived arrived) {
-      arrived(arrived);
-    } else if (one instanceof ForwardEnded over) {
-      outstanding.getOrDefault(over.task(), new ArrayList<>()).remove(over.engine());
-      if (over.mayHaveRun()) {
-        mayHaveRun.add(over.task());
+  private void process(Event event) {
+    if (event instanceof TaskSubmitted taskSubmitted) {
+      submitted(taskSubmitted);
+    } else if (event instanceof TaskAnswered taskAnswered) {
+      onAnswered(taskAnswered);
+    } else if (event instanceof TaskAbandoned taskAbandoned) {
+      abandoned.add(taskAbandoned.task());
+    } else if (event instanceof ManagerRestarted managerRestarted) {
+      tasksByKey.keySet().removeIf(key -> key.startsWith(managerRestarted.manager() + '/'));
+      recentTasks.remove(managerRestarted.manager());
+      recentRetries.remove(managerRestarted.manager());
+    } else if (event instanceof ForwardArrived forwardArrived) {
+      onArrived(forwardArrived);
+    } else if (event instanceof ForwardEnded forwardEnded) {
+      outstanding
+          .getOrDefault(forwardEnded.task(), new ArrayList<>())
+          .remove(forwardEnded.engine());
+      if (forwardEnded.mayHaveRun()) {
+        mayHaveRun.add(forwardEnded.task());
       }
-    } else if (one instanceof EngineListed now) {
-      listed.put(now.engine(), now);
-      if (now.ready()) {
-        notReadySince.remove(now.engine());
+    } else if (event instanceof EngineListed engineListed) {
+      listed.put(engineListed.engine(), engineListed);
+      if (engineListed.ready()) {
+        notReadySince.remove(engineListed.engine());
       } else {
-        notReadySince.putIfAbsent(now.engine(), now.at());
+        notReadySince.putIfAbsent(engineListed.engine(), engineListed.at());
       }
     }
   }
 
-  private void submitted(TaskSubmitted asked) {
-    tasks.put(asked.task(), asked);
-    recentTasks.computeIfAbsent(asked.manager(), key -> new ArrayDeque<>()).add(asked.at());
-    if (asked.key() != 0) {
+  private void submitted(TaskSubmitted submission) {
+    tasks.put(submission.task(), submission);
+    recentTasks
+        .computeIfAbsent(submission.manager(), key -> new ArrayDeque<>())
+        .add(submission.at());
+    if (submission.key() != 0) {
       tasksByKey
-          .computeIfAbsent(asked.manager() + '/' + asked.key(), key -> new ArrayList<>())
-          .add(asked);
+          .computeIfAbsent(submission.manager() + '/' + submission.key(), key -> new ArrayList<>())
+          .add(submission);
     }
   }
 
-  /** Rule 1: one answer, in time. Rule 2: a bounce promises that trying again is harmless. */
-  private void answered(TaskAnswered answered) {
-    TaskSubmitted asked = tasks.get(answered.task());
-    if (asked == null || answers.merge(answered.task(), 1, Integer::sum) > 1) {
-      violate("lost", answered.at(), answered.task() + " was answered twice, or never asked");
-    } else if (answered.at() > asked.deadline() + limits.answerSlackNanos()) {
-      violate("lost", answered.at(), answered.task() + " was answered too late");
+  /** Invariant 1, and invariant 2 for rejections: a rejection promises that a retry is safe. */
+  private void onAnswered(TaskAnswered answer) {
+    TaskSubmitted submission = tasks.get(answer.task());
+    if (submission == null || answers.merge(answer.task(), 1, Integer::sum) > 1) {
+      violate("lost", answer.at(), answer.task() + " was answered twice or never sent");
+    } else if (answer.at() > submission.deadline() + limits.answerSlackNanos()) {
+      violate("lost", answer.at(), answer.task() + " was answered after its deadline");
     }
-    boolean ran =
-        mayHaveRun.contains(answered.task())
-            || !outstanding.getOrDefault(answered.task(), List.of()).isEmpty();
-    if (asked != null
-        && answered.outcome() == TaskResult.REJECTED
-        && asked.retrySafety() == RetrySafety.NON_IDEMPOTENT
-        && ran) {
-      violate("twice", answered.at(), answered.task() + " was bounced, though it may have run");
+    boolean mayHaveBeenRun =
+        mayHaveRun.contains(answer.task())
+            || !outstanding.getOrDefault(answer.task(), List.of()).isEmpty();
+    if (submission != null
+        && answer.outcome() == TaskResult.REJECTED
+        && submission.retrySafety() == RetrySafety.NON_IDEMPOTENT
+        && mayHaveBeenRun) {
+      violate("twice", answer.at(), answer.task() + " was rejected although it may have run");
     }
   }
 
-  private void arrived(ForwardArrived arrived) {
-    TaskSubmitted asked = tasks.get(arrived.task());
-    EngineListed engine = listed.get(arrived.engine());
-    int before = arrivals.merge(arrived.task(), 1, Integer::sum) - 1;
-    List<String> open = outstanding.computeIfAbsent(arrived.task(), key -> new ArrayList<>());
-    if (asked != null
-        && asked.retrySafety() == RetrySafety.NON_IDEMPOTENT
-        && (mayHaveRun.contains(arrived.task()) || !open.isEmpty())) {
-      violate("twice", arrived.at(), arrived.task() + " came again, though it may have run");
+  private void onArrived(ForwardArrived arrival) {
+    TaskSubmitted submission = tasks.get(arrival.task());
+    EngineListed engine = listed.get(arrival.engine());
+    int earlierArrivals = arrivals.merge(arrival.task(), 1, Integer::sum) - 1;
+    List<String> openOn = outstanding.computeIfAbsent(arrival.task(), key -> new ArrayList<>());
+    if (submission != null
+        && submission.retrySafety() == RetrySafety.NON_IDEMPOTENT
+        && (mayHaveRun.contains(arrival.task()) || !openOn.isEmpty())) {
+      violate("twice", arrival.at(), arrival.task() + " was sent again although it may have run");
     }
-    open.add(arrived.engine());
-    Long since = notReadySince.get(arrived.engine());
-    if (since != null && arrived.at() > since + limits.drainGraceNanos()) {
+    openOn.add(arrival.engine());
+    Long drainingSince = notReadySince.get(arrival.engine());
+    if (drainingSince != null && arrival.at() > drainingSince + limits.drainGraceNanos()) {
       violate(
           "drain",
-          arrived.at(),
-          arrived.task()
-              + " came to "
-              + arrived.engine()
+          arrival.at(),
+          arrival.task()
+              + " reached "
+              + arrival.engine()
               + " "
-              + (arrived.at() - since) / 1_000_000
-              + " ms behind its drain");
+              + (arrival.at() - drainingSince) / 1_000_000
+              + " ms after its drain began");
     }
-    if (asked != null
+    if (submission != null
         && engine != null
-        && !asked.allowedZones().isEmpty()
-        && !asked.allowedZones().contains(engine.zone())) {
+        && !submission.allowedZones().isEmpty()
+        && !submission.allowedZones().contains(engine.zone())) {
       violate(
           "place",
-          arrived.at(),
-          arrived.task() + " came to " + arrived.engine() + " in " + engine.zone());
+          arrival.at(),
+          arrival.task() + " reached " + arrival.engine() + " in " + engine.zone());
     }
-    totalWork += arrived.work();
+    totalWork += arrival.work();
     totalForwards++;
     if (engine != null) {
-      coldArrivals(arrived, engine);
+      checkColdStart(arrival, engine);
     }
-    if (asked != null && asked.key() != 0) {
-      order(arrived, asked);
+    if (submission != null && submission.key() != 0) {
+      checkOrder(arrival, submission);
     }
-    if (before > 0) {
-      ration(arrived);
+    if (earlierArrivals > 0) {
+      checkRetryBudget(arrival);
     }
   }
 
-  /** Rule 4: what all managers together send to a cold engine within the window. */
-  private void coldArrivals(ForwardArrived arrived, EngineListed engine) {
-    double age =
+  /** Invariant 4: the work that all managers together send to a cold engine within the window. */
+  private void checkColdStart(ForwardArrived arrival, EngineListed engine) {
+    double warmUpProgress =
         engine.startedAt() == 0 || limits.warmUpNanos() <= 0
             ? 1
-            : (arrived.at() - engine.startedAt()) / (double) limits.warmUpNanos();
-    ArrayDeque<ForwardArrived> window =
+            : (arrival.at() - engine.startedAt()) / (double) limits.warmUpNanos();
+    ArrayDeque<ForwardArrived> recent =
         coldArrivals.computeIfAbsent(engine.engine(), key -> new ArrayDeque<>());
-    window.removeIf(
-        one -> one.at() <= arrived.at() - limits.windowNanos() || one.at() < engine.startedAt());
-    if (age >= 1) {
+    recent.removeIf(
+        earlier ->
+            earlier.at() <= arrival.at() - limits.windowNanos()
+                || earlier.at() < engine.startedAt());
+    if (warmUpProgress >= 1) {
       return;
     }
-    window.add(arrived);
-    double mean = totalWork / totalForwards;
-    double warmth =
-        limits.startCapacityFraction() + (1 - limits.startCapacityFraction()) * Math.max(0, age);
+    recent.add(arrival);
+    double meanWork = totalWork / totalForwards;
+    double capacityFraction =
+        limits.startCapacityFraction()
+            + (1 - limits.startCapacityFraction()) * Math.max(0, warmUpProgress);
     double allowed =
-        limits.overloadFactor() * warmth * limits.cores() * limits.windowNanos() / mean;
-    double sent = window.stream().mapToDouble(ForwardArrived::work).sum() / mean;
+        limits.overloadFactor()
+            * capacityFraction
+            * limits.cores()
+            * limits.windowNanos()
+            / meanWork;
+    double sent = recent.stream().mapToDouble(ForwardArrived::work).sum() / meanWork;
     if (sent > allowed + 3 * Math.sqrt(allowed) + 3) {
       violate(
           "cold",
-          arrived.at(),
+          arrival.at(),
           engine.engine()
-              + " was sent "
+              + " received "
               + Math.round(sent)
-              + " tasks of mean work, "
+              + " tasks of mean work; "
               + Math.round(allowed)
-              + " are allowed");
+              + " are allowed while it is cold");
     }
   }
 
-  /** Rule 5: none of a key while an earlier one of the same manager is unanswered or out. */
-  private void order(ForwardArrived arrived, TaskSubmitted asked) {
+  /** Invariant 5: no task while an earlier one of its key and manager is unanswered or open. */
+  private void checkOrder(ForwardArrived arrival, TaskSubmitted submission) {
     for (TaskSubmitted earlier :
-        tasksByKey.getOrDefault(asked.manager() + '/' + asked.key(), List.of())) {
-      if (asked.at() - earlier.at() < limits.keyCooldownNanos()) {
+        tasksByKey.getOrDefault(submission.manager() + '/' + submission.key(), List.of())) {
+      if (submission.at() - earlier.at() < limits.keyCooldownNanos()) {
         return;
       }
-      boolean done =
+      boolean ended =
           (endTimes.getOrDefault(earlier.task(), Long.MAX_VALUE)
-                  <= arrived.at() + CLIENT_LOG_LAG_NANOS)
+                  <= arrival.at() + CLIENT_LOG_LAG_NANOS)
               && outstanding.getOrDefault(earlier.task(), List.of()).isEmpty();
-      if (!done) {
+      if (!ended) {
         violate(
             "order",
-            arrived.at(),
-            arrived.task() + " came while " + earlier.task() + " of the same key was not over");
+            arrival.at(),
+            arrival.task() + " arrived before " + earlier.task() + " of the same key had ended");
       }
     }
   }
 
-  /** Rule 7: further forwards of a manager within its ration. */
-  private void ration(ForwardArrived arrived) {
+  /** Invariant 7: the retries of a manager stay within its retry budget. */
+  private void checkRetryBudget(ForwardArrived arrival) {
     if (limits.retryBudgetWindowNanos() <= 0) {
       return;
     }
-    ArrayDeque<Long> more =
-        recentRetries.computeIfAbsent(arrived.manager(), key -> new ArrayDeque<>());
-    ArrayDeque<Long> all =
-        recentTasks.computeIfAbsent(arrived.manager(), key -> new ArrayDeque<>());
-    more.add(arrived.at());
-    more.removeIf(one -> one <= arrived.at() - limits.retryBudgetWindowNanos());
-    all.removeIf(one -> one <= arrived.at() - limits.retryBudgetWindowNanos());
-    if (more.size() > limits.spareAttempts() + limits.extraPerRequest() * all.size()) {
+    ArrayDeque<Long> retries =
+        recentRetries.computeIfAbsent(arrival.manager(), key -> new ArrayDeque<>());
+    ArrayDeque<Long> managerTasks =
+        recentTasks.computeIfAbsent(arrival.manager(), key -> new ArrayDeque<>());
+    retries.add(arrival.at());
+    retries.removeIf(time -> time <= arrival.at() - limits.retryBudgetWindowNanos());
+    managerTasks.removeIf(time -> time <= arrival.at() - limits.retryBudgetWindowNanos());
+    if (retries.size() > limits.spareAttempts() + limits.extraPerRequest() * managerTasks.size()) {
       violate(
           "ration",
-          arrived.at(),
-          arrived.manager()
+          arrival.at(),
+          arrival.manager()
               + " sent "
-              + more.size()
-              + " further forwards for "
-              + all.size()
+              + retries.size()
+              + " retries for "
+              + managerTasks.size()
               + " tasks");
     }
   }
 
   private void checkUnanswered() {
-    for (TaskSubmitted asked : tasks.values()) {
-      if (!answers.containsKey(asked.task()) && !abandoned.contains(asked.task())) {
-        violate("lost", asked.deadline(), asked.task() + " was never answered");
+    for (TaskSubmitted submission : tasks.values()) {
+      if (!answers.containsKey(submission.task()) && !abandoned.contains(submission.task())) {
+        violate("lost", submission.deadline(), submission.task() + " was never answered");
       }
     }
   }
--- a/src/main/java/tansytrack/lab/simulation/LinkConditions.java
+++ b/src/main/java/tansytrack/lab/simulation/LinkConditions.java
@@ -1,14 +1,15 @@
 package tansytrack.lab.simulation;
 
 /**
- * What links do to letters at one time. Loss comes in bursts where {@code burst} is over 1: a link
- * is then good or bad, and loses all while bad; {@code loss} is the long run's share in any case.
+ * The conditions of a link. With a mean burst length above 1, losses come in bursts, in which all
+ * messages are lost (Gilbert model); {@code loss} is the long-term share in either case.
  *
- * @param loss share of letters lost, 0 to 1
- * @param burst mean length of a bad stretch, in letters
- * @param doubled share that comes twice
- * @param least shortest way, in nanoseconds
- * @param spread the mean of what comes on top, exponential: letters overtake each other by it
+ * @param loss share of messages lost, 0 to 1
+ * @param meanBurstLength mean length of a burst of losses, in messages
+ * @param duplication share of messages delivered twice
+ * @param minDelayNanos shortest delay
+ * @param meanExtraDelayNanos mean of the exponentially distributed additional delay, which reorders
+ *     messages
  */
 public record LinkConditions(
     double loss,
@@ -17,9 +18,10 @@
     long minDelayNanos,
     long meanExtraDelayNanos) {
 
+  /** No loss and a delay of 1 ms on average. */
   public static final LinkConditions GOOD = new LinkConditions(0, 1, 0, 500_000L, 500_000L);
 
-  /** The same weather with another share of lost datagrams. */
+  /** The same conditions with another share of lost messages. */
   public LinkConditions withLoss(double share) {
     return new LinkConditions(
         share, meanBurstLength, duplication, minDelayNanos, meanExtraDelayNanos);
--- a/src/main/java/tansytrack/lab/simulation/MembershipSimulation.java
+++ b/src/main/java/tansytrack/lab/simulation/MembershipSimulation.java
@@ -17,9 +17,10 @@
 import tansytrack.fleet.Stage;
 
 /**
- * Many memberships in one process and virtual time: the pure module as it runs on sockets, links
- * that lose, delay, double and reorder letters or are cut, members that are killed, stopped,
- * started again and whose clocks step. All chance and all order come from one seed.
+ * Simulates many members in virtual time: the same membership as on sockets, links that lose,
+ * delay, duplicate and reorder messages or are partitioned, and members that are killed, paused,
+ * restarted or have their clocks stepped. All randomness and the order of events derive from one
+ * seed.
  */
 public final class MembershipSimulation {
 
@@ -28,12 +29,14 @@
   private final MembershipConfig config;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final TreeMap<String, Node> nodes = new TreeMap<>(); // by address
+  // By address.
+  private final TreeMap<String, Node> nodes = new TreeMap<>();
   private final Map<String, LinkModel> links = new HashMap<>();
   private final List<Message> capturedMessages = new ArrayList<>();
   private final List<Observation> observations = new ArrayList<>();
   private LinkConditions linkConditions = LinkConditions.GOOD;
-  private FaultSchedule faults; // null: the weather is the same everywhere
+  // Null if all links have the same conditions.
+  private FaultSchedule faults;
   private long faultsStartedAt;
   private BiPredicate<Node, Node> partition = (from, to) -> false;
   private long now;
@@ -41,52 +44,60 @@
   private long nextInstanceId = 1;
   private long digest;
 
-  /** Something that a member came to hold of another. */
+  /** A status that a member has assigned to another one. */
   public record Observation(
       long at, String observer, String member, long instanceId, MemberStatus status) {}
 
-  /** One process: what runs at an address. */
+  /** The process at an address. */
   public static final class Node {
     final String address;
     final String name;
     final String zone;
-    Membership membership; // null: it is not running
-    long clockOffsetNanos; // its steady clock against the world's
+    // Null while the process does not run.
+    Membership membership;
+    // Difference of the process's monotonic clock from the virtual time.
+    long clockOffsetNanos;
     long pausedUntil = -1;
     long instanceId;
     long wakesAt = Long.MAX_VALUE;
-    final List<Runnable> receivedWhilePaused = new ArrayList<>(); // what came while it was stopped
+    final List<Runnable> receivedWhilePaused = new ArrayList<>();
+
+    /** Bytes of the messages sent, by their size estimate. */
     public long bytesSent;
+
+    /** Number of messages sent. */
     public long messagesSent;
+
+    /** Number of name conflicts reported. */
     public long nameConflicts;
 
-    Node(String address, String name, String place) {
+    Node(String address, String name, String zone) {
       this.address = address;
       this.name = name;
-      this.zone = place;
+      this.zone = zone;
     }
 
-    /** The address that it has across all its lives. */
+    /** The address, which stays the same across restarts. */
     public String address() {
       return address;
     }
 
-    /** The name under which it is a member. */
+    /** The name of the member. */
     public String name() {
       return name;
     }
 
-    /** The place that it stands in. */
+    /** The zone of the member. */
     public String zone() {
       return zone;
     }
 
-    /** Whether its process runs now. */
+    /** Whether the process is running. */
     public boolean running() {
       return membership != null;
     }
 
-    /** Its membership in this life, null while it does not run. */
+    /** The membership of the running instance, or null. */
     public Membership membership() {
       return membership;
     }
@@ -99,25 +110,25 @@
     }
   }
 
-  /** An empty world; everything random in it comes from the seed. */
-  public MembershipSimulation(MembershipConfig rules, long seed) {
-    this.config = rules;
+  /** A simulation without nodes. All randomness is derived from the seed. */
+  public MembershipSimulation(MembershipConfig config, long seed) {
+    this.config = config;
     random = new SplittableRandom(seed);
   }
 
-  // ---- The world's schedule ----
+  // ---- Virtual time and schedule ----
 
   /** The virtual time. */
   public long now() {
     return now;
   }
 
-  /** Runs something at a virtual time, at once if that has passed. */
-  public void schedule(long time, Runnable what) {
-    events.add(new Event(Math.max(now, time), nextEventOrder++, what));
+  /** Schedules an action at a virtual time, or at once if that has passed. */
+  public void schedule(long time, Runnable action) {
+    events.add(new Event(Math.max(now, time), nextEventOrder++, action));
   }
 
-  /** Plays all events up to a virtual time. */
+  /** Processes all events up to a virtual time. */
   public void runUntil(long until) {
     while (!events.isEmpty() && events.peek().at <= until) {
       Event next = events.poll();
@@ -127,77 +138,77 @@
     now = until;
   }
 
-  /** Changes what all links do from now on. */
-  public void linkConditions(LinkConditions next) {
-    linkConditions = next;
+  /** Sets the conditions of all links from now on. */
+  public void linkConditions(LinkConditions conditions) {
+    linkConditions = conditions;
   }
 
-  /** Which letters never arrive, by who sends and who is to get them. */
-  public void partition(BiPredicate<Node, Node> which) {
-    partition = which;
+  /** Drops all messages for which the predicate on sender and recipient holds. */
+  public void partition(BiPredicate<Node, Node> dropped) {
+    partition = dropped;
   }
 
-  /** Plays a schedule from now on; members are named as their addresses are, with 'n' for 'm'. */
+  /** Starts a schedule of faults now; it names members by their names, not by addresses. */
   public void injectFaults(FaultSchedule schedule) {
     faults = schedule;
     faultsStartedAt = now;
-    for (FaultSchedule.ProcessFault one : schedule.processes()) {
+    for (FaultSchedule.ProcessFault fault : schedule.processes()) {
       String address =
           nodes.values().stream()
-              .filter(node -> node.name.equals(one.member()))
+              .filter(node -> node.name.equals(fault.member()))
               .findFirst()
               .orElseThrow()
               .address;
       schedule(
-          now + one.startNanos(),
+          now + fault.startNanos(),
           () -> {
-            switch (one.kind()) {
-              case STOP -> pause(address, one.durationNanos());
+            switch (fault.kind()) {
+              case STOP -> pause(address, fault.durationNanos());
               case KILL -> kill(address);
               case END -> shutDown(address);
               default -> throw new IllegalStateException();
             }
           });
-      if (one.kind() != FaultSchedule.ProcessFaultKind.STOP && one.durationNanos() > 0) {
-        schedule(now + one.startNanos() + one.durationNanos(), () -> start(address));
+      if (fault.kind() != FaultSchedule.ProcessFaultKind.STOP && fault.durationNanos() > 0) {
+        schedule(now + fault.startNanos() + fault.durationNanos(), () -> start(address));
       }
     }
   }
 
   // ---- Members ----
 
-  /** The node at an address, made where there is none; it is not started. */
-  public Node node(String address, String name, String place) {
-    return nodes.computeIfAbsent(address, at -> new Node(at, name, place));
+  /** The node at an address, created but not started if there is none. */
+  public Node node(String address, String name, String zone) {
+    return nodes.computeIfAbsent(address, key -> new Node(key, name, zone));
   }
 
-  /** The node at an address, or null. */
+  /** The node at an address, or null if there is none. */
   public Node node(String address) {
     return nodes.get(address);
   }
 
-  /** Another process takes that address over; what runs there next has that name. */
+  /** Replaces the node at an address by one with another name, as if a new process took it over. */
   public void replaceNode(String address, String name) {
     Node before = nodes.get(address);
     nodes.put(address, new Node(address, name, before.zone));
   }
 
-  /** It says that of a subject from now on. */
-  public void publishFact(Node node, String kind, String subject, long value, long lasts) {
+  /** Publishes a fact on a node that runs and is not paused. */
+  public void publishFact(Node node, String kind, String subject, long value, long ttlNanos) {
     if (node.membership != null && node.pausedUntil < 0) {
       execute(
           node,
           node.membership.publishFact(
-              now + node.clockOffsetNanos, kind, subject, new long[] {value}, lasts));
+              now + node.clockOffsetNanos, kind, subject, new long[] {value}, ttlNanos));
     }
   }
 
-  /** All nodes, running or not, by address. */
+  /** All nodes, running or not, ordered by address. */
   public Iterable<Node> nodes() {
     return nodes.values();
   }
 
-  /** Starts it, knowing nothing but the seeds. */
+  /** Starts a new instance, which knows nothing but the seeds. */
   public Node start(String address) {
     Node node = nodes.get(address);
     node.instanceId = nextInstanceId++;
@@ -214,42 +225,42 @@
     return node;
   }
 
-  /** Ends a node's process without a farewell. */
+  /** Ends a process without announcing that it leaves. */
   public void kill(String address) {
     nodes.get(address).membership = null;
   }
 
-  /** Told to end: it says so, and ends. */
+  /** Ends a process that announces before that it leaves. */
   public void shutDown(String address) {
     Node node = nodes.get(address);
     execute(node, node.membership.leave(now + node.clockOffsetNanos));
     node.membership = null;
   }
 
-  /** As SIGSTOP does: what comes meanwhile waits for it. */
-  public void pause(String address, long length) {
+  /** Pauses a process as SIGSTOP does; messages that arrive meanwhile wait. */
+  public void pause(String address, long duration) {
     Node node = nodes.get(address);
-    node.pausedUntil = now + length;
+    node.pausedUntil = now + duration;
     schedule(
-        now + length,
+        now + duration,
         () -> {
           if (node.pausedUntil == now && node.membership != null) {
             node.pausedUntil = -1;
-            List<Runnable> waiting = new ArrayList<>(node.receivedWhilePaused);
+            List<Runnable> received = new ArrayList<>(node.receivedWhilePaused);
             node.receivedWhilePaused.clear();
-            waiting.forEach(Runnable::run);
+            received.forEach(Runnable::run);
             wake(node, node.instanceId);
           }
         });
   }
 
-  /** Moves a node's clock by a step. */
-  public void stepClock(String address, long by) {
-    nodes.get(address).clockOffsetNanos += by;
+  /** Steps the clock of a node. */
+  public void stepClock(String address, long offset) {
+    nodes.get(address).clockOffsetNanos += offset;
   }
 
-  private void wake(Node node, long life) {
-    if (node.membership == null || node.instanceId != life || node.pausedUntil >= 0) {
+  private void wake(Node node, long instanceId) {
+    if (node.membership == null || node.instanceId != instanceId || node.pausedUntil >= 0) {
       return;
     }
     if (node.wakesAt <= now) {
@@ -284,8 +295,8 @@
             : Math.max(now, node.membership.nextDeadline() - node.clockOffsetNanos);
     if (due < node.wakesAt) {
       node.wakesAt = due;
-      long life = node.instanceId;
-      schedule(due, () -> wake(node, life));
+      long instanceId = node.instanceId;
+      schedule(due, () -> wake(node, instanceId));
     }
   }
 
@@ -299,68 +310,69 @@
     if (to == null || partition.test(from, to)) {
       return;
     }
-    LinkConditions here =
+    LinkConditions conditions =
         faults == null
             ? linkConditions
             : faults.linkConditions(now - faultsStartedAt, from.name, from.zone, to.name, to.zone);
     LinkModel link =
         links.computeIfAbsent(
             from.address + '>' + to.address, key -> new LinkModel(random.nextLong()));
-    for (long takes : link.deliveryDelays(here)) {
+    for (long delay : link.deliveryDelays(conditions)) {
       if (capturedMessages.size() < 1 << 16) {
         capturedMessages.add(send.message());
       }
-      schedule(now + takes, () -> deliver(from.address, to, send.message()));
+      schedule(now + delay, () -> deliver(from.address, to, send.message()));
     }
   }
 
-  /** A letter comes to whatever runs there by then. */
-  public void deliver(String from, Node to, Message letter) {
+  /** Delivers a message to the instance that runs on the node, if any. */
+  public void deliver(String from, Node to, Message message) {
     if (to.membership == null) {
       return;
     }
     if (to.pausedUntil >= 0) {
-      if (to.receivedWhilePaused.size() < 256) { // as a socket's buffer holds no more
-        to.receivedWhilePaused.add(() -> deliver(from, to, letter));
+      // Limited, as the receive buffer of a socket is.
+      if (to.receivedWhilePaused.size() < 256) {
+        to.receivedWhilePaused.add(() -> deliver(from, to, message));
       }
       return;
     }
-    execute(to, to.membership.receive(now + to.clockOffsetNanos, from, letter));
+    execute(to, to.membership.receive(now + to.clockOffsetNanos, from, message));
   }
 
-  // ---- What came of it ----
+  // ---- Results ----
 
-  /** Letters that were on their way, the first 65,536. */
+  /** The first 65,536 message copies put on a link. */
   public List<Message> capturedMessages() {
     return capturedMessages;
   }
 
-  /** What members saw of each other, in order. */
+  /** All changes of status that members have observed, in order. */
   public List<Observation> observations() {
     return observations;
   }
 
-  /** Of all that was sent and held, in order. */
+  /** A digest of all messages and observations in order; equal for equal runs. */
   public long digest() {
     return digest;
   }
 
-  /** Do all that run hold each other to be there, and nobody else, in the lives that run? */
+  /** Whether each running member knows exactly the running instances as live, and suspects none. */
   public boolean hasConverged() {
     Map<String, Long> running = new TreeMap<>();
     nodes.values().stream()
         .filter(Node::running)
-        .forEach(one -> running.put(one.name, one.instanceId));
-    for (Node one : nodes.values()) {
-      if (one.running()) {
-        Map<String, Long> held = new TreeMap<>();
-        held.put(one.name, one.instanceId);
-        one.membership.others().stream()
-            .filter(word -> word.status().isLive())
-            .forEach(word -> held.put(word.name(), word.instanceId()));
-        if (!held.equals(running)
-            || one.membership.others().stream()
-                .anyMatch(word -> word.status() == MemberStatus.SUSPECT)) {
+        .forEach(node -> running.put(node.name, node.instanceId));
+    for (Node node : nodes.values()) {
+      if (node.running()) {
+        Map<String, Long> considered = new TreeMap<>();
+        considered.put(node.name, node.instanceId);
+        node.membership.others().stream()
+            .filter(state -> state.status().isLive())
+            .forEach(state -> considered.put(state.name(), state.instanceId()));
+        if (!considered.equals(running)
+            || node.membership.others().stream()
+                .anyMatch(state -> state.status() == MemberStatus.SUSPECT)) {
           return false;
         }
       }
@@ -368,32 +380,33 @@
     return true;
   }
 
-  /** Runs on until they agree; how long that took, or -1 if it did not come by then. */
-  public long runUntilConverged(long most) {
-    long from = now;
-    while (now - from <= most) {
+  /** Runs until the members converge; returns the time taken, or -1 if it exceeds the limit. */
+  public long runUntilConverged(long limit) {
+    long start = now;
+    while (now - start <= limit) {
       if (hasConverged()) {
-        return now - from;
+        return now - start;
       }
       runUntil(now + 100 * NANOS_PER_MS);
     }
     return -1;
   }
 
-  /** A fleet of so many in three places, all started within a moment and run until they agree. */
+  /** Starts members in three zones within 500 ms, and runs until they converge. */
   public static MembershipSimulation startConverged(
-      int members, MembershipConfig rules, long seed, LinkConditions weather) {
-    MembershipSimulation world = new MembershipSimulation(rules, seed);
+      int members, MembershipConfig config, long seed, LinkConditions conditions) {
+    MembershipSimulation simulation = new MembershipSimulation(config, seed);
     for (int i = 0; i < members; i++) {
       String address = "m" + i;
-      world.node(address, "n" + i, "place-" + i % 3);
-      world.schedule(world.random.nextLong(500 * NANOS_PER_MS), () -> world.start(address));
+      simulation.node(address, "n" + i, "place-" + i % 3);
+      simulation.schedule(
+          simulation.random.nextLong(500 * NANOS_PER_MS), () -> simulation.start(address));
     }
-    world.runUntil(500 * NANOS_PER_MS);
-    if (world.runUntilConverged(120_000 * NANOS_PER_MS) < 0) {
-      throw new IllegalStateException("a fleet of " + members + " did not come together in 120 s");
+    simulation.runUntil(500 * NANOS_PER_MS);
+    if (simulation.runUntilConverged(120_000 * NANOS_PER_MS) < 0) {
+      throw new IllegalStateException(members + " members did not converge within 120 s");
     }
-    world.linkConditions(weather);
-    return world;
+    simulation.linkConditions(conditions);
+    return simulation;
   }
 }
