--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -22,23 +22,23 @@
 import tansytrack.ledger.disk.Store;
 import tansytrack.settings.Unusable;
 
-/** The ledger commands on bills: what is shown of a period, its closing and its corrections. */
+/** The ledger commands for bills: showing, closing, correcting and resolving. */
 public final class LedgerBillCommands {
 
   private LedgerBillCommands() {}
 
   /** Shows the bill of a period. */
   public static final class Show extends LedgerBillingCommand {
-    @Option(name = "--period", metaVar = "PERIOD", usage = "the period; absent: the present one")
+    @Option(name = "--period", metaVar = "PERIOD", usage = "the period; default: the current one")
     private String period;
 
-    @Option(name = "--tenant", metaVar = "NAME", usage = "of that tenant alone")
+    @Option(name = "--tenant", metaVar = "NAME", usage = "show only this tenant")
     private String tenant;
 
     @Override
     public String about() {
-      return "ledger show: what each tenant used in a period, by service grade, what came after it"
-          + " was closed, and amendments.";
+      return "ledger show: shows what each tenant used in a period, by query class, with entries"
+          + " that came after its closing, and amendments.";
     }
 
     @Override
@@ -104,18 +104,18 @@
     }
   }
 
-  /** Lists the periods, and closes those whose grace is over. */
+  /** Closes the periods whose grace period is over, and lists all periods. */
   public static final class PeriodList extends LedgerBillingCommand {
     @Override
     public String about() {
-      return "ledger periods: each period with entries, and whether it is closed. Those whose grace"
-          + " is over are closed first.";
+      return "ledger periods: lists the periods with entries and whether they are closed. First"
+          + " closes those whose grace period is over.";
     }
 
     @Override
     int work(Store store) throws IOException {
       for (String closed : Billing.closeDue(store, section, now())) {
-        System.err.println("closed " + closed + ": its grace is over");
+        System.err.println("closed " + closed + ": its grace period is over");
       }
       Map<String, Store.Closed> closed =
           store.closed().stream()
@@ -157,7 +157,7 @@
 
     @Override
     public String about() {
-      return "ledger close: closes a period; its sums stay as they are from then on.";
+      return "ledger close: closes a period; its subtotals don't change after that.";
     }
 
     @Override
@@ -186,37 +186,37 @@
         name = "--period",
         metaVar = "PERIOD",
         required = true,
-        usage = "the period that it belongs to")
+        usage = "the period to correct")
     private String period;
 
-    @Option(name = "--tenant", metaVar = "NAME", required = true, usage = "whose bill")
+    @Option(name = "--tenant", metaVar = "NAME", required = true, usage = "the tenant whose bill is corrected")
     private String tenant;
 
     @Option(
         name = "--amount",
         metaVar = "DECIMAL",
-        usage = "what is added to the bill, as in -1.25")
+        usage = "the amount to add to the bill, as in -1.25")
     private String amount;
 
-    @Option(name = "--withdraw", usage = "takes back the amendment that --corrects names")
+    @Option(name = "--withdraw", usage = "withdraw the amendment given by --corrects")
     private boolean withdraw;
 
     @Option(
         name = "--corrects",
         metaVar = "WHAT",
-        usage = "e:EPOCH:NUMBER, an entry; a:NUMBER, an amendment; absent: the tenant's sum")
+        usage = "e:EPOCH:NUMBER, an entry; a:NUMBER, an amendment; default: the tenant's total")
     private String corrects = "";
 
-    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who corrects")
+    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who makes the correction")
     private String author;
 
-    @Option(name = "--reason", metaVar = "TEXT", required = true, usage = "why")
+    @Option(name = "--reason", metaVar = "TEXT", required = true, usage = "the reason for the correction")
     private String reason;
 
     @Override
     public String about() {
-      return "ledger correct: adds an amendment to a period, open or closed, or withdraws one."
-          + " Nothing is rewritten.";
+      return "ledger correct: adds an amendment to an open or closed period, or withdraws one."
+          + " Existing entries don't change.";
     }
 
     @Override
@@ -245,7 +245,7 @@
 
     private void checkAmount() {
       if (withdraw == (amount != null)) {
-        throw new Unusable("one of --amount and --withdraw is needed");
+        throw new Unusable("exactly one of --amount and --withdraw is required");
       }
       if (amount != null
           && !amount.matches(
@@ -255,7 +255,7 @@
                 + amount
                 + "'; allowed: a plain decimal with at most "
                 + section.rates().decimals()
-                + " digits behind the point, as in -1.25");
+                + " digits after the decimal point, as in -1.25");
       }
     }
 
@@ -286,22 +286,23 @@
     }
   }
 
-  /** Resolves tasks without a known end from the engines' statements. */
+  /** Resolves tasks with an unknown end from engines' statements. */
   public static final class Resolve extends LedgerBillingCommand {
     @Option(
         name = "--statement",
         metaVar = "FILE",
-        usage = "CSV of the engines: engine,task,work_ns,done; beside what they said at starts")
+        usage = "a statement of engines as CSV: engine,task,work_ns,done; used in addition to what"
+                + " engines reported when the manager started")
     private List<String> statements = new ArrayList<>();
 
-    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who resolves")
+    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who resolves the tasks")
     private String author;
 
     @Override
     public String about() {
-      return "ledger resolve: an amendment for each task whose end nobody told and of which the"
-          + " engines' statements tell what ran.\n"
-          + "A statement may be read in again.";
+      return "ledger resolve: adds an amendment for each task with an unknown end whose runs are in"
+          + " the engines' statements.\n"
+          + "Tasks that are resolved already are skipped, so a statement may be read again.";
     }
 
     @Override
--- a/src/main/java/tansytrack/LedgerBillingCommand.java
+++ b/src/main/java/tansytrack/LedgerBillingCommand.java
@@ -7,17 +7,18 @@
 import tansytrack.operator.OperatorFile;
 import tansytrack.settings.Unusable;
 
-/** A ledger command that needs the operators' file, as it must know how is billed. */
+/** A ledger command that reads the operator file, because it needs the billing section. */
 abstract class LedgerBillingCommand extends LedgerRowsCommand {
   @Option(
       name = "--operator",
       metaVar = "FILE",
       required = true,
-      usage = "the operators' file that names the ledger and its billing")
+      usage = "the operator file with the ledger section")
   String operator;
 
   OperatorFile.LedgerSection section;
 
+  /** Runs the command on an open store and returns the exit code. */
   abstract int work(Store store) throws IOException;
 
   @Override
@@ -25,7 +26,7 @@
     section = OperatorFile.read(operator).ledger();
     if (section == null) {
       throw new Unusable(
-          operator + ": ledger: missing; allowed: a section that names the ledger's folder");
+          operator + ": ledger: missing; allowed: a section with the ledger's folder");
     }
     try (Store store = Store.forCommand(section.folder(), Faults.NONE)) {
       return work(store);
--- a/src/main/java/tansytrack/LedgerCommands.java
+++ b/src/main/java/tansytrack/LedgerCommands.java
@@ -7,12 +7,12 @@
 import tansytrack.command.Command;
 import tansytrack.command.Group;
 
-/** The command group `ledger`: what operators see of ledgers and do to them. */
+/** The command group {@code ledger}. */
 public final class LedgerCommands {
 
   private LedgerCommands() {}
 
-  /** The group: all ledger commands by name. */
+  /** All ledger commands by name. */
   public static final class All extends Group {
     @Argument(
         required = true,
@@ -35,10 +35,11 @@
 
     @Override
     public String about() {
-      return "ledger: what each tenant used. Commands: show, periods, close, correct, export, ack,"
-          + " merge, reconcile,\n"
-          + "resolve, verify. Exit code 1: done, but what was found is not as it should be;"
-          + " 2: cannot be used, nothing was written.";
+      return "ledger: shows, bills, exports and checks what each tenant used. Commands: show,"
+          + " periods, close, correct, export, ack,\n"
+          + "merge, reconcile, resolve, verify. Exit code 1: the command ran and found errors in"
+          + " the data;\n"
+          + "2: the input is invalid, nothing was written.";
     }
 
     @Override
--- a/src/main/java/tansytrack/LedgerExchangeCommands.java
+++ b/src/main/java/tansytrack/LedgerExchangeCommands.java
@@ -21,35 +21,32 @@
 import tansytrack.ledger.disk.Store;
 import tansytrack.settings.Unusable;
 
-/**
- * The ledger commands on what goes out and comes together: exports, merging, reconciliation,
- * checks.
- */
+/** The ledger commands for exporting, merging, reconciling and verifying ledgers. */
 public final class LedgerExchangeCommands {
 
   private LedgerExchangeCommands() {}
 
   /** Exports new lines in numbered batches. */
   public static final class Export extends LedgerFolderCommand {
-    @Option(name = "--to", metaVar = "FOLDER", required = true, usage = "where batches are placed")
+    @Option(name = "--to", metaVar = "FOLDER", required = true, usage = "the folder for the batches")
     private String to;
 
     @Option(name = "--form", metaVar = "FORM", usage = "protobuf (delimited, ledger.proto) or csv")
     private String form = "protobuf";
 
-    @Option(name = "--lines", metaVar = "N", usage = "lines in a batch at most")
+    @Option(name = "--lines", metaVar = "N", usage = "the maximum number of lines in a batch")
     private long lines = 1_000_000;
 
     @Option(
         name = "--again",
         metaVar = "NUMBER",
-        usage = "writes a batch that was placed before once more, as the same bytes")
+        usage = "write a batch that was placed before again, with the same bytes")
     private long again;
 
     @Override
     public String about() {
-      return "ledger export: finishes what was begun, then places all new lines in numbered"
-          + " batches. A number always has the same bytes.";
+      return "ledger export: completes an interrupted export, then writes all new lines in numbered"
+          + " batches. A batch always has the same bytes.";
     }
 
     @Override
@@ -92,20 +89,20 @@
     }
   }
 
-  /** Notes that the consumer has a batch. */
+  /** Stores that the consumer has received a batch. */
   public static final class Ack extends LedgerFolderCommand {
-    @Argument(required = true, metaVar = "NUMBER", usage = "the batch that the consumer has")
+    @Argument(required = true, metaVar = "NUMBER", usage = "the batch that the consumer has received")
     private long number;
 
     @Option(
         name = "--sha256",
         metaVar = "HASH",
-        usage = "what the consumer got; refused if it is not what was sealed")
+        usage = "the hash of what the consumer received; must be that of the sealed batch")
     private String sha;
 
     @Override
     public String about() {
-      return "ledger ack: notes that the consumer has a batch. Once more does no harm.";
+      return "ledger ack: stores that the consumer has received a batch. May be repeated.";
     }
 
     @Override
@@ -114,7 +111,7 @@
         if (one.number() == number && one.placedAt() > 0) {
           if (sha != null && !sha.equalsIgnoreCase(one.sha())) {
             throw new Unusable(
-                "batch " + number + " was sealed as " + one.sha() + ", not as " + sha);
+                "batch " + number + " was sealed with SHA-256 " + one.sha() + ", not " + sha);
           }
           store.acked(number, now());
           return 0;
@@ -124,20 +121,20 @@
     }
   }
 
-  /** Merges several managers' ledgers and names what is missing or contradicts. */
+  /** Merges several managers' ledgers and reports missing and contradicting entries. */
   public static final class Merge extends LedgerRowsCommand {
     @Argument(
         required = true,
         multiValued = true,
         metaVar = "PLACE",
-        usage = "folders of ledgers, exported batches (.pb), or folders of such")
+        usage = "ledger folders, exported batches (.pb), or folders of batches")
     private List<String> places = new ArrayList<>();
 
     @Override
     public String about() {
-      return "ledger merge: several managers' ledgers as one: tasks by manager, numbers that are"
-          + " missing, contradictions.\n"
-          + "Exit code 1: numbers are missing, or two ledgers say different things.";
+      return "ledger merge: merges several managers' ledgers; shows the number of tasks by manager,"
+          + " missing task numbers, and contradictions.\n"
+          + "Exit code 1: numbers are missing, or two ledgers contradict each other.";
     }
 
     @Override
@@ -191,21 +188,21 @@
         required = true,
         multiValued = true,
         metaVar = "PLACE",
-        usage = "folders of ledgers, exported batches (.pb), or folders of such")
+        usage = "ledger folders, exported batches (.pb), or folders of batches")
     private List<String> places = new ArrayList<>();
 
     @Option(
         name = "--statement",
         metaVar = "FILE",
         required = true,
-        usage = "CSV of the engines: engine,task,work_ns,done")
+        usage = "a statement of engines as CSV: engine,task,work_ns,done")
     private List<String> statements = new ArrayList<>();
 
     @Override
     public String about() {
-      return "ledger reconcile: ledgers against the engines' statements; what stands on one side"
-          + " only, with its likely cause.\n"
-          + "Exit code 1: something stands on one side only without an innocent cause.";
+      return "ledger reconcile: compares ledgers with the engines' statements; shows the"
+          + " differences with their likely causes.\n"
+          + "Exit code 1: a difference is a fault, not an expected one.";
     }
 
     @Override
@@ -243,12 +240,12 @@
     }
   }
 
-  /** Checks every invariant of a ledger. */
+  /** Checks all invariants of a ledger. */
   public static final class Verify extends LedgerBillingCommand {
     @Override
     public String about() {
-      return "ledger verify: checks every invariant of a ledger and says the first breach. Exit"
-          + " code 1: one is broken.";
+      return "ledger verify: checks all invariants of a ledger and shows the first violation. Exit"
+          + " code 1: one is violated.";
     }
 
     @Override
--- a/src/main/java/tansytrack/LedgerFolderCommand.java
+++ b/src/main/java/tansytrack/LedgerFolderCommand.java
@@ -6,7 +6,7 @@
 import tansytrack.ledger.disk.Faults;
 import tansytrack.ledger.disk.Store;
 
-/** A ledger command that needs no more than the ledger's folder. */
+/** A ledger command that only needs the ledger's folder. */
 abstract class LedgerFolderCommand extends LedgerRowsCommand {
   @Option(
       name = "--ledger",
@@ -15,6 +15,7 @@
       usage = "the folder that holds the ledger")
   String folder;
 
+  /** Runs the command on an open store and returns the exit code. */
   abstract int work(Store store) throws IOException;
 
   @Override
--- a/src/main/java/tansytrack/LedgerRowsCommand.java
+++ b/src/main/java/tansytrack/LedgerRowsCommand.java
@@ -11,14 +11,14 @@
 import tansytrack.command.Guarded;
 import tansytrack.log.JsonLinesWriter;
 
-/** A ledger command that prints rows, as a table for people or as JSON lines for programs. */
+/** A ledger command that prints rows, either as a table or as JSON lines. */
 abstract class LedgerRowsCommand extends Guarded {
-  @Option(name = "--json", usage = "print for programs: one JSON object a line")
+  @Option(name = "--json", usage = "print one JSON object per line instead of tables")
   boolean json;
 
   PrintStream out = System.out;
 
-  /** One row, by column. */
+  /** Prints a row as a JSON line, or adds it to the next table. */
   void row(Map<String, Object> columns) {
     if (json) {
       out.println(
@@ -40,7 +40,7 @@
   private List<String> names;
   private final List<List<String>> rows = new ArrayList<>();
 
-  /** Prints the rows so far as one table. */
+  /** Prints the rows added so far as a table; all of them must have the same columns. */
   void table() {
     if (names == null) {
       return;
@@ -64,6 +64,7 @@
     names = null;
   }
 
+  /** Returns a row from alternating names and values, in this order. */
   static Map<String, Object> columns(Object... pairs) {
     Map<String, Object> made = new LinkedHashMap<>();
     for (int i = 0; i < pairs.length; i += 2) {
@@ -72,11 +73,13 @@
     return made;
   }
 
+  /** The current time in nanoseconds of the Unix clock. */
   static long now() {
     Instant now = Instant.now();
     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
   }
 
+  /** Formats a time in nanoseconds of the Unix clock, to seconds; "-" for 0. */
   static String time(long at) {
     return at == 0 ? "-" : Instant.ofEpochSecond(at / 1_000_000_000L).toString();
   }
--- a/src/main/java/tansytrack/ledger/Amendment.java
+++ b/src/main/java/tansytrack/ledger/Amendment.java
@@ -3,9 +3,14 @@
 import java.math.BigDecimal;
 
 /**
- * A change to a period after the fact, never a rewriting. It corrects an entry (e:EPOCH:NUMBER),
- * another amendment (a:NUMBER), or a tenant's sum (empty); one that withdraws takes the corrected
- * amendment back whole.
+ * A correction that is added to a billing period; existing entries are never rewritten.
+ *
+ * @param number the number of the amendment in its ledger, from 1; 0 before it is stored
+ * @param amount the amount added to the tenant's bill; 0 for a withdrawal
+ * @param corrects the entry ({@code e:EPOCH:NUMBER}) or amendment ({@code a:NUMBER}) that is
+ *     corrected; empty for a correction of the tenant's total
+ * @param at the time of the correction in nanoseconds of the Unix clock
+ * @param withdraws whether this amendment revokes the whole amendment that it names
  */
 public record Amendment(
     long number,
--- a/src/main/java/tansytrack/ledger/Bill.java
+++ b/src/main/java/tansytrack/ledger/Bill.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * The bill of one period: a sum for each tenant and grade, and what came after the fact. Of a
- * closed period only the entries up to its closing position are in the sums; later ones and
- * corrections stand beside them, so the sums never change.
+ * The bill of one period: a subtotal for each tenant and query class, plus late entries and
+ * amendments. The subtotals of a closed period contain only the entries up to its closing position.
+ * Later entries and amendments are kept separately, so these subtotals never change.
  */
 public final class Bill {
 
-  /** One sum. */
+  /** The subtotal of one tenant and query class. */
   public static final class Sum {
     private long tasks;
     private long handled;
@@ -27,43 +27,43 @@
     private long bytes;
     private BigDecimal exact = BigDecimal.ZERO;
 
-    /** Tasks taken in. */
+    /** The number of tasks accepted. */
     public long tasks() {
       return tasks;
     }
 
-    /** Tasks answered with their result. */
+    /** The number of tasks answered with their result. */
     public long handled() {
       return handled;
     }
 
-    /** Tasks refused or failed. */
+    /** The number of tasks refused or failed. */
     public long bounced() {
       return bounced;
     }
 
-    /** Tasks whose end nobody knows, as their manager died. */
+    /** The number of tasks whose end is unknown because their manager died. */
     public long unresolved() {
       return unresolved;
     }
 
-    /** Work that engines reported, in nanoseconds. */
+    /** The work that engines reported, in nanoseconds. */
     public long work() {
       return work;
     }
 
-    /** Work of forwards whose result was not used, in nanoseconds. */
+    /** The part of the work whose result was not used, in nanoseconds. */
     public long waste() {
       return waste;
     }
 
-    /** Bytes of results sent to clients. */
+    /** The number of result bytes sent to clients. */
     public long bytes() {
       return bytes;
     }
   }
 
-  /** Whose sum it is. */
+  /** The tenant and query class of a subtotal. */
   public record Whose(String tenant, String grade) implements Comparable<Whose> {
     @Override
     public int compareTo(Whose other) {
@@ -75,12 +75,17 @@
   private final String period;
   private final Periods periods;
   private final Rates rates;
-  private final long closedAt; // position; 0: open
+  // The last position in the subtotals of a closed period; 0 while the period is open.
+  private final long closedAt;
   private final TreeMap<Whose, Sum> sums = new TreeMap<>();
   private final TreeMap<Whose, Sum> late = new TreeMap<>();
   private final List<Amendment> amendments = new ArrayList<>();
 
-  /** An empty bill of a period; closed at that time, 0 while it is open. */
+  /**
+   * Creates an empty bill.
+   *
+   * @param closedAt the position at which the period was closed; 0 while it is open
+   */
   public Bill(String period, Periods periods, Rates rates, long closedAt) {
     this.period = period;
     this.periods = periods;
@@ -88,7 +93,10 @@
     this.closedAt = closedAt;
   }
 
-  /** Takes an entry, if it belongs here; a task belongs to the period in which it was taken. */
+  /**
+   * Adds an entry if it belongs to this period. A task belongs to the period in which it was
+   * accepted.
+   */
   public void take(long position, Entry entry) {
     if (!periods.of(entry.takenAt()).equals(period)) {
       return;
@@ -105,31 +113,31 @@
     sum.exact = sum.exact.add(rates.price(entry, periods.day(entry.takenAt())));
   }
 
-  /** Adds an amendment if it is for this period. */
+  /** Adds an amendment if it belongs to this period. */
   public void take(Amendment amendment) {
     if (amendment.period().equals(period)) {
       amendments.add(amendment);
     }
   }
 
-  /** Sums by tenant and query class. */
+  /** The subtotals by tenant and query class. */
   public Map<Whose, Sum> sums() {
     return sums;
   }
 
-  /** What came after the period was closed. */
+  /** The subtotals of entries that were written after the period was closed. */
   public Map<Whose, Sum> late() {
     return late;
   }
 
-  /** The rounded amount of one sum. */
+  /** The rounded amount of one subtotal. */
   public BigDecimal amount(Sum sum) {
     return rates.rounded(sum.exact);
   }
 
   /**
-   * What the amendments come to for a tenant: one that was withdrawn counts for nothing, and
-   * neither does a withdrawal that was withdrawn itself.
+   * The sum of a tenant's amendments. Withdrawn amendments don't count; a withdrawal that was itself
+   * withdrawn has no effect.
    */
   public BigDecimal amended(String tenant) {
     Set<Long> stand = standing(amendments);
@@ -143,8 +151,8 @@
   }
 
   /**
-   * The numbers of the amendments that stand: judged from the latest back, as each can only
-   * withdraw an earlier one.
+   * The numbers of the amendments that are in effect. The amendments are evaluated from the latest to
+   * the earliest, because each can only withdraw an earlier one.
    */
   public static Set<Long> standing(List<Amendment> all) {
     Map<Long, Boolean> withdrawn = new HashMap<>();
@@ -162,7 +170,7 @@
     return stand;
   }
 
-  /** All tenants that the bill names, in order. */
+  /** All tenants on the bill, sorted by name. */
   public Set<String> tenants() {
     Set<String> tenants = new java.util.TreeSet<>();
     sums.keySet().forEach(whose -> tenants.add(whose.tenant()));
@@ -171,7 +179,7 @@
     return tenants;
   }
 
-  /** What a tenant owes: its rounded sums, those that came late, and its amendments. */
+  /** The amount a tenant owes: its rounded subtotals, late ones included, and its amendments. */
   public BigDecimal total(String tenant) {
     BigDecimal total = amended(tenant);
     for (Map<Whose, Sum> part : List.of(sums, late)) {
@@ -184,7 +192,7 @@
     return total.setScale(Math.max(rates.decimals(), total.scale()));
   }
 
-  /** The sums in one fixed form, of which a closed period keeps the hash. */
+  /** The subtotals as text in a fixed format; its hash is stored when the period is closed. */
   public String sealed() {
     StringBuilder text = new StringBuilder();
     sums.forEach(
--- a/src/main/java/tansytrack/ledger/Closing.java
+++ b/src/main/java/tansytrack/ledger/Closing.java
@@ -4,10 +4,19 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Which periods may be closed, and which close by themselves. */
+/**
+ * Decides which periods may be closed and which are closed automatically.
+ *
+ * @param grace the time after the end of a period at which it is closed automatically, in
+ *     nanoseconds; 0 if periods are only closed by operators
+ */
 public record Closing(Periods periods, long grace) {
 
-  /** Why a period cannot be closed now, or null. Open: tasks of it that are not complete. */
+  /**
+   * Returns why a period cannot be closed now, or null if it can.
+   *
+   * @param open the number of tasks of the period that are not complete
+   */
   public String refused(String period, long now, Collection<String> closed, long open) {
     long end = periods.end(period);
     if (closed.contains(period)) {
@@ -19,7 +28,7 @@
     return open > 0 ? "period " + period + " still has " + open + " tasks open" : null;
   }
 
-  /** Those whose grace is over, in order; none where only operators close. */
+  /** The periods whose grace period is over, sorted; none if only operators close periods. */
   public List<String> due(long now, Collection<String> seen, Collection<String> closed) {
     if (grace <= 0) {
       return List.of();
--- a/src/main/java/tansytrack/ledger/Corrections.java
+++ b/src/main/java/tansytrack/ledger/Corrections.java
@@ -4,29 +4,31 @@
 import java.util.List;
 import java.util.function.BiPredicate;
 
-/** Judges a correction before it is written: what it corrects must be there, and still stand. */
+/** Validates an amendment before it is stored: what it corrects must exist and be in effect. */
 public final class Corrections {
 
   private Corrections() {}
 
   /**
-   * Why it cannot be taken, or null. The entries are asked by epoch and number; amendments are all
-   * that there are.
+   * Returns why an amendment is rejected, or null if it is valid.
+   *
+   * @param all all stored amendments
+   * @param entries tells whether the ledger has an entry with that epoch and number
    */
   public static String refused(
       Amendment wanted, List<Amendment> all, BiPredicate<Long, Long> entries) {
     if (wanted.author().isBlank()) {
-      return "--author is empty; allowed: who corrects";
+      return "--author is empty; allowed: the name of the person who makes the correction";
     }
     if (wanted.reason().isBlank()) {
-      return "--reason is empty; allowed: why it is corrected";
+      return "--reason is empty; allowed: the reason for the correction";
     }
     if (!wanted.withdraws() && wanted.amount().compareTo(BigDecimal.ZERO) == 0) {
       return "--amount is 0; allowed: a decimal other than 0, as in -1.25";
     }
     String what = wanted.corrects();
     if (what.isEmpty()) {
-      return wanted.withdraws() ? "nothing named to withdraw; allowed: --corrects a:NUMBER" : null;
+      return wanted.withdraws() ? "--withdraw without --corrects; allowed: --corrects a:NUMBER" : null;
     }
     String[] parts = what.split(":", -1);
     try {
@@ -39,11 +41,12 @@
         return amendment(wanted, all, Long.parseLong(parts[1]));
       }
     } catch (NumberFormatException e) {
-      // said below
+      // Reported below, like any other malformed reference.
     }
     return "--corrects '"
         + what
-        + "' names nothing; allowed: e:EPOCH:NUMBER for an entry, a:NUMBER for an amendment"
+        + "' is not a valid reference; allowed: e:EPOCH:NUMBER for an entry, a:NUMBER for an"
+        + " amendment"
         + (wanted.withdraws() ? " (only an amendment can be withdrawn)" : "");
   }
 
--- a/src/main/java/tansytrack/ledger/End.java
+++ b/src/main/java/tansytrack/ledger/End.java
@@ -1,8 +1,8 @@
 package tansytrack.ledger;
 
 /**
- * How a task ended, as far as its client is concerned; unresolved: its manager died, and nothing
- * told the end.
+ * How a task ended from its client's point of view. {@code UNRESOLVED} means that the manager died
+ * before it recorded an end. The names are stored in ledgers and exports.
  */
 public enum End {
   HANDLED,
--- a/src/main/java/tansytrack/ledger/Entry.java
+++ b/src/main/java/tansytrack/ledger/Entry.java
@@ -4,8 +4,10 @@
 import java.util.List;
 
 /**
- * One task in a ledger, named by the epoch (start) of its manager and its number there. Times in
- * nanoseconds of the Unix clock; earnings in thousandths.
+ * One task in a ledger, identified by the epoch of its manager (one for each start) and its number
+ * in that epoch. Times are in nanoseconds of the Unix clock, earnings in thousandths. {@code ledger
+ * merge} prints contradicting entries in this record's string form, so the component names are part
+ * of its output.
  */
 public record Entry(
     long epoch,
@@ -20,7 +22,7 @@
     long earningsMilli,
     List<Use> uses) {
 
-  /** Memory granted times time in MB-nanoseconds, with or without what was wasted. */
+  /** Granted memory multiplied by time, in MB-nanoseconds, with or without wasted forwards. */
   public BigDecimal held(boolean withWaste) {
     BigDecimal held = BigDecimal.ZERO;
     for (Use use : uses) {
@@ -29,7 +31,7 @@
     return held;
   }
 
-  /** Work in nanoseconds, with or without what was wasted. */
+  /** Work in nanoseconds, with or without wasted forwards. */
   public long work(boolean withWaste) {
     long work = 0;
     for (Use use : uses) {
--- a/src/main/java/tansytrack/ledger/EntryTracker.java
+++ b/src/main/java/tansytrack/ledger/EntryTracker.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * Makes lines of what tasks do: numbers each task as it is taken, and knows which forwards are out.
- * Pure: it is told the time, and gives lines back. It holds as much as there are open tasks.
+ * Turns the events of tasks into ledger updates: numbers each task as it is accepted and keeps track
+ * of its forwards in flight. Does no I/O and gets the time from its caller. Its memory grows with the
+ * number of open tasks.
  */
 public final class EntryTracker {
 
-  /** One open task. */
+  /** A task that is not answered yet or has forwards in flight. */
   private static final class Open {
     final long sequence;
     final String tenant;
@@ -29,9 +30,14 @@
     }
   }
 
-  /** What a task of that grade earned in thousandths, by its end and the time that it took. */
+  /** Computes what a task earned. */
   public interface Earnings {
-    /** Earnings in thousandths, by query class, end and time to the answer. */
+    /**
+     * Returns the earnings of a task in thousandths.
+     *
+     * @param grade the query class
+     * @param time the time from acceptance to answer in nanoseconds
+     */
     long milli(String grade, End end, long time);
   }
 
@@ -39,18 +45,18 @@
   private final Map<String, Open> open = new HashMap<>();
   private long sequence;
 
-  /** Entries whose earnings are computed by the given function. */
+  /** Creates a tracker that computes earnings with the given function. */
   public EntryTracker(Earnings earnings) {
     this.earnings = earnings;
   }
 
-  /** A task was taken in; gives its number in this epoch. */
+  /** Registers an accepted task and returns its number in this epoch. */
   public long taken(long now, String task, String tenant, String grade) {
     open.put(task, new Open(++sequence, tenant, grade, now));
     return sequence;
   }
 
-  /** A forward is about to go out. */
+  /** Records a forward that is about to be sent. */
   public Line sent(long now, String task, int index, String engine, long grantedMb) {
     Open one = open.get(task);
     Use use = new Use(index, engine, now, 0, "", 0, 0, grantedMb, false);
@@ -60,8 +66,10 @@
   }
 
   /**
-   * A forward's end; served: its result went to the client. Null where the forward is not known to
-   * be out.
+   * Records the end of a forward.
+   *
+   * @param served whether its result goes to the client
+   * @return the update, or null if the forward is not known to be in flight
    */
   public Line ended(
       long now,
@@ -92,7 +100,7 @@
     return new Line.Ended(one.sequence, use, forget(task, one));
   }
 
-  /** The client was answered; forwards may still be out. */
+  /** Records that the client was answered; forwards may still be in flight. */
   public Line answered(long now, String task, End end, long bytes) {
     Open one = open.get(task);
     one.answered = true;
@@ -118,7 +126,7 @@
     return complete;
   }
 
-  /** How many tasks are not complete yet. */
+  /** The number of tasks that are not complete yet. */
   public int openTasks() {
     return open.size();
   }
--- a/src/main/java/tansytrack/ledger/ExportSteps.java
+++ b/src/main/java/tansytrack/ledger/ExportSteps.java
@@ -1,14 +1,15 @@
 package tansytrack.ledger;
 
 /**
- * The steps of an export, from what is found: a crash between any two is followed by the same
- * question, so nothing is skipped and nothing numbered twice. A sealed batch is fixed in the store,
- * by its range of positions and the hash of its bytes; until it is marked as placed nobody was told
- * of its file, so a file that is not the sealed bytes is written anew.
+ * Derives the next step of an export from the state of the store and the files. After a crash
+ * between any two steps the next step is derived in the same way, so that no line is skipped and no
+ * batch number is used twice. Sealing a batch fixes its range of positions and the hash of its bytes
+ * in the store. Nobody is told of a batch's file before the batch is marked as placed, so a file
+ * whose bytes differ from the sealed ones can be written again.
  */
 public final class ExportSteps {
 
-  /** What to do next with one batch, in the order of their happening. */
+  /** The steps of exporting one batch, in their order. */
   public enum Step {
     SEAL,
     WRITE,
@@ -20,9 +21,15 @@
   }
 
   /**
-   * What there is: lines behind the last batch; the hash of a batch that is sealed and not yet
-   * marked (null: none); the hash of its temporary file and of its file in place (null: no file);
-   * and what was synced since the start.
+   * The state of an export.
+   *
+   * @param linesLeft whether the store has lines after the last batch
+   * @param sealed the hash of the batch that is sealed and not marked as placed; null if there is
+   *     none
+   * @param temporary the hash of its temporary file; null if there is no such file
+   * @param synced whether this process forced the temporary file to the disk
+   * @param placed the hash of its file under the final name; null if there is no such file
+   * @param folderSynced whether this process forced the folder to the disk after the renaming
    */
   public record Found(
       boolean linesLeft,
@@ -34,7 +41,7 @@
 
   private ExportSteps() {}
 
-  /** The step that follows from what is found on disk and in the store. */
+  /** Returns the next step. */
   public static Step next(Found found) {
     if (found.sealed == null) {
       return found.linesLeft ? Step.SEAL : Step.DONE;
--- a/src/main/java/tansytrack/ledger/Gap.java
+++ b/src/main/java/tansytrack/ledger/Gap.java
@@ -1,8 +1,15 @@
 package tansytrack.ledger;
 
 /**
- * Lines that could not be kept: how many, of which tasks at most (first to last number), from when
- * to when, and why. It is itself a numbered line, so nothing goes unseen.
+ * Updates that could not be written. A gap is itself a numbered line of the ledger, so that every
+ * loss is visible.
+ *
+ * @param firstSequence the lowest number of a task that lost an update; 0 if none has a number
+ * @param lastSequence the highest number of a task that lost an update; tasks between the two may be
+ *     complete
+ * @param from the time of the first lost update in nanoseconds of the Unix clock
+ * @param until the time at which updates were accepted again
+ * @param lines the number of lost updates
  */
 public record Gap(
     long epoch,
@@ -14,7 +21,7 @@
     long lines,
     String cause) {
 
-  /** Whether a task's number falls into the gap. */
+  /** Whether the number of a task lies within the gap. */
   public boolean covers(long sequence) {
     return firstSequence <= sequence && sequence <= lastSequence;
   }
--- a/src/main/java/tansytrack/ledger/Invariants.java
+++ b/src/main/java/tansytrack/ledger/Invariants.java
@@ -1,9 +1,9 @@
 package tansytrack.ledger;
 
 /**
- * What must hold of every ledger, checked as it is read in the order of positions; the first breach
- * is said. Positions run from 1 without a hole, each task's times are in order, nothing complete
- * has a forward out, and batches follow each other.
+ * Checks the invariants of a ledger while its lines are read in the order of their positions, and
+ * keeps the first violation. Positions run from 1 without a missing one, the times of each task are
+ * in order, no complete task has a forward in flight, and batches are contiguous.
  */
 public final class Invariants {
 
@@ -17,19 +17,19 @@
     positioned(at);
     String name = "entry " + entry.epoch() + ':' + entry.sequence();
     if (entry.end() == null) {
-      broken(name + " is complete and has no end");
+      broken(name + " is complete but has no end");
     } else if (entry.endedAt() != 0 && entry.endedAt() < entry.takenAt()) {
       broken(name + " ended before it was taken");
     } else if (entry.end() == End.BOUNCED && entry.work(false) > 0) {
-      broken(name + " was bounced and has work that somebody got");
+      broken(name + " was bounced but has work that is not wasted");
     }
     int served = 0;
     for (Use use : entry.uses()) {
       if (use.out()) {
-        broken(name + " is complete with forward " + use.index() + " out");
+        broken(name + " is complete but forward " + use.index() + " is in flight");
       }
       if (use.endedAt() != 0 && use.endedAt() < use.sentAt()) {
-        broken(name + ", forward " + use.index() + " ended before it was sent");
+        broken(name + ": forward " + use.index() + " ended before it was sent");
       }
       served += use.wasted() ? 0 : 1;
     }
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Checks the position of a line that is no entry. */
+  /** Checks the position of an amendment or a gap. */
   public void line(long at) {
     positioned(at);
   }
@@ -51,8 +51,10 @@
   }
 
   /**
-   * A batch, in the order of numbers, with the hash it was sealed with and that of its bytes made
-   * again.
+   * Checks the next batch in the order of numbers.
+   *
+   * @param sealed the hash of the batch when it was sealed
+   * @param again the hash of the bytes that its lines give now
    */
   public void batch(long number, long first, long last, String sealed, String again) {
     if (number != ++batch) {
@@ -61,21 +63,34 @@
     }
     if (first != exported + 1 || last < first) {
       broken(
-          "batch " + number + " holds positions " + first + " to " + last + ", behind " + exported);
+          "batch "
+              + number
+              + " has positions "
+              + first
+              + " to "
+              + last
+              + "; the batch before ended at "
+              + exported);
     }
     exported = last;
     if (!sealed.equals(again)) {
-      broken("batch " + number + " was sealed as " + sealed + ", its lines now give " + again);
+      broken("batch " + number + " was sealed with hash " + sealed + "; its hash now is " + again);
     }
     if (last > position) {
-      broken("batch " + number + " holds position " + last + ", the last is " + position);
+      broken("batch " + number + " has position " + last + "; the last one is " + position);
     }
   }
 
-  /** A closed period, with the hash of its sums as it was closed and now. */
+  /** Checks a closed period by the hashes of its subtotals when it was closed and now. */
   public void closed(String period, String then, String now) {
     if (!then.equals(now)) {
-      broken("closed period " + period + " was closed as " + then + ", its sums now give " + now);
+      broken(
+          "period "
+              + period
+              + " was closed with hash "
+              + then
+              + "; the hash of its subtotals now is "
+              + now);
     }
   }
 
@@ -85,17 +100,17 @@
     }
   }
 
-  /** The first breach, or null. */
+  /** The first violation, or null. */
   public String breach() {
     return breach;
   }
 
-  /** The last position that was seen. */
+  /** The last position that was checked. */
   public long positions() {
     return position;
   }
 
-  /** The number of the last batch that was seen. */
+  /** The number of the last batch that was checked. */
   public long batches() {
     return batch;
   }
--- a/src/main/java/tansytrack/ledger/Line.java
+++ b/src/main/java/tansytrack/ledger/Line.java
@@ -1,18 +1,18 @@
 package tansytrack.ledger;
 
 /**
- * What goes from the loop to the disk, in order. Each says whether the task's entry is complete
- * with it.
+ * An update of the ledger that the event loop hands over to the writer thread. Updates are written
+ * in their order.
  */
 public sealed interface Line {
 
-  /** The number of the task in its epoch; 0 where the line is about no task. */
+  /** The number of the task in its epoch; 0 if the update belongs to no task of this epoch. */
   long sequence();
 
-  /** Whether the entry of the task is complete with this line. */
+  /** Whether this update completes the entry of the task. */
   boolean complete();
 
-  /** A forward is about to go out. */
+  /** A forward is about to be sent. */
   record Sent(long sequence, String task, String tenant, String grade, long takenAt, Use use)
       implements Line {
     @Override
@@ -24,7 +24,7 @@
   /** A forward ended. */
   record Ended(long sequence, Use use, boolean complete) implements Line {}
 
-  /** The task is owed no answer any more. */
+  /** The client of a task was answered or is no longer waiting. */
   record Answered(
       long sequence,
       String task,
@@ -38,7 +38,7 @@
       boolean complete)
       implements Line {}
 
-  /** What an engine said, after a start, of a forward that the life before left out. */
+  /** An engine reported on a forward that the previous run of the manager left in flight. */
   record Told(Reconciliation.Run run) implements Line {
     @Override
     public long sequence() {
@@ -51,7 +51,7 @@
     }
   }
 
-  /** What was not kept before this line. */
+  /** Earlier updates were lost. */
   record Missing(Gap gap) implements Line {
     @Override
     public long sequence() {
--- a/src/main/java/tansytrack/ledger/Merged.java
+++ b/src/main/java/tansytrack/ledger/Merged.java
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * Several managers' ledgers as one: the union of what each says, so that order, repetition and
- * overlap make no difference. Where two say different things of one task both are kept, and it is a
- * contradiction.
+ * The union of several managers' ledgers. The order in which ledgers and exports are added,
+ * repetitions and overlaps make no difference. If two sources have different entries for one task,
+ * both are kept and reported as a contradiction.
  */
 public final class Merged {
 
-  /** One task among all managers. */
+  /** Identifies a task, or a gap, among all managers. */
   public record Key(String manager, long epoch, long sequence) implements Comparable<Key> {
     private static final Comparator<Key> ORDER =
         Comparator.comparing(Key::manager)
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Numbers of one epoch that nothing accounts for, from first to last. */
+  /** A range of task numbers of one epoch for which there is neither an entry nor a gap. */
   public record Hole(String manager, long epoch, long first, long last) {}
 
   private record Epoch(String manager, long epoch) {}
@@ -54,7 +54,7 @@
         .add(gap);
   }
 
-  /** Takes in all that the other holds. */
+  /** Adds all entries and gaps of another merged ledger. */
   public void add(Merged other) {
     other.entries.forEach(
         (key, said) -> entries.computeIfAbsent(key, one -> new HashSet<>(2)).addAll(said));
@@ -62,7 +62,7 @@
         (key, said) -> gaps.computeIfAbsent(key, one -> new HashSet<>(2)).addAll(said));
   }
 
-  /** Entries by their key; more than one under a key contradict each other. */
+  /** Entries by their key; several entries under one key contradict each other. */
   public Map<Key, Set<Entry>> entries() {
     return entries;
   }
@@ -72,7 +72,7 @@
     return gaps.values().stream().flatMap(Set::stream).toList();
   }
 
-  /** Tasks, and gaps, of which different things are said. */
+  /** The keys of tasks and gaps for which the sources differ. */
   public List<Key> contradictions() {
     List<Key> against = new ArrayList<>();
     entries.forEach(
@@ -90,7 +90,7 @@
     return against;
   }
 
-  /** Numbers missing below the last one of their epoch, where no gap accounts for them. */
+  /** Ranges of numbers below the last one of their epoch with neither an entry nor a gap. */
   public List<Hole> holes() {
     Map<Epoch, List<Gap>> known = new java.util.HashMap<>();
     gaps.forEach(
--- a/src/main/java/tansytrack/ledger/Periods.java
+++ b/src/main/java/tansytrack/ledger/Periods.java
@@ -10,22 +10,22 @@
 import java.time.temporal.TemporalAdjusters;
 
 /**
- * Billing periods in a time zone: 2026-12, 2026-W49 or 2026-12-01. Each reaches from midnight to
- * midnight of that zone (or the day's first moment, where summer time leaves midnight out), so a
- * period is as long as its days there.
+ * Billing periods in a time zone, named like 2026-12, 2026-W49 or 2026-12-01. A period starts and
+ * ends at midnight of that zone, or at the first moment of the day if a change to daylight saving
+ * time skips midnight. The length of a period therefore varies with the length of its days.
  */
 public record Periods(Length length, ZoneId zone) {
 
   private static final long SECOND = 1_000_000_000L;
 
-  /** How long a period is: each is a calendar unit of its time zone. */
+  /** The calendar unit of a period. */
   public enum Length {
     MONTH,
     WEEK,
     DAY
   }
 
-  /** The period that a moment falls in; nanoseconds of the Unix clock. */
+  /** Returns the period that contains a time, given in nanoseconds of the Unix clock. */
   public String of(long at) {
     LocalDate day =
         Instant.ofEpochSecond(Math.floorDiv(at, SECOND), Math.floorMod(at, SECOND))
@@ -41,7 +41,11 @@
     };
   }
 
-  /** Its first day, or a BadPeriod that says what a period looks like. */
+  /**
+   * Returns the first day of a period.
+   *
+   * @throws BadPeriod if the text is not a period; the message shows the expected form
+   */
   public LocalDate first(String period) {
     try {
       LocalDate day =
@@ -54,12 +58,12 @@
         return day;
       }
     } catch (DateTimeParseException | NumberFormatException | IndexOutOfBoundsException e) {
-      // said below
+      // Reported below, together with texts that parse but are not the name of a period.
     }
     throw new BadPeriod(
         "period '"
             + period
-            + "' is none; allowed: "
+            + "' is not valid; allowed: "
             + switch (length) {
               case MONTH -> "a month, as in 2026-12";
               case WEEK -> "a week, as in 2026-W49";
@@ -80,12 +84,12 @@
     return day.atStartOfDay(zone).toEpochSecond() * SECOND;
   }
 
-  /** The first moment of a period, in nanoseconds of the Unix clock. */
+  /** The start of a period in nanoseconds of the Unix clock. */
   public long start(String period) {
     return start(first(period));
   }
 
-  /** The moment at which it is over. */
+  /** The end of a period (exclusive) in nanoseconds of the Unix clock. */
   public long end(String period) {
     LocalDate day = first(period);
     return start(
@@ -96,12 +100,12 @@
         });
   }
 
-  /** The day that a moment falls in, in the time zone of the periods. */
+  /** The day that contains a time, in the time zone of the periods. */
   public LocalDate day(long at) {
     return Instant.ofEpochSecond(Math.floorDiv(at, SECOND)).atZone(zone).toLocalDate();
   }
 
-  /** A text that names no period. */
+  /** Thrown for a text that is not the name of a period. */
   public static final class BadPeriod extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/tansytrack/ledger/Rates.java
+++ b/src/main/java/tansytrack/ledger/Rates.java
@@ -6,20 +6,21 @@
 import java.util.List;
 
 /**
- * What use costs, in exact decimals. Of the rates that a task's day has reached, the one that names
- * most holds (tenant and grade, then tenant, then grade, then none), of those the latest that
- * began. Amounts are exact for a task, and rounded once, for each sum of a tenant's grade in a
- * period. A bounced task costs nothing, nor does one whose end nobody knows.
+ * The price list, in exact decimals. Of the rates that are valid on the day of a task, the most
+ * specific one applies (tenant and query class, then tenant, then query class, then neither); among
+ * equally specific ones, the one with the latest start. The price of a task is exact; amounts are
+ * rounded once, for each subtotal of a tenant and query class in a period. Bounced tasks and tasks
+ * whose end is unknown cost nothing.
  */
 public record Rates(List<Rate> rates, int decimals, RoundingMode rounding, boolean wasteBilled) {
 
   private static final BigDecimal NS_A_SECOND = new BigDecimal("1000000000");
   private static final BigDecimal MB_NS_A_GB_SECOND = new BigDecimal("1024000000000");
   private static final BigDecimal BYTES_A_MB = new BigDecimal("1048576");
-  private static final int EXACT =
-      24; // digits behind the point; a binary fraction of 2^20 needs 20
+  // Decimal places of quotients; an exact quotient by 2^20 (the bytes of a MB) needs 20.
+  private static final int EXACT = 24;
 
-  /** One price list; an empty tenant or grade means any. */
+  /** One rate; an empty tenant or query class stands for all. */
   public record Rate(
       String tenant,
       String grade,
@@ -40,7 +41,7 @@
     }
   }
 
-  /** The rate that holds, or null. */
+  /** The rate that applies, or null. */
   public Rate of(String tenant, String grade, LocalDate day) {
     Rate best = null;
     for (Rate rate : rates) {
@@ -54,7 +55,7 @@
     return best;
   }
 
-  /** The exact price of a task on its day. */
+  /** The exact price of a task by the rate of the given day. */
   public BigDecimal price(Entry entry, LocalDate day) {
     Rate rate = of(entry.tenant(), entry.grade(), day);
     if (rate == null || entry.end() == End.BOUNCED || entry.end() == End.UNRESOLVED) {
@@ -73,7 +74,7 @@
         : price.multiply(amount).divide(unit, EXACT, RoundingMode.HALF_EVEN);
   }
 
-  /** The amount as it is billed, by the rounding that the operator chose. */
+  /** Rounds an amount for the bill, by the decimals and the rounding mode that are configured. */
   public BigDecimal rounded(BigDecimal exact) {
     return exact.setScale(decimals, rounding);
   }
--- a/src/main/java/tansytrack/ledger/Reconciliation.java
+++ b/src/main/java/tansytrack/ledger/Reconciliation.java
@@ -7,14 +7,19 @@
 import java.util.TreeSet;
 
 /**
- * A ledger against what the engines say that they ran. Each forward in the ledger and each run in a
- * statement are matched by engine and task; what stands on one side only is named with its likely
- * cause. Some of that is no fault: a forward that never came to its engine has no run, and one
+ * Compares ledgers with the runs that engines state. Each forward in a ledger is matched with a run
+ * of the same engine and task; what is found on one side only is reported with its likely cause.
+ * Some differences are expected: a forward that did not reach its engine has no run, and a forward
  * whose manager died has a run that resolves it.
  */
 public final class Reconciliation {
 
-  /** One run in an engine's statement; work in nanoseconds on one core. */
+  /**
+   * One run in an engine's statement.
+   *
+   * @param work the work in nanoseconds on one core
+   * @param done whether the run was completed; false if the engine dropped it
+   */
   public record Run(String engine, String task, long work, boolean done) {}
 
   private record Place(String engine, String task) implements Comparable<Place> {
@@ -26,8 +31,9 @@
   }
 
   /**
-   * What was found of one task at one engine; a fault is on one side only, without an innocent
-   * cause.
+   * A difference between the two sides for one task and engine.
+   *
+   * @param fault whether the difference is an error rather than an expected one
    */
   public record Finding(boolean fault, String kind, String engine, String task, String cause) {}
 
@@ -40,7 +46,7 @@
   private final Set<String> engines = new TreeSet<>();
   private long agreed;
 
-  /** Takes a ledger entry with all its uses of engines. */
+  /** Adds a ledger entry with all its forwards. */
   public void take(Entry entry) {
     for (Use use : entry.uses()) {
       told.computeIfAbsent(new Place(use.engine(), entry.task()), place -> new ArrayList<>(1))
@@ -48,18 +54,21 @@
     }
   }
 
-  /** An engine whose statement is whole, even if it ran nothing. */
+  /**
+   * Adds an engine that has stated all its runs, even if there are none. Forwards to engines without
+   * a statement are not compared.
+   */
   public void stated(String engine) {
     engines.add(engine);
   }
 
-  /** Takes a run that an engine states. */
+  /** Adds a run that an engine states. */
   public void take(Run run) {
     engines.add(run.engine);
     ran.computeIfAbsent(new Place(run.engine, run.task), place -> new ArrayList<>(1)).add(run);
   }
 
-  /** Compares both sides, by engine and task in the order of their names. */
+  /** Compares both sides and returns the differences, sorted by task and engine. */
   public List<Finding> findings() {
     agreed = 0;
     List<Finding> findings = new ArrayList<>();
@@ -97,13 +106,13 @@
               place.engine,
               place.task,
               uses.isEmpty()
-                  ? "no manager's ledger names it: a ledger is missing, or one crashed within its"
-                      + " loss window, or ran with a gap"
-                  : "the engine ran it once more than it was forwarded"));
+                  ? "no ledger has this task: a ledger is missing, a manager crashed before it"
+                      + " committed the task, or its ledger has a gap"
+                  : "the engine has more runs of this task than the ledgers have forwards"));
     }
   }
 
-  /** What is wrong or to be told of a use and the run that fits it, null where both agree. */
+  /** Compares a forward with the run matched to it, which may be null; null if they agree. */
   private static Finding compare(Place place, Use use, Run run) {
     String outcome = use.outcome();
     if (run != null && outcome.equals("OK") && run.work != use.work()) {
@@ -129,7 +138,7 @@
           "in the ledger only",
           place.engine,
           place.task,
-          "the statement is cut off, or of another time");
+          "the statement is incomplete or covers another time");
     }
     if (run == null && !NEVER_RUN.contains(outcome) && !MAY_HAVE_RUN.contains(outcome)) {
       return new Finding(
@@ -137,12 +146,15 @@
           "in the ledger only",
           place.engine,
           place.task,
-          "the engine answered " + outcome + " and states no run");
+          "the engine answered " + outcome + " but states no run");
     }
     return null;
   }
 
-  /** The run that fits best: for a good end one with its work, for others one that is not done. */
+  /**
+   * Returns the run that matches best, or null if there is none: for a successful forward a completed
+   * run with the same work, for others a run that was not completed.
+   */
   private static Run match(Use use, List<Run> runs) {
     Run best = null;
     for (Run run : runs) {
@@ -154,7 +166,7 @@
     return best;
   }
 
-  /** Forwards that both sides account for; known once the findings were asked for. */
+  /** The number of forwards on which both sides agree; valid after {@link #findings}. */
   public long agreed() {
     return agreed;
   }
--- a/src/main/java/tansytrack/ledger/Resolutions.java
+++ b/src/main/java/tansytrack/ledger/Resolutions.java
@@ -9,13 +9,14 @@
 import java.util.Set;
 
 /**
- * What engines' statements say of entries whose end nobody told: an amendment each, in the period
- * that the task belongs to, which says what the engines ran. Nobody got an answer, so the work is
- * waste, and by the rule on waste the house's or the tenant's. What was resolved before is left
- * alone, so a statement may be read in again.
+ * Resolves entries with an unknown end from engines' statements. Each resolved entry gets an
+ * amendment in the period of its task that says what the engines ran. No client got an answer, so
+ * the work is waste, which is billed to the tenant only if the rates bill waste. Entries that were
+ * resolved before are skipped, so that a statement may be read again.
  */
 public final class Resolutions {
 
+  // Start of the reason of every amendment made here; also used to recognize them later.
   private static final String SAID = "resolved: ";
 
   private final Rates rates;
@@ -23,7 +24,7 @@
   private final Map<String, List<Reconciliation.Run>> runs = new HashMap<>();
   private final Set<String> resolved = new HashSet<>();
 
-  /** Resolutions that leave out what the amendments made before already say. */
+  /** Creates a resolver that skips the entries resolved by the given amendments. */
   public Resolutions(Rates rates, Periods periods, List<Amendment> before) {
     this.rates = rates;
     this.periods = periods;
@@ -34,15 +35,16 @@
     }
   }
 
-  /** Takes a run that an engine states; the same statement twice counts once. */
+  /** Adds a run that an engine states; a repeated run counts once. */
   public void take(Reconciliation.Run run) {
     List<Reconciliation.Run> known = runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
     if (!known.contains(run)) {
-      known.add(run); // told at a start and again in a statement
+      // An engine may report a run after a manager's start and again in a statement.
+      known.add(run);
     }
   }
 
-  /** The amendment that resolves an entry, not yet numbered, or null. */
+  /** Returns an amendment without a number that resolves an entry, or null. */
   public Amendment of(Entry entry, String author, long now) {
     String name = "e:" + entry.epoch() + ':' + entry.sequence();
     List<Reconciliation.Run> ran = runs.getOrDefault(entry.task(), List.of());
@@ -63,7 +65,8 @@
     }
     if (uses.isEmpty()) {
       resolved.remove(name);
-      return null; // the runs are another manager's, at engines that this one did not ask
+      // The runs belong to another manager's task, at engines that this manager did not use.
+      return null;
     }
     Entry known = abandoned(entry, uses);
     BigDecimal amount = rates.rounded(rates.price(known, periods.day(entry.takenAt())));
@@ -92,7 +95,7 @@
         true);
   }
 
-  /** The entry as if its client had left it with those uses. */
+  /** Returns the entry as if its client had abandoned the task after those forwards. */
   private static Entry abandoned(Entry entry, List<Use> uses) {
     return new Entry(
         entry.epoch(),
--- a/src/main/java/tansytrack/ledger/Use.java
+++ b/src/main/java/tansytrack/ledger/Use.java
@@ -3,9 +3,15 @@
 import java.math.BigDecimal;
 
 /**
- * What one forward used: times in nanoseconds of the Unix clock (ended 0: still out), work in
- * nanoseconds on one core as the engine told it, memory in MB. Wasted: nobody got what it made. The
- * outcome is the forward's, or UNKNOWN where its manager died meanwhile.
+ * The resource usage of one forward. The component names are part of the output of {@code ledger
+ * merge}, see {@link Entry}.
+ *
+ * @param sentAt the time of sending in nanoseconds of the Unix clock
+ * @param endedAt the time of the end; 0 while the forward is in flight, or if its end is unknown
+ * @param outcome the outcome of the forward; empty while it is in flight, {@link #UNKNOWN} if its
+ *     manager died meanwhile
+ * @param work the work that the engine reported, in nanoseconds on one core
+ * @param wasted whether the result went to no client
  */
 public record Use(
     int index,
@@ -18,17 +24,15 @@
     long grantedMb,
     boolean wasted) {
 
+  /** The outcome of a forward whose manager died while it was in flight; stored in ledgers. */
   public static final String UNKNOWN = "UNKNOWN";
 
-  /** Whether the engine has not ended it yet. */
+  /** Whether the forward has not ended yet. */
   public boolean out() {
     return outcome.isEmpty();
   }
 
-  /**
-   * Memory granted times the time that it was, in MB-nanoseconds; an end that nobody knows counts
-   * for nothing.
-   */
+  /** Granted memory multiplied by its duration, in MB-nanoseconds; 0 if the end is unknown. */
   public BigDecimal held() {
     return endedAt == 0
         ? BigDecimal.ZERO
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -5,24 +5,27 @@
 import java.util.List;
 
 /**
- * Decides what leaves the loop for the disk, and when an answer that waits for the disk may go.
- * Lines on their way are bounded; what finds no room is counted into one gap, which goes out,
- * numbered, ahead of the next line that does. An answer waits for the commit of its line, for the
- * patience at most: guards against clients that hear nothing because a disk is slow or dead. Harm:
- * what is answered then may be lost in a crash, and is counted as such. Pure.
+ * Bounds the updates on their way from the event loop to the disk, and decides when an answer or
+ * forward that waits for the disk is released. Updates that exceed the bound are lost and counted in
+ * one gap, which is handed over, with a number, before the next accepted update. An answer waits
+ * until the updates before it are committed, but no longer than a maximum time, so that clients get
+ * answers even if the disk is slow or fails. The cost is that an answer released early may be missing
+ * from the ledger after a crash; such releases are counted. Does no I/O and gets the time from its
+ * caller.
  */
 public final class WriteFlowControl {
 
-  /** One answer that waits, by the number of its line. */
+  /** An answer or forward that waits until the update with this number is durable. */
   private record Held(long number, long since, Runnable say) {}
 
-  private static final int LINES_A_TASK = 5; // two forwards out and in, and the answer
+  // Two forwards with an update for sending and for the end each, and the answer.
+  private static final int LINES_A_TASK = 5;
 
   private final long epoch;
   private final int mostUnwritten;
   private final long patience;
   private final ArrayDeque<Held> held = new ArrayDeque<>();
-  private long handed; // lines, ever
+  private long handed; // updates since the start
   private long durable;
   private long gaps;
   private long gapFirst;
@@ -32,7 +35,10 @@
   private long answeredUndurable;
 
   /**
-   * A hand-over that refuses lines above a bound, and gives up waiting for the disk after a time.
+   * Creates a flow control for one epoch.
+   *
+   * @param mostUnwritten the maximum number of updates handed over and not yet durable
+   * @param patience the maximum time that an answer or forward is held, in nanoseconds
    */
   public WriteFlowControl(long epoch, int mostUnwritten, long patience) {
     this.epoch = epoch;
@@ -40,14 +46,17 @@
     this.patience = patience;
   }
 
-  /** The lines to hand over now: this one, with a gap before it where one is open, or none. */
+  /**
+   * Returns the updates to hand over now: the given one, preceded by a gap if one is open, or none if
+   * the update is lost.
+   */
   public List<Line> offer(long now, Line line) {
     return offer(now, line, 0);
   }
 
   /**
-   * The same for a line that must leave the room which so many open tasks may yet need: that of one
-   * which was bounced.
+   * Like {@link #offer(long, Line)}, but keeps room for the updates that this many open tasks may
+   * still need. Used for the updates of bounced tasks.
    */
   public List<Line> offer(long now, Line line, int openTasks) {
     boolean gap = gapLines > 0;
@@ -57,7 +66,8 @@
         gapFirst = 0;
         gapLast = 0;
       }
-      if (line.sequence() > 0) { // what is told of an earlier life has no number in this one
+      // A report on a forward of an earlier epoch has no number in this one.
+      if (line.sequence() > 0) {
         gapFirst = gapFirst == 0 ? line.sequence() : Math.min(gapFirst, line.sequence());
         gapLast = Math.max(gapLast, line.sequence());
       }
@@ -76,16 +86,19 @@
   }
 
   /**
-   * Is there room for a further task beside those open? Each may bring some lines yet, and no line
-   * of a task that was let in is to be lost. Guards against work that nobody can be billed for; the
-   * harm is that tasks are refused.
+   * Whether there is room for all updates of a further task and of the open ones, so that no update
+   * of an admitted task is lost. This prevents work that cannot be billed, at the cost of refused
+   * tasks.
    */
   public boolean admits(int openTasks) {
     return gapLines == 0
         && handed - durable + (long) LINES_A_TASK * (openTasks + 1) <= mostUnwritten;
   }
 
-  /** The open gap, where there is room for it now: it must not wait for another task. */
+  /**
+   * Returns the open gap if there is room for it now. A gap must not wait for the update of another
+   * task.
+   */
   public List<Line> idle(long now) {
     if (gapLines == 0 || handed - durable >= mostUnwritten) {
       return List.of();
@@ -111,8 +124,8 @@
   }
 
   /**
-   * An answer that may go once all handed over so far is durable; given back at once where it need
-   * not wait.
+   * Runs an action once all updates handed over so far are durable; at once if it need not wait, and
+   * also if a gap is open.
    */
   public void hold(long now, Runnable say) {
     if (gapLines > 0 || handed == durable || patience == 0) {
@@ -123,7 +136,10 @@
     }
   }
 
-  /** So many lines are on the disk; answers that waited for them go, in order. */
+  /**
+   * Notes that this many updates since the start are durable, and releases in order what waited for
+   * them.
+   */
   public void durable(long lines) {
     durable = Math.max(durable, lines);
     while (!held.isEmpty() && held.peek().number <= durable) {
@@ -131,7 +147,10 @@
     }
   }
 
-  /** Lets go what has waited for too long, and says when to ask again: 0 where nothing waits. */
+  /**
+   * Releases what has waited for the maximum time, and returns the time of the next call; 0 if
+   * nothing waits.
+   */
   public long overdue(long now) {
     while (!held.isEmpty() && now - held.peek().since >= patience) {
       answeredUndurable++;
@@ -140,29 +159,29 @@
     return held.isEmpty() ? 0 : held.peek().since + patience;
   }
 
-  /** The manager ends: nothing waits any more. */
+  /** Releases everything; called when the manager ends. */
   public void release() {
     while (!held.isEmpty()) {
       held.poll().say.run();
     }
   }
 
-  /** Lines handed over that are not durable yet. */
+  /** The number of updates handed over that are not durable yet. */
   public long unwritten() {
     return handed - durable;
   }
 
-  /** Lines that the gap now open leaves out. */
+  /** The number of updates lost in the gap that is open. */
   public long uncounted() {
     return gapLines;
   }
 
-  /** How many gaps were opened so far. */
+  /** The number of gaps handed over so far. */
   public long gaps() {
     return gaps;
   }
 
-  /** How many clients were answered before their entry was durable. */
+  /** The number of answers and forwards released before the updates before them were durable. */
   public long answeredUndurable() {
     return answeredUndurable;
   }
--- a/src/main/java/tansytrack/ledger/disk/Billing.java
+++ b/src/main/java/tansytrack/ledger/disk/Billing.java
@@ -17,14 +17,15 @@
 import tansytrack.ledger.Resolutions;
 import tansytrack.operator.OperatorFile;
 
-/** Runs a store's lines through the modules that bill and check. */
+/** Computes bills from the lines of a store, closes periods, and verifies stores. */
 public final class Billing {
 
-  private static final long TOLD_EVERY = 1_000_000; // lines, on long work
+  // Progress of a verification is reported after this many lines.
+  private static final long TOLD_EVERY = 1_000_000;
 
   private Billing() {}
 
-  /** A period's bill: as it was closed, or of all that is there by now. */
+  /** Computes the bill of a period: as it was closed, or of all lines so far while it is open. */
   public static Bill bill(Store store, Periods periods, Rates rates, String period)
       throws IOException {
     long upTo =
@@ -54,7 +55,7 @@
     return bill;
   }
 
-  /** Complete tasks by period. */
+  /** The number of complete tasks by period. */
   public static Map<String, Long> counts(Store store, Periods periods) throws IOException {
     Map<String, Long> counts = new TreeMap<>();
     store.read(
@@ -69,7 +70,10 @@
     return counts;
   }
 
-  /** Closes a period with all that is in the store now; later entries become corrections. */
+  /**
+   * Closes a period at the current position of the store. Later entries appear as late subtotals on
+   * its bill.
+   */
   public static Store.Closed close(
       Store store, OperatorFile.LedgerSection section, String period, String author, long now)
       throws IOException {
@@ -81,7 +85,7 @@
     return closed;
   }
 
-  /** Closes the periods whose grace is over. */
+  /** Closes the periods whose grace period is over, and returns their names. */
   public static List<String> closeDue(Store store, OperatorFile.LedgerSection section, long now)
       throws IOException {
     List<String> closed = new ArrayList<>();
@@ -109,7 +113,7 @@
     return sha.hex();
   }
 
-  /** Writes an amendment for each entry that the statements resolve; gives those written. */
+  /** Writes an amendment for each entry that is resolved, and returns these amendments. */
   public static List<Amendment> resolve(Store store, Resolutions by, String author, long now)
       throws IOException {
     List<Amendment> wanted = new ArrayList<>();
@@ -132,7 +136,7 @@
     return written;
   }
 
-  /** How a tenant stands against its quota in words. */
+  /** Returns "over" or "within" for a tenant with a quota, and "-" for one without. */
   public static String quota(Bill bill, String tenant, List<OperatorFile.QuotaLine> quotas) {
     long tasks = 0;
     long work = 0;
@@ -153,7 +157,7 @@
     return "-";
   }
 
-  /** The first breach of an invariant, or null. */
+  /** Checks all invariants of a store and returns the first violation, or null. */
   public static String verify(
       Store store, OperatorFile.LedgerSection section, LongConsumer progress) throws IOException {
     String damage = store.damage();
@@ -191,7 +195,8 @@
       checks.batch(one.number(), one.first(), one.last(), one.sha(), Exporter.hash(store, one));
     }
     for (Store.Closed one : store.closed()) {
-      // Only where billing is still what it was: other rates give other sums by right.
+      // A changed billing section legitimately gives other subtotals, so only periods that were
+      // closed with the present one can be checked.
       if (section.billingText().equals(one.billing())) {
         Bill bill = bill(store, section.periods(), section.rates(), one.period());
         checks.closed(one.period(), one.sha(), hash(bill));
--- a/src/main/java/tansytrack/ledger/disk/EpochStart.java
+++ b/src/main/java/tansytrack/ledger/disk/EpochStart.java
@@ -12,12 +12,12 @@
 import tansytrack.ledger.Use;
 
 /**
- * What a manager's start does to its ledger, within a transaction that the caller began: a new
- * epoch, and an end for each task that an earlier one left open.
+ * Begins a new epoch at the start of a manager and ends the tasks that earlier epochs left open.
+ * Works within a transaction that the caller began.
  */
 final class EpochStart {
 
-  /** A task by its epoch and its number in it. */
+  /** A task, identified by its epoch and its number in it. */
   private record Task(long epoch, long sequence) {}
 
   private final Connection db;
@@ -26,7 +26,7 @@
     this.db = db;
   }
 
-  /** Writes the next epoch and gives its number. */
+  /** Inserts the next epoch and returns its number. */
   long next(long now) throws SQLException {
     try (Statement run = db.createStatement();
         PreparedStatement put = db.prepareStatement("INSERT INTO epoch VALUES(?, ?)")) {
@@ -36,7 +36,11 @@
     }
   }
 
-  /** Ends what is open as unresolved; gives how many tasks, and tells each forward that was out. */
+  /**
+   * Marks all open tasks as unresolved and returns their number.
+   *
+   * @param left receives the task and the engine of each forward that was in flight
+   */
   long endOpen(BiConsumer<String, String> left) throws SQLException {
     List<Task> open = open();
     tellForwards(open, left);
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -17,7 +17,10 @@
 import java.util.List;
 import tansytrack.ledger.ExportSteps;
 
-/** Does the steps of an export as {@link ExportSteps} says; one export of a ledger at a time. */
+/**
+ * Exports the lines of a ledger as numbered batch files, in the steps given by {@link ExportSteps}. A
+ * lock file allows only one export of a ledger at a time.
+ */
 public final class Exporter {
 
   private static final String LOCK = "export.lock";
@@ -26,21 +29,21 @@
   private final Path folder;
   private final Faults faults;
 
-  /** Exports a store's lines as files into a folder. */
+  /** Creates an exporter that places the files of a store's batches in a folder. */
   public Exporter(Store store, Path folder, Faults faults) {
     this.store = store;
     this.folder = folder;
     this.faults = faults;
   }
 
-  /** The name of a batch's file, which has its number and form. */
+  /** The name of a batch's file, made of its number and its format. */
   public static String name(Store.Batch batch) {
     return String.format("batch-%08d.%s", batch.number(), Forms.suffix(batch.form()));
   }
 
   /**
-   * Finishes what was begun, then seals and places what is new, at most so many lines a batch.
-   * Gives the last batch placed, or null.
+   * Completes an interrupted export, then exports all new lines in batches of at most the given
+   * number of lines. Returns the last batch placed by this call, or null if there was none.
    */
   public Store.Batch run(String form, long most, long now) throws IOException {
     Files.createDirectories(folder);
@@ -58,7 +61,7 @@
     try {
       held = channel.tryLock();
     } catch (OverlappingFileLockException e) {
-      // said below
+      // Another thread of this process holds the lock; reported below.
     }
     if (held == null) {
       throw new IOException("another export of " + store.folder() + " is running");
@@ -92,10 +95,14 @@
     }
   }
 
-  /** How far this process has come with the open batch; what it did not do itself is looked up. */
+  /**
+   * The progress of this process with the open batch. What this process did not write itself is read
+   * from the files.
+   */
   private final class Progress {
-    private String written; // the hash of the temporary file, where this process wrote it
-    private String moved; // and of the file in place
+    // The hashes of the temporary and of the final file; null unless this process wrote them.
+    private String written;
+    private String moved;
     private boolean synced;
     private boolean folderSynced;
     private Store.Batch placed;
@@ -155,8 +162,8 @@
   }
 
   /**
-   * Writes the lines to the temporary file and fixes range and hash; before that the file counts
-   * for nothing.
+   * Writes lines to a temporary file, then stores the range and the hash of the batch. A temporary
+   * file without a stored batch is overwritten by the next export.
    */
   private String seal(long number, long first, long last, String form, long now)
       throws IOException {
@@ -177,16 +184,16 @@
         throw new IOException(
             "batch "
                 + batch.number()
-                + " was sealed as "
+                + " was sealed with SHA-256 "
                 + batch.sha()
-                + " and its lines now give "
+                + ", but that of its lines now is "
                 + sha.hex()
                 + ": the ledger is damaged");
       }
     }
   }
 
-  /** Writes a batch that was placed before once more, as the same bytes. */
+  /** Writes the file of a batch that was placed before again, with the same bytes. */
   public void again(long number) throws IOException {
     for (Store.Batch batch : store.batches()) {
       if (batch.number() == number && batch.placedAt() > 0) {
@@ -207,7 +214,7 @@
         "batch " + number + " does not exist, or was not yet placed");
   }
 
-  /** The hash that a batch's lines give now. */
+  /** Computes the hash of a batch from its lines as they are now. */
   public static String hash(Store store, Store.Batch batch) throws IOException {
     Sha sha = new Sha(OutputStream.nullOutputStream());
     Forms.write(store, batch.number(), batch.first(), batch.last(), batch.form(), sha);
@@ -231,10 +238,11 @@
     return sha.hex();
   }
 
-  /** Hashes and counts what goes through. */
+  /** Hashes and counts the bytes that are written to it. */
   static final class Sha extends DigestOutputStream {
     private long size;
-    private String hex; // once it is asked for, nothing more may come
+    // Set by the first call of hex(); nothing may be written after that.
+    private String hex;
 
     Sha(OutputStream to) {
       super(to, sha256());
--- a/src/main/java/tansytrack/ledger/disk/Faults.java
+++ b/src/main/java/tansytrack/ledger/disk/Faults.java
@@ -2,12 +2,13 @@
 
 import java.io.IOException;
 
-/** Told of each step that touches the disk, before it; a test makes any of them fail. */
+/** Called before each step that touches the disk; tests use it to let a step fail. */
 @FunctionalInterface
 public interface Faults {
 
+  /** Lets no step fail. */
   Faults NONE = step -> {};
 
-  /** Called before each step on the disk; throws where that step is to fail. */
+  /** Throws if the given step is to fail. */
   void before(String step) throws IOException;
 }
--- a/src/main/java/tansytrack/ledger/disk/Forms.java
+++ b/src/main/java/tansytrack/ledger/disk/Forms.java
@@ -23,8 +23,8 @@
 import tansytrack.ledger.proto.Line;
 
 /**
- * The forms of an export: delimited protobuf (ledger.proto) and CSV. The same lines always give the
- * same bytes.
+ * The formats of an export: delimited protobuf messages (ledger.proto) and CSV. The same lines always
+ * give the same bytes.
  */
 final class Forms {
 
@@ -62,7 +62,7 @@
     return form.equals(CSV) ? "csv" : "pb";
   }
 
-  /** Writes the lines of a batch. */
+  /** Writes a batch with the lines of the given positions. */
   static void write(Store store, long number, long first, long last, String form, OutputStream to)
       throws IOException {
     OutputStream out = new BufferedOutputStream(to, 1 << 16);
@@ -87,7 +87,7 @@
     out.flush();
   }
 
-  /** Lines as rows, all columns in each. */
+  /** Writes each line as a row with all columns. */
   private record Csv(CSVPrinter csv, long number, String manager) implements Store.Lines {
 
     @Override
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Lines as messages, each behind its length. */
+  /** Writes each line as a protobuf message, preceded by its length. */
   private record Proto(OutputStream out) implements Store.Lines {
 
     @Override
@@ -246,12 +246,14 @@
   }
 
   /**
-   * Reads an exported batch in protobuf, for whoever wants that manager's lines; gives its head.
+   * Reads an exported batch in the protobuf format and returns its head.
+   *
+   * @param wants returns the visitor for the lines of a manager, by its name
    */
   static BatchHead read(InputStream from, Function<String, Store.Lines> wants) throws IOException {
     BatchHead head = BatchHead.parseDelimitedFrom(from);
     if (head == null || head.getManager().isEmpty() || head.getLines() < 1) {
-      throw new IOException("is no exported batch");
+      throw new IOException("is not an exported batch");
     }
     Store.Lines to = wants.apply(head.getManager());
     for (long i = 0; i < head.getLines(); i++) {
@@ -322,7 +324,7 @@
           one.getEarningsMilli(),
           uses);
     } catch (IllegalArgumentException e) {
-      throw new IOException("holds an entry with the end '" + one.getEnd() + "'", e);
+      throw new IOException("has an entry with the unknown end '" + one.getEnd() + "'", e);
     }
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
@@ -17,12 +17,16 @@
 import tansytrack.ledger.Merged;
 import tansytrack.ledger.Reconciliation;
 
-/** Ledgers, exported batches and engines' statements, read from where they are. */
+/** Reads ledgers, exported batches and engines' statements from files and folders. */
 public final class LedgerFiles {
 
   private LedgerFiles() {}
 
-  /** What all these places hold. */
+  /**
+   * Reads and merges ledgers and exported batches.
+   *
+   * @param places folders with a ledger, folders with batches (*.pb), or batches
+   */
   public static Merged merged(List<Path> places) throws IOException {
     Merged all = new Merged();
     for (Path place : places) {
@@ -36,7 +40,7 @@
           files = found.filter(one -> one.toString().endsWith(".pb")).sorted().toList();
         }
         if (files.isEmpty()) {
-          throw new IOException(place + " holds no ledger and no batch (*.pb)");
+          throw new IOException(place + " contains neither a ledger nor a batch (*.pb)");
         }
         for (Path file : files) {
           batch(file, all);
@@ -52,7 +56,8 @@
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 16)) {
       Merged one = new Merged();
       Forms.read(in, manager -> into(one, manager));
-      all.add(one); // only once it was read whole
+      // Added only after the whole batch was read, so that a damaged one adds nothing.
+      all.add(one);
     } catch (IOException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
     }
@@ -73,15 +78,21 @@
   }
 
   /**
-   * An engine's statement as CSV: engine,task,work_ns,done; a row without a task says that the
-   * engine has stated all.
+   * Adds an engine's statement to a reconciliation. A statement is CSV with the columns engine, task,
+   * work_ns and done; a row without a task says that the statement of the engine is complete.
    */
   public static void statement(String name, InputStream from, Reconciliation to)
       throws IOException {
     statement(name, from, to::stated, to::take);
   }
 
-  /** Reads an engine's statement in CSV: the engines that it covers, and the runs it states. */
+  /**
+   * Reads an engine's statement.
+   *
+   * @param name the name of the statement in error messages
+   * @param stated receives the engines whose statements are complete
+   * @param ran receives the runs
+   */
   public static void statement(
       String name, InputStream from, Consumer<String> stated, Consumer<Reconciliation.Run> ran)
       throws IOException {
--- a/src/main/java/tansytrack/ledger/disk/LedgerLock.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerLock.java
@@ -9,17 +9,21 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The lock file that keeps a second manager from writing the same ledger. */
+/** The lock file that prevents two managers from writing the same ledger. */
 final class LedgerLock {
 
   private static final String LOCK = "ledger.lock";
-  private static final long LOCK_PATIENCE =
-      2_000_000_000L; // for the process before, which may be ending
+  // A previous process may still be shutting down.
+  private static final long LOCK_PATIENCE = 2_000_000_000L;
   private static final long LOCK_PAUSE = 50_000_000L;
 
   private LedgerLock() {}
 
-  /** Takes the lock, or fails with the name of the process that holds it. */
+  /**
+   * Acquires the lock and writes the manager and its process id to the file.
+   *
+   * @throws IOException if another process keeps the lock; the message has that process
+   */
   static FileChannel take(Path folder, String manager) throws IOException {
     FileChannel channel =
         FileChannel.open(
--- a/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
@@ -8,10 +8,10 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 
-/** The tables of a ledger, their version, and the manager that owns them. */
+/** The tables of a ledger, the version of the schema, and the manager that owns the ledger. */
 final class LedgerSchema {
 
-  /** The version that this program writes; it reads and lifts all earlier ones. */
+  /** The version that this program writes; ledgers with an earlier one are upgraded. */
   static final int VERSION = 3;
 
   private static final String TOLD =
@@ -47,8 +47,9 @@
   private LedgerSchema() {}
 
   /**
-   * Makes or lifts the schema, in one transaction, and gives the manager that owns the ledger; a
-   * null manager opens what is there and makes nothing.
+   * Creates or upgrades the schema in one transaction, and returns the manager that owns the ledger.
+   *
+   * @param manager the manager that opens the ledger; null to open only an existing ledger
    */
   static String prepare(Connection db, String manager, Path folder)
       throws SQLException, IOException {
@@ -62,7 +63,7 @@
       int version = Sql.number(run, "PRAGMA user_version");
       if (version > VERSION) {
         throw new IOException(
-            folder + " has schema " + version + "; this program knows up to " + VERSION);
+            folder + " has schema " + version + "; this program supports versions up to " + VERSION);
       }
       if (version < VERSION) {
         if (manager == null && version == 0) {
@@ -76,7 +77,7 @@
           run.execute("INSERT INTO meta VALUES('position', 0)");
         } else {
           if (version == 1) {
-            // It did not keep with which billing section a period was closed.
+            // Version 1 did not store the billing section with which a period was closed.
             run.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
           }
           run.execute(TOLD);
--- a/src/main/java/tansytrack/ledger/disk/LineReader.java
+++ b/src/main/java/tansytrack/ledger/disk/LineReader.java
@@ -19,7 +19,7 @@
 /** Reads the lines of a ledger in the order of their positions. */
 final class LineReader {
 
-  private static final int ROWS = 512; // fetched at a time
+  private static final int ROWS = 512;
 
   private final Connection reader;
 
@@ -27,7 +27,7 @@
     this.reader = reader;
   }
 
-  /** Gives out all lines from one position to another. */
+  /** Passes all lines from one position to another (inclusive) to a visitor. */
   void read(long first, long last, Store.Lines to) throws SQLException, IOException {
     NavigableMap<Long, Object> others = new TreeMap<>(amendments(first, last));
     others.putAll(gaps(first, last));
@@ -115,7 +115,7 @@
         row.getInt(20) != 0);
   }
 
-  /** Gives out what stands before the entry, and the entry. */
+  /** Visits the amendments and gaps before a position, then the entry at it, if there is one. */
   private static void emit(long at, Entry entry, NavigableMap<Long, Object> others, Store.Lines to)
       throws IOException {
     while (!others.isEmpty() && others.firstKey() < at) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /** By position, which is also their order by number. */
+  /** Returns amendments by position, which is also the order of their numbers. */
   NavigableMap<Long, Amendment> amendments(long first, long last) throws SQLException {
     TreeMap<Long, Amendment> all = new TreeMap<>();
     try (PreparedStatement ask =
--- a/src/main/java/tansytrack/ledger/disk/LineWriter.java
+++ b/src/main/java/tansytrack/ledger/disk/LineWriter.java
@@ -11,8 +11,9 @@
 import tansytrack.ledger.Use;
 
 /**
- * Writes a batch of lines of one epoch within a transaction that the caller began. What is sent and
- * over within the batch is written once, as it ended.
+ * Writes a batch of updates of one epoch within a transaction that the caller began. A forward that
+ * is sent and ends within the batch is written only once, with its end; likewise a task that is
+ * answered within the batch.
  */
 final class LineWriter implements AutoCloseable {
 
@@ -29,7 +30,7 @@
   private final PreparedStatement complete;
   private final PreparedStatement told;
   private final PreparedStatement missing;
-  private long position; // the last that was given out
+  private long position;
 
   LineWriter(Connection db, long epoch) throws SQLException {
     this.epoch = epoch;
@@ -62,7 +63,7 @@
     missing = db.prepareStatement("INSERT INTO gap VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?)");
   }
 
-  /** Writes all lines, in order, and gives the last position then. */
+  /** Writes all updates in order and returns the last position assigned. */
   long write(List<Line> lines) throws SQLException {
     note(lines);
     for (Line line : lines) {
--- a/src/main/java/tansytrack/ledger/disk/Recorder.java
+++ b/src/main/java/tansytrack/ledger/disk/Recorder.java
@@ -22,25 +22,30 @@
 import tansytrack.state.Timers;
 
 /**
- * The ledger of a running manager. In the loop it makes lines of what tasks do and hands them over;
- * one thread of its own writes them, many to a commit, and tells the loop by a note how far the
- * disk has come. A commit that fails is tried again until it succeeds; meanwhile lines queue up to
- * their bound, and beyond it count as a gap.
+ * The ledger of a running manager. In the event loop it turns the events of tasks into updates and
+ * queues them; a writer thread writes them, many in one commit, and reports through the inbox of the
+ * loop how many are durable. A commit that fails is retried until it succeeds. Meanwhile updates are
+ * queued up to a bound; further ones are lost and counted as a gap.
  */
 public final class Recorder implements TaskWatch {
 
   private static final long MS = 1_000_000L;
-  private static final long AGAIN = 200 * MS; // after a commit that failed
-  private static final long LOOK = 500 * MS; // for a gap that waits for room, with no task coming
-  private static final long LAST = 2000 * MS; // for what is unwritten at the end
+  private static final long AGAIN = 200 * MS;
+  // An open gap is handed over after this time even if no further task causes an update.
+  private static final long LOOK = 500 * MS;
+  // Failing commits are retried for this time after the end of the manager.
+  private static final long LAST = 2000 * MS;
   private static final int BATCH = 16384;
 
   private final Store store;
   private final Timers timers;
   private final Consumer<Runnable> inbox;
-  private final boolean afterCommit; // answers wait for the disk
-  private final boolean intentsFirst; // so do forwards
-  private final boolean bounces; // where there is no room for what a task brings
+  // Answers wait for the commit of their updates.
+  private final boolean afterCommit;
+  // Forwards wait for the commit of their updates.
+  private final boolean intentsFirst;
+  // New tasks are bounced while there is no room for their updates.
+  private final boolean bounces;
   private final long commitEvery;
   private final Map<String, Grade> grades = new HashMap<>();
   private final List<TaskWatch.Left> left;
@@ -72,7 +77,12 @@
     queue = new SpscArrayQueue<>(section.mostUnwritten() + 2);
   }
 
-  /** Opens the ledger, resolves what the life before left open, and begins a new epoch. */
+  /**
+   * Opens the ledger, begins a new epoch, marks the tasks that earlier epochs left open as
+   * unresolved, and starts the writer thread.
+   *
+   * @param inbox runs actions in the event loop
+   */
   public static Recorder start(
       OperatorFile.LedgerSection section,
       String manager,
@@ -98,13 +108,13 @@
             timers.now(), (task, engine) -> left.add(new TaskWatch.Left(task, engine)));
     Event.info(
         "ledger.opened",
-        "ledger in "
+        "ledger opened in "
             + section.folder()
             + ": epoch "
             + store.epoch()
             + ", "
             + unresolved
-            + " tasks of the life before unresolved",
+            + " tasks of earlier epochs marked as unresolved",
         "epoch",
         store.epoch(),
         "unresolved",
@@ -116,7 +126,7 @@
     return recorder;
   }
 
-  // ---- In the loop ----
+  // ---- Event loop ----
 
   @Override
   public void taken(long now, TaskOffer offer) {
@@ -159,7 +169,8 @@
     Line line = entries.answered(now, task, tansytrack.ledger.End.valueOf(end.name()), bytes);
     hand(flow.offer(now, line, bounces && end == TaskWatch.End.BOUNCED ? entries.openTasks() : 0));
     if (!afterCommit || end != TaskWatch.End.HANDLED) {
-      say.run(); // what was given up is told at once, whatever the disk does
+      // Only answers with a result wait for the disk; refusals and failures are sent at once.
+      say.run();
       return;
     }
     flow.hold(now, say);
@@ -206,7 +217,8 @@
   private void hand(List<Line> lines) {
     for (Line one : lines) {
       if (!queue.offer(one)) {
-        throw new IllegalStateException("the ledger's queue is full below its bound");
+        throw new IllegalStateException(
+            "the ledger's queue is full although the unwritten updates are below the bound");
       }
     }
     if ((afterCommit || intentsFirst) && !lines.isEmpty()) {
@@ -241,13 +253,13 @@
     long left = flow.unwritten() + flow.uncounted();
     Event.info(
         "ledger.closed",
-        "ledger: "
+        "ledger closed: "
             + left
-            + " lines unwritten, "
+            + " updates unwritten, "
             + flow.gaps()
             + " gaps, "
             + flow.answeredUndurable()
-            + " forwards and answers before their commit",
+            + " forwards and answers released before their commit",
         "unwritten",
         left,
         "gaps",
@@ -256,12 +268,12 @@
         flow.answeredUndurable());
   }
 
-  /** Lines handed over that are not yet on the disk; asked in the loop. */
+  /** The number of queued updates that are not durable yet; called in the event loop. */
   public long unwritten() {
     return flow.unwritten();
   }
 
-  // ---- On the thread of its own ----
+  // ---- Writer thread ----
 
   private void write() {
     List<Line> batch = new ArrayList<>();
@@ -278,7 +290,7 @@
           long soFar = written;
           inbox.accept(() -> durable(soFar));
           if (failing) {
-            Event.info("ledger.disk.well", "ledger: the disk takes lines again");
+            Event.info("ledger.disk.well", "ledger: writing succeeds again");
           }
           failing = false;
         } catch (IOException | RuntimeException e) {
@@ -289,7 +301,7 @@
           if (last && System.nanoTime() > lastEffort) {
             Event.error(
                 "ledger.lost",
-                "ledger: ends with " + (batch.size() + queue.size()) + " lines unwritten",
+                "ledger: closed with " + (batch.size() + queue.size()) + " updates unwritten",
                 "lines",
                 batch.size() + queue.size());
             break;
@@ -298,8 +310,8 @@
           continue;
         }
       } else if (last) {
-        // The loop is in close() and takes no notes any more, so the count is set here; join()
-        // orders it.
+        // The loop is in close() and no longer reads its inbox, so this thread sets the count.
+        // join() makes it visible to the loop.
         flow.durable(written);
         break;
       }
--- a/src/main/java/tansytrack/ledger/disk/Sql.java
+++ b/src/main/java/tansytrack/ledger/disk/Sql.java
@@ -6,19 +6,19 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 
-/** Short forms of what every statement on the ledger's tables needs. */
+/** Helpers for SQL statements on the ledger's tables. */
 final class Sql {
 
   private Sql() {}
 
-  /** The one number that a query gives, 0 where it gives none. */
+  /** Returns the number in the first row of a query; 0 if there is none. */
   static int number(Statement run, String query) throws SQLException {
     try (ResultSet found = run.executeQuery(query)) {
       return found.next() ? found.getInt(1) : 0;
     }
   }
 
-  /** The last position that was given out. */
+  /** Returns the last position that was assigned. */
   static long position(Connection on) throws SQLException {
     try (Statement run = on.createStatement();
         ResultSet found = run.executeQuery("SELECT value FROM meta WHERE name = 'position'")) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Sets the last position that was given out. */
+  /** Stores the last position that was assigned. */
   static void position(Connection db, long at) throws SQLException {
     try (PreparedStatement put =
         db.prepareStatement("UPDATE meta SET value = ? WHERE name = 'position'")) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Sets the parameters of a statement, in order, and gives the statement. */
+  /** Sets the parameters of a statement in order and returns the statement. */
   static PreparedStatement set(PreparedStatement put, Object... values) throws SQLException {
     for (int i = 0; i < values.length; i++) {
       put.setObject(i + 1, values[i]);
--- a/src/main/java/tansytrack/ledger/disk/Store.java
+++ b/src/main/java/tansytrack/ledger/disk/Store.java
@@ -21,22 +21,31 @@
 import tansytrack.ledger.Reconciliation;
 
 /**
- * One manager's ledger in SQLite: a write-ahead log, made durable at each commit. Complete entries,
- * amendments and gaps get a position in the order in which they became so, from one counter;
- * everything later (bills, batches) goes by positions. Opening it reads the tail alone: what is
- * open is found by an index of just that.
+ * One manager's ledger in an SQLite database with a write-ahead log that is synchronized at each
+ * commit. Complete entries, amendments and gaps (the lines of the ledger) get consecutive positions
+ * from one counter, in the order in which they are completed. Bills and batches refer to lines by
+ * position. Opening a ledger does not read all of it, because an index contains just the open tasks.
  */
 public final class Store implements AutoCloseable {
 
   private static final String FILE = "ledger.sqlite";
-  private static final int BUSY_MS = 5000; // for a command that writes beside a running manager
-  private static final int LOG_PAGES = 16384; // of 4 KB, before the log is taken over into the file
+  // Commands may write while the manager is running, so a writer may have to wait for the other.
+  private static final int BUSY_MS = 5000;
+  // Pages of 4 KB in the write-ahead log before SQLite copies them into the database.
+  private static final int LOG_PAGES = 16384;
 
-  /** A period as it was closed; the sums hold entries up to that position. */
+  /**
+   * A closed period.
+   *
+   * @param upTo the last position whose entries are in its subtotals
+   * @param author who closed it
+   * @param sha the hash of its subtotals
+   * @param billing the text of the billing section with which it was closed
+   */
   public record Closed(
       String period, long upTo, long at, String author, String sha, String billing) {}
 
-  /** A sealed batch; placed and acknowledged 0: not yet. */
+  /** A sealed batch; {@code placedAt} and {@code ackedAt} are 0 until then. */
   public record Batch(
       long number,
       long first,
@@ -48,22 +57,24 @@
       long placedAt,
       long ackedAt) {}
 
-  /** Reads lines in the order of their positions; what is not overridden is passed over. */
+  /** Visits lines in the order of their positions; ignores those without an overridden method. */
   public interface Lines {
-    /** A task's complete entry. */
+    /** Visits the complete entry of a task. */
     default void entry(long position, Entry entry) throws IOException {}
 
-    /** A correction of a bill. */
+    /** Visits an amendment. */
     default void amendment(long position, Amendment amendment) throws IOException {}
 
-    /** Lines that the manager could not write. */
+    /** Visits a gap. */
     default void gap(long position, Gap gap) throws IOException {}
   }
 
   private final Path folder;
   private final Faults faults;
-  private final Connection db; // its transactions take the right to write as they begin
-  private final Connection reader; // sees the ledger as it was then, and holds up nobody
+  // Its transactions acquire the write lock when they begin.
+  private final Connection db;
+  // Its transactions read a snapshot and block nobody.
+  private final Connection reader;
   private final LineReader lines;
   private final FileChannel lock;
   private final String manager;
@@ -87,7 +98,7 @@
 
   // ---- Opening ----
 
-  /** For the manager that writes it, and makes it where there is none; one at a time. */
+  /** Opens or creates a ledger for its manager; fails if another process holds its lock. */
   static Store forManager(Path folder, String manager, Faults faults) throws IOException {
     Files.createDirectories(folder);
     FileChannel lock = LedgerLock.take(folder, manager);
@@ -99,7 +110,7 @@
     }
   }
 
-  /** For a command, beside a manager or without one. */
+  /** Opens an existing ledger for a command; its manager may be running. */
   public static Store forCommand(Path folder, Faults faults) throws IOException {
     if (!Files.exists(folder.resolve(FILE))) {
       throw new IOException(folder + " holds no ledger (" + FILE + " is missing)");
@@ -141,7 +152,7 @@
         db.close();
       }
     } catch (SQLException e) {
-      // it is given up for the reason that is being said
+      // Ignored: the caller reports the failure that made it close the connection.
     }
   }
 
@@ -150,19 +161,19 @@
     return manager;
   }
 
-  /** The folder that it lies in. */
+  /** The folder of this ledger. */
   public Path folder() {
     return folder;
   }
 
-  /** The epoch that was begun last by this process; 0 before. */
+  /** The epoch begun by {@link #beginEpoch}; 0 before. */
   public long epoch() {
     return epoch;
   }
 
   // ---- Transactions ----
 
-  /** What is done in one transaction. */
+  /** The body of a transaction. */
   private interface Work<T> {
     T run() throws SQLException, IOException;
   }
@@ -176,8 +187,8 @@
   }
 
   /**
-   * Begun and ended by hand: the driver's own commit begins the next transaction, and with it the
-   * right to write, at once.
+   * Runs a transaction with explicit BEGIN and COMMIT statements. The commit of the JDBC driver would
+   * begin the next transaction at once and with it acquire the write lock again.
    */
   private <T> T atomically(String step, Connection on, String begin, Work<T> work)
       throws IOException {
@@ -193,7 +204,8 @@
         try {
           run.execute("ROLLBACK");
         } catch (SQLException again) {
-          e.addSuppressed(again); // as where the database has rolled back by itself
+          // Also thrown if the database has already rolled back by itself.
+          e.addSuppressed(again);
         }
         throw e;
       }
@@ -202,11 +214,13 @@
     }
   }
 
-  // ---- The running manager's side ----
+  // ---- Operations of the running manager ----
 
   /**
-   * Begins a new epoch: what earlier ones left open has no end that anybody told. Gives the number
-   * of such tasks, and tells each forward that was left out, by task and engine.
+   * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns the
+   * number of such tasks.
+   *
+   * @param left receives the task and the engine of each forward that was in flight
    */
   long beginEpoch(long now, BiConsumer<String, String> left) throws IOException {
     return atomically(
@@ -218,7 +232,7 @@
         });
   }
 
-  /** Writes lines of this epoch, in one transaction. */
+  /** Writes updates of this epoch in one transaction. */
   void write(List<Line> lines) throws IOException {
     atomically(
         "lines",
@@ -232,12 +246,12 @@
 
   // ---- Reading ----
 
-  /** The last position. */
+  /** The position of the last line. */
   public long last() throws IOException {
     return reading(() -> Sql.position(reader));
   }
 
-  /** How many tasks have no complete entry yet. */
+  /** The number of tasks that are not complete. */
   public long openTasks() throws IOException {
     return reading(
         () -> {
@@ -249,7 +263,7 @@
         });
   }
 
-  /** Open tasks that were taken in a stretch of time. */
+  /** The number of open tasks that were accepted in a time span (end exclusive). */
   public long openTasks(long from, long until) throws IOException {
     return reading(
         () -> {
@@ -264,7 +278,7 @@
         });
   }
 
-  /** Whether there is an entry, complete or open, with that number. */
+  /** Whether there is a complete or open entry with that epoch and number. */
   public boolean holds(long ofEpoch, long sequence) throws IOException {
     return reading(
         () -> {
@@ -276,7 +290,7 @@
         });
   }
 
-  /** All lines from one position to another, in order. */
+  /** Passes all lines from one position to another (inclusive) to a visitor, in order. */
   public void read(long first, long last, Lines to) throws IOException {
     reading(
         () -> {
@@ -285,12 +299,12 @@
         });
   }
 
-  /** All amendments, by number. */
+  /** All amendments, sorted by number. */
   public List<Amendment> amendments() throws IOException {
     return reading(() -> List.copyOf(lines.amendments(0, Long.MAX_VALUE).values()));
   }
 
-  /** What engines said after starts. */
+  /** Runs that engines reported when a manager asked after its start about forwards in flight. */
   public List<Reconciliation.Run> told() throws IOException {
     return reading(
         () -> {
@@ -310,7 +324,7 @@
         });
   }
 
-  /** The closed periods, by name. */
+  /** The closed periods, sorted by name. */
   public List<Closed> closed() throws IOException {
     return reading(
         () -> {
@@ -335,7 +349,7 @@
         });
   }
 
-  /** The sealed batches, by number. */
+  /** The sealed batches, sorted by number. */
   public List<Batch> batches() throws IOException {
     return reading(
         () -> {
@@ -363,9 +377,9 @@
         });
   }
 
-  // ---- The commands' side ----
+  // ---- Operations of commands ----
 
-  /** Writes an amendment under the next number; the one given back has it. */
+  /** Stores an amendment under the next number, and returns it with that number. */
   public Amendment amend(Amendment wanted) throws IOException {
     return atomically(
         "amendment",
@@ -405,7 +419,7 @@
         });
   }
 
-  /** Closes a period: its bill takes no more entries; later ones go into corrections. */
+  /** Stores that a period is closed. */
   public void close(Closed period) throws IOException {
     atomically(
         "close",
@@ -426,7 +440,7 @@
         });
   }
 
-  /** Seals a batch: its range, form and hash are fixed from here on. */
+  /** Stores a sealed batch; its range, format and hash are fixed from then on. */
   public void seal(Batch batch) throws IOException {
     atomically(
         "seal",
@@ -448,12 +462,12 @@
         });
   }
 
-  /** Notes that a batch's file is in its place, once. */
+  /** Stores the time at which a batch was placed, unless it has one. */
   public void placed(long number, long at) throws IOException {
     mark("placed_at", number, at);
   }
 
-  /** Notes that the billing side acknowledged a batch, once. */
+  /** Stores the time at which the consumer acknowledged a batch, unless it has one. */
   public void acked(long number, long at) throws IOException {
     mark("acked_at", number, at);
   }
@@ -471,7 +485,7 @@
         });
   }
 
-  /** What SQLite itself finds wrong with its file, or null. */
+  /** Runs a quick check of the database and returns the first damage found, or null. */
   public String damage() throws IOException {
     return reading(
         () -> {
--- a/src/test/java/tansytrack/LedgerCommandsTest.java
+++ b/src/test/java/tansytrack/LedgerCommandsTest.java
@@ -23,7 +23,10 @@
 import tansytrack.state.TaskWatch;
 import tansytrack.state.Timers;
 
-/** The operators' commands on a ledger that a manager left: 10,000 tenants, one task unresolved. */
+/**
+ * Tests the ledger commands on the ledger of a manager that has ended, with 10,000 tenants and one
+ * unresolved task.
+ */
 class LedgerCommandsTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -103,7 +106,8 @@
       }
     }
     recorder.close();
-    life(timers).close(); // the next start resolves the one that was left open
+    // The next start marks the task that was left open as unresolved.
+    life(timers).close();
   }
 
   @Test
@@ -231,7 +235,7 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "show --operator OP --period 2024-13-01 | period '2024-13-01' is none; allowed: a day",
+        "show --operator OP --period 2024-13-01 | period '2024-13-01' is not valid; allowed: a day",
         "show --operator none.textproto | cannot be read",
         "close --operator OP --author me 2199-01-01 | is not over yet",
         "correct --operator OP --period 2024-10-04 --tenant t --amount 1e3 --author me --reason r |"
--- a/src/test/java/tansytrack/ledger/BillingTest.java
+++ b/src/test/java/tansytrack/ledger/BillingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Periods, prices, corrections. */
+/** Tests billing periods, rates, bills and amendments. */
 class BillingTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -194,9 +194,9 @@
         "0 | '' | false | --amount is 0",
         "0 | a:1 | true | taken",
         "0 | e:1:7 | true | only an amendment can be withdrawn",
-        "0 | '' | true | nothing named to withdraw",
-        "1 | b:1 | false | names nothing",
-        "1 | e:x:1 | false | names nothing"
+        "0 | '' | true | --withdraw without --corrects",
+        "1 | b:1 | false | is not a valid reference",
+        "1 | e:x:1 | false | is not a valid reference"
       })
   void aCorrectionMustNameWhatIsThere(
       String amount, String corrects, boolean withdraws, String refused) {
--- a/src/test/java/tansytrack/ledger/EntryTrackerTest.java
+++ b/src/test/java/tansytrack/ledger/EntryTrackerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the loop makes of tasks, and what of it reaches the disk. */
+/** Tests the updates made of tasks' events, and which of them are handed over to the writer. */
 class EntryTrackerTest {
 
   private static final long MS = 1_000_000L;
@@ -32,7 +32,7 @@
     assertThat(entries.ended(10, "t", 1, "OK", 3, 2.6, false))
         .isEqualTo(new Line.Ended(1, new Use(1, "f", 7, 10, "OK", 3, 3, 0, true), true));
     assertThat(entries.openTasks()).isZero();
-    assertThat(entries.ended(11, "t", 1, "OK", 3, 2.6, false)).as("told twice").isNull();
+    assertThat(entries.ended(11, "t", 1, "OK", 3, 2.6, false)).as("ended twice").isNull();
   }
 
   @Test
@@ -58,7 +58,7 @@
       assertThat(flow.offer(i * MS, bounced(i))).isEmpty();
     }
     flow.durable(1);
-    assertThat(flow.offer(8 * MS, bounced(8))).as("no room for the gap and the line").isEmpty();
+    assertThat(flow.offer(8 * MS, bounced(8))).as("no room for the gap and the update").isEmpty();
     assertThat(flow.uncounted()).isEqualTo(4);
     flow.durable(2);
     List<Line> out = flow.offer(9 * MS, bounced(9));
@@ -121,7 +121,7 @@
     assertThat(wide.admits(2)).isFalse();
     for (int i = 1; i <= 13; i++) {
       wide.offer(i, bounced(i));
-      assertThat(wide.admits(0)).as("with %d lines", i).isEqualTo(i <= 7);
+      assertThat(wide.admits(0)).as("with %d updates", i).isEqualTo(i <= 7);
     }
     wide.durable(12);
     assertThat(wide.admits(0)).as("a gap is open").isFalse();
--- a/src/test/java/tansytrack/ledger/MergedTest.java
+++ b/src/test/java/tansytrack/ledger/MergedTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Merging and reconciling. */
+/** Tests merging, reconciliation and the invariants of ledgers. */
 class MergedTest {
 
   private static Entry entry(long epoch, long number, long bytes, Use... uses) {
--- a/src/test/java/tansytrack/ledger/disk/RecorderTest.java
+++ b/src/test/java/tansytrack/ledger/disk/RecorderTest.java
@@ -22,9 +22,7 @@
 import tansytrack.state.TaskWatch;
 import tansytrack.state.Timers;
 
-/**
- * A running manager's ledger on a disk that is full or slow for a while; the test plays the loop.
- */
+/** Tests the ledger of a running manager on a disk that is full or slow for a while. */
 class RecorderTest {
 
   private static final long MS = 1_000_000L;
@@ -87,7 +85,7 @@
     to.answered(timers.now(), id, TaskWatch.End.HANDLED, 10, () -> said.add("answered " + id));
   }
 
-  /** Turns the loop until it is so. */
+  /** Runs the actions in the inbox of the event loop until the condition holds. */
   private void until(BooleanSupplier so) throws InterruptedException {
     while (!so.getAsBoolean()) {
       Runnable note = inbox.poll(10, TimeUnit.MILLISECONDS);
@@ -108,7 +106,7 @@
     for (int i = 0; i < 100; i++) {
       task(recorder);
     }
-    assertThat(said).as("nothing waits").hasSize(200);
+    assertThat(said).as("no forward or answer waits").hasSize(200);
     assertThat(recorder.unwritten()).isEqualTo(64);
     fault = "";
     until(() -> recorder.unwritten() == 0);
@@ -168,7 +166,7 @@
     assertThat(read().gaps()).isEmpty();
   }
 
-  /** What is bounced meanwhile must not take the room that those let in may yet need. */
+  /** The updates of bounced tasks must not use the room that admitted tasks still need. */
   @Test
   void tasksThatWereLetInAreKeptHoweverManyAreBounced() throws IOException, InterruptedException {
     Recorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
@@ -205,11 +203,11 @@
     fault = "slow";
     long from = System.nanoTime();
     task(recorder);
-    Thread.sleep(100); // the commit of the first is on its way
+    Thread.sleep(100); // By now the writer thread is in the first commit.
     for (int i = 0; i < 20; i++) {
       task(recorder);
     }
-    assertThat(System.nanoTime() - from).as("the loop never waited").isLessThan(1_000 * MS);
+    assertThat(System.nanoTime() - from).as("time in the event loop").isLessThan(1_000 * MS);
     timers.now(timers.now() + 50 * MS);
     timers.run();
     assertThat(said).filteredOn(one -> one.startsWith("answered")).hasSize(21);
--- a/src/test/java/tansytrack/ledger/disk/StoreTest.java
+++ b/src/test/java/tansytrack/ledger/disk/StoreTest.java
@@ -26,7 +26,7 @@
 import tansytrack.ledger.Reconciliation;
 import tansytrack.operator.OperatorFile;
 
-/** The ledger on a disk that fails at every step, and managers that die in between. */
+/** Tests ledgers and exports with disk failures at every step and after crashes of the manager. */
 class StoreTest {
 
   @TempDir Path folder;
@@ -42,7 +42,7 @@
     return folder.resolve("out");
   }
 
-  /** So many tasks: some handled, some bounced, some still open with a forward out. */
+  /** Updates of some tasks: by turns bounced, handled, and open with a forward in flight. */
   private List<Line> tasks(int from, int count) {
     List<Line> lines = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
@@ -154,8 +154,7 @@
       store.beginEpoch(1, StoreTest::nobody);
       store.write(tasks(0, 30));
       store.write(tasks(30, 30));
-      // As after a power cut: the files as they are on the disk, the log cut within its last
-      // transaction.
+      // The files as after a power failure: the write-ahead log ends within its last transaction.
       Path torn = Files.createDirectories(folder.resolve("torn"));
       Files.copy(ledger().resolve("ledger.sqlite"), torn.resolve("ledger.sqlite"));
       byte[] log = Files.readAllBytes(ledger().resolve("ledger.sqlite-wal"));
@@ -181,14 +180,14 @@
     public void before(String step) throws IOException {
       if (left.getAndDecrement() == 0) {
         broke = true;
-        throw new IOException("broken before " + step);
+        throw new IOException("injected failure before " + step);
       }
     }
   }
 
   /**
-   * For every step of a start, of lines and of an export in turn: it fails there, and the next go
-   * ends as if it had not.
+   * Fails each step of a start, of writing updates and of an export in turn. The next attempt must
+   * succeed as if there had been no failure.
    */
   @Test
   void afterAFaultAtAnyStepNothingIsSkippedAndNothingIsTwice() throws IOException {
@@ -205,7 +204,7 @@
         store.write(new ArrayList<>(new StoreTest().tasks(0, 9)));
         new Exporter(store, here.resolve("out"), faults).run("protobuf", 25, 5);
       } catch (IOException e) {
-        assertThat(e).hasMessageContaining("broken before");
+        assertThat(e).hasMessageContaining("injected failure before");
       }
       more = faults.broke;
       try (Store store = Store.forManager(here, "m", Faults.NONE)) {
@@ -305,7 +304,7 @@
       run.execute("UPDATE entry SET ended = 'BOUNCED' WHERE pos = 2");
     }
     try (Store store = Store.forCommand(ledger(), Faults.NONE)) {
-      assertThat(Billing.verify(store, section, seen -> {})).contains("was bounced and has work");
+      assertThat(Billing.verify(store, section, seen -> {})).contains("was bounced but has work");
     }
   }
 }
