--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -25,7 +25,8 @@
   private final int mostUnwritten;
   private final long patience;
   private final ArrayDeque<Held> held = new ArrayDeque<>();
-  private long handed; // updates since the start
+  // The number of updates handed over since the start.
+  private long handed;
   private long durable;
   private long gaps;
   private long gapFirst;
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -227,6 +227,7 @@
     }
   }
 
+  /** Computes the hash of a file; null if there is no such file. */
   static String hash(Path file) throws IOException {
     if (file == null || !Files.exists(file)) {
       return null;
--- a/src/main/java/tansytrack/ledger/disk/Forms.java
+++ b/src/main/java/tansytrack/ledger/disk/Forms.java
@@ -58,6 +58,7 @@
 
   private Forms() {}
 
+  /** The extension of the file names of a format. */
   static String suffix(String form) {
     return form.equals(CSV) ? "csv" : "pb";
   }
--- a/src/main/java/tansytrack/ledger/disk/Recorder.java
+++ b/src/main/java/tansytrack/ledger/disk/Recorder.java
@@ -93,6 +93,7 @@
     return start(section, manager, grades, timers, inbox, Faults.NONE);
   }
 
+  /** Starts a recorder whose steps on the disk can be made to fail. */
   static Recorder start(
       OperatorFile.LedgerSection section,
       String manager,
