--- a/src/main/java/tansytrack/ledger/Bill.java
+++ b/src/main/java/tansytrack/ledger/Bill.java
@@ -37,7 +37,7 @@
       return handled;
     }
 
-    /** The number of tasks refused or failed. */
+    /** The number of tasks rejected or failed. */
     public long bounced() {
       return bounced;
     }
--- a/src/main/java/tansytrack/ledger/Invariants.java
+++ b/src/main/java/tansytrack/ledger/Invariants.java
@@ -21,7 +21,7 @@
     } else if (entry.endedAt() != 0 && entry.endedAt() < entry.takenAt()) {
       broken(name + " ended before it was taken");
     } else if (entry.end() == End.BOUNCED && entry.work(false) > 0) {
-      broken(name + " was bounced but has work that is not wasted");
+      broken(name + " was rejected but has work that is not wasted");
     }
     int served = 0;
     for (Use use : entry.uses()) {
--- a/src/main/java/tansytrack/ledger/Line.java
+++ b/src/main/java/tansytrack/ledger/Line.java
@@ -38,7 +38,7 @@
       boolean complete)
       implements Line {}
 
-  /** An engine reported on a forward that the previous run of the manager left in flight. */
+  /** An engine reported on a forward that an earlier epoch left unresolved. */
   record Told(Reconciliation.Run run) implements Line {
     @Override
     public long sequence() {
--- a/src/main/java/tansytrack/ledger/Rates.java
+++ b/src/main/java/tansytrack/ledger/Rates.java
@@ -9,7 +9,7 @@
  * The price list, in exact decimals. Of the rates that are valid on the day of a task, the most
  * specific one applies (tenant and query class, then tenant, then query class, then neither); among
  * equally specific ones, the one with the latest start. The price of a task is exact; amounts are
- * rounded once, for each subtotal of a tenant and query class in a period. Bounced tasks and tasks
+ * rounded once, for each subtotal of a tenant and query class in a period. Rejected tasks and tasks
  * whose end is unknown cost nothing.
  */
 public record Rates(List<Rate> rates, int decimals, RoundingMode rounding, boolean wasteBilled) {
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -57,7 +57,7 @@
 
   /**
    * Like {@link #offer(long, Line)}, but keeps room for the updates that this many open tasks may
-   * still need. Used for the updates of bounced tasks.
+   * still need. Used for the updates of rejected tasks.
    */
   public List<Line> offer(long now, Line line, int openTasks) {
     boolean gap = gapLines > 0;
@@ -88,7 +88,7 @@
 
   /**
    * Whether there is room for all updates of a further task and of the open ones, so that no update
-   * of an admitted task is lost. This prevents work that cannot be billed, at the cost of refused
+   * of an accepted task is lost. This prevents work that cannot be billed, at the cost of rejected
    * tasks.
    */
   public boolean admits(int openTasks) {
--- a/src/main/java/tansytrack/ledger/disk/Recorder.java
+++ b/src/main/java/tansytrack/ledger/disk/Recorder.java
@@ -44,7 +44,7 @@
   private final boolean afterCommit;
   // Forwards wait for the commit of their updates.
   private final boolean intentsFirst;
-  // New tasks are bounced while there is no room for their updates.
+  // New tasks are rejected while there is no room for their updates.
   private final boolean bounces;
   private final long commitEvery;
   private final Map<String, Grade> grades = new HashMap<>();
@@ -170,7 +170,7 @@
     Line line = entries.answered(now, task, tansytrack.ledger.End.valueOf(end.name()), bytes);
     hand(flow.offer(now, line, bounces && end == TaskWatch.End.BOUNCED ? entries.openTasks() : 0));
     if (!afterCommit || end != TaskWatch.End.HANDLED) {
-      // Only answers with a result wait for the disk; refusals and failures are sent at once.
+      // Only answers with a result wait for the disk; rejections and failures are sent at once.
       say.run();
       return;
     }
--- a/src/test/java/tansytrack/ledger/disk/RecorderTest.java
+++ b/src/test/java/tansytrack/ledger/disk/RecorderTest.java
@@ -166,7 +166,7 @@
     assertThat(read().gaps()).isEmpty();
   }
 
-  /** The updates of bounced tasks must not use the room that admitted tasks still need. */
+  /** The updates of rejected tasks must not use the room that accepted tasks still need. */
   @Test
   void tasksThatWereLetInAreKeptHoweverManyAreBounced() throws IOException, InterruptedException {
     Recorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
--- a/src/test/java/tansytrack/ledger/disk/StoreTest.java
+++ b/src/test/java/tansytrack/ledger/disk/StoreTest.java
@@ -42,7 +42,7 @@
     return folder.resolve("out");
   }
 
-  /** Updates of some tasks: by turns bounced, handled, and open with a forward in flight. */
+  /** Updates of some tasks: by turns rejected, handled, and open with a forward in flight. */
   private List<Line> tasks(int from, int count) {
     List<Line> lines = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
@@ -304,7 +304,7 @@
       run.execute("UPDATE entry SET ended = 'BOUNCED' WHERE pos = 2");
     }
     try (Store store = Store.forCommand(ledger(), Faults.NONE)) {
-      assertThat(Billing.verify(store, section, seen -> {})).contains("was bounced but has work");
+      assertThat(Billing.verify(store, section, seen -> {})).contains("was rejected but has work");
     }
   }
 }
