--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -14,13 +14,13 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import tansytrack.ledger.Amendment;
+import tansytrack.ledger.AmendmentValidator;
 import tansytrack.ledger.Bill;
-import tansytrack.ledger.Corrections;
-import tansytrack.ledger.Resolutions;
+import tansytrack.ledger.EntryResolver;
 import tansytrack.ledger.disk.Billing;
 import tansytrack.ledger.disk.LedgerFiles;
-import tansytrack.ledger.disk.Store;
-import tansytrack.settings.Unusable;
+import tansytrack.ledger.disk.LedgerStore;
+import tansytrack.settings.InvalidInputException;
 
 /** The ledger commands for bills: showing, closing, correcting and resolving. */
 public final class LedgerBillCommands {
@@ -36,29 +36,30 @@
     private String tenant;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger show: shows what each tenant used in a period, by query class, with entries"
           + " that came after its closing, and amendments.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      String of = period == null ? section.periods().of(now()) : period;
-      section.periods().first(of);
-      Bill bill = Billing.bill(store, section.periods(), section.rates(), of);
-      bill.sums().forEach((whose, sum) -> sum(bill, of, whose, sum, ""));
-      bill.late().forEach((whose, sum) -> sum(bill, of, whose, sum, "late"));
-      table();
-      totals(bill);
-      table();
+    int work(LedgerStore store) throws IOException {
+      String of = period == null ? section.periods().periodAt(nowNanos()) : period;
+      section.periods().firstDay(of);
+      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), of);
+      bill.subtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, ""));
+      bill.lateSubtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, "late"));
+      printTable();
+      addTotalRows(bill);
+      printTable();
       return 0;
     }
 
-    private void sum(Bill bill, String of, Bill.Whose whose, Bill.Sum sum, String late) {
+    private void addSubtotalRow(
+        Bill bill, String of, Bill.SubtotalKey whose, Bill.Subtotal sum, String late) {
       if (tenant != null && !tenant.equals(whose.tenant())) {
         return;
       }
-      row(
+      addRow(
           columns(
               "period",
               of,
@@ -75,30 +76,30 @@
               "unresolved",
               sum.unresolved(),
               "work ms",
-              sum.work() / 1_000_000,
+              sum.workNanos() / 1_000_000,
               "wasted ms",
-              sum.waste() / 1_000_000,
+              sum.wasteNanos() / 1_000_000,
               "bytes",
               sum.bytes(),
               "amount",
-              bill.amount(sum).toPlainString(),
+              bill.roundedAmount(sum).toPlainString(),
               "",
               late));
     }
 
-    private void totals(Bill bill) {
+    private void addTotalRows(Bill bill) {
       for (String one : bill.tenants()) {
         if (tenant == null || tenant.equals(one)) {
-          row(
+          addRow(
               columns(
                   "tenant",
                   one,
                   "amended",
-                  bill.amended(one).toPlainString(),
+                  bill.amendedAmount(one).toPlainString(),
                   "total",
                   bill.total(one).toPlainString(),
                   "quota",
-                  Billing.quota(bill, one, section.quotas())));
+                  Billing.quotaStatus(bill, one, section.quotas())));
         }
       }
     }
@@ -107,42 +108,42 @@
   /** Closes the periods whose grace period is over, and lists all periods. */
   public static final class PeriodList extends LedgerBillingCommand {
     @Override
-    public String about() {
+    public String description() {
       return "ledger periods: lists the periods with entries and whether they are closed. First"
           + " closes those whose grace period is over.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      for (String closed : Billing.closeDue(store, section, now())) {
+    int work(LedgerStore store) throws IOException {
+      for (String closed : Billing.closeDuePeriods(store, section, nowNanos())) {
         System.err.println("closed " + closed + ": its grace period is over");
       }
-      Map<String, Store.Closed> closed =
-          store.closed().stream()
-              .collect(Collectors.toMap(Store.Closed::period, Function.identity()));
-      Map<String, Long> counts = Billing.counts(store, section.periods());
+      Map<String, LedgerStore.ClosedPeriod> closed =
+          store.closedPeriods().stream()
+              .collect(Collectors.toMap(LedgerStore.ClosedPeriod::period, Function.identity()));
+      Map<String, Long> counts = Billing.taskCounts(store, section.periods());
       TreeSet<String> all = new TreeSet<>(counts.keySet());
       all.addAll(closed.keySet());
       for (String one : all) {
-        Store.Closed was = closed.get(one);
-        row(
+        LedgerStore.ClosedPeriod was = closed.get(one);
+        addRow(
             columns(
                 "period",
                 one,
                 "from",
-                time(section.periods().start(one)),
+                formatTime(section.periods().startNanos(one)),
                 "until",
-                time(section.periods().end(one)),
+                formatTime(section.periods().endNanos(one)),
                 "tasks",
                 counts.getOrDefault(one, 0L),
                 "open",
-                store.openTasks(section.periods().start(one), section.periods().end(one)),
+                store.openTasks(section.periods().startNanos(one), section.periods().endNanos(one)),
                 "closed",
-                was == null ? "-" : time(was.at()),
+                was == null ? "-" : formatTime(was.closedAt()),
                 "by",
                 was == null ? "-" : was.author()));
       }
-      table();
+      printTable();
       return 0;
     }
   }
@@ -156,40 +157,49 @@
     private String author;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger close: closes a period; its subtotals don't change after that.";
     }
 
     @Override
-    int work(Store store) throws IOException {
+    int work(LedgerStore store) throws IOException {
       String refused =
           section
-              .closing()
-              .refused(
+              .closingPolicy()
+              .rejectionReason(
                   period,
-                  now(),
-                  store.closed().stream().map(Store.Closed::period).toList(),
-                  store.openTasks(section.periods().start(period), section.periods().end(period)));
+                  nowNanos(),
+                  store.closedPeriods().stream().map(LedgerStore.ClosedPeriod::period).toList(),
+                  store.openTasks(
+                      section.periods().startNanos(period), section.periods().endNanos(period)));
       if (refused != null) {
-        throw new Unusable(refused);
+        throw new InvalidInputException(refused);
       }
-      Store.Closed closed = Billing.close(store, section, period, author, now());
-      row(columns("period", period, "positions up to", closed.upTo(), "sha256", closed.sha()));
-      table();
+      LedgerStore.ClosedPeriod closed =
+          Billing.closePeriod(store, section, period, author, nowNanos());
+      addRow(
+          columns(
+              "period",
+              period,
+              "positions up to",
+              closed.lastPosition(),
+              "sha256",
+              closed.sha256()));
+      printTable();
       return 0;
     }
   }
 
   /** Adds an amendment to a period, or withdraws one. */
   public static final class Correct extends LedgerBillingCommand {
-    @Option(
-        name = "--period",
-        metaVar = "PERIOD",
-        required = true,
-        usage = "the period to correct")
+    @Option(name = "--period", metaVar = "PERIOD", required = true, usage = "the period to correct")
     private String period;
 
-    @Option(name = "--tenant", metaVar = "NAME", required = true, usage = "the tenant whose bill is corrected")
+    @Option(
+        name = "--tenant",
+        metaVar = "NAME",
+        required = true,
+        usage = "the tenant whose bill is corrected")
     private String tenant;
 
     @Option(
@@ -207,29 +217,37 @@
         usage = "e:EPOCH:NUMBER, an entry; a:NUMBER, an amendment; default: the tenant's total")
     private String corrects = "";
 
-    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who makes the correction")
+    @Option(
+        name = "--author",
+        metaVar = "NAME",
+        required = true,
+        usage = "who makes the correction")
     private String author;
 
-    @Option(name = "--reason", metaVar = "TEXT", required = true, usage = "the reason for the correction")
+    @Option(
+        name = "--reason",
+        metaVar = "TEXT",
+        required = true,
+        usage = "the reason for the correction")
     private String reason;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger correct: adds an amendment to an open or closed period, or withdraws one."
           + " Existing entries don't change.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      section.periods().first(period);
+    int work(LedgerStore store) throws IOException {
+      section.periods().firstDay(period);
       checkAmount();
-      Amendment wanted = wanted();
-      String refused = refused(store, wanted);
+      Amendment wanted = requestedAmendment();
+      String refused = rejectionReason(store, wanted);
       if (refused != null) {
-        throw new Unusable(refused);
+        throw new InvalidInputException(refused);
       }
-      Amendment made = store.amend(wanted);
-      row(
+      Amendment made = store.addAmendment(wanted);
+      addRow(
           columns(
               "amendment",
               made.number(),
@@ -239,18 +257,18 @@
               tenant,
               "amount",
               made.amount().toPlainString()));
-      table();
+      printTable();
       return 0;
     }
 
     private void checkAmount() {
       if (withdraw == (amount != null)) {
-        throw new Unusable("exactly one of --amount and --withdraw is required");
+        throw new InvalidInputException("exactly one of --amount and --withdraw is required");
       }
       if (amount != null
           && !amount.matches(
               "-?[0-9]{1,15}(\\.[0-9]{1," + Math.max(1, section.rates().decimals()) + "})?")) {
-        throw new Unusable(
+        throw new InvalidInputException(
             "--amount '"
                 + amount
                 + "'; allowed: a plain decimal with at most "
@@ -259,7 +277,7 @@
       }
     }
 
-    private Amendment wanted() {
+    private Amendment requestedAmendment() {
       return new Amendment(
           0,
           period,
@@ -268,19 +286,19 @@
           author,
           reason,
           corrects,
-          now(),
+          nowNanos(),
           withdraw);
     }
 
-    private static String refused(Store store, Amendment wanted) throws IOException {
-      return Corrections.refused(
+    private static String rejectionReason(LedgerStore store, Amendment wanted) throws IOException {
+      return AmendmentValidator.rejectionReason(
           wanted,
           store.amendments(),
           (epoch, number) -> {
             try {
-              return store.holds(epoch, number);
+              return store.containsEntry(epoch, number);
             } catch (IOException e) {
-              throw new Unusable(e.getMessage());
+              throw new InvalidInputException(e.getMessage());
             }
           });
     }
@@ -291,7 +309,8 @@
     @Option(
         name = "--statement",
         metaVar = "FILE",
-        usage = "a statement of engines as CSV: engine,task,work_ns,done; used in addition to what"
+        usage =
+            "a statement of engines as CSV: engine,task,work_ns,done; used in addition to what"
                 + " engines reported when the manager started")
     private List<String> statements = new ArrayList<>();
 
@@ -299,23 +318,23 @@
     private String author;
 
     @Override
-    public String about() {
+    public String description() {
       return "ledger resolve: adds an amendment for each task with an unknown end whose runs are in"
           + " the engines' statements.\n"
           + "Tasks that are resolved already are skipped, so a statement may be read again.";
     }
 
     @Override
-    int work(Store store) throws IOException {
-      Resolutions by = new Resolutions(section.rates(), section.periods(), store.amendments());
-      store.told().forEach(by::take);
+    int work(LedgerStore store) throws IOException {
+      EntryResolver by = new EntryResolver(section.rates(), section.periods(), store.amendments());
+      store.reportedRuns().forEach(by::addRun);
       for (String one : statements) {
         try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.statement(one, in, engine -> {}, by::take);
+          LedgerFiles.readStatement(one, in, engine -> {}, by::addRun);
         }
       }
-      for (Amendment one : Billing.resolve(store, by, author, now())) {
-        row(
+      for (Amendment one : Billing.resolve(store, by, author, nowNanos())) {
+        addRow(
             columns(
                 "amendment",
                 one.number(),
@@ -330,7 +349,7 @@
                 "reason",
                 one.reason()));
       }
-      table();
+      printTable();
       return 0;
     }
   }
--- a/src/main/java/tansytrack/ledger/Corrections.java
+++ b/src/main/java/tansytrack/ledger/AmendmentValidator.java
@@ -5,9 +5,9 @@
 import java.util.function.BiPredicate;
 
 /** Validates an amendment before it is stored: what it corrects must exist and be in effect. */
-public final class Corrections {
+public final class AmendmentValidator {
 
-  private Corrections() {}
+  private AmendmentValidator() {}
 
   /**
    * Returns why an amendment is rejected, or null if it is valid.
@@ -15,7 +15,7 @@
    * @param all all stored amendments
    * @param entries tells whether the ledger has an entry with that epoch and number
    */
-  public static String refused(
+  public static String rejectionReason(
       Amendment wanted, List<Amendment> all, BiPredicate<Long, Long> entries) {
     if (wanted.author().isBlank()) {
       return "--author is empty; allowed: the name of the person who makes the correction";
@@ -28,7 +28,9 @@
     }
     String what = wanted.corrects();
     if (what.isEmpty()) {
-      return wanted.withdraws() ? "--withdraw without --corrects; allowed: --corrects a:NUMBER" : null;
+      return wanted.withdraws()
+          ? "--withdraw without --corrects; allowed: --corrects a:NUMBER"
+          : null;
     }
     String[] parts = what.split(":", -1);
     try {
@@ -38,7 +40,7 @@
             : "--corrects " + what + ": no such entry";
       }
       if (parts.length == 2 && parts[0].equals("a")) {
-        return amendment(wanted, all, Long.parseLong(parts[1]));
+        return checkCorrectedAmendment(wanted, all, Long.parseLong(parts[1]));
       }
     } catch (NumberFormatException e) {
       // Reported below, like any other malformed reference.
@@ -50,7 +52,8 @@
         + (wanted.withdraws() ? " (only an amendment can be withdrawn)" : "");
   }
 
-  private static String amendment(Amendment wanted, List<Amendment> all, long number) {
+  private static String checkCorrectedAmendment(
+      Amendment wanted, List<Amendment> all, long number) {
     for (Amendment one : all) {
       if (one.number() == number) {
         if (!one.period().equals(wanted.period()) || !one.tenant().equals(wanted.tenant())) {
@@ -61,7 +64,7 @@
               + ", tenant "
               + one.tenant();
         }
-        return Bill.standing(all).contains(number)
+        return Bill.effectiveAmendments(all).contains(number)
             ? null
             : "amendment " + number + " was withdrawn already";
       }
--- a/src/main/java/tansytrack/ledger/Closing.java
+++ b/src/main/java/tansytrack/ledger/ClosingPolicy.java
@@ -10,15 +10,15 @@
  * @param grace the time after the end of a period at which it is closed automatically, in
  *     nanoseconds; 0 if periods are only closed by operators
  */
-public record Closing(Periods periods, long grace) {
+public record ClosingPolicy(BillingPeriods periods, long graceNanos) {
 
   /**
    * Returns why a period cannot be closed now, or null if it can.
    *
    * @param open the number of tasks of the period that are not complete
    */
-  public String refused(String period, long now, Collection<String> closed, long open) {
-    long end = periods.end(period);
+  public String rejectionReason(String period, long now, Collection<String> closed, long open) {
+    long end = periods.endNanos(period);
     if (closed.contains(period)) {
       return "period " + period + " is closed already";
     }
@@ -29,13 +29,13 @@
   }
 
   /** The periods whose grace period is over, sorted; none if only operators close periods. */
-  public List<String> due(long now, Collection<String> seen, Collection<String> closed) {
-    if (grace <= 0) {
+  public List<String> duePeriods(long now, Collection<String> seen, Collection<String> closed) {
+    if (graceNanos <= 0) {
       return List.of();
     }
     TreeSet<String> due = new TreeSet<>();
     for (String period : seen) {
-      if (!closed.contains(period) && now >= periods.end(period) + grace) {
+      if (!closed.contains(period) && now >= periods.endNanos(period) + graceNanos) {
         due.add(period);
       }
     }
--- a/src/main/java/tansytrack/ledger/Entry.java
+++ b/src/main/java/tansytrack/ledger/Entry.java
@@ -17,22 +17,22 @@
     String grade,
     long takenAt,
     long endedAt,
-    End end,
+    TaskEnd end,
     long bytes,
     long earningsMilli,
     List<Use> uses) {
 
   /** Granted memory multiplied by time, in MB-nanoseconds, with or without wasted forwards. */
-  public BigDecimal held(boolean withWaste) {
+  public BigDecimal memoryMbNanos(boolean withWaste) {
     BigDecimal held = BigDecimal.ZERO;
     for (Use use : uses) {
-      held = withWaste || !use.wasted() ? held.add(use.held()) : held;
+      held = withWaste || !use.wasted() ? held.add(use.memoryMbNanos()) : held;
     }
     return held;
   }
 
   /** Work in nanoseconds, with or without wasted forwards. */
-  public long work(boolean withWaste) {
+  public long workNanos(boolean withWaste) {
     long work = 0;
     for (Use use : uses) {
       work += withWaste || !use.wasted() ? use.work() : 0;
--- a/src/main/java/tansytrack/ledger/Gap.java
+++ b/src/main/java/tansytrack/ledger/Gap.java
@@ -5,8 +5,8 @@
  * loss is visible.
  *
  * @param firstSequence the lowest number of a task that lost an update; 0 if none has a number
- * @param lastSequence the highest number of a task that lost an update; tasks between the two may be
- *     complete
+ * @param lastSequence the highest number of a task that lost an update; tasks between the two may
+ *     be complete
  * @param from the time of the first lost update in nanoseconds of the Unix clock
  * @param until the time at which updates were accepted again
  * @param lines the number of lost updates
--- a/src/main/java/tansytrack/ledger/Line.java
+++ b/src/main/java/tansytrack/ledger/LedgerUpdate.java
@@ -4,7 +4,7 @@
  * An update of the ledger that the event loop hands over to the writer thread. Updates are written
  * in their order.
  */
-public sealed interface Line {
+public sealed interface LedgerUpdate {
 
   /** The number of the task in its epoch; 0 if the update belongs to no task of this epoch. */
   long sequence();
@@ -13,8 +13,8 @@
   boolean complete();
 
   /** A forward is about to be sent. */
-  record Sent(long sequence, String task, String tenant, String grade, long takenAt, Use use)
-      implements Line {
+  record ForwardSent(long sequence, String task, String tenant, String grade, long takenAt, Use use)
+      implements LedgerUpdate {
     @Override
     public boolean complete() {
       return false;
@@ -22,24 +22,24 @@
   }
 
   /** A forward ended. */
-  record Ended(long sequence, Use use, boolean complete) implements Line {}
+  record ForwardEnded(long sequence, Use use, boolean complete) implements LedgerUpdate {}
 
   /** The client of a task was answered or is no longer waiting. */
-  record Answered(
+  record TaskAnswered(
       long sequence,
       String task,
       String tenant,
       String grade,
       long takenAt,
       long endedAt,
-      End end,
+      TaskEnd end,
       long bytes,
       long earningsMilli,
       boolean complete)
-      implements Line {}
+      implements LedgerUpdate {}
 
   /** An engine reported on a forward that an earlier epoch left unresolved. */
-  record Told(Reconciliation.Run run) implements Line {
+  record RunReported(Reconciliation.Run run) implements LedgerUpdate {
     @Override
     public long sequence() {
       return 0;
@@ -52,7 +52,7 @@
   }
 
   /** Earlier updates were lost. */
-  record Missing(Gap gap) implements Line {
+  record UpdatesLost(Gap gap) implements LedgerUpdate {
     @Override
     public long sequence() {
       return gap.lastSequence();
--- a/src/main/java/tansytrack/ledger/End.java
+++ b/src/main/java/tansytrack/ledger/TaskEnd.java
@@ -5,7 +5,7 @@
  * before it recorded an end, {@code BOUNCED} that the task was rejected or failed. The names are
  * stored in ledgers and exports.
  */
-public enum End {
+public enum TaskEnd {
   HANDLED,
   BOUNCED,
   ABORTED,
--- a/src/main/java/tansytrack/ledger/Use.java
+++ b/src/main/java/tansytrack/ledger/Use.java
@@ -25,15 +25,15 @@
     boolean wasted) {
 
   /** The outcome of a forward whose manager died while it was in flight; stored in ledgers. */
-  public static final String UNKNOWN = "UNKNOWN";
+  public static final String UNKNOWN_OUTCOME = "UNKNOWN";
 
   /** Whether the forward has not ended yet. */
-  public boolean out() {
+  public boolean inFlight() {
     return outcome.isEmpty();
   }
 
   /** Granted memory multiplied by its duration, in MB-nanoseconds; 0 if the end is unknown. */
-  public BigDecimal held() {
+  public BigDecimal memoryMbNanos() {
     return endedAt == 0
         ? BigDecimal.ZERO
         : BigDecimal.valueOf(grantedMb).multiply(BigDecimal.valueOf(endedAt - sentAt));
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -6,34 +6,34 @@
 
 /**
  * Bounds the updates on their way from the event loop to the disk, and decides when an answer or
- * forward that waits for the disk is released. Updates that exceed the bound are lost and counted in
- * one gap, which is handed over, with a number, before the next accepted update. An answer waits
+ * forward that waits for the disk is released. Updates that exceed the bound are lost and counted
+ * in one gap, which is handed over, with a number, before the next accepted update. An answer waits
  * until the updates before it are committed, but no longer than a maximum time, so that clients get
- * answers even if the disk is slow or fails. The cost is that an answer released early may be missing
- * from the ledger after a crash; such releases are counted. Does no I/O and gets the time from its
- * caller.
+ * answers even if the disk is slow or fails. The cost is that an answer released early may be
+ * missing from the ledger after a crash; such releases are counted. Does no I/O and gets the time
+ * from its caller.
  */
 public final class WriteFlowControl {
 
   /** An answer or forward that waits until the update with this number is durable. */
-  private record Held(long number, long since, Runnable say) {}
+  private record HeldAction(long updateNumber, long since, Runnable action) {}
 
   // Two forwards with an update for sending and for the end each, and the answer.
-  private static final int LINES_A_TASK = 5;
+  private static final int MAX_UPDATES_PER_TASK = 5;
 
   private final long epoch;
-  private final int mostUnwritten;
-  private final long patience;
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
+  private final int maxUnwritten;
+  private final long maxHoldNanos;
+  private final ArrayDeque<HeldAction> held = new ArrayDeque<>();
   // The number of updates handed over since the start.
-  private long handed;
-  private long durable;
-  private long gaps;
+  private long handedOver;
+  private long markDurable;
+  private long gapCount;
   private long gapFirst;
   private long gapLast;
   private long gapFrom;
-  private long gapLines;
-  private long answeredUndurable;
+  private long gapUpdates;
+  private long releasedBeforeCommit;
 
   /**
    * Creates a flow control for one epoch.
@@ -43,15 +43,15 @@
    */
   public WriteFlowControl(long epoch, int mostUnwritten, long patience) {
     this.epoch = epoch;
-    this.mostUnwritten = mostUnwritten;
-    this.patience = patience;
+    this.maxUnwritten = mostUnwritten;
+    this.maxHoldNanos = patience;
   }
 
   /**
-   * Returns the updates to hand over now: the given one, preceded by a gap if one is open, or none if
-   * the update is lost.
+   * Returns the updates to hand over now: the given one, preceded by a gap if one is open, or none
+   * if the update is lost.
    */
-  public List<Line> offer(long now, Line line) {
+  public List<LedgerUpdate> offer(long now, LedgerUpdate line) {
     return offer(now, line, 0);
   }
 
@@ -59,9 +59,10 @@
    * Like {@link #offer(long, Line)}, but keeps room for the updates that this many open tasks may
    * still need. Used for the updates of rejected tasks.
    */
-  public List<Line> offer(long now, Line line, int openTasks) {
-    boolean gap = gapLines > 0;
-    if (handed - durable + (gap ? 2 : 1) + (long) LINES_A_TASK * openTasks > mostUnwritten) {
+  public List<LedgerUpdate> offer(long now, LedgerUpdate line, int openTasks) {
+    boolean gap = gapUpdates > 0;
+    if (handedOver - markDurable + (gap ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
+        > maxUnwritten) {
       if (!gap) {
         gapFrom = now;
         gapFirst = 0;
@@ -72,17 +73,17 @@
         gapFirst = gapFirst == 0 ? line.sequence() : Math.min(gapFirst, line.sequence());
         gapLast = Math.max(gapLast, line.sequence());
       }
-      gapLines++;
+      gapUpdates++;
       return List.of();
     }
     if (!gap) {
-      handed++;
+      handedOver++;
       return List.of(line);
     }
-    List<Line> both = new ArrayList<>(2);
+    List<LedgerUpdate> both = new ArrayList<>(2);
     both.add(closeGap(now));
     both.add(line);
-    handed += 2;
+    handedOver += 2;
     return both;
   }
 
@@ -92,48 +93,48 @@
    * tasks.
    */
   public boolean admits(int openTasks) {
-    return gapLines == 0
-        && handed - durable + (long) LINES_A_TASK * (openTasks + 1) <= mostUnwritten;
+    return gapUpdates == 0
+        && handedOver - markDurable + (long) MAX_UPDATES_PER_TASK * (openTasks + 1) <= maxUnwritten;
   }
 
   /**
    * Returns the open gap if there is room for it now. A gap must not wait for the update of another
    * task.
    */
-  public List<Line> idle(long now) {
-    if (gapLines == 0 || handed - durable >= mostUnwritten) {
+  public List<LedgerUpdate> flushGap(long now) {
+    if (gapUpdates == 0 || handedOver - markDurable >= maxUnwritten) {
       return List.of();
     }
-    handed++;
+    handedOver++;
     return List.of(closeGap(now));
   }
 
-  private Line closeGap(long now) {
-    Line.Missing missing =
-        new Line.Missing(
+  private LedgerUpdate closeGap(long now) {
+    LedgerUpdate.UpdatesLost missing =
+        new LedgerUpdate.UpdatesLost(
             new Gap(
                 epoch,
-                ++gaps,
+                ++gapCount,
                 gapFirst,
                 gapLast,
                 gapFrom,
                 now,
-                gapLines,
+                gapUpdates,
                 "the disk did not keep up"));
-    gapLines = 0;
+    gapUpdates = 0;
     return missing;
   }
 
   /**
-   * Runs an action once all updates handed over so far are durable; at once if it need not wait, and
-   * also if a gap is open.
+   * Runs an action once all updates handed over so far are durable; at once if it need not wait,
+   * and also if a gap is open.
    */
   public void hold(long now, Runnable say) {
-    if (gapLines > 0 || handed == durable || patience == 0) {
-      answeredUndurable += handed > durable || gapLines > 0 ? 1 : 0;
+    if (gapUpdates > 0 || handedOver == markDurable || maxHoldNanos == 0) {
+      releasedBeforeCommit += handedOver > markDurable || gapUpdates > 0 ? 1 : 0;
       say.run();
     } else {
-      held.add(new Held(handed, now, say));
+      held.add(new HeldAction(handedOver, now, say));
     }
   }
 
@@ -141,10 +142,10 @@
    * Notes that this many updates since the start are durable, and releases in order what waited for
    * them.
    */
-  public void durable(long lines) {
-    durable = Math.max(durable, lines);
-    while (!held.isEmpty() && held.peek().number <= durable) {
-      held.poll().say.run();
+  public void markDurable(long lines) {
+    markDurable = Math.max(markDurable, lines);
+    while (!held.isEmpty() && held.peek().updateNumber <= markDurable) {
+      held.poll().action.run();
     }
   }
 
@@ -152,38 +153,38 @@
    * Releases what has waited for the maximum time, and returns the time of the next call; 0 if
    * nothing waits.
    */
-  public long overdue(long now) {
-    while (!held.isEmpty() && now - held.peek().since >= patience) {
-      answeredUndurable++;
-      held.poll().say.run();
+  public long releaseOverdue(long now) {
+    while (!held.isEmpty() && now - held.peek().since >= maxHoldNanos) {
+      releasedBeforeCommit++;
+      held.poll().action.run();
     }
-    return held.isEmpty() ? 0 : held.peek().since + patience;
+    return held.isEmpty() ? 0 : held.peek().since + maxHoldNanos;
   }
 
   /** Releases everything; called when the manager ends. */
-  public void release() {
+  public void releaseAll() {
     while (!held.isEmpty()) {
-      held.poll().say.run();
+      held.poll().action.run();
     }
   }
 
   /** The number of updates handed over that are not durable yet. */
   public long unwritten() {
-    return handed - durable;
+    return handedOver - markDurable;
   }
 
   /** The number of updates lost in the gap that is open. */
-  public long uncounted() {
-    return gapLines;
+  public long openGapUpdates() {
+    return gapUpdates;
   }
 
   /** The number of gaps handed over so far. */
-  public long gaps() {
-    return gaps;
+  public long gapCount() {
+    return gapCount;
   }
 
   /** The number of answers and forwards released before the updates before them were durable. */
-  public long answeredUndurable() {
-    return answeredUndurable;
+  public long releasedBeforeCommit() {
+    return releasedBeforeCommit;
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/Forms.java
+++ b/src/main/java/tansytrack/ledger/disk/ExportFormats.java
@@ -14,19 +14,19 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 import tansytrack.ledger.Amendment;
-import tansytrack.ledger.End;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
+import tansytrack.ledger.TaskEnd;
 import tansytrack.ledger.Use;
 import tansytrack.ledger.proto.BatchHead;
 import tansytrack.ledger.proto.Forward;
 import tansytrack.ledger.proto.Line;
 
 /**
- * The formats of an export: delimited protobuf messages (ledger.proto) and CSV. The same lines always
- * give the same bytes.
+ * The formats of an export: delimited protobuf messages (ledger.proto) and CSV. The same lines
+ * always give the same bytes.
  */
-final class Forms {
+final class ExportFormats {
 
   static final String PROTOBUF = "protobuf";
   static final String CSV = "csv";
@@ -56,22 +56,23 @@
     "reason"
   };
 
-  private Forms() {}
+  private ExportFormats() {}
 
   /** The extension of the file names of a format. */
-  static String suffix(String form) {
+  static String fileExtension(String form) {
     return form.equals(CSV) ? "csv" : "pb";
   }
 
   /** Writes a batch with the lines of the given positions. */
-  static void write(Store store, long number, long first, long last, String form, OutputStream to)
+  static void writeBatch(
+      LedgerStore store, long number, long first, long last, String form, OutputStream to)
       throws IOException {
     OutputStream out = new BufferedOutputStream(to, 1 << 16);
     if (form.equals(CSV)) {
       Writer text = new OutputStreamWriter(out, StandardCharsets.UTF_8);
       CSVPrinter csv = new CSVPrinter(text, CSVFormat.RFC4180);
       csv.printRecord((Object[]) COLUMNS);
-      store.read(first, last, new Csv(csv, number, store.manager()));
+      store.read(first, last, new CsvLineWriter(csv, number, store.manager()));
       csv.flush();
       text.flush();
     } else {
@@ -83,13 +84,14 @@
           .setLines(last - first + 1)
           .build()
           .writeDelimitedTo(out);
-      store.read(first, last, new Proto(out));
+      store.read(first, last, new ProtobufLineWriter(out));
     }
     out.flush();
   }
 
   /** Writes each line as a row with all columns. */
-  private record Csv(CSVPrinter csv, long number, String manager) implements Store.Lines {
+  private record CsvLineWriter(CSVPrinter csv, long number, String manager)
+      implements LedgerStore.LineVisitor {
 
     @Override
     public void entry(long at, Entry one) throws IOException {
@@ -109,9 +111,9 @@
           one.bytes(),
           one.earningsMilli(),
           one.uses().size(),
-          one.work(true),
-          one.work(true) - one.work(false),
-          one.held(true),
+          one.workNanos(true),
+          one.workNanos(true) - one.workNanos(false),
+          one.memoryMbNanos(true),
           "",
           "",
           "",
@@ -131,7 +133,7 @@
           "",
           one.tenant(),
           "",
-          one.at(),
+          one.createdAt(),
           "",
           "",
           "",
@@ -177,7 +179,7 @@
   }
 
   /** Writes each line as a protobuf message, preceded by its length. */
-  private record Proto(OutputStream out) implements Store.Lines {
+  private record ProtobufLineWriter(OutputStream out) implements LedgerStore.LineVisitor {
 
     @Override
     public void entry(long at, Entry one) throws IOException {
@@ -221,7 +223,7 @@
                   .setAuthor(one.author())
                   .setReason(one.reason())
                   .setCorrects(one.corrects())
-                  .setAtNs(one.at())
+                  .setAtNs(one.createdAt())
                   .setWithdraws(one.withdraws()))
           .build()
           .writeDelimitedTo(out);
@@ -251,19 +253,20 @@
    *
    * @param wants returns the visitor for the lines of a manager, by its name
    */
-  static BatchHead read(InputStream from, Function<String, Store.Lines> wants) throws IOException {
+  static BatchHead readBatch(InputStream from, Function<String, LedgerStore.LineVisitor> wants)
+      throws IOException {
     BatchHead head = BatchHead.parseDelimitedFrom(from);
     if (head == null || head.getManager().isEmpty() || head.getLines() < 1) {
       throw new IOException("is not an exported batch");
     }
-    Store.Lines to = wants.apply(head.getManager());
+    LedgerStore.LineVisitor to = wants.apply(head.getManager());
     for (long i = 0; i < head.getLines(); i++) {
       Line line = Line.parseDelimitedFrom(from);
       if (line == null) {
         throw new IOException("ends after " + i + " of " + head.getLines() + " lines");
       }
       if (line.hasEntry()) {
-        to.entry(line.getPosition(), entry(line.getEntry()));
+        to.entry(line.getPosition(), parseEntry(line.getEntry()));
       } else if (line.hasAmendment()) {
         tansytrack.ledger.proto.Amendment one = line.getAmendment();
         to.amendment(
@@ -296,7 +299,7 @@
     return head;
   }
 
-  private static Entry entry(tansytrack.ledger.proto.Entry one) throws IOException {
+  private static Entry parseEntry(tansytrack.ledger.proto.Entry one) throws IOException {
     List<Use> uses = new ArrayList<>(one.getForwardsCount());
     for (Forward use : one.getForwardsList()) {
       uses.add(
@@ -320,7 +323,7 @@
           one.getGrade(),
           one.getTakenAtNs(),
           one.getEndedAtNs(),
-          End.valueOf(one.getEnd()),
+          TaskEnd.valueOf(one.getEnd()),
           one.getReturnedBytes(),
           one.getEarningsMilli(),
           uses);
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -18,41 +18,44 @@
 import tansytrack.ledger.ExportSteps;
 
 /**
- * Exports the lines of a ledger as numbered batch files, in the steps given by {@link ExportSteps}. A
- * lock file allows only one export of a ledger at a time.
+ * Exports the lines of a ledger as numbered batch files, in the steps given by {@link ExportSteps}.
+ * A lock file allows only one export of a ledger at a time.
  */
 public final class Exporter {
 
-  private static final String LOCK = "export.lock";
+  private static final String LOCK_FILE = "export.lock";
 
-  private final Store store;
+  private final LedgerStore store;
   private final Path folder;
-  private final Faults faults;
+  private final FaultInjector faults;
 
   /** Creates an exporter that places the files of a store's batches in a folder. */
-  public Exporter(Store store, Path folder, Faults faults) {
+  public Exporter(LedgerStore store, Path folder, FaultInjector faults) {
     this.store = store;
     this.folder = folder;
     this.faults = faults;
   }
 
   /** The name of a batch's file, made of its number and its format. */
-  public static String name(Store.Batch batch) {
-    return String.format("batch-%08d.%s", batch.number(), Forms.suffix(batch.form()));
+  public static String fileName(LedgerStore.Batch batch) {
+    return String.format(
+        "batch-%08d.%s", batch.number(), ExportFormats.fileExtension(batch.format()));
   }
 
   /**
    * Completes an interrupted export, then exports all new lines in batches of at most the given
    * number of lines. Returns the last batch placed by this call, or null if there was none.
    */
-  public Store.Batch run(String form, long most, long now) throws IOException {
+  public LedgerStore.Batch export(String form, long most, long now) throws IOException {
     Files.createDirectories(folder);
     try (FileChannel channel =
             FileChannel.open(
-                store.folder().resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                store.folder().resolve(LOCK_FILE),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE);
         FileLock held = lock(channel)) {
       assert held.isValid();
-      return steps(form, most, now);
+      return runSteps(form, most, now);
     }
   }
 
@@ -69,83 +72,85 @@
     return held;
   }
 
-  private Store.Batch steps(String form, long most, long now) throws IOException {
+  private LedgerStore.Batch runSteps(String form, long most, long now) throws IOException {
     Progress progress = new Progress();
     while (true) {
-      List<Store.Batch> batches = store.batches();
-      Store.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
-      Store.Batch open = last != null && last.placedAt() == 0 ? last : null;
-      long behind = last == null ? 0 : last.last();
-      ExportSteps.Step step = ExportSteps.next(progress.found(open, store.last() > behind));
-      faults.before(step.name());
+      List<LedgerStore.Batch> batches = store.batches();
+      LedgerStore.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
+      LedgerStore.Batch open = last != null && last.placedAt() == 0 ? last : null;
+      long behind = last == null ? 0 : last.lastPosition();
+      ExportSteps.Step step = ExportSteps.next(progress.state(open, store.lastPosition() > behind));
+      faults.beforeStep(step.name());
       switch (step) {
         case SEAL ->
-            progress.written =
+            progress.temporaryFileHash =
                 seal(
                     last == null ? 1 : last.number() + 1,
                     behind + 1,
-                    Math.min(store.last(), behind + most),
+                    Math.min(store.lastPosition(), behind + most),
                     form,
                     now);
         case DONE -> {
-          return progress.placed;
+          return progress.lastPlaced;
         }
-        default -> progress.take(step, open, now);
+        default -> progress.perform(step, open, now);
       }
     }
   }
 
   /**
-   * The progress of this process with the open batch. What this process did not write itself is read
-   * from the files.
+   * The progress of this process with the open batch. What this process did not write itself is
+   * read from the files.
    */
   private final class Progress {
     // The hashes of the temporary and of the final file; null unless this process wrote them.
-    private String written;
-    private String moved;
-    private boolean synced;
+    private String temporaryFileHash;
+    private String finalFileHash;
+    private boolean temporaryFileSynced;
     private boolean folderSynced;
-    private Store.Batch placed;
+    private LedgerStore.Batch lastPlaced;
 
-    ExportSteps.Found found(Store.Batch open, boolean linesLeft) throws IOException {
-      return new ExportSteps.Found(
+    ExportSteps.ExportState state(LedgerStore.Batch open, boolean linesLeft) throws IOException {
+      return new ExportSteps.ExportState(
           linesLeft,
-          open == null ? null : open.sha(),
-          written != null ? written : hash(open == null ? null : temporary(open)),
-          synced,
-          moved != null ? moved : hash(open == null ? null : place(open)),
+          open == null ? null : open.sha256(),
+          temporaryFileHash != null
+              ? temporaryFileHash
+              : hash(open == null ? null : temporaryFile(open)),
+          temporaryFileSynced,
+          finalFileHash != null ? finalFileHash : hash(open == null ? null : finalFile(open)),
           folderSynced);
     }
 
-    void take(ExportSteps.Step step, Store.Batch open, long now) throws IOException {
+    void perform(ExportSteps.Step step, LedgerStore.Batch open, long now) throws IOException {
       switch (step) {
         case WRITE -> {
-          write(open, temporary(open));
-          written = open.sha();
+          write(open, temporaryFile(open));
+          temporaryFileHash = open.sha256();
         }
         case SYNC -> {
-          sync(temporary(open), StandardOpenOption.WRITE);
-          synced = true;
+          forceToDisk(temporaryFile(open), StandardOpenOption.WRITE);
+          temporaryFileSynced = true;
         }
         case RENAME -> {
           Files.move(
-              temporary(open),
-              place(open),
+              temporaryFile(open),
+              finalFile(open),
               StandardCopyOption.ATOMIC_MOVE,
               StandardCopyOption.REPLACE_EXISTING);
-          moved = written;
+          finalFileHash = temporaryFileHash;
         }
         case SYNC_FOLDER -> {
-          sync(folder, StandardOpenOption.READ);
+          forceToDisk(folder, StandardOpenOption.READ);
           folderSynced = true;
         }
         case MARK -> {
-          store.placed(open.number(), now);
-          Files.deleteIfExists(temporary(open));
-          placed = open;
-          written = null;
-          moved = null;
-          synced = false;
+          store.markPlaced(open.number(), now);
+          Files.deleteIfExists(temporaryFile(open));
+          lastPlaced = open;
+          temporaryFileHash = null;
+          finalFileHash = null;
+          temporaryFileSynced = false;
           folderSynced = false;
         }
         default -> throw new IllegalStateException(step.name());
@@ -153,12 +158,12 @@
     }
   }
 
-  private Path place(Store.Batch batch) {
-    return folder.resolve(name(batch));
+  private Path finalFile(LedgerStore.Batch batch) {
+    return folder.resolve(fileName(batch));
   }
 
-  private Path temporary(Store.Batch batch) {
-    return folder.resolve(name(batch) + ".tmp");
+  private Path temporaryFile(LedgerStore.Batch batch) {
+    return folder.resolve(fileName(batch) + ".tmp");
   }
 
   /**
@@ -167,25 +172,27 @@
    */
   private String seal(long number, long first, long last, String form, long now)
       throws IOException {
-    Store.Batch batch = new Store.Batch(number, first, last, form, "", 0, now, 0, 0);
-    try (OutputStream out = Files.newOutputStream(folder.resolve(name(batch) + ".tmp"))) {
-      Sha sha = new Sha(out);
-      Forms.write(store, number, first, last, form, sha);
-      store.seal(new Store.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
+    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, form, "", 0, now, 0, 0);
+    try (OutputStream out = Files.newOutputStream(folder.resolve(fileName(batch) + ".tmp"))) {
+      Sha256OutputStream sha = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(store, number, first, last, form, sha);
+      store.addBatch(
+          new LedgerStore.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
       return sha.hex();
     }
   }
 
-  private void write(Store.Batch batch, Path to) throws IOException {
+  private void write(LedgerStore.Batch batch, Path to) throws IOException {
     try (OutputStream out = Files.newOutputStream(to)) {
-      Sha sha = new Sha(out);
-      Forms.write(store, batch.number(), batch.first(), batch.last(), batch.form(), sha);
-      if (!sha.hex().equals(batch.sha())) {
+      Sha256OutputStream sha = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(
+          store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
+      if (!sha.hex().equals(batch.sha256())) {
         throw new IOException(
             "batch "
                 + batch.number()
                 + " was sealed with SHA-256 "
-                + batch.sha()
+                + batch.sha256()
                 + ", but that of its lines now is "
                 + sha.hex()
                 + ": the ledger is damaged");
@@ -194,19 +201,19 @@
   }
 
   /** Writes the file of a batch that was placed before again, with the same bytes. */
-  public void again(long number) throws IOException {
-    for (Store.Batch batch : store.batches()) {
+  public void exportAgain(long number) throws IOException {
+    for (LedgerStore.Batch batch : store.batches()) {
       if (batch.number() == number && batch.placedAt() > 0) {
-        Path temporary = folder.resolve(name(batch) + ".tmp");
+        Path temporary = folder.resolve(fileName(batch) + ".tmp");
         Files.createDirectories(folder);
         write(batch, temporary);
-        sync(temporary, StandardOpenOption.WRITE);
+        forceToDisk(temporary, StandardOpenOption.WRITE);
         Files.move(
             temporary,
-            folder.resolve(name(batch)),
+            folder.resolve(fileName(batch)),
             StandardCopyOption.ATOMIC_MOVE,
             StandardCopyOption.REPLACE_EXISTING);
-        sync(folder, StandardOpenOption.READ);
+        forceToDisk(folder, StandardOpenOption.READ);
         return;
       }
     }
@@ -215,13 +222,14 @@
   }
 
   /** Computes the hash of a batch from its lines as they are now. */
-  public static String hash(Store store, Store.Batch batch) throws IOException {
-    Sha sha = new Sha(OutputStream.nullOutputStream());
-    Forms.write(store, batch.number(), batch.first(), batch.last(), batch.form(), sha);
+  public static String hash(LedgerStore store, LedgerStore.Batch batch) throws IOException {
+    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    ExportFormats.writeBatch(
+        store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
     return sha.hex();
   }
 
-  private static void sync(Path what, StandardOpenOption how) throws IOException {
+  private static void forceToDisk(Path what, StandardOpenOption how) throws IOException {
     try (FileChannel channel = FileChannel.open(what, how)) {
       channel.force(true);
     }
@@ -232,7 +240,7 @@
     if (file == null || !Files.exists(file)) {
       return null;
     }
-    Sha sha = new Sha(OutputStream.nullOutputStream());
+    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
     try (InputStream in = Files.newInputStream(file)) {
       in.transferTo(sha);
     }
@@ -240,12 +248,12 @@
   }
 
   /** Hashes and counts the bytes that are written to it. */
-  static final class Sha extends DigestOutputStream {
+  static final class Sha256OutputStream extends DigestOutputStream {
     private long size;
     // Set by the first call of hex(); nothing may be written after that.
     private String hex;
 
-    Sha(OutputStream to) {
+    Sha256OutputStream(OutputStream to) {
       super(to, sha256());
     }
 
--- a/src/main/java/tansytrack/ledger/disk/Faults.java
+++ b/src/main/java/tansytrack/ledger/disk/FaultInjector.java
@@ -4,11 +4,11 @@
 
 /** Called before each step that touches the disk; tests use it to let a step fail. */
 @FunctionalInterface
-public interface Faults {
+public interface FaultInjector {
 
   /** Lets no step fail. */
-  Faults NONE = step -> {};
+  FaultInjector NONE = step -> {};
 
   /** Throws if the given step is to fail. */
-  void before(String step) throws IOException;
+  void beforeStep(String step) throws IOException;
 }
--- a/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
@@ -14,7 +14,7 @@
 import org.apache.commons.csv.CSVRecord;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Merged;
+import tansytrack.ledger.MergedLedger;
 import tansytrack.ledger.Reconciliation;
 
 /** Reads ledgers, exported batches and engines' statements from files and folders. */
@@ -27,12 +27,12 @@
    *
    * @param places folders with a ledger, folders with batches (*.pb), or batches
    */
-  public static Merged merged(List<Path> places) throws IOException {
-    Merged all = new Merged();
+  public static MergedLedger readMerged(List<Path> places) throws IOException {
+    MergedLedger all = new MergedLedger();
     for (Path place : places) {
       if (Files.isDirectory(place) && Files.exists(place.resolve("ledger.sqlite"))) {
-        try (Store store = Store.forCommand(place, Faults.NONE)) {
-          store.read(1, Long.MAX_VALUE, into(all, store.manager()));
+        try (LedgerStore store = LedgerStore.openForCommand(place, FaultInjector.NONE)) {
+          store.read(1, Long.MAX_VALUE, addingTo(all, store.manager()));
         }
       } else if (Files.isDirectory(place)) {
         List<Path> files;
@@ -43,19 +43,19 @@
           throw new IOException(place + " contains neither a ledger nor a batch (*.pb)");
         }
         for (Path file : files) {
-          batch(file, all);
+          readBatch(file, all);
         }
       } else {
-        batch(place, all);
+        readBatch(place, all);
       }
     }
     return all;
   }
 
-  private static void batch(Path file, Merged all) throws IOException {
+  private static void readBatch(Path file, MergedLedger all) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 16)) {
-      Merged one = new Merged();
-      Forms.read(in, manager -> into(one, manager));
+      MergedLedger one = new MergedLedger();
+      ExportFormats.readBatch(in, manager -> addingTo(one, manager));
       // Added only after the whole batch was read, so that a damaged one adds nothing.
       all.add(one);
     } catch (IOException e) {
@@ -63,8 +63,8 @@
     }
   }
 
-  private static Store.Lines into(Merged all, String manager) {
-    return new Store.Lines() {
+  private static LedgerStore.LineVisitor addingTo(MergedLedger all, String manager) {
+    return new LedgerStore.LineVisitor() {
       @Override
       public void entry(long position, Entry entry) {
         all.add(manager, entry);
@@ -78,12 +78,12 @@
   }
 
   /**
-   * Adds an engine's statement to a reconciliation. A statement is CSV with the columns engine, task,
-   * work_ns and done; a row without a task says that the statement of the engine is complete.
+   * Adds an engine's statement to a reconciliation. A statement is CSV with the columns engine,
+   * task, work_ns and done; a row without a task says that the statement of the engine is complete.
    */
-  public static void statement(String name, InputStream from, Reconciliation to)
+  public static void readStatement(String name, InputStream from, Reconciliation to)
       throws IOException {
-    statement(name, from, to::stated, to::take);
+    readStatement(name, from, to::addEngine, to::add);
   }
 
   /**
@@ -93,7 +93,7 @@
    * @param stated receives the engines whose statements are complete
    * @param ran receives the runs
    */
-  public static void statement(
+  public static void readStatement(
       String name, InputStream from, Consumer<String> stated, Consumer<Reconciliation.Run> ran)
       throws IOException {
     for (CSVRecord row :
--- a/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
@@ -14,10 +14,10 @@
   /** The version that this program writes; ledgers with an earlier one are upgraded. */
   static final int VERSION = 3;
 
-  private static final String TOLD =
+  private static final String CREATE_TOLD =
       "CREATE TABLE told(engine TEXT, task TEXT, work INTEGER, done INTEGER, PRIMARY KEY(engine,"
           + " task)) WITHOUT ROWID";
-  private static final String[] TABLES = {
+  private static final String[] CREATE_STATEMENTS = {
     "CREATE TABLE meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID",
     "CREATE TABLE epoch(number INTEGER PRIMARY KEY, started_at INTEGER NOT NULL)",
     "CREATE TABLE entry(epoch INTEGER, seq INTEGER, task TEXT NOT NULL, tenant TEXT NOT NULL, grade"
@@ -37,7 +37,7 @@
     "CREATE TABLE amendment(number INTEGER PRIMARY KEY, period TEXT, tenant TEXT, amount TEXT,"
         + " author TEXT, reason TEXT, corrects TEXT, at INTEGER, withdraws INTEGER, pos INTEGER"
         + " UNIQUE NOT NULL)",
-    TOLD,
+    CREATE_TOLD,
     "CREATE TABLE closed(period TEXT PRIMARY KEY, upto INTEGER, at INTEGER, author TEXT, sha TEXT,"
         + " billing TEXT)",
     "CREATE TABLE batch(number INTEGER PRIMARY KEY, first INTEGER, last INTEGER, form TEXT, sha"
@@ -47,7 +47,8 @@
   private LedgerSchema() {}
 
   /**
-   * Creates or upgrades the schema in one transaction, and returns the manager that owns the ledger.
+   * Creates or upgrades the schema in one transaction, and returns the manager that owns the
+   * ledger.
    *
    * @param manager the manager that opens the ledger; null to open only an existing ledger
    */
@@ -60,10 +61,14 @@
   private static void upgrade(Connection db, String manager, Path folder)
       throws SQLException, IOException {
     try (Statement run = db.createStatement()) {
-      int version = Sql.number(run, "PRAGMA user_version");
+      int version = Sql.queryInt(run, "PRAGMA user_version");
       if (version > VERSION) {
         throw new IOException(
-            folder + " has schema " + version + "; this program supports versions up to " + VERSION);
+            folder
+                + " has schema "
+                + version
+                + "; this program supports versions up to "
+                + VERSION);
       }
       if (version < VERSION) {
         if (manager == null && version == 0) {
@@ -71,7 +76,7 @@
         }
         run.execute("BEGIN IMMEDIATE");
         if (version == 0) {
-          for (String table : TABLES) {
+          for (String table : CREATE_STATEMENTS) {
             run.execute(table);
           }
           run.execute("INSERT INTO meta VALUES('position', 0)");
@@ -80,7 +85,7 @@
             // Version 1 did not store the billing section with which a period was closed.
             run.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
           }
-          run.execute(TOLD);
+          run.execute(CREATE_TOLD);
         }
         run.execute("PRAGMA user_version = " + VERSION);
         run.execute("COMMIT");
--- a/src/main/java/tansytrack/ledger/disk/Store.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -17,22 +17,23 @@
 import tansytrack.ledger.Amendment;
 import tansytrack.ledger.Entry;
 import tansytrack.ledger.Gap;
-import tansytrack.ledger.Line;
+import tansytrack.ledger.LedgerUpdate;
 import tansytrack.ledger.Reconciliation;
 
 /**
  * One manager's ledger in an SQLite database with a write-ahead log that is synchronized at each
  * commit. Complete entries, amendments and gaps (the lines of the ledger) get consecutive positions
  * from one counter, in the order in which they are completed. Bills and batches refer to lines by
- * position. Opening a ledger does not read all of it, because an index contains just the open tasks.
+ * position. Opening a ledger does not read all of it, because an index contains just the open
+ * tasks.
  */
-public final class Store implements AutoCloseable {
+public final class LedgerStore implements AutoCloseable {
 
-  private static final String FILE = "ledger.sqlite";
+  private static final String DATABASE_FILE = "ledger.sqlite";
   // Commands may write while the manager is running, so a writer may have to wait for the other.
-  private static final int BUSY_MS = 5000;
+  private static final int BUSY_TIMEOUT_MILLIS = 5000;
   // Pages of 4 KB in the write-ahead log before SQLite copies them into the database.
-  private static final int LOG_PAGES = 16384;
+  private static final int WAL_CHECKPOINT_PAGES = 16384;
 
   /**
    * A closed period.
@@ -42,23 +43,28 @@
    * @param sha the hash of its subtotals
    * @param billing the text of the billing section with which it was closed
    */
-  public record Closed(
-      String period, long upTo, long at, String author, String sha, String billing) {}
+  public record ClosedPeriod(
+      String period,
+      long lastPosition,
+      long closedAt,
+      String author,
+      String sha256,
+      String billing) {}
 
   /** A sealed batch; {@code placedAt} and {@code ackedAt} are 0 until then. */
   public record Batch(
       long number,
-      long first,
-      long last,
-      String form,
-      String sha,
+      long firstPosition,
+      long lastPosition,
+      String format,
+      String sha256,
       long size,
       long sealedAt,
       long placedAt,
       long ackedAt) {}
 
   /** Visits lines in the order of their positions; ignores those without an overridden method. */
-  public interface Lines {
+  public interface LineVisitor {
     /** Visits the complete entry of a task. */
     default void entry(long position, Entry entry) throws IOException {}
 
@@ -70,19 +76,19 @@
   }
 
   private final Path folder;
-  private final Faults faults;
+  private final FaultInjector faults;
   // Its transactions acquire the write lock when they begin.
   private final Connection db;
   // Its transactions read a snapshot and block nobody.
   private final Connection reader;
-  private final LineReader lines;
+  private final LineReader lineReader;
   private final FileChannel lock;
   private final String manager;
   private long epoch;
 
-  private Store(
+  private LedgerStore(
       Path folder,
-      Faults faults,
+      FaultInjector faults,
       Connection db,
       Connection reader,
       FileChannel lock,
@@ -91,7 +97,7 @@
     this.faults = faults;
     this.db = db;
     this.reader = reader;
-    lines = new LineReader(reader);
+    lineReader = new LineReader(reader);
     this.lock = lock;
     this.manager = manager;
   }
@@ -99,9 +105,10 @@
   // ---- Opening ----
 
   /** Opens or creates a ledger for its manager; fails if another process holds its lock. */
-  static Store forManager(Path folder, String manager, Faults faults) throws IOException {
+  static LedgerStore openForManager(Path folder, String manager, FaultInjector faults)
+      throws IOException {
     Files.createDirectories(folder);
-    FileChannel lock = LedgerLock.take(folder, manager);
+    FileChannel lock = LedgerLock.acquire(folder, manager);
     try {
       return open(folder, manager, faults, lock);
     } catch (IOException e) {
@@ -111,39 +118,43 @@
   }
 
   /** Opens an existing ledger for a command; its manager may be running. */
-  public static Store forCommand(Path folder, Faults faults) throws IOException {
-    if (!Files.exists(folder.resolve(FILE))) {
-      throw new IOException(folder + " holds no ledger (" + FILE + " is missing)");
+  public static LedgerStore openForCommand(Path folder, FaultInjector faults) throws IOException {
+    if (!Files.exists(folder.resolve(DATABASE_FILE))) {
+      throw new IOException(folder + " holds no ledger (" + DATABASE_FILE + " is missing)");
     }
     return open(folder, null, faults, null);
   }
 
-  private static Store open(Path folder, String manager, Faults faults, FileChannel lock)
-      throws IOException {
+  private static LedgerStore open(
+      Path folder, String manager, FaultInjector faults, FileChannel lock) throws IOException {
     SQLiteConfig config = new SQLiteConfig();
     config.setJournalMode(SQLiteConfig.JournalMode.WAL);
     config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
-    config.setBusyTimeout(BUSY_MS);
+    config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
     Connection db = null;
     Connection reader = null;
     try {
-      faults.before("open");
-      db = JDBC.createConnection("jdbc:sqlite:" + folder.resolve(FILE), config.toProperties());
+      faults.beforeStep("open");
+      db =
+          JDBC.createConnection(
+              "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
       try (Statement run = db.createStatement()) {
-        run.execute("PRAGMA wal_autocheckpoint = " + LOG_PAGES);
+        run.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
       }
       String owner = LedgerSchema.prepare(db, manager, folder);
-      reader = JDBC.createConnection("jdbc:sqlite:" + folder.resolve(FILE), config.toProperties());
-      return new Store(folder, faults, db, reader, lock, owner);
+      reader =
+          JDBC.createConnection(
+              "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
+      return new LedgerStore(folder, faults, db, reader, lock, owner);
     } catch (SQLException | IOException e) {
       close(db);
       close(reader);
-      throw e instanceof IOException io ? io : said(folder, (SQLException) e);
+      throw e instanceof IOException io ? io : toIoException(folder, (SQLException) e);
     }
   }
 
-  private static IOException said(Path folder, SQLException cause) {
-    return new IOException(folder.resolve(FILE) + ": " + cause.getMessage(), cause);
+  private static IOException toIoException(Path folder, SQLException cause) {
+    return new IOException(folder.resolve(DATABASE_FILE) + ": " + cause.getMessage(), cause);
   }
 
   private static void close(Connection db) {
@@ -174,30 +185,30 @@
   // ---- Transactions ----
 
   /** The body of a transaction. */
-  private interface Work<T> {
+  private interface TransactionBody<T> {
     T run() throws SQLException, IOException;
   }
 
-  private <T> T atomically(String step, Work<T> work) throws IOException {
-    return atomically(step, db, "BEGIN IMMEDIATE", work);
+  private <T> T inTransaction(String step, TransactionBody<T> work) throws IOException {
+    return inTransaction(step, db, "BEGIN IMMEDIATE", work);
   }
 
-  private <T> T reading(Work<T> work) throws IOException {
-    return atomically("read", reader, "BEGIN", work);
+  private <T> T inReadTransaction(TransactionBody<T> work) throws IOException {
+    return inTransaction("read", reader, "BEGIN", work);
   }
 
   /**
-   * Runs a transaction with explicit BEGIN and COMMIT statements. The commit of the JDBC driver would
-   * begin the next transaction at once and with it acquire the write lock again.
+   * Runs a transaction with explicit BEGIN and COMMIT statements. The commit of the JDBC driver
+   * would begin the next transaction at once and with it acquire the write lock again.
    */
-  private <T> T atomically(String step, Connection on, String begin, Work<T> work)
+  private <T> T inTransaction(String step, Connection on, String begin, TransactionBody<T> work)
       throws IOException {
     try (Statement run = on.createStatement()) {
-      faults.before(step);
+      faults.beforeStep(step);
       run.execute(begin);
       try {
         T made = work.run();
-        faults.before(step + " commit");
+        faults.beforeStep(step + " commit");
         run.execute("COMMIT");
         return made;
       } catch (SQLException | IOException | RuntimeException e) {
@@ -210,35 +221,35 @@
         throw e;
       }
     } catch (SQLException e) {
-      throw said(folder, e);
+      throw toIoException(folder, e);
     }
   }
 
   // ---- Operations of the running manager ----
 
   /**
-   * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns the
-   * number of such tasks.
+   * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns
+   * the number of such tasks.
    *
    * @param left receives the task and the engine of each forward that was in flight
    */
   long beginEpoch(long now, BiConsumer<String, String> left) throws IOException {
-    return atomically(
+    return inTransaction(
         "epoch",
         () -> {
           EpochStart start = new EpochStart(db);
-          epoch = start.next(now);
-          return start.endOpen(left);
+          epoch = start.begin(now);
+          return start.endOpenTasks(left);
         });
   }
 
   /** Writes updates of this epoch in one transaction. */
-  void write(List<Line> lines) throws IOException {
-    atomically(
+  void write(List<LedgerUpdate> lines) throws IOException {
+    inTransaction(
         "lines",
         () -> {
-          try (LineWriter writer = new LineWriter(db, epoch)) {
-            Sql.position(db, writer.write(lines));
+          try (UpdateWriter writer = new UpdateWriter(db, epoch)) {
+            Sql.lastPosition(db, writer.write(lines));
           }
           return null;
         });
@@ -247,17 +258,17 @@
   // ---- Reading ----
 
   /** The position of the last line. */
-  public long last() throws IOException {
-    return reading(() -> Sql.position(reader));
+  public long lastPosition() throws IOException {
+    return inReadTransaction(() -> Sql.lastPosition(reader));
   }
 
   /** The number of tasks that are not complete. */
   public long openTasks() throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           try (Statement run = reader.createStatement()) {
             return (long)
-                Sql.number(
+                Sql.queryInt(
                     run, "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
           }
         });
@@ -265,13 +276,13 @@
 
   /** The number of open tasks that were accepted in a time span (end exclusive). */
   public long openTasks(long from, long until) throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           try (PreparedStatement ask =
                   reader.prepareStatement(
                       "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL AND"
                           + " taken_at >= ? AND taken_at < ?");
-              ResultSet found = Sql.set(ask, from, until).executeQuery()) {
+              ResultSet found = Sql.bind(ask, from, until).executeQuery()) {
             found.next();
             return found.getLong(1);
           }
@@ -279,34 +290,34 @@
   }
 
   /** Whether there is a complete or open entry with that epoch and number. */
-  public boolean holds(long ofEpoch, long sequence) throws IOException {
-    return reading(
+  public boolean containsEntry(long ofEpoch, long sequence) throws IOException {
+    return inReadTransaction(
         () -> {
           try (PreparedStatement ask =
                   reader.prepareStatement("SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
-              ResultSet found = Sql.set(ask, ofEpoch, sequence).executeQuery()) {
+              ResultSet found = Sql.bind(ask, ofEpoch, sequence).executeQuery()) {
             return found.next();
           }
         });
   }
 
   /** Passes all lines from one position to another (inclusive) to a visitor, in order. */
-  public void read(long first, long last, Lines to) throws IOException {
-    reading(
+  public void read(long first, long last, LineVisitor to) throws IOException {
+    inReadTransaction(
         () -> {
-          lines.read(first, last, to);
+          lineReader.read(first, last, to);
           return null;
         });
   }
 
   /** All amendments, sorted by number. */
   public List<Amendment> amendments() throws IOException {
-    return reading(() -> List.copyOf(lines.amendments(0, Long.MAX_VALUE).values()));
+    return inReadTransaction(() -> List.copyOf(lineReader.amendments(0, Long.MAX_VALUE).values()));
   }
 
   /** Runs that engines reported when a manager asked after its start about forwards in flight. */
-  public List<Reconciliation.Run> told() throws IOException {
-    return reading(
+  public List<Reconciliation.Run> reportedRuns() throws IOException {
+    return inReadTransaction(
         () -> {
           List<Reconciliation.Run> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
@@ -325,10 +336,10 @@
   }
 
   /** The closed periods, sorted by name. */
-  public List<Closed> closed() throws IOException {
-    return reading(
+  public List<ClosedPeriod> closedPeriods() throws IOException {
+    return inReadTransaction(
         () -> {
-          List<Closed> all = new ArrayList<>();
+          List<ClosedPeriod> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
               ResultSet found =
                   run.executeQuery(
@@ -336,7 +347,7 @@
                           + " period")) {
             while (found.next()) {
               all.add(
-                  new Closed(
+                  new ClosedPeriod(
                       found.getString(1),
                       found.getLong(2),
                       found.getLong(3),
@@ -351,7 +362,7 @@
 
   /** The sealed batches, sorted by number. */
   public List<Batch> batches() throws IOException {
-    return reading(
+    return inReadTransaction(
         () -> {
           List<Batch> all = new ArrayList<>();
           try (Statement run = reader.createStatement();
@@ -380,18 +391,18 @@
   // ---- Operations of commands ----
 
   /** Stores an amendment under the next number, and returns it with that number. */
-  public Amendment amend(Amendment wanted) throws IOException {
-    return atomically(
+  public Amendment addAmendment(Amendment wanted) throws IOException {
+    return inTransaction(
         "amendment",
         () -> {
-          long at = Sql.position(db) + 1;
+          long at = Sql.lastPosition(db) + 1;
           long number;
           try (Statement run = db.createStatement()) {
-            number = 1L + Sql.number(run, "SELECT max(number) FROM amendment");
+            number = 1L + Sql.queryInt(run, "SELECT max(number) FROM amendment");
           }
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     number,
                     wanted.period(),
@@ -400,12 +411,12 @@
                     wanted.author(),
                     wanted.reason(),
                     wanted.corrects(),
-                    wanted.at(),
+                    wanted.createdAt(),
                     wanted.withdraws() ? 1 : 0,
                     at)
                 .executeUpdate();
           }
-          Sql.position(db, at);
+          Sql.lastPosition(db, at);
           return new Amendment(
               number,
               wanted.period(),
@@ -414,25 +425,25 @@
               wanted.author(),
               wanted.reason(),
               wanted.corrects(),
-              wanted.at(),
+              wanted.createdAt(),
               wanted.withdraws());
         });
   }
 
   /** Stores that a period is closed. */
-  public void close(Closed period) throws IOException {
-    atomically(
+  public void close(ClosedPeriod period) throws IOException {
+    inTransaction(
         "close",
         () -> {
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     period.period(),
-                    period.upTo(),
-                    period.at(),
+                    period.lastPosition(),
+                    period.closedAt(),
                     period.author(),
-                    period.sha(),
+                    period.sha256(),
                     period.billing())
                 .executeUpdate();
           }
@@ -441,19 +452,19 @@
   }
 
   /** Stores a sealed batch; its range, format and hash are fixed from then on. */
-  public void seal(Batch batch) throws IOException {
-    atomically(
+  public void addBatch(Batch batch) throws IOException {
+    inTransaction(
         "seal",
         () -> {
           try (PreparedStatement put =
               db.prepareStatement("INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
-            Sql.set(
+            Sql.bind(
                     put,
                     batch.number(),
-                    batch.first(),
-                    batch.last(),
-                    batch.form(),
-                    batch.sha(),
+                    batch.firstPosition(),
+                    batch.lastPosition(),
+                    batch.format(),
+                    batch.sha256(),
                     batch.size(),
                     batch.sealedAt())
                 .executeUpdate();
@@ -463,31 +474,31 @@
   }
 
   /** Stores the time at which a batch was placed, unless it has one. */
-  public void placed(long number, long at) throws IOException {
-    mark("placed_at", number, at);
+  public void markPlaced(long number, long at) throws IOException {
+    setTimeOnce("placed_at", number, at);
   }
 
   /** Stores the time at which the consumer acknowledged a batch, unless it has one. */
-  public void acked(long number, long at) throws IOException {
-    mark("acked_at", number, at);
+  public void markAcknowledged(long number, long at) throws IOException {
+    setTimeOnce("acked_at", number, at);
   }
 
-  private void mark(String column, long number, long at) throws IOException {
-    atomically(
+  private void setTimeOnce(String column, long number, long at) throws IOException {
+    inTransaction(
         column,
         () -> {
           try (PreparedStatement put =
               db.prepareStatement(
                   "UPDATE batch SET " + column + " = ? WHERE number = ? AND " + column + " = 0")) {
-            Sql.set(put, at, number).executeUpdate();
+            Sql.bind(put, at, number).executeUpdate();
           }
           return null;
         });
   }
 
   /** Runs a quick check of the database and returns the first damage found, or null. */
-  public String damage() throws IOException {
-    return reading(
+  public String findDamage() throws IOException {
+    return inReadTransaction(
         () -> {
           try (Statement run = reader.createStatement();
               ResultSet found = run.executeQuery("PRAGMA quick_check(1)")) {
@@ -503,7 +514,7 @@
       reader.close();
       db.close();
     } catch (SQLException e) {
-      throw said(folder, e);
+      throw toIoException(folder, e);
     } finally {
       if (lock != null) {
         lock.close();
