--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       String of = period == null ? section.periods().periodAt(nowNanos()) : period;
       section.periods().firstDay(of);
       Bill bill = Billing.computeBill(store, section.periods(), section.rates(), of);
@@ -55,51 +55,51 @@
     }
 
     private void addSubtotalRow(
-        Bill bill, String of, Bill.SubtotalKey whose, Bill.Subtotal sum, String late) {
-      if (tenant != null && !tenant.equals(whose.tenant())) {
+        Bill bill, String shownPeriod, Bill.SubtotalKey key, Bill.Subtotal subtotal, String late) {
+      if (tenant != null && !tenant.equals(key.tenant())) {
         return;
       }
       addRow(
           columns(
               "period",
-              of,
+              shownPeriod,
               "tenant",
-              whose.tenant(),
+              key.tenant(),
               "grade",
-              whose.grade(),
+              key.grade(),
               "tasks",
-              sum.tasks(),
+              subtotal.tasks(),
               "handled",
-              sum.handled(),
+              subtotal.handled(),
               "bounced",
-              sum.bounced(),
+              subtotal.rejected(),
               "unresolved",
-              sum.unresolved(),
+              subtotal.unresolved(),
               "work ms",
-              sum.workNanos() / 1_000_000,
+              subtotal.workNanos() / 1_000_000,
               "wasted ms",
-              sum.wasteNanos() / 1_000_000,
+              subtotal.wasteNanos() / 1_000_000,
               "bytes",
-              sum.bytes(),
+              subtotal.bytes(),
               "amount",
-              bill.roundedAmount(sum).toPlainString(),
+              bill.roundedAmount(subtotal).toPlainString(),
               "",
               late));
     }
 
     private void addTotalRows(Bill bill) {
-      for (String one : bill.tenants()) {
-        if (tenant == null || tenant.equals(one)) {
+      for (String billedTenant : bill.tenants()) {
+        if (tenant == null || tenant.equals(billedTenant)) {
           addRow(
               columns(
                   "tenant",
-                  one,
+                  billedTenant,
                   "amended",
-                  bill.amendedAmount(one).toPlainString(),
+                  bill.amendedAmount(billedTenant).toPlainString(),
                   "total",
-                  bill.total(one).toPlainString(),
+                  bill.total(billedTenant).toPlainString(),
                   "quota",
-                  Billing.quotaStatus(bill, one, section.quotas())));
+                  Billing.quotaStatus(bill, billedTenant, section.quotas())));
         }
       }
     }
@@ -114,7 +114,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       for (String closed : Billing.closeDuePeriods(store, section, nowNanos())) {
         System.err.println("closed " + closed + ": its grace period is over");
       }
@@ -162,7 +162,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       String refused =
           section
               .closingPolicy()
@@ -238,7 +238,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       section.periods().firstDay(period);
       checkAmount();
       Amendment wanted = requestedAmendment();
@@ -290,9 +290,10 @@
           withdraw);
     }
 
-    private static String rejectionReason(LedgerStore store, Amendment wanted) throws IOException {
+    private static String rejectionReason(LedgerStore store, Amendment requested)
+        throws IOException {
       return AmendmentValidator.rejectionReason(
-          wanted,
+          requested,
           store.amendments(),
           (epoch, number) -> {
             try {
@@ -325,7 +326,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       EntryResolver by = new EntryResolver(section.rates(), section.periods(), store.amendments());
       store.reportedRuns().forEach(by::addRun);
       for (String one : statements) {
--- a/src/main/java/tansytrack/LedgerBillingCommand.java
+++ b/src/main/java/tansytrack/LedgerBillingCommand.java
@@ -19,7 +19,7 @@
   OperatorFile.LedgerSection section;
 
   /** Runs the command on an open store and returns the exit code. */
-  abstract int work(LedgerStore store) throws IOException;
+  abstract int execute(LedgerStore store) throws IOException;
 
   @Override
   protected final int execute() throws IOException {
@@ -29,7 +29,7 @@
           operator + ": ledger: missing; allowed: a section with the ledger's folder");
     }
     try (LedgerStore store = LedgerStore.openForCommand(section.folder(), FaultInjector.NONE)) {
-      return work(store);
+      return execute(store);
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerExchangeCommands.java
+++ b/src/main/java/tansytrack/LedgerExchangeCommands.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       if (!format.equals("protobuf") && !format.equals("csv")) {
         throw new InvalidInputException("--form '" + format + "'; allowed: protobuf, csv");
       }
@@ -105,7 +105,7 @@
         name = "--sha256",
         metaVar = "HASH",
         usage = "the hash of what the consumer received; must be that of the sealed batch")
-    private String sha;
+    private String sha256;
 
     @Override
     public String description() {
@@ -113,12 +113,12 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       for (LedgerStore.Batch one : store.batches()) {
         if (one.number() == number && one.placedAt() > 0) {
-          if (sha != null && !sha.equalsIgnoreCase(one.sha256())) {
+          if (sha256 != null && !sha256.equalsIgnoreCase(one.sha256())) {
             throw new InvalidInputException(
-                "batch " + number + " was sealed with SHA-256 " + one.sha256() + ", not " + sha);
+                "batch " + number + " was sealed with SHA-256 " + one.sha256() + ", not " + sha256);
           }
           store.markAcknowledged(number, nowNanos());
           return 0;
@@ -166,22 +166,22 @@
                 gap.cause()));
       }
       printTable();
-      for (MergedLedger.MissingRange hole : merged.missingRanges()) {
+      for (MergedLedger.MissingRange range : merged.missingRanges()) {
         addRow(
             columns(
                 "missing from",
-                hole.manager(),
+                range.manager(),
                 "epoch",
-                hole.epoch(),
+                range.epoch(),
                 "first",
-                hole.first(),
+                range.first(),
                 "last",
-                hole.last()));
+                range.last()));
       }
       printTable();
       for (MergedLedger.Key key : merged.contradictions()) {
-        for (Object said : merged.entries().getOrDefault(key, Set.of())) {
-          addRow(columns("contradiction", key, "said", said));
+        for (Object entry : merged.entries().getOrDefault(key, Set.of())) {
+          addRow(columns("contradiction", key, "said", entry));
         }
       }
       printTable();
@@ -217,34 +217,37 @@
     @Override
     protected int execute() throws IOException {
       MergedLedger merged = LedgerFiles.readMerged(places.stream().map(Path::of).toList());
-      Reconciliation all = new Reconciliation();
-      merged.entries().values().forEach(said -> said.forEach((Entry entry) -> all.add(entry)));
-      for (String one : statements) {
-        try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.readStatement(one, in, all);
+      Reconciliation reconciliation = new Reconciliation();
+      merged
+          .entries()
+          .values()
+          .forEach(versions -> versions.forEach((Entry entry) -> reconciliation.add(entry)));
+      for (String item : statements) {
+        try (InputStream in = Files.newInputStream(Path.of(item))) {
+          LedgerFiles.readStatement(item, in, reconciliation);
         }
       }
-      List<Reconciliation.Finding> findings = all.findings();
-      for (Reconciliation.Finding one : findings) {
+      List<Reconciliation.Finding> findings = reconciliation.findings();
+      for (Reconciliation.Finding item : findings) {
         addRow(
             columns(
                 "finding",
-                one.kind(),
+                item.kind(),
                 "engine",
-                one.engine(),
+                item.engine(),
                 "task",
-                one.task(),
+                item.task(),
                 "cause",
-                one.cause(),
+                item.cause(),
                 "fault",
-                one.fault() ? "yes" : "no"));
+                item.fault() ? "yes" : "no"));
       }
       printTable();
       long faults = findings.stream().filter(Reconciliation.Finding::fault).count();
       addRow(
           columns(
               "agreed",
-              all.matchedForwards(),
+              reconciliation.matchedForwards(),
               "without fault",
               findings.size() - faults,
               "faults",
@@ -263,7 +266,7 @@
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       String breach =
           Billing.verify(store, section, seen -> System.err.println(seen + " positions read"));
       addRow(
--- a/src/main/java/tansytrack/LedgerFolderCommand.java
+++ b/src/main/java/tansytrack/LedgerFolderCommand.java
@@ -16,12 +16,12 @@
   String folder;
 
   /** Runs the command on an open store and returns the exit code. */
-  abstract int work(LedgerStore store) throws IOException;
+  abstract int execute(LedgerStore store) throws IOException;
 
   @Override
   protected final int execute() throws IOException {
     try (LedgerStore store = LedgerStore.openForCommand(Path.of(folder), FaultInjector.NONE)) {
-      return work(store);
+      return execute(store);
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerRowsCommand.java
+++ b/src/main/java/tansytrack/LedgerRowsCommand.java
@@ -24,12 +24,13 @@
       out.println(
           columns.entrySet().stream()
               .map(
-                  one ->
-                      JsonLinesWriter.quote(one.getKey())
+                  column ->
+                      JsonLinesWriter.quote(column.getKey())
                           + ':'
-                          + (one.getValue() instanceof Long || one.getValue() instanceof Boolean
-                              ? one.getValue().toString()
-                              : JsonLinesWriter.quote(one.getValue().toString())))
+                          + (column.getValue() instanceof Long
+                                  || column.getValue() instanceof Boolean
+                              ? column.getValue().toString()
+                              : JsonLinesWriter.quote(column.getValue().toString())))
               .collect(Collectors.joining(",", "{", "}")));
     } else {
       rows.add(columns.values().stream().map(Object::toString).toList());
@@ -48,15 +49,15 @@
     rows.add(0, headings);
     int[] widths = new int[headings.size()];
     rows.forEach(
-        one -> {
+        row -> {
           for (int i = 0; i < widths.length; i++) {
-            widths[i] = Math.max(widths[i], one.get(i).length());
+            widths[i] = Math.max(widths[i], row.get(i).length());
           }
         });
-    for (List<String> one : rows) {
+    for (List<String> row : rows) {
       StringBuilder line = new StringBuilder();
       for (int i = 0; i < widths.length; i++) {
-        line.append(one.get(i)).append(" ".repeat(widths[i] - one.get(i).length() + 2));
+        line.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length() + 2));
       }
       out.println(line.toString().stripTrailing());
     }
@@ -66,11 +67,11 @@
 
   /** Returns a row from alternating names and values, in this order. */
   static Map<String, Object> columns(Object... pairs) {
-    Map<String, Object> made = new LinkedHashMap<>();
+    Map<String, Object> row = new LinkedHashMap<>();
     for (int i = 0; i < pairs.length; i += 2) {
-      made.put((String) pairs[i], pairs[i + 1]);
+      row.put((String) pairs[i], pairs[i + 1]);
     }
-    return made;
+    return row;
   }
 
   /** The current time in nanoseconds of the Unix clock. */
@@ -80,7 +81,7 @@
   }
 
   /** Formats a time in nanoseconds of the Unix clock, to seconds; "-" for 0. */
-  static String formatTime(long at) {
-    return at == 0 ? "-" : Instant.ofEpochSecond(at / 1_000_000_000L).toString();
+  static String formatTime(long unixNanos) {
+    return unixNanos == 0 ? "-" : Instant.ofEpochSecond(unixNanos / 1_000_000_000L).toString();
   }
 }
--- a/src/main/java/tansytrack/ledger/Amendment.java
+++ b/src/main/java/tansytrack/ledger/Amendment.java
@@ -9,7 +9,7 @@
  * @param amount the amount added to the tenant's bill; 0 for a withdrawal
  * @param corrects the entry ({@code e:EPOCH:NUMBER}) or amendment ({@code a:NUMBER}) that is
  *     corrected; empty for a correction of the tenant's total
- * @param at the time of the correction in nanoseconds of the Unix clock
+ * @param createdAt the time of the correction in nanoseconds of the Unix clock
  * @param withdraws whether this amendment revokes the whole amendment that it names
  */
 public record Amendment(
--- a/src/main/java/tansytrack/ledger/AmendmentValidator.java
+++ b/src/main/java/tansytrack/ledger/AmendmentValidator.java
@@ -12,59 +12,60 @@
   /**
    * Returns why an amendment is rejected, or null if it is valid.
    *
-   * @param all all stored amendments
-   * @param entries tells whether the ledger has an entry with that epoch and number
+   * @param amendments all stored amendments
+   * @param entryExists tells whether the ledger has an entry with that epoch and number
    */
   public static String rejectionReason(
-      Amendment wanted, List<Amendment> all, BiPredicate<Long, Long> entries) {
-    if (wanted.author().isBlank()) {
+      Amendment amendment, List<Amendment> amendments, BiPredicate<Long, Long> entryExists) {
+    if (amendment.author().isBlank()) {
       return "--author is empty; allowed: the name of the person who makes the correction";
     }
-    if (wanted.reason().isBlank()) {
+    if (amendment.reason().isBlank()) {
       return "--reason is empty; allowed: the reason for the correction";
     }
-    if (!wanted.withdraws() && wanted.amount().compareTo(BigDecimal.ZERO) == 0) {
+    if (!amendment.withdraws() && amendment.amount().compareTo(BigDecimal.ZERO) == 0) {
       return "--amount is 0; allowed: a decimal other than 0, as in -1.25";
     }
-    String what = wanted.corrects();
-    if (what.isEmpty()) {
-      return wanted.withdraws()
+    String reference = amendment.corrects();
+    if (reference.isEmpty()) {
+      return amendment.withdraws()
           ? "--withdraw without --corrects; allowed: --corrects a:NUMBER"
           : null;
     }
-    String[] parts = what.split(":", -1);
+    String[] parts = reference.split(":", -1);
     try {
-      if (parts.length == 3 && parts[0].equals("e") && !wanted.withdraws()) {
-        return entries.test(Long.parseLong(parts[1]), Long.parseLong(parts[2]))
+      if (parts.length == 3 && parts[0].equals("e") && !amendment.withdraws()) {
+        return entryExists.test(Long.parseLong(parts[1]), Long.parseLong(parts[2]))
             ? null
-            : "--corrects " + what + ": no such entry";
+            : "--corrects " + reference + ": no such entry";
       }
       if (parts.length == 2 && parts[0].equals("a")) {
-        return checkCorrectedAmendment(wanted, all, Long.parseLong(parts[1]));
+        return checkCorrectedAmendment(amendment, amendments, Long.parseLong(parts[1]));
       }
     } catch (NumberFormatException e) {
       // Reported below, like any other malformed reference.
     }
     return "--corrects '"
-        + what
+        + reference
         + "' is not a valid reference; allowed: e:EPOCH:NUMBER for an entry, a:NUMBER for an"
         + " amendment"
-        + (wanted.withdraws() ? " (only an amendment can be withdrawn)" : "");
+        + (amendment.withdraws() ? " (only an amendment can be withdrawn)" : "");
   }
 
   private static String checkCorrectedAmendment(
-      Amendment wanted, List<Amendment> all, long number) {
-    for (Amendment one : all) {
-      if (one.number() == number) {
-        if (!one.period().equals(wanted.period()) || !one.tenant().equals(wanted.tenant())) {
+      Amendment amendment, List<Amendment> amendments, long number) {
+    for (Amendment corrected : amendments) {
+      if (corrected.number() == number) {
+        if (!corrected.period().equals(amendment.period())
+            || !corrected.tenant().equals(amendment.tenant())) {
           return "amendment "
               + number
               + " is of period "
-              + one.period()
+              + corrected.period()
               + ", tenant "
-              + one.tenant();
+              + corrected.tenant();
         }
-        return Bill.effectiveAmendments(all).contains(number)
+        return Bill.effectiveAmendments(amendments).contains(number)
             ? null
             : "amendment " + number + " was withdrawn already";
       }
--- a/src/main/java/tansytrack/ledger/Bill.java
+++ b/src/main/java/tansytrack/ledger/Bill.java
@@ -20,7 +20,7 @@
   public static final class Subtotal {
     private long tasks;
     private long handled;
-    private long bounced;
+    private long rejected;
     private long unresolved;
     private long workNanos;
     private long wasteNanos;
@@ -38,8 +38,8 @@
     }
 
     /** The number of tasks rejected or failed. */
-    public long bounced() {
-      return bounced;
+    public long rejected() {
+      return rejected;
     }
 
     /** The number of tasks whose end is unknown because their manager died. */
@@ -67,8 +67,8 @@
   public record SubtotalKey(String tenant, String grade) implements Comparable<SubtotalKey> {
     @Override
     public int compareTo(SubtotalKey other) {
-      int by = tenant.compareTo(other.tenant);
-      return by != 0 ? by : grade.compareTo(other.grade);
+      int byTenant = tenant.compareTo(other.tenant);
+      return byTenant != 0 ? byTenant : grade.compareTo(other.grade);
     }
   }
 
@@ -84,13 +84,13 @@
   /**
    * Creates an empty bill.
    *
-   * @param closedAt the position at which the period was closed; 0 while it is open
+   * @param closingPosition the position at which the period was closed; 0 while it is open
    */
-  public Bill(String period, BillingPeriods periods, Rates rates, long closedAt) {
+  public Bill(String period, BillingPeriods periods, Rates rates, long closingPosition) {
     this.period = period;
     this.periods = periods;
     this.rates = rates;
-    this.closingPosition = closedAt;
+    this.closingPosition = closingPosition;
   }
 
   /**
@@ -101,19 +101,20 @@
     if (!periods.periodAt(entry.takenAt()).equals(period)) {
       return;
     }
-    TreeMap<SubtotalKey, Subtotal> into =
+    TreeMap<SubtotalKey, Subtotal> target =
         closingPosition > 0 && position > closingPosition ? lateSubtotals : subtotals;
-    Subtotal sum =
-        into.computeIfAbsent(
-            new SubtotalKey(entry.tenant(), entry.grade()), whose -> new Subtotal());
-    sum.tasks++;
-    sum.handled += entry.end() == TaskEnd.HANDLED ? 1 : 0;
-    sum.bounced += entry.end() == TaskEnd.BOUNCED ? 1 : 0;
-    sum.unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
-    sum.workNanos += entry.workNanos(true);
-    sum.wasteNanos += entry.workNanos(true) - entry.workNanos(false);
-    sum.bytes += entry.bytes();
-    sum.exactAmount = sum.exactAmount.add(rates.price(entry, periods.dayAt(entry.takenAt())));
+    Subtotal subtotal =
+        target.computeIfAbsent(
+            new SubtotalKey(entry.tenant(), entry.grade()), key -> new Subtotal());
+    subtotal.tasks++;
+    subtotal.handled += entry.end() == TaskEnd.HANDLED ? 1 : 0;
+    subtotal.rejected += entry.end() == TaskEnd.BOUNCED ? 1 : 0;
+    subtotal.unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
+    subtotal.workNanos += entry.workNanos(true);
+    subtotal.wasteNanos += entry.workNanos(true) - entry.workNanos(false);
+    subtotal.bytes += entry.bytes();
+    subtotal.exactAmount =
+        subtotal.exactAmount.add(rates.price(entry, periods.dayAt(entry.takenAt())));
   }
 
   /** Adds an amendment if it belongs to this period. */
@@ -134,8 +135,8 @@
   }
 
   /** The rounded amount of one subtotal. */
-  public BigDecimal roundedAmount(Subtotal sum) {
-    return rates.round(sum.exactAmount);
+  public BigDecimal roundedAmount(Subtotal subtotal) {
+    return rates.round(subtotal.exactAmount);
   }
 
   /**
@@ -143,11 +144,13 @@
    * itself withdrawn has no effect.
    */
   public BigDecimal amendedAmount(String tenant) {
-    Set<Long> stand = effectiveAmendments(amendments);
+    Set<Long> effective = effectiveAmendments(amendments);
     BigDecimal sum = BigDecimal.ZERO;
-    for (Amendment one : amendments) {
-      if (one.tenant().equals(tenant) && !one.withdraws() && stand.contains(one.number())) {
-        sum = sum.add(one.amount());
+    for (Amendment amendment : amendments) {
+      if (amendment.tenant().equals(tenant)
+          && !amendment.withdraws()
+          && effective.contains(amendment.number())) {
+        sum = sum.add(amendment.amount());
       }
     }
     return sum;
@@ -157,38 +160,38 @@
    * The numbers of the amendments that are in effect. The amendments are evaluated from the latest
    * to the earliest, because each can only withdraw an earlier one.
    */
-  public static Set<Long> effectiveAmendments(List<Amendment> all) {
+  public static Set<Long> effectiveAmendments(List<Amendment> amendments) {
     Map<Long, Boolean> withdrawn = new HashMap<>();
-    Set<Long> stand = new HashSet<>();
-    List<Amendment> latestFirst = new ArrayList<>(all);
+    Set<Long> effective = new HashSet<>();
+    List<Amendment> latestFirst = new ArrayList<>(amendments);
     latestFirst.sort((a, b) -> Long.compare(b.number(), a.number()));
-    for (Amendment one : latestFirst) {
-      if (!withdrawn.containsKey(one.number())) {
-        stand.add(one.number());
-        if (one.withdraws()) {
-          withdrawn.put(Long.parseLong(one.corrects().substring(2)), true);
+    for (Amendment amendment : latestFirst) {
+      if (!withdrawn.containsKey(amendment.number())) {
+        effective.add(amendment.number());
+        if (amendment.withdraws()) {
+          withdrawn.put(Long.parseLong(amendment.corrects().substring(2)), true);
         }
       }
     }
-    return stand;
+    return effective;
   }
 
   /** All tenants on the bill, sorted by name. */
   public Set<String> tenants() {
     Set<String> tenants = new java.util.TreeSet<>();
-    subtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
-    lateSubtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
-    amendments.forEach(one -> tenants.add(one.tenant()));
+    subtotals.keySet().forEach(key -> tenants.add(key.tenant()));
+    lateSubtotals.keySet().forEach(key -> tenants.add(key.tenant()));
+    amendments.forEach(amendment -> tenants.add(amendment.tenant()));
     return tenants;
   }
 
   /** The amount a tenant owes: its rounded subtotals, late ones included, and its amendments. */
   public BigDecimal total(String tenant) {
     BigDecimal total = amendedAmount(tenant);
-    for (Map<SubtotalKey, Subtotal> part : List.of(subtotals, lateSubtotals)) {
-      for (Map.Entry<SubtotalKey, Subtotal> one : part.entrySet()) {
-        if (one.getKey().tenant().equals(tenant)) {
-          total = total.add(roundedAmount(one.getValue()));
+    for (Map<SubtotalKey, Subtotal> subtotalMap : List.of(subtotals, lateSubtotals)) {
+      for (Map.Entry<SubtotalKey, Subtotal> keyAndSubtotal : subtotalMap.entrySet()) {
+        if (keyAndSubtotal.getKey().tenant().equals(tenant)) {
+          total = total.add(roundedAmount(keyAndSubtotal.getValue()));
         }
       }
     }
@@ -199,18 +202,18 @@
   public String canonicalText() {
     StringBuilder text = new StringBuilder();
     subtotals.forEach(
-        (whose, sum) ->
-            text.append(whose.tenant)
+        (key, subtotal) ->
+            text.append(key.tenant)
                 .append('\t')
-                .append(whose.grade)
+                .append(key.grade)
                 .append('\t')
-                .append(sum.tasks)
+                .append(subtotal.tasks)
                 .append('\t')
-                .append(sum.handled)
+                .append(subtotal.handled)
                 .append('\t')
-                .append(sum.workNanos)
+                .append(subtotal.workNanos)
                 .append('\t')
-                .append(roundedAmount(sum).toPlainString())
+                .append(roundedAmount(subtotal).toPlainString())
                 .append('\n'));
     return text.toString();
   }
--- a/src/main/java/tansytrack/ledger/BillingPeriods.java
+++ b/src/main/java/tansytrack/ledger/BillingPeriods.java
@@ -26,10 +26,11 @@
   }
 
   /** Returns the period that contains a time, given in nanoseconds of the Unix clock. */
-  public String periodAt(long at) {
+  public String periodAt(long unixNanos) {
     LocalDate day =
         Instant.ofEpochSecond(
-                Math.floorDiv(at, NANOS_PER_SECOND), Math.floorMod(at, NANOS_PER_SECOND))
+                Math.floorDiv(unixNanos, NANOS_PER_SECOND),
+                Math.floorMod(unixNanos, NANOS_PER_SECOND))
             .atZone(zone)
             .toLocalDate();
     return switch (length) {
@@ -45,7 +46,7 @@
   /**
    * Returns the first day of a period.
    *
-   * @throws BadPeriod if the text is not a period; the message shows the expected form
+   * @throws InvalidPeriodException if the text is not a period; the message shows the expected form
    */
   public LocalDate firstDay(String period) {
     try {
@@ -102,16 +103,18 @@
   }
 
   /** The day that contains a time, in the time zone of the periods. */
-  public LocalDate dayAt(long at) {
-    return Instant.ofEpochSecond(Math.floorDiv(at, NANOS_PER_SECOND)).atZone(zone).toLocalDate();
+  public LocalDate dayAt(long unixNanos) {
+    return Instant.ofEpochSecond(Math.floorDiv(unixNanos, NANOS_PER_SECOND))
+        .atZone(zone)
+        .toLocalDate();
   }
 
   /** Thrown for a text that is not the name of a period. */
   public static final class InvalidPeriodException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    InvalidPeriodException(String what) {
-      super(what);
+    InvalidPeriodException(String message) {
+      super(message);
     }
   }
 }
--- a/src/main/java/tansytrack/ledger/EntryResolver.java
+++ b/src/main/java/tansytrack/ledger/EntryResolver.java
@@ -25,38 +25,40 @@
   private final Set<String> resolved = new HashSet<>();
 
   /** Creates a resolver that skips the entries resolved by the given amendments. */
-  public EntryResolver(Rates rates, BillingPeriods periods, List<Amendment> before) {
+  public EntryResolver(Rates rates, BillingPeriods periods, List<Amendment> amendments) {
     this.rates = rates;
     this.periods = periods;
-    for (Amendment one : before) {
-      if (one.reason().startsWith(REASON_PREFIX)) {
-        resolved.add(one.corrects());
+    for (Amendment amendment : amendments) {
+      if (amendment.reason().startsWith(REASON_PREFIX)) {
+        resolved.add(amendment.corrects());
       }
     }
   }
 
   /** Adds a run that an engine states; a repeated run counts once. */
   public void addRun(Reconciliation.Run run) {
-    List<Reconciliation.Run> known = runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
-    if (!known.contains(run)) {
+    List<Reconciliation.Run> runsOfTask =
+        runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
+    if (!runsOfTask.contains(run)) {
       // An engine may report a run after a manager's start and again in a statement.
-      known.add(run);
+      runsOfTask.add(run);
     }
   }
 
   /** Returns an amendment without a number that resolves an entry, or null. */
   public Amendment resolve(Entry entry, String author, long now) {
-    String name = "e:" + entry.epoch() + ':' + entry.sequence();
-    List<Reconciliation.Run> ran = runs.getOrDefault(entry.task(), List.of());
-    if (entry.end() != TaskEnd.UNRESOLVED || ran.isEmpty() || !resolved.add(name)) {
+    String reference = "e:" + entry.epoch() + ':' + entry.sequence();
+    List<Reconciliation.Run> runsOfTask = runs.getOrDefault(entry.task(), List.of());
+    if (entry.end() != TaskEnd.UNRESOLVED || runsOfTask.isEmpty() || !resolved.add(reference)) {
       return null;
     }
     List<Use> uses = new ArrayList<>();
-    StringBuilder said = new StringBuilder(REASON_PREFIX);
+    StringBuilder reason = new StringBuilder(REASON_PREFIX);
     for (Use use : entry.uses()) {
-      for (Reconciliation.Run run : ran) {
+      for (Reconciliation.Run run : runsOfTask) {
         if (run.engine().equals(use.engine())) {
-          said.append(said.length() > REASON_PREFIX.length() ? ", " : "")
+          reason
+              .append(reason.length() > REASON_PREFIX.length() ? ", " : "")
               .append(run.engine())
               .append(run.done() ? " ran it, " + run.work() + " ns" : " dropped it");
           uses.add(wastedUse(use, run));
@@ -64,20 +66,20 @@
       }
     }
     if (uses.isEmpty()) {
-      resolved.remove(name);
+      resolved.remove(reference);
       // The runs belong to another manager's task, at engines that this manager did not use.
       return null;
     }
-    Entry known = asAbandoned(entry, uses);
-    BigDecimal amount = rates.round(rates.price(known, periods.dayAt(entry.takenAt())));
+    Entry resolvedEntry = asAbandoned(entry, uses);
+    BigDecimal amount = rates.round(rates.price(resolvedEntry, periods.dayAt(entry.takenAt())));
     return new Amendment(
         0,
         periods.periodAt(entry.takenAt()),
         entry.tenant(),
         amount,
         author,
-        said.toString(),
-        name,
+        reason.toString(),
+        reference,
         now,
         false);
   }
--- a/src/main/java/tansytrack/ledger/EntryTracker.java
+++ b/src/main/java/tansytrack/ledger/EntryTracker.java
@@ -36,9 +36,9 @@
      * Returns the earnings of a task in thousandths.
      *
      * @param grade the query class
-     * @param time the time from acceptance to answer in nanoseconds
+     * @param durationNanos the time from acceptance to answer in nanoseconds
      */
-    long earningsMilli(String grade, TaskEnd end, long time);
+    long earningsMilli(String grade, TaskEnd end, long durationNanos);
   }
 
   private final EarningsFunction earnings;
@@ -51,19 +51,19 @@
   }
 
   /** Registers an accepted task and returns its number in this epoch. */
-  public long taskTaken(long now, String task, String tenant, String grade) {
+  public long taskAccepted(long now, String task, String tenant, String grade) {
     openEntries.put(task, new OpenEntry(++lastSequence, tenant, grade, now));
     return lastSequence;
   }
 
   /** Records a forward that is about to be sent. */
   public LedgerUpdate forwardSent(long now, String task, int index, String engine, long grantedMb) {
-    OpenEntry one = openEntries.get(task);
+    OpenEntry entry = openEntries.get(task);
     Use use = new Use(index, engine, now, 0, "", 0, 0, grantedMb, false);
-    one.uses.add(use);
-    one.inFlight++;
+    entry.uses.add(use);
+    entry.inFlight++;
     return new LedgerUpdate.ForwardSent(
-        one.sequence, task, one.tenant, one.grade, one.takenAt, use);
+        entry.sequence, task, entry.tenant, entry.grade, entry.takenAt, use);
   }
 
   /**
@@ -77,14 +77,14 @@
       String task,
       int index,
       String outcome,
-      long work,
+      long workNanos,
       double neededMb,
       boolean served) {
-    OpenEntry one = openEntries.get(task);
-    if (one == null || index >= one.uses.size() || !one.uses.get(index).inFlight()) {
+    OpenEntry entry = openEntries.get(task);
+    if (entry == null || index >= entry.uses.size() || !entry.uses.get(index).inFlight()) {
       return null;
     }
-    Use sent = one.uses.get(index);
+    Use sent = entry.uses.get(index);
     Use use =
         new Use(
             index,
@@ -92,37 +92,37 @@
             sent.sentAt(),
             now,
             outcome,
-            work,
+            workNanos,
             Math.round(neededMb),
             sent.grantedMb(),
             !served);
-    one.uses.set(index, use);
-    one.inFlight--;
-    return new LedgerUpdate.ForwardEnded(one.sequence, use, removeIfComplete(task, one));
+    entry.uses.set(index, use);
+    entry.inFlight--;
+    return new LedgerUpdate.ForwardEnded(entry.sequence, use, removeIfComplete(task, entry));
   }
 
   /** Records that the client was answered; forwards may still be in flight. */
   public LedgerUpdate taskAnswered(long now, String task, TaskEnd end, long bytes) {
-    OpenEntry one = openEntries.get(task);
-    one.answered = true;
-    boolean complete = removeIfComplete(task, one);
+    OpenEntry entry = openEntries.get(task);
+    entry.answered = true;
+    boolean complete = removeIfComplete(task, entry);
     return new LedgerUpdate.TaskAnswered(
-        one.sequence,
+        entry.sequence,
         task,
-        one.tenant,
-        one.grade,
-        one.takenAt,
+        entry.tenant,
+        entry.grade,
+        entry.takenAt,
         now,
         end,
         bytes,
-        earnings.earningsMilli(one.grade, end, now - one.takenAt),
+        earnings.earningsMilli(entry.grade, end, now - entry.takenAt),
         complete);
   }
 
-  private boolean removeIfComplete(String task, OpenEntry one) {
-    boolean complete = one.answered && one.inFlight == 0;
+  private boolean removeIfComplete(String task, OpenEntry entry) {
+    boolean complete = entry.answered && entry.inFlight == 0;
     if (complete) {
-      openEntries.remove(task, one);
+      openEntries.remove(task, entry);
     }
     return complete;
   }
--- a/src/main/java/tansytrack/ledger/ExportSteps.java
+++ b/src/main/java/tansytrack/ledger/ExportSteps.java
@@ -23,12 +23,12 @@
   /**
    * The state of an export.
    *
-   * @param linesLeft whether the store has lines after the last batch
-   * @param sealed the hash of the batch that is sealed and not marked as placed; null if there is
-   *     none
-   * @param temporary the hash of its temporary file; null if there is no such file
-   * @param synced whether this process forced the temporary file to the disk
-   * @param placed the hash of its file under the final name; null if there is no such file
+   * @param hasNewLines whether the store has lines after the last batch
+   * @param sealedHash the hash of the batch that is sealed and not marked as placed; null if there
+   *     is none
+   * @param temporaryFileHash the hash of its temporary file; null if there is no such file
+   * @param temporaryFileSynced whether this process forced the temporary file to the disk
+   * @param finalFileHash the hash of its file under the final name; null if there is no such file
    * @param folderSynced whether this process forced the folder to the disk after the renaming
    */
   public record ExportState(
--- a/src/main/java/tansytrack/ledger/LedgerChecker.java
+++ b/src/main/java/tansytrack/ledger/LedgerChecker.java
@@ -8,13 +8,13 @@
 public final class LedgerChecker {
 
   private long lastPosition;
-  private long checkBatch;
+  private long lastBatch;
   private long lastExportedPosition;
   private String firstViolation;
 
   /** Checks the entry at the next position. */
-  public void checkLine(long at, Entry entry) {
-    checkPosition(at);
+  public void checkLine(long position, Entry entry) {
+    checkPosition(position);
     String name = "entry " + entry.epoch() + ':' + entry.sequence();
     if (entry.end() == null) {
       recordViolation(name + " is complete but has no end");
@@ -39,27 +39,28 @@
   }
 
   /** Checks the position of an amendment or a gap. */
-  public void checkLine(long at) {
-    checkPosition(at);
+  public void checkLine(long position) {
+    checkPosition(position);
   }
 
-  private void checkPosition(long at) {
-    if (at != ++lastPosition) {
-      recordViolation("position " + lastPosition + " is missing; the next is " + at);
-      lastPosition = at;
+  private void checkPosition(long position) {
+    if (position != ++lastPosition) {
+      recordViolation("position " + lastPosition + " is missing; the next is " + position);
+      lastPosition = position;
     }
   }
 
   /**
    * Checks the next batch in the order of numbers.
    *
-   * @param sealed the hash of the batch when it was sealed
-   * @param again the hash of the bytes that its lines give now
+   * @param sealedHash the hash of the batch when it was sealed
+   * @param currentHash the hash of the bytes that its lines give now
    */
-  public void checkBatch(long number, long first, long last, String sealed, String again) {
-    if (number != ++checkBatch) {
-      recordViolation("batch " + checkBatch + " is missing; the next is " + number);
-      checkBatch = number;
+  public void checkBatch(
+      long number, long first, long last, String sealedHash, String currentHash) {
+    if (number != ++lastBatch) {
+      recordViolation("batch " + lastBatch + " is missing; the next is " + number);
+      lastBatch = number;
     }
     if (first != lastExportedPosition + 1 || last < first) {
       recordViolation(
@@ -73,9 +74,14 @@
               + lastExportedPosition);
     }
     lastExportedPosition = last;
-    if (!sealed.equals(again)) {
+    if (!sealedHash.equals(currentHash)) {
       recordViolation(
-          "batch " + number + " was sealed with hash " + sealed + "; its hash now is " + again);
+          "batch "
+              + number
+              + " was sealed with hash "
+              + sealedHash
+              + "; its hash now is "
+              + currentHash);
     }
     if (last > lastPosition) {
       recordViolation(
@@ -84,21 +90,21 @@
   }
 
   /** Checks a closed period by the hashes of its subtotals when it was closed and now. */
-  public void checkClosedPeriod(String period, String then, String now) {
-    if (!then.equals(now)) {
+  public void checkClosedPeriod(String period, String closedHash, String currentHash) {
+    if (!closedHash.equals(currentHash)) {
       recordViolation(
           "period "
               + period
               + " was closed with hash "
-              + then
+              + closedHash
               + "; the hash of its subtotals now is "
-              + now);
+              + currentHash);
     }
   }
 
-  private void recordViolation(String what) {
+  private void recordViolation(String violation) {
     if (firstViolation == null) {
-      firstViolation = what;
+      firstViolation = violation;
     }
   }
 
@@ -108,12 +114,12 @@
   }
 
   /** The last position that was checked. */
-  public long positions() {
+  public long lastCheckedPosition() {
     return lastPosition;
   }
 
   /** The number of the last batch that was checked. */
-  public long batches() {
-    return checkBatch;
+  public long lastCheckedBatch() {
+    return lastBatch;
   }
 }
--- a/src/main/java/tansytrack/ledger/MergedLedger.java
+++ b/src/main/java/tansytrack/ledger/MergedLedger.java
@@ -57,9 +57,10 @@
   /** Adds all entries and gaps of another merged ledger. */
   public void add(MergedLedger other) {
     other.entries.forEach(
-        (key, said) -> entries.computeIfAbsent(key, one -> new HashSet<>(2)).addAll(said));
+        (key, versions) ->
+            entries.computeIfAbsent(key, absent -> new HashSet<>(2)).addAll(versions));
     other.gaps.forEach(
-        (key, said) -> gaps.computeIfAbsent(key, one -> new HashSet<>(2)).addAll(said));
+        (key, versions) -> gaps.computeIfAbsent(key, absent -> new HashSet<>(2)).addAll(versions));
   }
 
   /** Entries by their key; several entries under one key contradict each other. */
@@ -74,55 +75,58 @@
 
   /** The keys of tasks and gaps for which the sources differ. */
   public List<Key> contradictions() {
-    List<Key> against = new ArrayList<>();
+    List<Key> contradictions = new ArrayList<>();
     entries.forEach(
-        (key, said) -> {
-          if (said.size() > 1) {
-            against.add(key);
+        (key, versions) -> {
+          if (versions.size() > 1) {
+            contradictions.add(key);
           }
         });
     gaps.forEach(
-        (key, said) -> {
-          if (said.size() > 1) {
-            against.add(key);
+        (key, versions) -> {
+          if (versions.size() > 1) {
+            contradictions.add(key);
           }
         });
-    return against;
+    return contradictions;
   }
 
   /** Ranges of numbers below the last one of their epoch with neither an entry nor a gap. */
   public List<MissingRange> missingRanges() {
-    Map<ManagerEpoch, List<Gap>> known = new java.util.HashMap<>();
+    Map<ManagerEpoch, List<Gap>> gapsByEpoch = new java.util.HashMap<>();
     gaps.forEach(
-        (key, said) ->
-            known
-                .computeIfAbsent(new ManagerEpoch(key.manager, key.epoch), one -> new ArrayList<>())
-                .addAll(said));
-    List<MissingRange> holes = new ArrayList<>();
-    Key last = null;
+        (key, versions) ->
+            gapsByEpoch
+                .computeIfAbsent(
+                    new ManagerEpoch(key.manager, key.epoch), absent -> new ArrayList<>())
+                .addAll(versions));
+    List<MissingRange> ranges = new ArrayList<>();
+    Key previous = null;
     for (Key key : entries.keySet()) {
-      boolean same = last != null && last.manager.equals(key.manager) && last.epoch == key.epoch;
+      boolean sameEpoch =
+          previous != null && previous.manager.equals(key.manager) && previous.epoch == key.epoch;
       addMissingRanges(
           key,
-          same ? last.sequence + 1 : 1,
-          known.getOrDefault(new ManagerEpoch(key.manager, key.epoch), List.of()),
-          holes);
-      last = key;
+          sameEpoch ? previous.sequence + 1 : 1,
+          gapsByEpoch.getOrDefault(new ManagerEpoch(key.manager, key.epoch), List.of()),
+          ranges);
+      previous = key;
     }
-    return holes;
+    return ranges;
   }
 
   private static void addMissingRanges(
-      Key until, long from, List<Gap> gaps, List<MissingRange> holes) {
-    long first = 0;
-    for (long number = from; number <= until.sequence; number++) {
-      long at = number;
-      boolean missing = number < until.sequence && gaps.stream().noneMatch(gap -> gap.covers(at));
-      if (missing && first == 0) {
-        first = number;
-      } else if (!missing && first > 0) {
-        holes.add(new MissingRange(until.manager, until.epoch, first, number - 1));
-        first = 0;
+      Key key, long firstNumber, List<Gap> gaps, List<MissingRange> ranges) {
+    long firstMissing = 0;
+    for (long number = firstNumber; number <= key.sequence; number++) {
+      long candidate = number;
+      boolean missing =
+          number < key.sequence && gaps.stream().noneMatch(gap -> gap.covers(candidate));
+      if (missing && firstMissing == 0) {
+        firstMissing = number;
+      } else if (!missing && firstMissing > 0) {
+        ranges.add(new MissingRange(key.manager, key.epoch, firstMissing, number - 1));
+        firstMissing = 0;
       }
     }
   }
--- a/src/main/java/tansytrack/ledger/Rates.java
+++ b/src/main/java/tansytrack/ledger/Rates.java
@@ -34,9 +34,9 @@
       return (tenant.isEmpty() ? 0 : 2) + (grade.isEmpty() ? 0 : 1);
     }
 
-    private boolean appliesTo(String ofTenant, String ofGrade, LocalDate day) {
-      return (tenant.isEmpty() || tenant.equals(ofTenant))
-          && (grade.isEmpty() || grade.equals(ofGrade))
+    private boolean appliesTo(String taskTenant, String taskGrade, LocalDate day) {
+      return (tenant.isEmpty() || tenant.equals(taskTenant))
+          && (grade.isEmpty() || grade.equals(taskGrade))
           && !validFrom.isAfter(day);
     }
   }
@@ -62,8 +62,9 @@
     if (rate == null || entry.end() == TaskEnd.BOUNCED || entry.end() == TaskEnd.UNRESOLVED) {
       return BigDecimal.ZERO;
     }
-    BigDecimal sum = entry.end() == TaskEnd.HANDLED ? rate.perTask : BigDecimal.ZERO;
-    return sum.add(
+    BigDecimal taskPrice = entry.end() == TaskEnd.HANDLED ? rate.perTask : BigDecimal.ZERO;
+    return taskPrice
+        .add(
             cost(
                 rate.perWorkSecond,
                 BigDecimal.valueOf(entry.workNanos(billsWaste)),
@@ -72,10 +73,10 @@
         .add(cost(rate.perMbReturned, BigDecimal.valueOf(entry.bytes()), BYTES_PER_MB));
   }
 
-  private static BigDecimal cost(BigDecimal price, BigDecimal amount, BigDecimal unit) {
-    return price.signum() == 0 || amount.signum() == 0
+  private static BigDecimal cost(BigDecimal unitPrice, BigDecimal amount, BigDecimal unit) {
+    return unitPrice.signum() == 0 || amount.signum() == 0
         ? BigDecimal.ZERO
-        : price.multiply(amount).divide(unit, QUOTIENT_SCALE, RoundingMode.HALF_EVEN);
+        : unitPrice.multiply(amount).divide(unit, QUOTIENT_SCALE, RoundingMode.HALF_EVEN);
   }
 
   /** Rounds an amount for the bill, by the decimals and the rounding mode that are configured. */
--- a/src/main/java/tansytrack/ledger/Reconciliation.java
+++ b/src/main/java/tansytrack/ledger/Reconciliation.java
@@ -25,8 +25,8 @@
   private record EngineTask(String engine, String task) implements Comparable<EngineTask> {
     @Override
     public int compareTo(EngineTask other) {
-      int by = task.compareTo(other.task);
-      return by != 0 ? by : engine.compareTo(other.engine);
+      int byTask = task.compareTo(other.task);
+      return byTask != 0 ? byTask : engine.compareTo(other.engine);
     }
   }
 
@@ -50,7 +50,7 @@
   public void add(Entry entry) {
     for (Use use : entry.uses()) {
       forwards
-          .computeIfAbsent(new EngineTask(use.engine(), entry.task()), place -> new ArrayList<>(1))
+          .computeIfAbsent(new EngineTask(use.engine(), entry.task()), key -> new ArrayList<>(1))
           .add(use);
     }
   }
@@ -66,47 +66,47 @@
   /** Adds a run that an engine states. */
   public void add(Run run) {
     statedEngines.add(run.engine);
-    runs.computeIfAbsent(new EngineTask(run.engine, run.task), place -> new ArrayList<>(1))
-        .add(run);
+    runs.computeIfAbsent(new EngineTask(run.engine, run.task), key -> new ArrayList<>(1)).add(run);
   }
 
   /** Compares both sides and returns the differences, sorted by task and engine. */
   public List<Finding> findings() {
     matchedForwards = 0;
     List<Finding> findings = new ArrayList<>();
-    Set<EngineTask> places = new TreeSet<>(forwards.keySet());
-    places.addAll(runs.keySet());
-    for (EngineTask place : places) {
-      if (statedEngines.contains(place.engine)) {
+    Set<EngineTask> engineTasks = new TreeSet<>(forwards.keySet());
+    engineTasks.addAll(runs.keySet());
+    for (EngineTask engineTask : engineTasks) {
+      if (statedEngines.contains(engineTask.engine)) {
         compare(
-            place,
-            forwards.getOrDefault(place, List.of()),
-            runs.getOrDefault(place, List.of()),
+            engineTask,
+            forwards.getOrDefault(engineTask, List.of()),
+            runs.getOrDefault(engineTask, List.of()),
             findings);
       }
     }
     return findings;
   }
 
-  private void compare(EngineTask place, List<Use> uses, List<Run> runs, List<Finding> findings) {
-    List<Run> left = new ArrayList<>(runs);
+  private void compare(
+      EngineTask engineTask, List<Use> uses, List<Run> runs, List<Finding> findings) {
+    List<Run> unmatchedRuns = new ArrayList<>(runs);
     for (Use use : uses) {
-      Run run = bestMatch(use, left);
-      left.remove(run);
-      Finding finding = compare(place, use, run);
+      Run run = bestMatch(use, unmatchedRuns);
+      unmatchedRuns.remove(run);
+      Finding finding = compare(engineTask, use, run);
       if (finding == null) {
         matchedForwards++;
       } else {
         findings.add(finding);
       }
     }
-    for (int unmatched = left.size(); unmatched > 0; unmatched--) {
+    for (int remaining = unmatchedRuns.size(); remaining > 0; remaining--) {
       findings.add(
           new Finding(
               true,
               "at the engine only",
-              place.engine,
-              place.task,
+              engineTask.engine,
+              engineTask.task,
               uses.isEmpty()
                   ? "no ledger has this task: a ledger is missing, a manager crashed before it"
                       + " committed the task, or its ledger has a gap"
@@ -115,22 +115,22 @@
   }
 
   /** Compares a forward with the run matched to it, which may be null; null if they agree. */
-  private static Finding compare(EngineTask place, Use use, Run run) {
+  private static Finding compare(EngineTask engineTask, Use use, Run run) {
     String outcome = use.outcome();
     if (run != null && outcome.equals("OK") && run.work != use.work()) {
       return new Finding(
           true,
           "work differs",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "ledger " + use.work() + " ns, engine " + run.work + " ns");
     }
     if (run != null && outcome.equals(Use.UNKNOWN_OUTCOME)) {
       return new Finding(
           false,
           "resolved by the engine",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "its manager died; the engine "
               + (run.done ? "ran it, " + run.work + " ns" : "dropped it"));
     }
@@ -138,8 +138,8 @@
       return new Finding(
           true,
           "in the ledger only",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "the statement is incomplete or covers another time");
     }
     if (run == null
@@ -148,8 +148,8 @@
       return new Finding(
           true,
           "in the ledger only",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "the engine answered " + outcome + " but states no run");
     }
     return null;
@@ -162,8 +162,8 @@
   private static Run bestMatch(Use use, List<Run> runs) {
     Run best = null;
     for (Run run : runs) {
-      boolean good = use.outcome().equals("OK") ? run.work == use.work() && run.done : !run.done;
-      if (best == null || good) {
+      boolean matches = use.outcome().equals("OK") ? run.work == use.work() && run.done : !run.done;
+      if (best == null || matches) {
         best = run;
       }
     }
--- a/src/main/java/tansytrack/ledger/Use.java
+++ b/src/main/java/tansytrack/ledger/Use.java
@@ -8,8 +8,8 @@
  *
  * @param sentAt the time of sending in nanoseconds of the Unix clock
  * @param endedAt the time of the end; 0 while the forward is in flight, or if its end is unknown
- * @param outcome the outcome of the forward; empty while it is in flight, {@link #UNKNOWN} if its
- *     manager died meanwhile
+ * @param outcome the outcome of the forward; empty while it is in flight, {@link #UNKNOWN_OUTCOME}
+ *     if its manager died meanwhile
  * @param work the work that the engine reported, in nanoseconds on one core
  * @param wasted whether the result went to no client
  */
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -27,7 +27,7 @@
   private final ArrayDeque<HeldAction> held = new ArrayDeque<>();
   // The number of updates handed over since the start.
   private long handedOver;
-  private long markDurable;
+  private long durableUpdates;
   private long gapCount;
   private long gapFirst;
   private long gapLast;
@@ -38,53 +38,53 @@
   /**
    * Creates a flow control for one epoch.
    *
-   * @param mostUnwritten the maximum number of updates handed over and not yet durable
-   * @param patience the maximum time that an answer or forward is held, in nanoseconds
+   * @param maxUnwritten the maximum number of updates handed over and not yet durable
+   * @param maxHoldNanos the maximum time that an answer or forward is held, in nanoseconds
    */
-  public WriteFlowControl(long epoch, int mostUnwritten, long patience) {
+  public WriteFlowControl(long epoch, int maxUnwritten, long maxHoldNanos) {
     this.epoch = epoch;
-    this.maxUnwritten = mostUnwritten;
-    this.maxHoldNanos = patience;
+    this.maxUnwritten = maxUnwritten;
+    this.maxHoldNanos = maxHoldNanos;
   }
 
   /**
    * Returns the updates to hand over now: the given one, preceded by a gap if one is open, or none
    * if the update is lost.
    */
-  public List<LedgerUpdate> offer(long now, LedgerUpdate line) {
-    return offer(now, line, 0);
+  public List<LedgerUpdate> offer(long now, LedgerUpdate update) {
+    return offer(now, update, 0);
   }
 
   /**
-   * Like {@link #offer(long, Line)}, but keeps room for the updates that this many open tasks may
-   * still need. Used for the updates of rejected tasks.
+   * Like {@link #offer(long, LedgerUpdate)}, but keeps room for the updates that this many open
+   * tasks may still need. Used for the updates of rejected tasks.
    */
-  public List<LedgerUpdate> offer(long now, LedgerUpdate line, int openTasks) {
-    boolean gap = gapUpdates > 0;
-    if (handedOver - markDurable + (gap ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
+  public List<LedgerUpdate> offer(long now, LedgerUpdate update, int openTasks) {
+    boolean gapOpen = gapUpdates > 0;
+    if (handedOver - durableUpdates + (gapOpen ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
         > maxUnwritten) {
-      if (!gap) {
+      if (!gapOpen) {
         gapFrom = now;
         gapFirst = 0;
         gapLast = 0;
       }
       // A report on a forward of an earlier epoch has no number in this one.
-      if (line.sequence() > 0) {
-        gapFirst = gapFirst == 0 ? line.sequence() : Math.min(gapFirst, line.sequence());
-        gapLast = Math.max(gapLast, line.sequence());
+      if (update.sequence() > 0) {
+        gapFirst = gapFirst == 0 ? update.sequence() : Math.min(gapFirst, update.sequence());
+        gapLast = Math.max(gapLast, update.sequence());
       }
       gapUpdates++;
       return List.of();
     }
-    if (!gap) {
+    if (!gapOpen) {
       handedOver++;
-      return List.of(line);
+      return List.of(update);
     }
-    List<LedgerUpdate> both = new ArrayList<>(2);
-    both.add(closeGap(now));
-    both.add(line);
+    List<LedgerUpdate> gapAndUpdate = new ArrayList<>(2);
+    gapAndUpdate.add(closeGap(now));
+    gapAndUpdate.add(update);
     handedOver += 2;
-    return both;
+    return gapAndUpdate;
   }
 
   /**
@@ -92,9 +92,10 @@
    * of an accepted task is lost. This prevents work that cannot be billed, at the cost of rejected
    * tasks.
    */
-  public boolean admits(int openTasks) {
+  public boolean acceptsTask(int openTasks) {
     return gapUpdates == 0
-        && handedOver - markDurable + (long) MAX_UPDATES_PER_TASK * (openTasks + 1) <= maxUnwritten;
+        && handedOver - durableUpdates + (long) MAX_UPDATES_PER_TASK * (openTasks + 1)
+            <= maxUnwritten;
   }
 
   /**
@@ -102,7 +103,7 @@
    * task.
    */
   public List<LedgerUpdate> flushGap(long now) {
-    if (gapUpdates == 0 || handedOver - markDurable >= maxUnwritten) {
+    if (gapUpdates == 0 || handedOver - durableUpdates >= maxUnwritten) {
       return List.of();
     }
     handedOver++;
@@ -110,7 +111,7 @@
   }
 
   private LedgerUpdate closeGap(long now) {
-    LedgerUpdate.UpdatesLost missing =
+    LedgerUpdate.UpdatesLost updatesLost =
         new LedgerUpdate.UpdatesLost(
             new Gap(
                 epoch,
@@ -122,19 +123,19 @@
                 gapUpdates,
                 "the disk did not keep up"));
     gapUpdates = 0;
-    return missing;
+    return updatesLost;
   }
 
   /**
    * Runs an action once all updates handed over so far are durable; at once if it need not wait,
    * and also if a gap is open.
    */
-  public void hold(long now, Runnable say) {
-    if (gapUpdates > 0 || handedOver == markDurable || maxHoldNanos == 0) {
-      releasedBeforeCommit += handedOver > markDurable || gapUpdates > 0 ? 1 : 0;
-      say.run();
+  public void hold(long now, Runnable action) {
+    if (gapUpdates > 0 || handedOver == durableUpdates || maxHoldNanos == 0) {
+      releasedBeforeCommit += handedOver > durableUpdates || gapUpdates > 0 ? 1 : 0;
+      action.run();
     } else {
-      held.add(new HeldAction(handedOver, now, say));
+      held.add(new HeldAction(handedOver, now, action));
     }
   }
 
@@ -142,9 +143,9 @@
    * Notes that this many updates since the start are durable, and releases in order what waited for
    * them.
    */
-  public void markDurable(long lines) {
-    markDurable = Math.max(markDurable, lines);
-    while (!held.isEmpty() && held.peek().updateNumber <= markDurable) {
+  public void markDurable(long updates) {
+    durableUpdates = Math.max(durableUpdates, updates);
+    while (!held.isEmpty() && held.peek().updateNumber <= durableUpdates) {
       held.poll().action.run();
     }
   }
@@ -170,7 +171,7 @@
 
   /** The number of updates handed over that are not durable yet. */
   public long unwritten() {
-    return handedOver - markDurable;
+    return handedOver - durableUpdates;
   }
 
   /** The number of updates lost in the gap that is open. */
--- a/src/main/java/tansytrack/ledger/disk/Billing.java
+++ b/src/main/java/tansytrack/ledger/disk/Billing.java
@@ -28,13 +28,13 @@
   /** Computes the bill of a period: as it was closed, or of all lines so far while it is open. */
   public static Bill computeBill(
       LedgerStore store, BillingPeriods periods, Rates rates, String period) throws IOException {
-    long upTo =
+    long closingPosition =
         store.closedPeriods().stream()
-            .filter(one -> one.period().equals(period))
+            .filter(closed -> closed.period().equals(period))
             .mapToLong(LedgerStore.ClosedPeriod::lastPosition)
             .findAny()
             .orElse(0);
-    return fill(store, new Bill(period, periods, rates, upTo));
+    return fill(store, new Bill(period, periods, rates, closingPosition));
   }
 
   private static Bill fill(LedgerStore store, Bill bill) throws IOException {
@@ -78,11 +78,11 @@
   public static LedgerStore.ClosedPeriod closePeriod(
       LedgerStore store, OperatorFile.LedgerSection section, String period, String author, long now)
       throws IOException {
-    long upTo = store.lastPosition();
-    Bill bill = fill(store, new Bill(period, section.periods(), section.rates(), upTo));
+    long lastPosition = store.lastPosition();
+    Bill bill = fill(store, new Bill(period, section.periods(), section.rates(), lastPosition));
     LedgerStore.ClosedPeriod closed =
         new LedgerStore.ClosedPeriod(
-            period, upTo, now, author, subtotalsHash(bill), section.billingText());
+            period, lastPosition, now, author, subtotalsHash(bill), section.billingText());
     store.close(closed);
     return closed;
   }
@@ -105,36 +105,36 @@
   }
 
   private static String subtotalsHash(Bill bill) {
-    Exporter.Sha256OutputStream sha =
+    Exporter.Sha256OutputStream hashing =
         new Exporter.Sha256OutputStream(java.io.OutputStream.nullOutputStream());
     byte[] text = bill.canonicalText().getBytes(StandardCharsets.UTF_8);
     try {
-      sha.write(text, 0, text.length);
+      hashing.write(text, 0, text.length);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    return sha.hex();
+    return hashing.hex();
   }
 
   /** Writes an amendment for each entry that is resolved, and returns these amendments. */
   public static List<Amendment> resolve(
-      LedgerStore store, EntryResolver by, String author, long now) throws IOException {
-    List<Amendment> wanted = new ArrayList<>();
+      LedgerStore store, EntryResolver resolver, String author, long now) throws IOException {
+    List<Amendment> amendments = new ArrayList<>();
     store.read(
         1,
         Long.MAX_VALUE,
         new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            Amendment one = by.resolve(entry, author, now);
+            Amendment one = resolver.resolve(entry, author, now);
             if (one != null) {
-              wanted.add(one);
+              amendments.add(one);
             }
           }
         });
     List<Amendment> written = new ArrayList<>();
-    for (Amendment one : wanted) {
-      written.add(store.addAmendment(one));
+    for (Amendment amendment : amendments) {
+      written.add(store.addAmendment(amendment));
     }
     return written;
   }
@@ -144,10 +144,10 @@
       Bill bill, String tenant, List<OperatorFile.TenantQuota> quotas) {
     long tasks = 0;
     long work = 0;
-    for (Map.Entry<Bill.SubtotalKey, Bill.Subtotal> one : bill.subtotals().entrySet()) {
-      if (one.getKey().tenant().equals(tenant)) {
-        tasks += one.getValue().tasks() - one.getValue().bounced();
-        work += one.getValue().workNanos();
+    for (Map.Entry<Bill.SubtotalKey, Bill.Subtotal> keyAndSubtotal : bill.subtotals().entrySet()) {
+      if (keyAndSubtotal.getKey().tenant().equals(tenant)) {
+        tasks += keyAndSubtotal.getValue().tasks() - keyAndSubtotal.getValue().rejected();
+        work += keyAndSubtotal.getValue().workNanos();
       }
     }
     for (OperatorFile.TenantQuota quota : quotas) {
@@ -169,7 +169,7 @@
     if (damage != null) {
       return "the file is damaged: " + damage;
     }
-    LedgerChecker checks = new LedgerChecker();
+    LedgerChecker checker = new LedgerChecker();
     store.read(
         1,
         Long.MAX_VALUE,
@@ -182,22 +182,22 @@
 
           @Override
           public void entry(long position, Entry entry) {
-            checks.checkLine(position, entry);
+            checker.checkLine(position, entry);
             told(position);
           }
 
           @Override
           public void amendment(long position, Amendment amendment) {
-            checks.checkLine(position);
+            checker.checkLine(position);
           }
 
           @Override
           public void gap(long position, Gap gap) {
-            checks.checkLine(position);
+            checker.checkLine(position);
           }
         });
     for (LedgerStore.Batch one : store.batches()) {
-      checks.checkBatch(
+      checker.checkBatch(
           one.number(),
           one.firstPosition(),
           one.lastPosition(),
@@ -209,9 +209,9 @@
       // closed with the present one can be checked.
       if (section.billingText().equals(one.billing())) {
         Bill bill = computeBill(store, section.periods(), section.rates(), one.period());
-        checks.checkClosedPeriod(one.period(), one.sha256(), subtotalsHash(bill));
+        checker.checkClosedPeriod(one.period(), one.sha256(), subtotalsHash(bill));
       }
     }
-    return checks.firstViolation();
+    return checker.firstViolation();
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/EpochStart.java
+++ b/src/main/java/tansytrack/ledger/disk/EpochStart.java
@@ -28,10 +28,10 @@
 
   /** Inserts the next epoch and returns its number. */
   long begin(long now) throws SQLException {
-    try (Statement run = db.createStatement();
-        PreparedStatement put = db.prepareStatement("INSERT INTO epoch VALUES(?, ?)")) {
-      long epoch = 1L + Sql.queryInt(run, "SELECT max(number) FROM epoch");
-      Sql.bind(put, epoch, now).executeUpdate();
+    try (Statement statement = db.createStatement();
+        PreparedStatement insert = db.prepareStatement("INSERT INTO epoch VALUES(?, ?)")) {
+      long epoch = 1L + Sql.queryInt(statement, "SELECT max(number) FROM epoch");
+      Sql.bind(insert, epoch, now).executeUpdate();
       return epoch;
     }
   }
@@ -39,39 +39,39 @@
   /**
    * Marks all open tasks as unresolved and returns their number.
    *
-   * @param left receives the task and the engine of each forward that was in flight
+   * @param openForwards receives the task and the engine of each forward that was in flight
    */
-  long endOpenTasks(BiConsumer<String, String> left) throws SQLException {
+  long endOpenTasks(BiConsumer<String, String> openForwards) throws SQLException {
     List<Task> open = findOpenTasks();
-    reportOpenForwards(open, left);
+    reportOpenForwards(open, openForwards);
     markUnresolved(open);
     return open.size();
   }
 
   private List<Task> findOpenTasks() throws SQLException {
     List<Task> open = new ArrayList<>();
-    try (Statement run = db.createStatement();
-        ResultSet found =
-            run.executeQuery(
+    try (Statement statement = db.createStatement();
+        ResultSet row =
+            statement.executeQuery(
                 "SELECT epoch, seq FROM entry INDEXED BY entry_open WHERE pos IS NULL ORDER BY"
                     + " epoch, seq")) {
-      while (found.next()) {
-        open.add(new Task(found.getLong(1), found.getLong(2)));
+      while (row.next()) {
+        open.add(new Task(row.getLong(1), row.getLong(2)));
       }
     }
     return open;
   }
 
-  private void reportOpenForwards(List<Task> open, BiConsumer<String, String> left)
+  private void reportOpenForwards(List<Task> open, BiConsumer<String, String> openForwards)
       throws SQLException {
-    try (PreparedStatement out =
+    try (PreparedStatement query =
         db.prepareStatement(
             "SELECT e.task, f.engine FROM forward f JOIN entry e ON e.epoch = f.epoch AND"
                 + " e.seq = f.seq WHERE f.epoch = ? AND f.seq = ? AND f.outcome = ''")) {
       for (Task task : open) {
-        try (ResultSet found = Sql.bind(out, task.epoch(), task.sequence()).executeQuery()) {
-          while (found.next()) {
-            left.accept(found.getString(1), found.getString(2));
+        try (ResultSet row = Sql.bind(query, task.epoch(), task.sequence()).executeQuery()) {
+          while (row.next()) {
+            openForwards.accept(row.getString(1), row.getString(2));
           }
         }
       }
@@ -79,22 +79,22 @@
   }
 
   private void markUnresolved(List<Task> open) throws SQLException {
-    long at = Sql.lastPosition(db);
-    try (PreparedStatement forward =
+    long position = Sql.lastPosition(db);
+    try (PreparedStatement updateForward =
             db.prepareStatement(
                 "UPDATE forward SET outcome = '"
                     + Use.UNKNOWN_OUTCOME
                     + "', wasted = 1 WHERE epoch = ? AND seq = ? AND outcome = ''");
-        PreparedStatement entry =
+        PreparedStatement updateEntry =
             db.prepareStatement(
                 "UPDATE entry SET ended = coalesce(ended, '"
                     + TaskEnd.UNRESOLVED
                     + "'), pos = ? WHERE epoch = ? AND seq = ?")) {
       for (Task task : open) {
-        Sql.bind(forward, task.epoch(), task.sequence()).executeUpdate();
-        Sql.bind(entry, ++at, task.epoch(), task.sequence()).executeUpdate();
+        Sql.bind(updateForward, task.epoch(), task.sequence()).executeUpdate();
+        Sql.bind(updateEntry, ++position, task.epoch(), task.sequence()).executeUpdate();
       }
     }
-    Sql.lastPosition(db, at);
+    Sql.lastPosition(db, position);
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/ExportFormats.java
+++ b/src/main/java/tansytrack/ledger/disk/ExportFormats.java
@@ -59,16 +59,16 @@
   private ExportFormats() {}
 
   /** The extension of the file names of a format. */
-  static String fileExtension(String form) {
-    return form.equals(CSV) ? "csv" : "pb";
+  static String fileExtension(String format) {
+    return format.equals(CSV) ? "csv" : "pb";
   }
 
   /** Writes a batch with the lines of the given positions. */
   static void writeBatch(
-      LedgerStore store, long number, long first, long last, String form, OutputStream to)
+      LedgerStore store, long number, long first, long last, String format, OutputStream output)
       throws IOException {
-    OutputStream out = new BufferedOutputStream(to, 1 << 16);
-    if (form.equals(CSV)) {
+    OutputStream out = new BufferedOutputStream(output, 1 << 16);
+    if (format.equals(CSV)) {
       Writer text = new OutputStreamWriter(out, StandardCharsets.UTF_8);
       CSVPrinter csv = new CSVPrinter(text, CSVFormat.RFC4180);
       csv.printRecord((Object[]) COLUMNS);
@@ -94,26 +94,26 @@
       implements LedgerStore.LineVisitor {
 
     @Override
-    public void entry(long at, Entry one) throws IOException {
+    public void entry(long position, Entry entry) throws IOException {
       csv.printRecord(
           number,
-          at,
+          position,
           "entry",
           manager,
-          one.epoch(),
-          one.sequence(),
-          one.task(),
-          one.tenant(),
-          one.grade(),
-          one.takenAt(),
-          one.endedAt(),
-          one.end(),
-          one.bytes(),
-          one.earningsMilli(),
-          one.uses().size(),
-          one.workNanos(true),
-          one.workNanos(true) - one.workNanos(false),
-          one.memoryMbNanos(true),
+          entry.epoch(),
+          entry.sequence(),
+          entry.task(),
+          entry.tenant(),
+          entry.grade(),
+          entry.takenAt(),
+          entry.endedAt(),
+          entry.end(),
+          entry.bytes(),
+          entry.earningsMilli(),
+          entry.uses().size(),
+          entry.workNanos(true),
+          entry.workNanos(true) - entry.workNanos(false),
+          entry.memoryMbNanos(true),
           "",
           "",
           "",
@@ -122,18 +122,18 @@
     }
 
     @Override
-    public void amendment(long at, Amendment one) throws IOException {
+    public void amendment(long position, Amendment amendment) throws IOException {
       csv.printRecord(
           number,
-          at,
-          one.withdraws() ? "withdrawal" : "amendment",
+          position,
+          amendment.withdraws() ? "withdrawal" : "amendment",
           manager,
           "",
-          one.number(),
+          amendment.number(),
           "",
-          one.tenant(),
+          amendment.tenant(),
           "",
-          one.createdAt(),
+          amendment.createdAt(),
           "",
           "",
           "",
@@ -142,27 +142,27 @@
           "",
           "",
           "",
-          one.period(),
-          one.amount().toPlainString(),
-          one.corrects(),
-          one.author(),
-          one.reason());
+          amendment.period(),
+          amendment.amount().toPlainString(),
+          amendment.corrects(),
+          amendment.author(),
+          amendment.reason());
     }
 
     @Override
-    public void gap(long at, Gap one) throws IOException {
+    public void gap(long position, Gap gap) throws IOException {
       csv.printRecord(
           number,
-          at,
+          position,
           "gap",
           manager,
-          one.epoch(),
-          one.number(),
+          gap.epoch(),
+          gap.number(),
           "",
           "",
           "",
-          one.from(),
-          one.until(),
+          gap.from(),
+          gap.until(),
           "",
           "",
           "",
@@ -172,9 +172,9 @@
           "",
           "",
           "",
-          one.firstSequence() + "-" + one.lastSequence(),
+          gap.firstSequence() + "-" + gap.lastSequence(),
           "",
-          one.lines() + " lines: " + one.cause());
+          gap.lines() + " lines: " + gap.cause());
     }
   }
 
@@ -182,21 +182,21 @@
   private record ProtobufLineWriter(OutputStream out) implements LedgerStore.LineVisitor {
 
     @Override
-    public void entry(long at, Entry one) throws IOException {
-      tansytrack.ledger.proto.Entry.Builder made =
+    public void entry(long position, Entry entry) throws IOException {
+      tansytrack.ledger.proto.Entry.Builder builder =
           tansytrack.ledger.proto.Entry.newBuilder()
-              .setEpoch(one.epoch())
-              .setSequence(one.sequence())
-              .setTask(one.task())
-              .setTenant(one.tenant())
-              .setGrade(one.grade())
-              .setTakenAtNs(one.takenAt())
-              .setEndedAtNs(one.endedAt())
-              .setEnd(one.end().name())
-              .setReturnedBytes(one.bytes())
-              .setEarningsMilli(one.earningsMilli());
-      for (Use use : one.uses()) {
-        made.addForwards(
+              .setEpoch(entry.epoch())
+              .setSequence(entry.sequence())
+              .setTask(entry.task())
+              .setTenant(entry.tenant())
+              .setGrade(entry.grade())
+              .setTakenAtNs(entry.takenAt())
+              .setEndedAtNs(entry.endedAt())
+              .setEnd(entry.end().name())
+              .setReturnedBytes(entry.bytes())
+              .setEarningsMilli(entry.earningsMilli());
+      for (Use use : entry.uses()) {
+        builder.addForwards(
             Forward.newBuilder()
                 .setEngine(use.engine())
                 .setSentAtNs(use.sentAt())
@@ -207,42 +207,42 @@
                 .setGrantedMb(use.grantedMb())
                 .setWasted(use.wasted()));
       }
-      Line.newBuilder().setPosition(at).setEntry(made).build().writeDelimitedTo(out);
+      Line.newBuilder().setPosition(position).setEntry(builder).build().writeDelimitedTo(out);
     }
 
     @Override
-    public void amendment(long at, Amendment one) throws IOException {
+    public void amendment(long position, Amendment amendment) throws IOException {
       Line.newBuilder()
-          .setPosition(at)
+          .setPosition(position)
           .setAmendment(
               tansytrack.ledger.proto.Amendment.newBuilder()
-                  .setNumber(one.number())
-                  .setPeriod(one.period())
-                  .setTenant(one.tenant())
-                  .setAmount(one.amount().toPlainString())
-                  .setAuthor(one.author())
-                  .setReason(one.reason())
-                  .setCorrects(one.corrects())
-                  .setAtNs(one.createdAt())
-                  .setWithdraws(one.withdraws()))
+                  .setNumber(amendment.number())
+                  .setPeriod(amendment.period())
+                  .setTenant(amendment.tenant())
+                  .setAmount(amendment.amount().toPlainString())
+                  .setAuthor(amendment.author())
+                  .setReason(amendment.reason())
+                  .setCorrects(amendment.corrects())
+                  .setAtNs(amendment.createdAt())
+                  .setWithdraws(amendment.withdraws()))
           .build()
           .writeDelimitedTo(out);
     }
 
     @Override
-    public void gap(long at, Gap one) throws IOException {
+    public void gap(long position, Gap gap) throws IOException {
       Line.newBuilder()
-          .setPosition(at)
+          .setPosition(position)
           .setGap(
               tansytrack.ledger.proto.Gap.newBuilder()
-                  .setEpoch(one.epoch())
-                  .setNumber(one.number())
-                  .setFirstSequence(one.firstSequence())
-                  .setLastSequence(one.lastSequence())
-                  .setFromNs(one.from())
-                  .setUntilNs(one.until())
-                  .setLines(one.lines())
-                  .setCause(one.cause()))
+                  .setEpoch(gap.epoch())
+                  .setNumber(gap.number())
+                  .setFirstSequence(gap.firstSequence())
+                  .setLastSequence(gap.lastSequence())
+                  .setFromNs(gap.from())
+                  .setUntilNs(gap.until())
+                  .setLines(gap.lines())
+                  .setCause(gap.cause()))
           .build()
           .writeDelimitedTo(out);
     }
@@ -251,25 +251,25 @@
   /**
    * Reads an exported batch in the protobuf format and returns its head.
    *
-   * @param wants returns the visitor for the lines of a manager, by its name
+   * @param visitorFor returns the visitor for the lines of a manager, by its name
    */
-  static BatchHead readBatch(InputStream from, Function<String, LedgerStore.LineVisitor> wants)
-      throws IOException {
-    BatchHead head = BatchHead.parseDelimitedFrom(from);
+  static BatchHead readBatch(
+      InputStream input, Function<String, LedgerStore.LineVisitor> visitorFor) throws IOException {
+    BatchHead head = BatchHead.parseDelimitedFrom(input);
     if (head == null || head.getManager().isEmpty() || head.getLines() < 1) {
       throw new IOException("is not an exported batch");
     }
-    LedgerStore.LineVisitor to = wants.apply(head.getManager());
+    LedgerStore.LineVisitor visitor = visitorFor.apply(head.getManager());
     for (long i = 0; i < head.getLines(); i++) {
-      Line line = Line.parseDelimitedFrom(from);
+      Line line = Line.parseDelimitedFrom(input);
       if (line == null) {
         throw new IOException("ends after " + i + " of " + head.getLines() + " lines");
       }
       if (line.hasEntry()) {
-        to.entry(line.getPosition(), parseEntry(line.getEntry()));
+        visitor.entry(line.getPosition(), parseEntry(line.getEntry()));
       } else if (line.hasAmendment()) {
         tansytrack.ledger.proto.Amendment one = line.getAmendment();
-        to.amendment(
+        visitor.amendment(
             line.getPosition(),
             new Amendment(
                 one.getNumber(),
@@ -283,7 +283,7 @@
                 one.getWithdraws()));
       } else {
         tansytrack.ledger.proto.Gap one = line.getGap();
-        to.gap(
+        visitor.gap(
             line.getPosition(),
             new Gap(
                 one.getEpoch(),
@@ -299,9 +299,9 @@
     return head;
   }
 
-  private static Entry parseEntry(tansytrack.ledger.proto.Entry one) throws IOException {
-    List<Use> uses = new ArrayList<>(one.getForwardsCount());
-    for (Forward use : one.getForwardsList()) {
+  private static Entry parseEntry(tansytrack.ledger.proto.Entry message) throws IOException {
+    List<Use> uses = new ArrayList<>(message.getForwardsCount());
+    for (Forward use : message.getForwardsList()) {
       uses.add(
           new Use(
               uses.size(),
@@ -316,19 +316,19 @@
     }
     try {
       return new Entry(
-          one.getEpoch(),
-          one.getSequence(),
-          one.getTask(),
-          one.getTenant(),
-          one.getGrade(),
-          one.getTakenAtNs(),
-          one.getEndedAtNs(),
-          TaskEnd.valueOf(one.getEnd()),
-          one.getReturnedBytes(),
-          one.getEarningsMilli(),
+          message.getEpoch(),
+          message.getSequence(),
+          message.getTask(),
+          message.getTenant(),
+          message.getGrade(),
+          message.getTakenAtNs(),
+          message.getEndedAtNs(),
+          TaskEnd.valueOf(message.getEnd()),
+          message.getReturnedBytes(),
+          message.getEarningsMilli(),
           uses);
     } catch (IllegalArgumentException e) {
-      throw new IOException("has an entry with the unknown end '" + one.getEnd() + "'", e);
+      throw new IOException("has an entry with the unknown end '" + message.getEnd() + "'", e);
     }
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -46,7 +46,7 @@
    * Completes an interrupted export, then exports all new lines in batches of at most the given
    * number of lines. Returns the last batch placed by this call, or null if there was none.
    */
-  public LedgerStore.Batch export(String form, long most, long now) throws IOException {
+  public LedgerStore.Batch export(String format, long maxLines, long now) throws IOException {
     Files.createDirectories(folder);
     try (FileChannel channel =
             FileChannel.open(
@@ -55,7 +55,7 @@
                 StandardOpenOption.WRITE);
         FileLock held = lock(channel)) {
       assert held.isValid();
-      return runSteps(form, most, now);
+      return runSteps(format, maxLines, now);
     }
   }
 
@@ -72,23 +72,24 @@
     return held;
   }
 
-  private LedgerStore.Batch runSteps(String form, long most, long now) throws IOException {
+  private LedgerStore.Batch runSteps(String format, long maxLines, long now) throws IOException {
     Progress progress = new Progress();
     while (true) {
       List<LedgerStore.Batch> batches = store.batches();
       LedgerStore.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
       LedgerStore.Batch open = last != null && last.placedAt() == 0 ? last : null;
-      long behind = last == null ? 0 : last.lastPosition();
-      ExportSteps.Step step = ExportSteps.next(progress.state(open, store.lastPosition() > behind));
+      long lastSealedPosition = last == null ? 0 : last.lastPosition();
+      ExportSteps.Step step =
+          ExportSteps.next(progress.state(open, store.lastPosition() > lastSealedPosition));
       faults.beforeStep(step.name());
       switch (step) {
         case SEAL ->
             progress.temporaryFileHash =
                 seal(
                     last == null ? 1 : last.number() + 1,
-                    behind + 1,
-                    Math.min(store.lastPosition(), behind + most),
-                    form,
+                    lastSealedPosition + 1,
+                    Math.min(store.lastPosition(), lastSealedPosition + maxLines),
+                    format,
                     now);
         case DONE -> {
           return progress.lastPlaced;
@@ -170,31 +171,37 @@
    * Writes lines to a temporary file, then stores the range and the hash of the batch. A temporary
    * file without a stored batch is overwritten by the next export.
    */
-  private String seal(long number, long first, long last, String form, long now)
+  private String seal(long number, long first, long last, String format, long now)
       throws IOException {
-    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, form, "", 0, now, 0, 0);
+    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, format, "", 0, now, 0, 0);
     try (OutputStream out = Files.newOutputStream(folder.resolve(fileName(batch) + ".tmp"))) {
-      Sha256OutputStream sha = new Sha256OutputStream(out);
-      ExportFormats.writeBatch(store, number, first, last, form, sha);
+      Sha256OutputStream hashing = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(store, number, first, last, format, hashing);
       store.addBatch(
-          new LedgerStore.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
-      return sha.hex();
+          new LedgerStore.Batch(
+              number, first, last, format, hashing.hex(), hashing.size, now, 0, 0));
+      return hashing.hex();
     }
   }
 
-  private void write(LedgerStore.Batch batch, Path to) throws IOException {
-    try (OutputStream out = Files.newOutputStream(to)) {
-      Sha256OutputStream sha = new Sha256OutputStream(out);
+  private void write(LedgerStore.Batch batch, Path file) throws IOException {
+    try (OutputStream out = Files.newOutputStream(file)) {
+      Sha256OutputStream hashing = new Sha256OutputStream(out);
       ExportFormats.writeBatch(
-          store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
-      if (!sha.hex().equals(batch.sha256())) {
+          store,
+          batch.number(),
+          batch.firstPosition(),
+          batch.lastPosition(),
+          batch.format(),
+          hashing);
+      if (!hashing.hex().equals(batch.sha256())) {
         throw new IOException(
             "batch "
                 + batch.number()
                 + " was sealed with SHA-256 "
                 + batch.sha256()
                 + ", but that of its lines now is "
-                + sha.hex()
+                + hashing.hex()
                 + ": the ledger is damaged");
       }
     }
@@ -204,12 +211,12 @@
   public void exportAgain(long number) throws IOException {
     for (LedgerStore.Batch batch : store.batches()) {
       if (batch.number() == number && batch.placedAt() > 0) {
-        Path temporary = folder.resolve(fileName(batch) + ".tmp");
+        Path temporaryFile = folder.resolve(fileName(batch) + ".tmp");
         Files.createDirectories(folder);
-        write(batch, temporary);
-        forceToDisk(temporary, StandardOpenOption.WRITE);
+        write(batch, temporaryFile);
+        forceToDisk(temporaryFile, StandardOpenOption.WRITE);
         Files.move(
-            temporary,
+            temporaryFile,
             folder.resolve(fileName(batch)),
             StandardCopyOption.ATOMIC_MOVE,
             StandardCopyOption.REPLACE_EXISTING);
@@ -223,14 +230,19 @@
 
   /** Computes the hash of a batch from its lines as they are now. */
   public static String hash(LedgerStore store, LedgerStore.Batch batch) throws IOException {
-    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    Sha256OutputStream hashing = new Sha256OutputStream(OutputStream.nullOutputStream());
     ExportFormats.writeBatch(
-        store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
-    return sha.hex();
+        store,
+        batch.number(),
+        batch.firstPosition(),
+        batch.lastPosition(),
+        batch.format(),
+        hashing);
+    return hashing.hex();
   }
 
-  private static void forceToDisk(Path what, StandardOpenOption how) throws IOException {
-    try (FileChannel channel = FileChannel.open(what, how)) {
+  private static void forceToDisk(Path path, StandardOpenOption option) throws IOException {
+    try (FileChannel channel = FileChannel.open(path, option)) {
       channel.force(true);
     }
   }
@@ -240,11 +252,11 @@
     if (file == null || !Files.exists(file)) {
       return null;
     }
-    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    Sha256OutputStream hashing = new Sha256OutputStream(OutputStream.nullOutputStream());
     try (InputStream in = Files.newInputStream(file)) {
-      in.transferTo(sha);
+      in.transferTo(hashing);
     }
-    return sha.hex();
+    return hashing.hex();
   }
 
   /** Hashes and counts the bytes that are written to it. */
--- a/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerFiles.java
@@ -28,51 +28,51 @@
    * @param places folders with a ledger, folders with batches (*.pb), or batches
    */
   public static MergedLedger readMerged(List<Path> places) throws IOException {
-    MergedLedger all = new MergedLedger();
+    MergedLedger merged = new MergedLedger();
     for (Path place : places) {
       if (Files.isDirectory(place) && Files.exists(place.resolve("ledger.sqlite"))) {
         try (LedgerStore store = LedgerStore.openForCommand(place, FaultInjector.NONE)) {
-          store.read(1, Long.MAX_VALUE, addingTo(all, store.manager()));
+          store.read(1, Long.MAX_VALUE, addingTo(merged, store.manager()));
         }
       } else if (Files.isDirectory(place)) {
         List<Path> files;
-        try (Stream<Path> found = Files.list(place)) {
-          files = found.filter(one -> one.toString().endsWith(".pb")).sorted().toList();
+        try (Stream<Path> children = Files.list(place)) {
+          files = children.filter(path -> path.toString().endsWith(".pb")).sorted().toList();
         }
         if (files.isEmpty()) {
           throw new IOException(place + " contains neither a ledger nor a batch (*.pb)");
         }
         for (Path file : files) {
-          readBatch(file, all);
+          readBatch(file, merged);
         }
       } else {
-        readBatch(place, all);
+        readBatch(place, merged);
       }
     }
-    return all;
+    return merged;
   }
 
-  private static void readBatch(Path file, MergedLedger all) throws IOException {
+  private static void readBatch(Path file, MergedLedger merged) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file), 1 << 16)) {
-      MergedLedger one = new MergedLedger();
-      ExportFormats.readBatch(in, manager -> addingTo(one, manager));
+      MergedLedger batch = new MergedLedger();
+      ExportFormats.readBatch(in, manager -> addingTo(batch, manager));
       // Added only after the whole batch was read, so that a damaged one adds nothing.
-      all.add(one);
+      merged.add(batch);
     } catch (IOException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
     }
   }
 
-  private static LedgerStore.LineVisitor addingTo(MergedLedger all, String manager) {
+  private static LedgerStore.LineVisitor addingTo(MergedLedger merged, String manager) {
     return new LedgerStore.LineVisitor() {
       @Override
       public void entry(long position, Entry entry) {
-        all.add(manager, entry);
+        merged.add(manager, entry);
       }
 
       @Override
       public void gap(long position, Gap gap) {
-        all.add(manager, gap);
+        merged.add(manager, gap);
       }
     };
   }
@@ -81,31 +81,34 @@
    * Adds an engine's statement to a reconciliation. A statement is CSV with the columns engine,
    * task, work_ns and done; a row without a task says that the statement of the engine is complete.
    */
-  public static void readStatement(String name, InputStream from, Reconciliation to)
+  public static void readStatement(String name, InputStream input, Reconciliation reconciliation)
       throws IOException {
-    readStatement(name, from, to::addEngine, to::add);
+    readStatement(name, input, reconciliation::addEngine, reconciliation::add);
   }
 
   /**
    * Reads an engine's statement.
    *
    * @param name the name of the statement in error messages
-   * @param stated receives the engines whose statements are complete
-   * @param ran receives the runs
+   * @param engineConsumer receives the engines whose statements are complete
+   * @param runConsumer receives the runs
    */
   public static void readStatement(
-      String name, InputStream from, Consumer<String> stated, Consumer<Reconciliation.Run> ran)
+      String name,
+      InputStream input,
+      Consumer<String> engineConsumer,
+      Consumer<Reconciliation.Run> runConsumer)
       throws IOException {
     for (CSVRecord row :
-        CSVFormat.RFC4180.parse(new InputStreamReader(from, StandardCharsets.UTF_8))) {
+        CSVFormat.RFC4180.parse(new InputStreamReader(input, StandardCharsets.UTF_8))) {
       if (row.getRecordNumber() == 1 && row.get(0).equals("engine")) {
         continue;
       }
       try {
         if (row.size() == 1 || row.get(1).isEmpty()) {
-          stated.accept(row.get(0));
+          engineConsumer.accept(row.get(0));
         } else if (row.size() == 4 && (row.get(3).equals("true") || row.get(3).equals("false"))) {
-          ran.accept(
+          runConsumer.accept(
               new Reconciliation.Run(
                   row.get(0), row.get(1), Long.parseLong(row.get(2)), row.get(3).equals("true")));
         } else {
--- a/src/main/java/tansytrack/ledger/disk/LedgerLock.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerLock.java
@@ -31,11 +31,11 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
-    long until = System.nanoTime() + LOCK_TIMEOUT_NANOS;
+    long deadline = System.nanoTime() + LOCK_TIMEOUT_NANOS;
     try {
       while (true) {
-        FileLock held = tryLock(channel);
-        if (held != null) {
+        FileLock lock = tryLock(channel);
+        if (lock != null) {
           channel.truncate(0);
           channel.write(
               ByteBuffer.wrap(
@@ -44,13 +44,13 @@
               0);
           return channel;
         }
-        if (System.nanoTime() > until) {
-          ByteBuffer text = ByteBuffer.allocate(256);
-          channel.read(text, 0);
+        if (System.nanoTime() > deadline) {
+          ByteBuffer holder = ByteBuffer.allocate(256);
+          channel.read(holder, 0);
           throw new IOException(
               folder
                   + " is held by "
-                  + new String(text.array(), 0, text.position(), StandardCharsets.UTF_8));
+                  + new String(holder.array(), 0, holder.position(), StandardCharsets.UTF_8));
         }
         Thread.sleep(LOCK_RETRY_DELAY_NANOS / 1_000_000);
       }
--- a/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
@@ -47,8 +47,8 @@
   // New tasks are rejected while there is no room for their updates.
   private final boolean rejectsTasksWhenFull;
   private final long commitIntervalNanos;
-  private final Map<String, QueryClass> grades = new HashMap<>();
-  private final List<TaskListener.UnresolvedForward> left;
+  private final Map<String, QueryClass> queryClasses = new HashMap<>();
+  private final List<TaskListener.UnresolvedForward> unresolvedForwards;
   private final EntryTracker entries = new EntryTracker(this::earningsMilli);
   private final WriteFlowControl flow;
   private final SpscArrayQueue<LedgerUpdate> queue;
@@ -60,19 +60,19 @@
   private LedgerRecorder(
       OperatorFile.LedgerSection section,
       LedgerStore store,
-      List<TaskListener.UnresolvedForward> left,
-      List<QueryClass> known,
+      List<TaskListener.UnresolvedForward> unresolvedForwards,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox) {
     this.store = store;
-    this.left = left;
+    this.unresolvedForwards = unresolvedForwards;
     this.timers = timers;
     this.inbox = inbox;
     answersAfterCommit = section.answersAfterCommit();
     forwardsAfterCommit = section.forwardsAfterCommit();
     rejectsTasksWhenFull = section.rejectsTasksWhenFull();
     commitIntervalNanos = section.commitIntervalNanos();
-    known.forEach(grade -> grades.put(grade.name(), grade));
+    queryClasses.forEach(queryClass -> this.queryClasses.put(queryClass.name(), queryClass));
     flow = new WriteFlowControl(store.epoch(), section.maxUnwrittenLines(), section.maxWaitNanos());
     queue = new SpscArrayQueue<>(section.maxUnwrittenLines() + 2);
   }
@@ -86,28 +86,29 @@
   public static LedgerRecorder start(
       OperatorFile.LedgerSection section,
       String manager,
-      List<QueryClass> grades,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox)
       throws IOException {
-    return start(section, manager, grades, timers, inbox, FaultInjector.NONE);
+    return start(section, manager, queryClasses, timers, inbox, FaultInjector.NONE);
   }
 
   /** Starts a recorder whose steps on the disk can be made to fail. */
   static LedgerRecorder start(
       OperatorFile.LedgerSection section,
       String manager,
-      List<QueryClass> grades,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox,
       FaultInjector faults)
       throws IOException {
     LedgerStore store = LedgerStore.openForManager(section.folder(), manager, faults);
-    List<TaskListener.UnresolvedForward> left = new ArrayList<>();
+    List<TaskListener.UnresolvedForward> unresolvedForwards = new ArrayList<>();
     long unresolved =
         store.beginEpoch(
             timers.now(),
-            (task, engine) -> left.add(new TaskListener.UnresolvedForward(task, engine)));
+            (task, engine) ->
+                unresolvedForwards.add(new TaskListener.UnresolvedForward(task, engine)));
     Event.info(
         "ledger.opened",
         "ledger opened in "
@@ -121,7 +122,8 @@
         store.epoch(),
         "unresolved",
         unresolved);
-    LedgerRecorder recorder = new LedgerRecorder(section, store, left, grades, timers, inbox);
+    LedgerRecorder recorder =
+        new LedgerRecorder(section, store, unresolvedForwards, queryClasses, timers, inbox);
     recorder.writer.setDaemon(true);
     recorder.writer.start();
     recorder.checkForGap();
@@ -132,23 +134,23 @@
 
   @Override
   public void taskAccepted(long now, TaskRequest offer) {
-    entries.taskTaken(now, offer.id(), offer.tenant(), offer.queryClass());
+    entries.taskAccepted(now, offer.id(), offer.tenant(), offer.queryClass());
   }
 
   @Override
   public boolean acceptsTasks() {
-    return !rejectsTasksWhenFull || flow.admits(entries.openTasks());
+    return !rejectsTasksWhenFull || flow.acceptsTask(entries.openTasks());
   }
 
   @Override
   public void beforeForward(
-      long now, String task, int index, String engine, long memoryMb, Runnable go) {
+      long now, String task, int index, String engine, long memoryMb, Runnable send) {
     enqueue(now, entries.forwardSent(now, task, index, engine, memoryMb));
     if (forwardsAfterCommit) {
-      flow.hold(now, go);
+      flow.hold(now, send);
       releaseOverdue();
     } else {
-      go.run();
+      send.run();
     }
   }
 
@@ -158,38 +160,38 @@
       String task,
       int index,
       Outcome outcome,
-      long work,
+      long workNanos,
       double memoryMb,
       boolean served) {
-    LedgerUpdate line =
-        entries.forwardEnded(now, task, index, outcome.name(), work, memoryMb, served);
-    if (line != null) {
-      enqueue(now, line);
+    LedgerUpdate update =
+        entries.forwardEnded(now, task, index, outcome.name(), workNanos, memoryMb, served);
+    if (update != null) {
+      enqueue(now, update);
     }
   }
 
   @Override
   public void beforeAnswer(
-      long now, String task, TaskListener.TaskEnd end, long bytes, Runnable say) {
-    LedgerUpdate line =
+      long now, String task, TaskListener.TaskEnd end, long bytes, Runnable answer) {
+    LedgerUpdate update =
         entries.taskAnswered(now, task, tansytrack.ledger.TaskEnd.valueOf(end.name()), bytes);
     enqueue(
         flow.offer(
             now,
-            line,
+            update,
             rejectsTasksWhenFull && end == TaskListener.TaskEnd.BOUNCED ? entries.openTasks() : 0));
     if (!answersAfterCommit || end != TaskListener.TaskEnd.HANDLED) {
       // Only answers with a result wait for the disk; rejections and failures are sent at once.
-      say.run();
+      answer.run();
       return;
     }
-    flow.hold(now, say);
+    flow.hold(now, answer);
     releaseOverdue();
   }
 
   @Override
   public Collection<TaskListener.UnresolvedForward> unresolvedForwards() {
-    return left;
+    return unresolvedForwards;
   }
 
   @Override
@@ -200,23 +202,24 @@
             new Reconciliation.Run(about.engine(), about.task(), work, ended)));
   }
 
-  private long earningsMilli(String name, tansytrack.ledger.TaskEnd end, long time) {
-    QueryClass grade = grades.get(name);
+  private long earningsMilli(
+      String queryClassName, tansytrack.ledger.TaskEnd end, long durationNanos) {
+    QueryClass queryClass = queryClasses.get(queryClassName);
     return end != tansytrack.ledger.TaskEnd.HANDLED
         ? 0
         : Math.round(
             1000
-                * (time <= grade.latencyObjectiveNanos()
-                    ? grade.earnings()
-                    : grade.lateEarnings()));
+                * (durationNanos <= queryClass.latencyObjectiveNanos()
+                    ? queryClass.earnings()
+                    : queryClass.lateEarnings()));
   }
 
   private void releaseOverdue() {
-    long next = flow.releaseOverdue(timers.now());
-    if (next > 0 && timer == null) {
+    long nextCheckNanos = flow.releaseOverdue(timers.now());
+    if (nextCheckNanos > 0 && timer == null) {
       timer =
           timers.schedule(
-              next,
+              nextCheckNanos,
               () -> {
                 timer = null;
                 releaseOverdue();
@@ -224,18 +227,18 @@
     }
   }
 
-  private void enqueue(long now, LedgerUpdate line) {
-    enqueue(flow.offer(now, line));
+  private void enqueue(long now, LedgerUpdate update) {
+    enqueue(flow.offer(now, update));
   }
 
-  private void enqueue(List<LedgerUpdate> lines) {
-    for (LedgerUpdate one : lines) {
-      if (!queue.offer(one)) {
+  private void enqueue(List<LedgerUpdate> updates) {
+    for (LedgerUpdate update : updates) {
+      if (!queue.offer(update)) {
         throw new IllegalStateException(
             "the ledger's queue is full although the unwritten updates are below the bound");
       }
     }
-    if ((answersAfterCommit || forwardsAfterCommit) && !lines.isEmpty()) {
+    if ((answersAfterCommit || forwardsAfterCommit) && !updates.isEmpty()) {
       LockSupport.unpark(writer);
     }
   }
@@ -247,8 +250,8 @@
     }
   }
 
-  private void markDurable(long lines) {
-    flow.markDurable(lines);
+  private void markDurable(long updates) {
+    flow.markDurable(updates);
     enqueue(flow.flushGap(timers.now()));
   }
 
@@ -264,18 +267,18 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    long left = flow.unwritten() + flow.openGapUpdates();
+    long unwritten = flow.unwritten() + flow.openGapUpdates();
     Event.info(
         "ledger.closed",
         "ledger closed: "
-            + left
+            + unwritten
             + " updates unwritten, "
             + flow.gapCount()
             + " gaps, "
             + flow.releasedBeforeCommit()
             + " forwards and answers released before their commit",
         "unwritten",
-        left,
+        unwritten,
         "gaps",
         flow.gapCount(),
         "before_commit",
@@ -294,15 +297,15 @@
     long written = 0;
     boolean failing = false;
     while (true) {
-      boolean last = closing;
+      boolean finalPass = closing;
       queue.drain(batch::add, MAX_BATCH_UPDATES - batch.size());
       if (!batch.isEmpty()) {
         try {
           store.write(batch);
           written += batch.size();
           batch.clear();
-          long soFar = written;
-          inbox.accept(() -> markDurable(soFar));
+          long writtenSoFar = written;
+          inbox.accept(() -> markDurable(writtenSoFar));
           if (failing) {
             Event.info("ledger.disk.well", "ledger: writing succeeds again");
           }
@@ -312,7 +315,7 @@
             logFailure(e);
           }
           failing = true;
-          if (last && System.nanoTime() > closeDeadline) {
+          if (finalPass && System.nanoTime() > closeDeadline) {
             Event.error(
                 "ledger.lost",
                 "ledger: closed with " + (batch.size() + queue.size()) + " updates unwritten",
@@ -323,14 +326,14 @@
           LockSupport.parkNanos(COMMIT_RETRY_DELAY_NANOS);
           continue;
         }
-      } else if (last) {
+      } else if (finalPass) {
         // The loop is in close() and no longer reads its inbox, so this thread sets the count.
         // join() makes it visible to the loop.
         flow.markDurable(written);
         break;
       }
       if (queue.size() < MAX_BATCH_UPDATES / 2
-          && !last
+          && !finalPass
           && ((!answersAfterCommit && !forwardsAfterCommit) || queue.isEmpty())) {
         LockSupport.parkNanos(commitIntervalNanos);
       }
--- a/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
@@ -60,8 +60,8 @@
 
   private static void upgrade(Connection db, String manager, Path folder)
       throws SQLException, IOException {
-    try (Statement run = db.createStatement()) {
-      int version = Sql.queryInt(run, "PRAGMA user_version");
+    try (Statement statement = db.createStatement()) {
+      int version = Sql.queryInt(statement, "PRAGMA user_version");
       if (version > VERSION) {
         throw new IOException(
             folder
@@ -74,21 +74,21 @@
         if (manager == null && version == 0) {
           throw new IOException(folder + " holds no ledger (its file has no schema)");
         }
-        run.execute("BEGIN IMMEDIATE");
+        statement.execute("BEGIN IMMEDIATE");
         if (version == 0) {
-          for (String table : CREATE_STATEMENTS) {
-            run.execute(table);
+          for (String sql : CREATE_STATEMENTS) {
+            statement.execute(sql);
           }
-          run.execute("INSERT INTO meta VALUES('position', 0)");
+          statement.execute("INSERT INTO meta VALUES('position', 0)");
         } else {
           if (version == 1) {
             // Version 1 did not store the billing section with which a period was closed.
-            run.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
+            statement.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
           }
-          run.execute(CREATE_TOLD);
+          statement.execute(CREATE_TOLD);
         }
-        run.execute("PRAGMA user_version = " + VERSION);
-        run.execute("COMMIT");
+        statement.execute("PRAGMA user_version = " + VERSION);
+        statement.execute("COMMIT");
       }
     }
   }
@@ -96,14 +96,15 @@
   private static String owner(Connection db, String manager, Path folder)
       throws SQLException, IOException {
     String owner = null;
-    try (Statement run = db.createStatement();
-        ResultSet found = run.executeQuery("SELECT value FROM meta WHERE name = 'manager'")) {
-      owner = found.next() ? found.getString(1) : null;
+    try (Statement statement = db.createStatement();
+        ResultSet rows = statement.executeQuery("SELECT value FROM meta WHERE name = 'manager'")) {
+      owner = rows.next() ? rows.getString(1) : null;
     }
     if (owner == null && manager != null) {
-      try (PreparedStatement put = db.prepareStatement("INSERT INTO meta VALUES('manager', ?)")) {
-        put.setString(1, manager);
-        put.execute();
+      try (PreparedStatement insert =
+          db.prepareStatement("INSERT INTO meta VALUES('manager', ?)")) {
+        insert.setString(1, manager);
+        insert.execute();
       }
       return manager;
     }
--- a/src/main/java/tansytrack/ledger/disk/LedgerStore.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -31,16 +31,16 @@
 
   private static final String DATABASE_FILE = "ledger.sqlite";
   // Commands may write while the manager is running, so a writer may have to wait for the other.
-  private static final int BUSY_TIMEOUT_MILLIS = 5000;
+  private static final int BUSY_TIMEOUT_MS = 5000;
   // Pages of 4 KB in the write-ahead log before SQLite copies them into the database.
   private static final int WAL_CHECKPOINT_PAGES = 16384;
 
   /**
    * A closed period.
    *
-   * @param upTo the last position whose entries are in its subtotals
+   * @param lastPosition the last position whose entries are in its subtotals
    * @param author who closed it
-   * @param sha the hash of its subtotals
+   * @param sha256 the hash of its subtotals
    * @param billing the text of the billing section with which it was closed
    */
   public record ClosedPeriod(
@@ -78,9 +78,9 @@
   private final Path folder;
   private final FaultInjector faults;
   // Its transactions acquire the write lock when they begin.
-  private final Connection db;
+  private final Connection writeConnection;
   // Its transactions read a snapshot and block nobody.
-  private final Connection reader;
+  private final Connection readConnection;
   private final LineReader lineReader;
   private final FileChannel lock;
   private final String manager;
@@ -89,15 +89,15 @@
   private LedgerStore(
       Path folder,
       FaultInjector faults,
-      Connection db,
-      Connection reader,
+      Connection writeConnection,
+      Connection readConnection,
       FileChannel lock,
       String manager) {
     this.folder = folder;
     this.faults = faults;
-    this.db = db;
-    this.reader = reader;
-    lineReader = new LineReader(reader);
+    this.writeConnection = writeConnection;
+    this.readConnection = readConnection;
+    lineReader = new LineReader(readConnection);
     this.lock = lock;
     this.manager = manager;
   }
@@ -130,25 +130,25 @@
     SQLiteConfig config = new SQLiteConfig();
     config.setJournalMode(SQLiteConfig.JournalMode.WAL);
     config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
-    config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
-    Connection db = null;
-    Connection reader = null;
+    config.setBusyTimeout(BUSY_TIMEOUT_MS);
+    Connection writeConnection = null;
+    Connection readConnection = null;
     try {
       faults.beforeStep("open");
-      db =
+      writeConnection =
           JDBC.createConnection(
               "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
-      try (Statement run = db.createStatement()) {
-        run.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
+      try (Statement statement = writeConnection.createStatement()) {
+        statement.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
       }
-      String owner = LedgerSchema.prepare(db, manager, folder);
-      reader =
+      String owner = LedgerSchema.prepare(writeConnection, manager, folder);
+      readConnection =
           JDBC.createConnection(
               "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
-      return new LedgerStore(folder, faults, db, reader, lock, owner);
+      return new LedgerStore(folder, faults, writeConnection, readConnection, lock, owner);
     } catch (SQLException | IOException e) {
-      close(db);
-      close(reader);
+      close(writeConnection);
+      close(readConnection);
       throw e instanceof IOException io ? io : toIoException(folder, (SQLException) e);
     }
   }
@@ -157,10 +157,10 @@
     return new IOException(folder.resolve(DATABASE_FILE) + ": " + cause.getMessage(), cause);
   }
 
-  private static void close(Connection db) {
+  private static void close(Connection connection) {
     try {
-      if (db != null) {
-        db.close();
+      if (connection != null) {
+        connection.close();
       }
     } catch (SQLException e) {
       // Ignored: the caller reports the failure that made it close the connection.
@@ -189,34 +189,35 @@
     T run() throws SQLException, IOException;
   }
 
-  private <T> T inTransaction(String step, TransactionBody<T> work) throws IOException {
-    return inTransaction(step, db, "BEGIN IMMEDIATE", work);
+  private <T> T inTransaction(String step, TransactionBody<T> body) throws IOException {
+    return inTransaction(step, writeConnection, "BEGIN IMMEDIATE", body);
   }
 
-  private <T> T inReadTransaction(TransactionBody<T> work) throws IOException {
-    return inTransaction("read", reader, "BEGIN", work);
+  private <T> T inReadTransaction(TransactionBody<T> body) throws IOException {
+    return inTransaction("read", readConnection, "BEGIN", body);
   }
 
   /**
    * Runs a transaction with explicit BEGIN and COMMIT statements. The commit of the JDBC driver
    * would begin the next transaction at once and with it acquire the write lock again.
    */
-  private <T> T inTransaction(String step, Connection on, String begin, TransactionBody<T> work)
+  private <T> T inTransaction(
+      String step, Connection connection, String beginSql, TransactionBody<T> body)
       throws IOException {
-    try (Statement run = on.createStatement()) {
+    try (Statement statement = connection.createStatement()) {
       faults.beforeStep(step);
-      run.execute(begin);
+      statement.execute(beginSql);
       try {
-        T made = work.run();
+        T result = body.run();
         faults.beforeStep(step + " commit");
-        run.execute("COMMIT");
-        return made;
+        statement.execute("COMMIT");
+        return result;
       } catch (SQLException | IOException | RuntimeException e) {
         try {
-          run.execute("ROLLBACK");
-        } catch (SQLException again) {
+          statement.execute("ROLLBACK");
+        } catch (SQLException rollbackFailure) {
           // Also thrown if the database has already rolled back by itself.
-          e.addSuppressed(again);
+          e.addSuppressed(rollbackFailure);
         }
         throw e;
       }
@@ -231,25 +232,25 @@
    * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns
    * the number of such tasks.
    *
-   * @param left receives the task and the engine of each forward that was in flight
+   * @param openForwards receives the task and the engine of each forward that was in flight
    */
-  long beginEpoch(long now, BiConsumer<String, String> left) throws IOException {
+  long beginEpoch(long now, BiConsumer<String, String> openForwards) throws IOException {
     return inTransaction(
         "epoch",
         () -> {
-          EpochStart start = new EpochStart(db);
+          EpochStart start = new EpochStart(writeConnection);
           epoch = start.begin(now);
-          return start.endOpenTasks(left);
+          return start.endOpenTasks(openForwards);
         });
   }
 
   /** Writes updates of this epoch in one transaction. */
-  void write(List<LedgerUpdate> lines) throws IOException {
+  void write(List<LedgerUpdate> updates) throws IOException {
     inTransaction(
         "lines",
         () -> {
-          try (UpdateWriter writer = new UpdateWriter(db, epoch)) {
-            Sql.lastPosition(db, writer.write(lines));
+          try (UpdateWriter writer = new UpdateWriter(writeConnection, epoch)) {
+            Sql.lastPosition(writeConnection, writer.write(updates));
           }
           return null;
         });
@@ -259,17 +260,18 @@
 
   /** The position of the last line. */
   public long lastPosition() throws IOException {
-    return inReadTransaction(() -> Sql.lastPosition(reader));
+    return inReadTransaction(() -> Sql.lastPosition(readConnection));
   }
 
   /** The number of tasks that are not complete. */
   public long openTasks() throws IOException {
     return inReadTransaction(
         () -> {
-          try (Statement run = reader.createStatement()) {
+          try (Statement statement = readConnection.createStatement()) {
             return (long)
                 Sql.queryInt(
-                    run, "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
+                    statement,
+                    "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
           }
         });
   }
@@ -278,13 +280,13 @@
   public long openTasks(long from, long until) throws IOException {
     return inReadTransaction(
         () -> {
-          try (PreparedStatement ask =
-                  reader.prepareStatement(
+          try (PreparedStatement query =
+                  readConnection.prepareStatement(
                       "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL AND"
                           + " taken_at >= ? AND taken_at < ?");
-              ResultSet found = Sql.bind(ask, from, until).executeQuery()) {
-            found.next();
-            return found.getLong(1);
+              ResultSet rows = Sql.bind(query, from, until).executeQuery()) {
+            rows.next();
+            return rows.getLong(1);
           }
         });
   }
@@ -293,19 +295,20 @@
   public boolean containsEntry(long ofEpoch, long sequence) throws IOException {
     return inReadTransaction(
         () -> {
-          try (PreparedStatement ask =
-                  reader.prepareStatement("SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
-              ResultSet found = Sql.bind(ask, ofEpoch, sequence).executeQuery()) {
-            return found.next();
+          try (PreparedStatement query =
+                  readConnection.prepareStatement(
+                      "SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
+              ResultSet rows = Sql.bind(query, ofEpoch, sequence).executeQuery()) {
+            return rows.next();
           }
         });
   }
 
   /** Passes all lines from one position to another (inclusive) to a visitor, in order. */
-  public void read(long first, long last, LineVisitor to) throws IOException {
+  public void read(long first, long last, LineVisitor visitor) throws IOException {
     inReadTransaction(
         () -> {
-          lineReader.read(first, last, to);
+          lineReader.read(first, last, visitor);
           return null;
         });
   }
@@ -319,19 +322,16 @@
   public List<Reconciliation.Run> reportedRuns() throws IOException {
     return inReadTransaction(
         () -> {
-          List<Reconciliation.Run> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found = run.executeQuery("SELECT engine, task, work, done FROM told")) {
-            while (found.next()) {
-              all.add(
+          List<Reconciliation.Run> runs = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row = statement.executeQuery("SELECT engine, task, work, done FROM told")) {
+            while (row.next()) {
+              runs.add(
                   new Reconciliation.Run(
-                      found.getString(1),
-                      found.getString(2),
-                      found.getLong(3),
-                      found.getInt(4) != 0));
+                      row.getString(1), row.getString(2), row.getLong(3), row.getInt(4) != 0));
             }
           }
-          return all;
+          return runs;
         });
   }
 
@@ -339,24 +339,24 @@
   public List<ClosedPeriod> closedPeriods() throws IOException {
     return inReadTransaction(
         () -> {
-          List<ClosedPeriod> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found =
-                  run.executeQuery(
+          List<ClosedPeriod> closedPeriods = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row =
+                  statement.executeQuery(
                       "SELECT period, upto, at, author, sha, billing FROM closed ORDER BY"
                           + " period")) {
-            while (found.next()) {
-              all.add(
+            while (row.next()) {
+              closedPeriods.add(
                   new ClosedPeriod(
-                      found.getString(1),
-                      found.getLong(2),
-                      found.getLong(3),
-                      found.getString(4),
-                      found.getString(5),
-                      found.getString(6)));
+                      row.getString(1),
+                      row.getLong(2),
+                      row.getLong(3),
+                      row.getString(4),
+                      row.getString(5),
+                      row.getString(6)));
             }
           }
-          return all;
+          return closedPeriods;
         });
   }
 
@@ -364,69 +364,70 @@
   public List<Batch> batches() throws IOException {
     return inReadTransaction(
         () -> {
-          List<Batch> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found =
-                  run.executeQuery(
+          List<Batch> batches = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row =
+                  statement.executeQuery(
                       "SELECT number, first, last, form, sha, size, sealed_at, placed_at, acked_at"
                           + " FROM batch ORDER BY number")) {
-            while (found.next()) {
-              all.add(
+            while (row.next()) {
+              batches.add(
                   new Batch(
-                      found.getLong(1),
-                      found.getLong(2),
-                      found.getLong(3),
-                      found.getString(4),
-                      found.getString(5),
-                      found.getLong(6),
-                      found.getLong(7),
-                      found.getLong(8),
-                      found.getLong(9)));
+                      row.getLong(1),
+                      row.getLong(2),
+                      row.getLong(3),
+                      row.getString(4),
+                      row.getString(5),
+                      row.getLong(6),
+                      row.getLong(7),
+                      row.getLong(8),
+                      row.getLong(9)));
             }
           }
-          return all;
+          return batches;
         });
   }
 
   // ---- Operations of commands ----
 
   /** Stores an amendment under the next number, and returns it with that number. */
-  public Amendment addAmendment(Amendment wanted) throws IOException {
+  public Amendment addAmendment(Amendment amendment) throws IOException {
     return inTransaction(
         "amendment",
         () -> {
-          long at = Sql.lastPosition(db) + 1;
+          long position = Sql.lastPosition(writeConnection) + 1;
           long number;
-          try (Statement run = db.createStatement()) {
-            number = 1L + Sql.queryInt(run, "SELECT max(number) FROM amendment");
+          try (Statement statement = writeConnection.createStatement()) {
+            number = 1L + Sql.queryInt(statement, "SELECT max(number) FROM amendment");
           }
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement(
+                  "INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
             Sql.bind(
-                    put,
+                    insert,
                     number,
-                    wanted.period(),
-                    wanted.tenant(),
-                    wanted.amount().toPlainString(),
-                    wanted.author(),
-                    wanted.reason(),
-                    wanted.corrects(),
-                    wanted.createdAt(),
-                    wanted.withdraws() ? 1 : 0,
-                    at)
+                    amendment.period(),
+                    amendment.tenant(),
+                    amendment.amount().toPlainString(),
+                    amendment.author(),
+                    amendment.reason(),
+                    amendment.corrects(),
+                    amendment.createdAt(),
+                    amendment.withdraws() ? 1 : 0,
+                    position)
                 .executeUpdate();
           }
-          Sql.lastPosition(db, at);
+          Sql.lastPosition(writeConnection, position);
           return new Amendment(
               number,
-              wanted.period(),
-              wanted.tenant(),
-              wanted.amount(),
-              wanted.author(),
-              wanted.reason(),
-              wanted.corrects(),
-              wanted.createdAt(),
-              wanted.withdraws());
+              amendment.period(),
+              amendment.tenant(),
+              amendment.amount(),
+              amendment.author(),
+              amendment.reason(),
+              amendment.corrects(),
+              amendment.createdAt(),
+              amendment.withdraws());
         });
   }
 
@@ -435,10 +436,10 @@
     inTransaction(
         "close",
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
             Sql.bind(
-                    put,
+                    insert,
                     period.period(),
                     period.lastPosition(),
                     period.closedAt(),
@@ -456,10 +457,11 @@
     inTransaction(
         "seal",
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement(
+                  "INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
             Sql.bind(
-                    put,
+                    insert,
                     batch.number(),
                     batch.firstPosition(),
                     batch.lastPosition(),
@@ -474,23 +476,23 @@
   }
 
   /** Stores the time at which a batch was placed, unless it has one. */
-  public void markPlaced(long number, long at) throws IOException {
-    setTimeOnce("placed_at", number, at);
+  public void markPlaced(long number, long timeNanos) throws IOException {
+    setTimeOnce("placed_at", number, timeNanos);
   }
 
   /** Stores the time at which the consumer acknowledged a batch, unless it has one. */
-  public void markAcknowledged(long number, long at) throws IOException {
-    setTimeOnce("acked_at", number, at);
+  public void markAcknowledged(long number, long timeNanos) throws IOException {
+    setTimeOnce("acked_at", number, timeNanos);
   }
 
-  private void setTimeOnce(String column, long number, long at) throws IOException {
+  private void setTimeOnce(String column, long number, long timeNanos) throws IOException {
     inTransaction(
         column,
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement(
+          try (PreparedStatement update =
+              writeConnection.prepareStatement(
                   "UPDATE batch SET " + column + " = ? WHERE number = ? AND " + column + " = 0")) {
-            Sql.bind(put, at, number).executeUpdate();
+            Sql.bind(update, timeNanos, number).executeUpdate();
           }
           return null;
         });
@@ -500,10 +502,10 @@
   public String findDamage() throws IOException {
     return inReadTransaction(
         () -> {
-          try (Statement run = reader.createStatement();
-              ResultSet found = run.executeQuery("PRAGMA quick_check(1)")) {
-            String said = found.next() ? found.getString(1) : "no answer";
-            return said.equals("ok") ? null : said;
+          try (Statement statement = readConnection.createStatement();
+              ResultSet rows = statement.executeQuery("PRAGMA quick_check(1)")) {
+            String result = rows.next() ? rows.getString(1) : "no answer";
+            return result.equals("ok") ? null : result;
           }
         });
   }
@@ -511,8 +513,8 @@
   @Override
   public void close() throws IOException {
     try {
-      reader.close();
-      db.close();
+      readConnection.close();
+      writeConnection.close();
     } catch (SQLException e) {
       throw toIoException(folder, e);
     } finally {
--- a/src/main/java/tansytrack/ledger/disk/LineReader.java
+++ b/src/main/java/tansytrack/ledger/disk/LineReader.java
@@ -21,69 +21,70 @@
 
   private static final int FETCH_SIZE_ROWS = 512;
 
-  private final Connection reader;
+  private final Connection connection;
 
-  LineReader(Connection reader) {
-    this.reader = reader;
+  LineReader(Connection connection) {
+    this.connection = connection;
   }
 
   /** Passes all lines from one position to another (inclusive) to a visitor. */
-  void read(long first, long last, LedgerStore.LineVisitor to) throws SQLException, IOException {
+  void read(long first, long last, LedgerStore.LineVisitor visitor)
+      throws SQLException, IOException {
     NavigableMap<Long, Object> others = new TreeMap<>(amendments(first, last));
     others.putAll(gaps(first, last));
-    entries(first, last, others, to);
+    entries(first, last, others, visitor);
   }
 
   private NavigableMap<Long, Gap> gaps(long first, long last) throws SQLException {
-    NavigableMap<Long, Gap> all = new TreeMap<>();
-    try (PreparedStatement ask =
-            reader.prepareStatement(
+    NavigableMap<Long, Gap> gaps = new TreeMap<>();
+    try (PreparedStatement query =
+            connection.prepareStatement(
                 "SELECT epoch, number, first, last, from_at, until_at, lines, cause,"
                     + " pos FROM gap WHERE pos BETWEEN ? AND ?");
-        ResultSet found = Sql.bind(ask, first, last).executeQuery()) {
-      while (found.next()) {
-        all.put(
-            found.getLong(9),
+        ResultSet row = Sql.bind(query, first, last).executeQuery()) {
+      while (row.next()) {
+        gaps.put(
+            row.getLong(9),
             new Gap(
-                found.getLong(1),
-                found.getLong(2),
-                found.getLong(3),
-                found.getLong(4),
-                found.getLong(5),
-                found.getLong(6),
-                found.getLong(7),
-                found.getString(8)));
+                row.getLong(1),
+                row.getLong(2),
+                row.getLong(3),
+                row.getLong(4),
+                row.getLong(5),
+                row.getLong(6),
+                row.getLong(7),
+                row.getString(8)));
       }
     }
-    return all;
+    return gaps;
   }
 
   private void entries(
-      long first, long last, NavigableMap<Long, Object> others, LedgerStore.LineVisitor to)
+      long first, long last, NavigableMap<Long, Object> others, LedgerStore.LineVisitor visitor)
       throws SQLException, IOException {
-    try (PreparedStatement ask =
-        reader.prepareStatement(
+    try (PreparedStatement query =
+        connection.prepareStatement(
             "SELECT e.pos, e.epoch, e.seq, e.task, e.tenant, e.grade, e.taken_at, e.ended_at,"
                 + " e.ended, e.bytes, e.earnings, f.idx, f.engine, f.sent_at, f.ended_at,"
                 + " f.outcome, f.work, f.needed, f.granted, f.wasted FROM entry e INDEXED BY"
                 + " entry_position LEFT JOIN forward f ON f.epoch = e.epoch AND f.seq = e.seq WHERE"
                 + " e.pos BETWEEN ? AND ? ORDER BY e.pos, f.idx")) {
-      ask.setFetchSize(FETCH_SIZE_ROWS);
-      try (ResultSet row = Sql.bind(ask, first, last).executeQuery()) {
-        long at = 0;
+      query.setFetchSize(FETCH_SIZE_ROWS);
+      try (ResultSet row = Sql.bind(query, first, last).executeQuery()) {
+        long position = 0;
         Entry entry = null;
         while (row.next()) {
-          if (entry == null || row.getLong(1) != at) {
-            emit(at, entry, others, to);
-            at = row.getLong(1);
+          if (entry == null || row.getLong(1) != position) {
+            emit(position, entry, others, visitor);
+            position = row.getLong(1);
             entry = entry(row);
           }
           if (row.getString(13) != null) {
             entry.uses().add(use(row));
           }
         }
-        emit(at, entry, others, to);
-        emit(Long.MAX_VALUE, null, others, to);
+        emit(position, entry, others, visitor);
+        emit(Long.MAX_VALUE, null, others, visitor);
       }
     }
   }
@@ -118,44 +119,47 @@
 
   /** Visits the amendments and gaps before a position, then the entry at it, if there is one. */
   private static void emit(
-      long at, Entry entry, NavigableMap<Long, Object> others, LedgerStore.LineVisitor to)
+      long position,
+      Entry entry,
+      NavigableMap<Long, Object> others,
+      LedgerStore.LineVisitor visitor)
       throws IOException {
-    while (!others.isEmpty() && others.firstKey() < at) {
-      Map.Entry<Long, Object> one = others.pollFirstEntry();
-      if (one.getValue() instanceof Amendment amendment) {
-        to.amendment(one.getKey(), amendment);
+    while (!others.isEmpty() && others.firstKey() < position) {
+      Map.Entry<Long, Object> line = others.pollFirstEntry();
+      if (line.getValue() instanceof Amendment amendment) {
+        visitor.amendment(line.getKey(), amendment);
       } else {
-        to.gap(one.getKey(), (Gap) one.getValue());
+        visitor.gap(line.getKey(), (Gap) line.getValue());
       }
     }
     if (entry != null) {
-      to.entry(at, entry);
+      visitor.entry(position, entry);
     }
   }
 
   /** Returns amendments by position, which is also the order of their numbers. */
   NavigableMap<Long, Amendment> amendments(long first, long last) throws SQLException {
-    TreeMap<Long, Amendment> all = new TreeMap<>();
-    try (PreparedStatement ask =
-            reader.prepareStatement(
+    TreeMap<Long, Amendment> amendments = new TreeMap<>();
+    try (PreparedStatement query =
+            connection.prepareStatement(
                 "SELECT number, period, tenant, amount, author, reason, corrects, at,"
                     + " withdraws, pos FROM amendment WHERE pos BETWEEN ? AND ?");
-        ResultSet found = Sql.bind(ask, first, last).executeQuery()) {
-      while (found.next()) {
-        all.put(
-            found.getLong(10),
+        ResultSet row = Sql.bind(query, first, last).executeQuery()) {
+      while (row.next()) {
+        amendments.put(
+            row.getLong(10),
             new Amendment(
-                found.getLong(1),
-                found.getString(2),
-                found.getString(3),
-                new BigDecimal(found.getString(4)),
-                found.getString(5),
-                found.getString(6),
-                found.getString(7),
-                found.getLong(8),
-                found.getInt(9) != 0));
+                row.getLong(1),
+                row.getString(2),
+                row.getString(3),
+                new BigDecimal(row.getString(4)),
+                row.getString(5),
+                row.getString(6),
+                row.getString(7),
+                row.getLong(8),
+                row.getInt(9) != 0));
       }
     }
-    return all;
+    return amendments;
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/UpdateWriter.java
+++ b/src/main/java/tansytrack/ledger/disk/UpdateWriter.java
@@ -24,12 +24,12 @@
   private final Set<Long> answeredInBatch = new HashSet<>();
   private final Set<ForwardKey> endedInBatch = new HashSet<>();
   private final PreparedStatement insertEntry;
-  private final PreparedStatement writeForwardSent;
-  private final PreparedStatement writeForwardEnded;
-  private final PreparedStatement writeTaskAnswered;
+  private final PreparedStatement insertForward;
+  private final PreparedStatement upsertForward;
+  private final PreparedStatement upsertEntry;
   private final PreparedStatement completeEntry;
-  private final PreparedStatement writeRunReported;
-  private final PreparedStatement writeGap;
+  private final PreparedStatement insertReportedRun;
+  private final PreparedStatement insertGap;
   private long lastPosition;
 
   UpdateWriter(Connection db, long epoch) throws SQLException {
@@ -39,17 +39,17 @@
         db.prepareStatement(
             "INSERT INTO entry(epoch, seq, task, tenant, grade, taken_at)"
                 + " VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO NOTHING");
-    writeForwardSent =
+    insertForward =
         db.prepareStatement(
             "INSERT INTO forward(epoch, seq, idx, engine, sent_at,"
                 + " granted) VALUES(?, ?, ?, ?, ?, ?) ON CONFLICT DO NOTHING");
-    writeForwardEnded =
+    upsertForward =
         db.prepareStatement(
             "INSERT INTO forward VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO"
                 + " UPDATE SET ended_at = excluded.ended_at, outcome = excluded.outcome,"
                 + " work = excluded.work, needed = excluded.needed, wasted ="
                 + " excluded.wasted");
-    writeTaskAnswered =
+    upsertEntry =
         db.prepareStatement(
             "INSERT INTO entry VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?) ON CONFLICT DO"
                 + " UPDATE SET ended_at = excluded.ended_at, ended = excluded.ended,"
@@ -59,61 +59,61 @@
         db.prepareStatement(
             "UPDATE entry SET pos = ? WHERE epoch = ? AND seq = ?"
                 + " AND pos IS NULL AND ended IS NOT NULL");
-    writeRunReported = db.prepareStatement("INSERT OR IGNORE INTO told VALUES(?, ?, ?, ?)");
-    writeGap = db.prepareStatement("INSERT INTO gap VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?)");
+    insertReportedRun = db.prepareStatement("INSERT OR IGNORE INTO told VALUES(?, ?, ?, ?)");
+    insertGap = db.prepareStatement("INSERT INTO gap VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?)");
   }
 
   /** Writes all updates in order and returns the last position assigned. */
-  long write(List<LedgerUpdate> lines) throws SQLException {
-    collectEnded(lines);
-    for (LedgerUpdate line : lines) {
-      write(line);
+  long write(List<LedgerUpdate> updates) throws SQLException {
+    collectEnded(updates);
+    for (LedgerUpdate update : updates) {
+      write(update);
     }
     return lastPosition;
   }
 
-  private void collectEnded(List<LedgerUpdate> lines) {
-    for (LedgerUpdate line : lines) {
-      if (line instanceof LedgerUpdate.TaskAnswered) {
-        answeredInBatch.add(line.sequence());
-      } else if (line instanceof LedgerUpdate.ForwardEnded end) {
-        endedInBatch.add(new ForwardKey(end.sequence(), end.use().index()));
+  private void collectEnded(List<LedgerUpdate> updates) {
+    for (LedgerUpdate update : updates) {
+      if (update instanceof LedgerUpdate.TaskAnswered) {
+        answeredInBatch.add(update.sequence());
+      } else if (update instanceof LedgerUpdate.ForwardEnded forwardEnded) {
+        endedInBatch.add(new ForwardKey(forwardEnded.sequence(), forwardEnded.use().index()));
       }
     }
   }
 
-  private void write(LedgerUpdate line) throws SQLException {
-    if (line instanceof LedgerUpdate.ForwardSent start) {
-      writeForwardSent(start);
-    } else if (line instanceof LedgerUpdate.ForwardEnded end) {
-      writeForwardEnded(end);
-    } else if (line instanceof LedgerUpdate.TaskAnswered answer) {
-      writeTaskAnswered(answer);
-    } else if (line instanceof LedgerUpdate.RunReported report) {
-      writeRunReported(report);
-    } else if (line instanceof LedgerUpdate.UpdatesLost gap) {
-      writeGap(gap.gap());
+  private void write(LedgerUpdate update) throws SQLException {
+    if (update instanceof LedgerUpdate.ForwardSent forwardSent) {
+      writeForwardSent(forwardSent);
+    } else if (update instanceof LedgerUpdate.ForwardEnded forwardEnded) {
+      writeForwardEnded(forwardEnded);
+    } else if (update instanceof LedgerUpdate.TaskAnswered taskAnswered) {
+      writeTaskAnswered(taskAnswered);
+    } else if (update instanceof LedgerUpdate.RunReported runReported) {
+      writeRunReported(runReported);
+    } else if (update instanceof LedgerUpdate.UpdatesLost updatesLost) {
+      writeGap(updatesLost.gap());
     }
   }
 
-  private void writeForwardSent(LedgerUpdate.ForwardSent line) throws SQLException {
-    Use use = line.use();
-    if (!answeredInBatch.contains(line.sequence())) {
+  private void writeForwardSent(LedgerUpdate.ForwardSent update) throws SQLException {
+    Use use = update.use();
+    if (!answeredInBatch.contains(update.sequence())) {
       Sql.bind(
               insertEntry,
               epoch,
-              line.sequence(),
-              line.task(),
-              line.tenant(),
-              line.grade(),
-              line.takenAt())
+              update.sequence(),
+              update.task(),
+              update.tenant(),
+              update.grade(),
+              update.takenAt())
           .executeUpdate();
     }
-    if (!endedInBatch.contains(new ForwardKey(line.sequence(), use.index()))) {
+    if (!endedInBatch.contains(new ForwardKey(update.sequence(), use.index()))) {
       Sql.bind(
-              writeForwardSent,
+              insertForward,
               epoch,
-              line.sequence(),
+              update.sequence(),
               use.index(),
               use.engine(),
               use.sentAt(),
@@ -122,12 +122,12 @@
     }
   }
 
-  private void writeForwardEnded(LedgerUpdate.ForwardEnded line) throws SQLException {
-    Use use = line.use();
+  private void writeForwardEnded(LedgerUpdate.ForwardEnded update) throws SQLException {
+    Use use = update.use();
     Sql.bind(
-            writeForwardEnded,
+            upsertForward,
             epoch,
-            line.sequence(),
+            update.sequence(),
             use.index(),
             use.engine(),
             use.sentAt(),
@@ -138,43 +138,43 @@
             use.grantedMb(),
             use.wasted() ? 1 : 0)
         .executeUpdate();
-    if (line.complete()) {
+    if (update.complete()) {
       lastPosition +=
-          Sql.bind(completeEntry, lastPosition + 1, epoch, line.sequence()).executeUpdate();
+          Sql.bind(completeEntry, lastPosition + 1, epoch, update.sequence()).executeUpdate();
     }
   }
 
-  private void writeTaskAnswered(LedgerUpdate.TaskAnswered line) throws SQLException {
+  private void writeTaskAnswered(LedgerUpdate.TaskAnswered update) throws SQLException {
     Sql.bind(
-            writeTaskAnswered,
+            upsertEntry,
             epoch,
-            line.sequence(),
-            line.task(),
-            line.tenant(),
-            line.grade(),
-            line.takenAt(),
-            line.endedAt(),
-            line.end().name(),
-            line.bytes(),
-            line.earningsMilli(),
-            line.complete() ? (Long) (lastPosition + 1) : null)
+            update.sequence(),
+            update.task(),
+            update.tenant(),
+            update.grade(),
+            update.takenAt(),
+            update.endedAt(),
+            update.end().name(),
+            update.bytes(),
+            update.earningsMilli(),
+            update.complete() ? (Long) (lastPosition + 1) : null)
         .executeUpdate();
-    lastPosition += line.complete() ? 1 : 0;
+    lastPosition += update.complete() ? 1 : 0;
   }
 
-  private void writeRunReported(LedgerUpdate.RunReported line) throws SQLException {
+  private void writeRunReported(LedgerUpdate.RunReported update) throws SQLException {
     Sql.bind(
-            writeRunReported,
-            line.run().engine(),
-            line.run().task(),
-            line.run().work(),
-            line.run().done() ? 1 : 0)
+            insertReportedRun,
+            update.run().engine(),
+            update.run().task(),
+            update.run().work(),
+            update.run().done() ? 1 : 0)
         .executeUpdate();
   }
 
   private void writeGap(Gap gap) throws SQLException {
     Sql.bind(
-            writeGap,
+            insertGap,
             epoch,
             gap.number(),
             gap.firstSequence(),
@@ -192,12 +192,12 @@
     for (PreparedStatement statement :
         List.of(
             insertEntry,
-            writeForwardSent,
-            writeForwardEnded,
-            writeTaskAnswered,
+            insertForward,
+            upsertForward,
+            upsertEntry,
             completeEntry,
-            writeRunReported,
-            writeGap)) {
+            insertReportedRun,
+            insertGap)) {
       statement.close();
     }
   }
--- a/src/test/java/tansytrack/LedgerCommandsTest.java
+++ b/src/test/java/tansytrack/LedgerCommandsTest.java
@@ -32,7 +32,7 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long START_NANOS = 20_000 * 86_400 * NANOS_PER_SECOND; // 2024-10-04
   private static final int TENANTS = 10_000;
-  private static final QueryClass GRADE =
+  private static final QueryClass QUERY_CLASS =
       new QueryClass(
           "g",
           QueryClass.RetrySafety.IDEMPOTENT,
@@ -63,29 +63,29 @@
   }
 
   private int run(String... args) throws IOException {
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    ByteArrayOutputStream wrong = new ByteArrayOutputStream();
+    ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
+    ByteArrayOutputStream errBytes = new ByteArrayOutputStream();
     PrintStream usualOut = System.out;
     PrintStream usualErr = System.err;
-    System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-    System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
+    System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
     try {
       return Main.run(args);
     } finally {
       System.setOut(usualOut);
       System.setErr(usualErr);
-      out = said.toString(StandardCharsets.UTF_8);
-      err = wrong.toString(StandardCharsets.UTF_8);
+      out = outBytes.toString(StandardCharsets.UTF_8);
+      err = errBytes.toString(StandardCharsets.UTF_8);
     }
   }
 
   private LedgerRecorder startRecorder(Timers timers) throws IOException {
     return LedgerRecorder.start(
-        OperatorFile.read(operator()).ledger(), "m", List.of(GRADE), timers, note -> {});
+        OperatorFile.read(operator()).ledger(), "m", List.of(QUERY_CLASS), timers, note -> {});
   }
 
   @BeforeEach
-  void aManagersLife() throws IOException {
+  void writeLedgerOfEndedManager() throws IOException {
     Files.writeString(
         Path.of(operator()),
         "ledger { folder: '"
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aBillIsShownCorrectedClosedAndStays() throws IOException {
+  void showsCorrectsAndClosesBill() throws IOException {
     assertThat(
             run(
                 "ledger",
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void whatNobodyToldIsResolvedOnceByAStatement() throws IOException {
+  void statementResolvesTaskWithUnknownEndOnce() throws IOException {
     String statement =
         Files.writeString(
                 folder.resolve("e.csv"),
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void batchesArePlacedOnceAcknowledgedAndMerged() throws IOException {
+  void exportsAcknowledgesAndMergesBatches() throws IOException {
     String to = folder.resolve("out").toString();
     assertThat(run("ledger", "export", "--ledger", ledger(), "--to", to, "--lines", "6000"))
         .isZero();
@@ -250,7 +250,7 @@
         "export --ledger L --to x --lines 0 | --lines 0; allowed",
         "merge nowhere.pb | nowhere.pb"
       })
-  void badInputIsNamedAndNothingIsWritten(String line, String said) throws IOException {
+  void reportsInvalidInputAndWritesNothing(String line, String expectedMessage) throws IOException {
     byte[] before = Files.readAllBytes(Path.of(ledger(), "ledger.sqlite"));
     String[] args =
         ("ledger " + line)
@@ -258,7 +258,7 @@
             .replace(" L ", ' ' + ledger() + ' ')
             .split(" ");
     assertThat(run(args)).isEqualTo(2);
-    assertThat(err).contains(said);
+    assertThat(err).contains(expectedMessage);
     assertThat(Files.readAllBytes(Path.of(ledger(), "ledger.sqlite"))).isEqualTo(before);
   }
 }
--- a/src/test/java/tansytrack/ledger/BillingTest.java
+++ b/src/test/java/tansytrack/ledger/BillingTest.java
@@ -34,7 +34,7 @@
     "DAY, Africa/Cairo, 2026-04-23T22:00:00Z, 2026-04-24",
     "DAY, UTC, 1969-12-31T23:59:59Z, 1969-12-31"
   })
-  void aMomentFallsInThePeriodOfItsZone(
+  void assignsTimeToPeriodOfTimeZone(
       BillingPeriods.Length length, String zone, String moment, String period) {
     BillingPeriods periods = new BillingPeriods(length, ZoneId.of(zone));
     assertThat(periods.periodAt(nanosOf(moment))).isEqualTo(period);
@@ -46,7 +46,7 @@
 
   @ParameterizedTest
   @CsvSource({"2026-03-29, 23", "2026-10-25, 25", "2026-06-01, 24"})
-  void aDayIsAsLongAsItIsThere(String day, int hours) {
+  void dayLengthFollowsDaylightSavingTime(String day, int hours) {
     BillingPeriods periods =
         new BillingPeriods(BillingPeriods.Length.DAY, ZoneId.of("Europe/Berlin"));
     assertThat(periods.endNanos(day) - periods.startNanos(day))
@@ -63,7 +63,7 @@
     "DAY, 2026-02-29",
     "DAY, ''"
   })
-  void whatIsNoPeriodIsSaid(BillingPeriods.Length length, String text) {
+  void rejectsInvalidPeriod(BillingPeriods.Length length, String text) {
     assertThatThrownBy(() -> new BillingPeriods(length, ZoneId.of("UTC")).firstDay(text))
         .isInstanceOf(BillingPeriods.InvalidPeriodException.class)
         .hasMessageContaining("'" + text + "'")
@@ -121,7 +121,7 @@
     "a, g, 2026-06-14, 0.30",
     "a, g, 2026-06-15, 0.40"
   })
-  void theRateThatNamesMostAndBeganLastHolds(
+  void mostSpecificThenLatestRateApplies(
       String tenant, String grade, LocalDate day, BigDecimal task) {
     Rates.Rate rate = RATES.rateFor(tenant, grade, day);
     assertThat(rate == null ? null : rate.perTask()).isEqualTo(task);
@@ -135,7 +135,8 @@
     "BOUNCED, 1000000000, false, 0",
     "UNRESOLVED, 1000000000, true, 0"
   })
-  void moneyIsExactAndWasteIsTheHouses(TaskEnd end, long work, boolean wasted, BigDecimal price) {
+  void priceIsExactAndExcludesWasteByDefault(
+      TaskEnd end, long work, boolean wasted, BigDecimal price) {
     Entry entry = entry(1, "b", end, 0, use(work, wasted));
     assertThat(RATES.price(entry, LocalDate.parse("2026-02-01"))).isEqualByComparingTo(price);
     Rates billed = new Rates(RATES.rates(), 2, RoundingMode.HALF_EVEN, true);
@@ -146,7 +147,7 @@
   }
 
   @Test
-  void sumsAreRoundedOnceAndManySmallAmountsLoseNothing() {
+  void roundsOnlySubtotals() {
     Rates small =
         new Rates(
             List.of(rate("", "", "2026-01-01", "0.001", "0")), 2, RoundingMode.HALF_EVEN, false);
@@ -158,7 +159,7 @@
   }
 
   @Test
-  void aClosedPeriodsSumsStayAndWhatComesLateStandsBeside() {
+  void lateEntriesDoNotChangeClosedSubtotals() {
     long day = nanosOf("2026-02-01T10:00:00Z");
     Bill open = new Bill("2026-02-01", DAYS, RATES, 0);
     open.add(1, entry(1, "b", TaskEnd.HANDLED, day));
@@ -179,8 +180,8 @@
   }
 
   @Test
-  void aCorrectionMayBeCorrectedAndWithdrawnAndTheWithdrawalToo() {
-    List<Amendment> all =
+  void amendmentsAndWithdrawalsCanBeWithdrawn() {
+    List<Amendment> amendments =
         List.of(
             amendment(1, "-1.25", "e:1:1", false),
             amendment(2, "0.25", "a:1", false),
@@ -189,7 +190,7 @@
     String[] sums = {"-1.25", "-1.00", "0.25", "-1.00"};
     for (int i = 1; i <= 4; i++) {
       Bill bill = new Bill("2026-02-01", DAYS, RATES, 0);
-      all.subList(0, i).forEach(bill::add);
+      amendments.subList(0, i).forEach(bill::add);
       assertThat(bill.amendedAmount("a")).as("after %d", i).isEqualByComparingTo(sums[i - 1]);
     }
   }
@@ -211,43 +212,43 @@
         "1 | b:1 | false | is not a valid reference",
         "1 | e:x:1 | false | is not a valid reference"
       })
-  void aCorrectionMustNameWhatIsThere(
-      String amount, String corrects, boolean withdraws, String refused) {
-    List<Amendment> all =
+  void validatesReferenceOfAmendment(
+      String amount, String corrects, boolean withdraws, String expectedRejection) {
+    List<Amendment> amendments =
         List.of(
             amendment(1, "1", "", false),
             amendment(2, "1", "", false),
             amendment(3, "0", "a:2", true));
-    String said =
+    String rejection =
         AmendmentValidator.rejectionReason(
             amendment(0, amount, corrects, withdraws),
-            all,
+            amendments,
             (epoch, number) -> epoch == 1 && number == 7);
-    if (refused == null) {
-      assertThat(said).isNull();
+    if (expectedRejection == null) {
+      assertThat(rejection).isNull();
     } else {
-      assertThat(said).contains(refused);
+      assertThat(rejection).contains(expectedRejection);
     }
   }
 
   @Test
-  void periodsCloseByThemselvesOnceTheirGraceIsOver() {
-    ClosingPolicy closing = new ClosingPolicy(DAYS, 3600 * NANOS_PER_SECOND);
-    List<String> seen = List.of("2026-02-02", "2026-02-01", "2026-01-31");
-    assertThat(closing.duePeriods(nanosOf("2026-02-02T00:59:59Z"), seen, List.of()))
+  void closesPeriodsAfterGracePeriod() {
+    ClosingPolicy policy = new ClosingPolicy(DAYS, 3600 * NANOS_PER_SECOND);
+    List<String> periods = List.of("2026-02-02", "2026-02-01", "2026-01-31");
+    assertThat(policy.duePeriods(nanosOf("2026-02-02T00:59:59Z"), periods, List.of()))
         .containsExactly("2026-01-31");
-    assertThat(closing.duePeriods(nanosOf("2026-02-02T01:00:00Z"), seen, List.of("2026-01-31")))
+    assertThat(policy.duePeriods(nanosOf("2026-02-02T01:00:00Z"), periods, List.of("2026-01-31")))
         .containsExactly("2026-02-01");
-    assertThat(new ClosingPolicy(DAYS, 0).duePeriods(Long.MAX_VALUE, seen, List.of())).isEmpty();
-    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-01T23:59:59Z"), List.of(), 0))
+    assertThat(new ClosingPolicy(DAYS, 0).duePeriods(Long.MAX_VALUE, periods, List.of())).isEmpty();
+    assertThat(policy.rejectionReason("2026-02-01", nanosOf("2026-02-01T23:59:59Z"), List.of(), 0))
         .contains("not over");
-    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 3))
+    assertThat(policy.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 3))
         .contains("3 tasks open");
     assertThat(
-            closing.rejectionReason(
+            policy.rejectionReason(
                 "2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of("2026-02-01"), 0))
         .contains("closed already");
-    assertThat(closing.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 0))
+    assertThat(policy.rejectionReason("2026-02-01", nanosOf("2026-02-02T00:00:00Z"), List.of(), 0))
         .isNull();
   }
 }
--- a/src/test/java/tansytrack/ledger/EntryTrackerTest.java
+++ b/src/test/java/tansytrack/ledger/EntryTrackerTest.java
@@ -16,14 +16,14 @@
   private final WriteFlowControl flow = new WriteFlowControl(7, 4, 100 * NANOS_PER_MS);
   private final List<String> released = new ArrayList<>();
 
-  private LedgerUpdate bounced(long number) {
-    entries.taskTaken(0, "t" + number, "a", "g");
+  private LedgerUpdate rejectedTaskUpdate(long number) {
+    entries.taskAccepted(0, "t" + number, "a", "g");
     return entries.taskAnswered(1, "t" + number, TaskEnd.BOUNCED, 0);
   }
 
   @Test
-  void anEntryIsCompleteWithItsAnswerOnceNothingIsOut() {
-    entries.taskTaken(5, "t", "a", "g");
+  void entryIsCompleteAfterAnswerAndLastForward() {
+    entries.taskAccepted(5, "t", "a", "g");
     entries.forwardSent(6, "t", 0, "e", 64);
     entries.forwardSent(7, "t", 1, "f", 0);
     assertThat(entries.forwardEnded(8, "t", 0, "RESET", 0, 0, false))
@@ -40,19 +40,19 @@
   }
 
   @Test
-  void aServedTaskEarnsAndItsForwardIsNoWaste() {
-    entries.taskTaken(0, "t", "a", "g");
+  void handledTaskHasEarningsAndNoWaste() {
+    entries.taskAccepted(0, "t", "a", "g");
     entries.forwardSent(1, "t", 0, "e", 8);
     assertThat(
             ((LedgerUpdate.ForwardEnded) entries.forwardEnded(2, "t", 0, "OK", 9, 1, true))
                 .use()
                 .wasted())
         .isFalse();
-    LedgerUpdate.TaskAnswered line =
+    LedgerUpdate.TaskAnswered update =
         (LedgerUpdate.TaskAnswered) entries.taskAnswered(3, "t", TaskEnd.HANDLED, 40);
-    assertThat(line.complete()).isTrue();
-    assertThat(line.earningsMilli()).isEqualTo(2000);
-    entries.taskTaken(4, "late", "a", "g");
+    assertThat(update.complete()).isTrue();
+    assertThat(update.earningsMilli()).isEqualTo(2000);
+    entries.taskAccepted(4, "late", "a", "g");
     assertThat(
             ((LedgerUpdate.TaskAnswered)
                     entries.taskAnswered(4 + 10 * NANOS_PER_MS, "late", TaskEnd.HANDLED, 0))
@@ -61,21 +61,21 @@
   }
 
   @Test
-  void beyondTheBoundLinesAreCountedAsOneNumberedGap() {
+  void updatesBeyondBoundBecomeOneGap() {
     for (int i = 1; i <= 4; i++) {
-      assertThat(flow.offer(i, bounced(i))).hasSize(1);
+      assertThat(flow.offer(i, rejectedTaskUpdate(i))).hasSize(1);
     }
     for (int i = 5; i <= 7; i++) {
-      assertThat(flow.offer(i * NANOS_PER_MS, bounced(i))).isEmpty();
+      assertThat(flow.offer(i * NANOS_PER_MS, rejectedTaskUpdate(i))).isEmpty();
     }
     flow.markDurable(1);
-    assertThat(flow.offer(8 * NANOS_PER_MS, bounced(8)))
+    assertThat(flow.offer(8 * NANOS_PER_MS, rejectedTaskUpdate(8)))
         .as("no room for the gap and the update")
         .isEmpty();
     assertThat(flow.openGapUpdates()).isEqualTo(4);
     flow.markDurable(2);
-    List<LedgerUpdate> out = flow.offer(9 * NANOS_PER_MS, bounced(9));
-    assertThat(out)
+    List<LedgerUpdate> updates = flow.offer(9 * NANOS_PER_MS, rejectedTaskUpdate(9));
+    assertThat(updates)
         .hasSize(2)
         .first()
         .isEqualTo(
@@ -93,14 +93,15 @@
   }
 
   @Test
-  void aLineWithoutANumberDoesNotWidenTheGap() {
+  void updateWithoutNumberDoesNotExtendGap() {
     for (int i = 1; i <= 4; i++) {
-      flow.offer(i, bounced(i));
+      flow.offer(i, rejectedTaskUpdate(i));
     }
-    LedgerUpdate told = new LedgerUpdate.RunReported(new Reconciliation.Run("e", "t", 1, true));
-    flow.offer(5, told);
-    flow.offer(6, bounced(5));
-    flow.offer(7, told);
+    LedgerUpdate runReported =
+        new LedgerUpdate.RunReported(new Reconciliation.Run("e", "t", 1, true));
+    flow.offer(5, runReported);
+    flow.offer(6, rejectedTaskUpdate(5));
+    flow.offer(7, runReported);
     flow.markDurable(4);
     assertThat(flow.flushGap(8))
         .containsExactly(
@@ -108,9 +109,9 @@
   }
 
   @Test
-  void anOpenGapGoesOutWithoutAFurtherTask() {
+  void openGapIsFlushedWithoutFurtherTask() {
     for (int i = 1; i <= 5; i++) {
-      flow.offer(i, bounced(i));
+      flow.offer(i, rejectedTaskUpdate(i));
     }
     assertThat(flow.flushGap(10)).isEmpty();
     flow.markDurable(4);
@@ -120,11 +121,11 @@
   }
 
   @Test
-  void answersWaitForTheirLineInOrderAndNoLongerThanThePatience() {
+  void answersWaitForCommitInOrderUpToMaximumTime() {
     flow.hold(0, () -> released.add("nothing to wait for"));
-    flow.offer(1, bounced(1));
+    flow.offer(1, rejectedTaskUpdate(1));
     flow.hold(1, () -> released.add("first"));
-    flow.offer(2, bounced(2));
+    flow.offer(2, rejectedTaskUpdate(2));
     flow.hold(2, () -> released.add("second"));
     assertThat(released).containsExactly("nothing to wait for");
     flow.markDurable(1);
@@ -136,25 +137,25 @@
   }
 
   @Test
-  void tasksAreLetInWhileTheirLinesHaveRoom() {
-    WriteFlowControl wide = new WriteFlowControl(7, 12, NANOS_PER_MS);
-    assertThat(wide.admits(0)).isTrue();
-    assertThat(wide.admits(1)).isTrue();
-    assertThat(wide.admits(2)).isFalse();
+  void acceptsTasksWhileThereIsRoomForTheirUpdates() {
+    WriteFlowControl largeFlow = new WriteFlowControl(7, 12, NANOS_PER_MS);
+    assertThat(largeFlow.acceptsTask(0)).isTrue();
+    assertThat(largeFlow.acceptsTask(1)).isTrue();
+    assertThat(largeFlow.acceptsTask(2)).isFalse();
     for (int i = 1; i <= 13; i++) {
-      wide.offer(i, bounced(i));
-      assertThat(wide.admits(0)).as("with %d updates", i).isEqualTo(i <= 7);
+      largeFlow.offer(i, rejectedTaskUpdate(i));
+      assertThat(largeFlow.acceptsTask(0)).as("with %d updates", i).isEqualTo(i <= 7);
     }
-    wide.markDurable(12);
-    assertThat(wide.admits(0)).as("a gap is open").isFalse();
-    assertThat(wide.flushGap(20)).hasSize(1);
-    assertThat(wide.admits(0)).isTrue();
+    largeFlow.markDurable(12);
+    assertThat(largeFlow.acceptsTask(0)).as("a gap is open").isFalse();
+    assertThat(largeFlow.flushGap(20)).hasSize(1);
+    assertThat(largeFlow.acceptsTask(0)).isTrue();
   }
 
   @Test
-  void withAGapOpenNothingWaits() {
+  void nothingIsHeldWhileGapIsOpen() {
     for (int i = 1; i <= 5; i++) {
-      flow.offer(i, bounced(i));
+      flow.offer(i, rejectedTaskUpdate(i));
     }
     flow.hold(6, () -> released.add("at once"));
     assertThat(released).containsExactly("at once");
--- a/src/test/java/tansytrack/ledger/MergedLedgerTest.java
+++ b/src/test/java/tansytrack/ledger/MergedLedgerTest.java
@@ -46,24 +46,24 @@
     return Combinators.combine(
             Arbitraries.of("m", "n"), entries.list().ofMaxSize(8), gaps.list().ofMaxSize(2))
         .as(
-            (manager, all, missing) -> {
-              MergedLedger made = new MergedLedger();
-              all.forEach(one -> made.add(manager, one));
-              missing.forEach(one -> made.add(manager, one));
-              return made;
+            (manager, ledgerEntries, ledgerGaps) -> {
+              MergedLedger ledger = new MergedLedger();
+              ledgerEntries.forEach(one -> ledger.add(manager, one));
+              ledgerGaps.forEach(one -> ledger.add(manager, one));
+              return ledger;
             });
   }
 
   private static MergedLedger merged(MergedLedger... parts) {
-    MergedLedger all = new MergedLedger();
-    for (MergedLedger one : parts) {
-      all.add(one);
+    MergedLedger result = new MergedLedger();
+    for (MergedLedger part : parts) {
+      result.add(part);
     }
-    return all;
+    return result;
   }
 
   @Property(tries = 300, seed = "7")
-  void orderRepetitionAndGroupingMakeNoDifference(
+  void mergeIsAssociativeCommutativeAndIdempotent(
       @ForAll("ledgers") MergedLedger one,
       @ForAll("ledgers") MergedLedger two,
       @ForAll("ledgers") MergedLedger three) {
@@ -74,13 +74,13 @@
   }
 
   @Property(tries = 300, seed = "8")
-  void everyNumberIsThereInAGapOrInAHole(@ForAll("ledgers") MergedLedger merged) {
+  void everyNumberHasEntryOrGapOrIsMissing(@ForAll("ledgers") MergedLedger merged) {
     List<String> accounted = new ArrayList<>();
     merged.entries().keySet().forEach(key -> accounted.add(key.epoch() + ":" + key.sequence()));
-    for (MergedLedger.MissingRange hole : merged.missingRanges()) {
-      for (long number = hole.first(); number <= hole.last(); number++) {
-        assertThat(accounted).doesNotContain(hole.epoch() + ":" + number);
-        accounted.add(hole.epoch() + ":" + number);
+    for (MergedLedger.MissingRange range : merged.missingRanges()) {
+      for (long number = range.first(); number <= range.last(); number++) {
+        assertThat(accounted).doesNotContain(range.epoch() + ":" + number);
+        accounted.add(range.epoch() + ":" + number);
       }
     }
     for (MergedLedger.Key key : merged.entries().keySet()) {
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void whatIsSaidDifferentlyIsAContradictionWithBothKept() {
+  void keepsBothVersionsOfContradictingEntries() {
     MergedLedger all = new MergedLedger();
     all.add("m", entry(1, 1, 5));
     all.add("m", entry(1, 1, 6));
@@ -121,28 +121,29 @@
         "none, 5:true, at the engine only",
         "OK, 5:true 5:true, at the engine only"
       })
-  void eachForwardIsMatchedWithARun(String outcome, String runs, String finding) {
-    Reconciliation all = new Reconciliation();
-    all.addEngine("e");
+  void reconcilesForwardsWithRuns(String outcome, String runs, String finding) {
+    Reconciliation reconciliation = new Reconciliation();
+    reconciliation.addEngine("e");
     Use use = new Use(0, "e", 1, 2, outcome, 5, 0, 0, false);
-    all.add(
+    reconciliation.add(
         outcome.equals("none")
             ? entry(1, 2, 0)
             : entry(1, 1, 0, use, new Use(1, "unstated", 1, 2, "OK", 5, 0, 0, true)));
     for (String run : runs == null ? new String[0] : runs.split(" ")) {
-      all.add(
+      reconciliation.add(
           new Reconciliation.Run(
               "e", "t1-1", Long.parseLong(run.split(":")[0]), run.endsWith("true")));
     }
     if (finding == null) {
-      assertThat(all.findings()).isEmpty();
-      assertThat(all.matchedForwards()).isEqualTo(1);
+      assertThat(reconciliation.findings()).isEmpty();
+      assertThat(reconciliation.matchedForwards()).isEqualTo(1);
     } else {
-      assertThat(all.findings())
+      assertThat(reconciliation.findings())
           .singleElement()
           .extracting(Reconciliation.Finding::kind)
           .isEqualTo(finding);
-      assertThat(all.findings().get(0).fault()).isEqualTo(!finding.startsWith("resolved"));
+      assertThat(reconciliation.findings().get(0).fault())
+          .isEqualTo(!finding.startsWith("resolved"));
     }
   }
 
@@ -150,21 +151,22 @@
   @CsvSource(
       delimiter = '|',
       value = {"1,3 | position 2 is missing", "1,2 | none"})
-  void positionsRunWithoutAHole(String positions, String breach) {
-    LedgerChecker checks = new LedgerChecker();
+  void detectsMissingPosition(String positions, String violation) {
+    LedgerChecker checker = new LedgerChecker();
     for (String one : positions.split(",")) {
-      checks.checkLine(Long.parseLong(one), entry(1, Long.parseLong(one), 0));
+      checker.checkLine(Long.parseLong(one), entry(1, Long.parseLong(one), 0));
     }
-    checks.checkBatch(1, 1, 2, "x", "x");
-    assertThat(checks.firstViolation() == null ? "none" : checks.firstViolation()).contains(breach);
-    checks.checkBatch(2, 4, 5, "x", "x");
-    assertThat(checks.firstViolation()).isNotNull();
+    checker.checkBatch(1, 1, 2, "x", "x");
+    assertThat(checker.firstViolation() == null ? "none" : checker.firstViolation())
+        .contains(violation);
+    checker.checkBatch(2, 4, 5, "x", "x");
+    assertThat(checker.firstViolation()).isNotNull();
   }
 
   @Test
-  void theFirstBreachIsSaid() {
-    LedgerChecker checks = new LedgerChecker();
-    checks.checkLine(
+  void reportsFirstViolation() {
+    LedgerChecker checker = new LedgerChecker();
+    checker.checkLine(
         1,
         entry(
             1,
@@ -172,9 +174,9 @@
             0,
             new Use(0, "e", 1, 2, "OK", 0, 0, 0, false),
             new Use(1, "f", 1, 2, "OK", 0, 0, 0, false)));
-    checks.checkLine(2, entry(1, 2, 0, new Use(0, "e", 1, 0, "", 0, 0, 0, true)));
-    checks.checkBatch(1, 1, 2, "sealed", "other");
-    checks.checkClosedPeriod("2026-01", "then", "now");
-    assertThat(checks.firstViolation()).isEqualTo("entry 1:1 was served by 2 forwards");
+    checker.checkLine(2, entry(1, 2, 0, new Use(0, "e", 1, 0, "", 0, 0, 0, true)));
+    checker.checkBatch(1, 1, 2, "sealed", "other");
+    checker.checkClosedPeriod("2026-01", "then", "now");
+    assertThat(checker.firstViolation()).isEqualTo("entry 1:1 was served by 2 forwards");
   }
 }
--- a/src/test/java/tansytrack/ledger/disk/LedgerRecorderTest.java
+++ b/src/test/java/tansytrack/ledger/disk/LedgerRecorderTest.java
@@ -26,7 +26,7 @@
 class LedgerRecorderTest {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final QueryClass GRADE =
+  private static final QueryClass QUERY_CLASS =
       new QueryClass(
           "g",
           QueryClass.RetrySafety.IDEMPOTENT,
@@ -48,28 +48,28 @@
   private final Timers timers = new Timers();
   private final LinkedBlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
   private final List<String> released = new ArrayList<>();
-  private volatile String fault = "";
+  private volatile String diskFault = "";
   private int tasks;
 
-  private LedgerRecorder start(String more) throws IOException {
+  private LedgerRecorder start(String options) throws IOException {
     timers.now(NANOS_PER_MS);
     return LedgerRecorder.start(
-        OperatorFile.parse("f", "ledger { folder: '" + folder + "' " + more + " }").ledger(),
+        OperatorFile.parse("f", "ledger { folder: '" + folder + "' " + options + " }").ledger(),
         "m",
-        List.of(GRADE),
+        List.of(QUERY_CLASS),
         timers,
         inbox::add,
         step -> {
-          if (fault.equals("full") && step.startsWith("lines")) {
+          if (diskFault.equals("full") && step.startsWith("lines")) {
             throw new IOException("no space left on device");
           }
-          if (fault.equals("slow") && step.equals("lines commit")) {
-            pause();
+          if (diskFault.equals("slow") && step.equals("lines commit")) {
+            sleepTwoSeconds();
           }
         });
   }
 
-  private static void pause() {
+  private static void sleepTwoSeconds() {
     try {
       Thread.sleep(2000);
     } catch (InterruptedException e) {
@@ -77,66 +77,66 @@
     }
   }
 
-  private void runTask(LedgerRecorder to) {
+  private void runTask(LedgerRecorder recorder) {
     String id = "t" + ++tasks;
-    to.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
-    to.beforeForward(timers.now(), id, 0, "e", 8, () -> released.add("sent " + id));
-    to.forwardEnded(timers.now(), id, 0, Outcome.OK, 5, 1, true);
-    to.beforeAnswer(
+    recorder.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
+    recorder.beforeForward(timers.now(), id, 0, "e", 8, () -> released.add("sent " + id));
+    recorder.forwardEnded(timers.now(), id, 0, Outcome.OK, 5, 1, true);
+    recorder.beforeAnswer(
         timers.now(), id, TaskListener.TaskEnd.HANDLED, 10, () -> released.add("answered " + id));
   }
 
   /** Runs the actions in the inbox of the event loop until the condition holds. */
-  private void runLoopUntil(BooleanSupplier so) throws InterruptedException {
-    while (!so.getAsBoolean()) {
-      Runnable note = inbox.poll(10, TimeUnit.MILLISECONDS);
-      if (note != null) {
-        note.run();
+  private void runLoopUntil(BooleanSupplier condition) throws InterruptedException {
+    while (!condition.getAsBoolean()) {
+      Runnable action = inbox.poll(10, TimeUnit.MILLISECONDS);
+      if (action != null) {
+        action.run();
       }
     }
   }
 
-  private MergedLedger read() throws IOException {
+  private MergedLedger readLedger() throws IOException {
     return LedgerFiles.readMerged(List.of(folder));
   }
 
   @Test
-  void whatADiskDoesNotTakeIsCountedAsAGapAndTasksGoOn() throws IOException, InterruptedException {
+  void fullDiskCausesGapButTasksContinue() throws IOException, InterruptedException {
     LedgerRecorder recorder = start("most_unwritten: 64");
-    fault = "full";
+    diskFault = "full";
     for (int i = 0; i < 100; i++) {
       runTask(recorder);
     }
     assertThat(released).as("no forward or answer waits").hasSize(200);
     assertThat(recorder.unwritten()).isEqualTo(64);
-    fault = "";
+    diskFault = "";
     runLoopUntil(() -> recorder.unwritten() == 0);
     runTask(recorder);
     recorder.close();
-    MergedLedger all = read();
-    assertThat(all.gaps())
+    MergedLedger ledger = readLedger();
+    assertThat(ledger.gaps())
         .singleElement()
         .satisfies(
             gap -> {
               assertThat(gap.lines()).isEqualTo(300 - 64);
               assertThat(gap.lastSequence()).isEqualTo(100);
             });
-    assertThat(all.missingRanges()).isEmpty();
-    assertThat(all.entries()).containsKey(new MergedLedger.Key("m", 1, 101));
-    Gap gap = all.gaps().get(0);
+    assertThat(ledger.missingRanges()).isEmpty();
+    assertThat(ledger.entries()).containsKey(new MergedLedger.Key("m", 1, 101));
+    Gap gap = ledger.gaps().get(0);
     for (long number = 1; number <= 101; number++) {
       assertThat(
-              all.entries().containsKey(new MergedLedger.Key("m", 1, number)) || gap.covers(number))
+              ledger.entries().containsKey(new MergedLedger.Key("m", 1, number))
+                  || gap.covers(number))
           .isTrue();
     }
   }
 
   @Test
-  void answersAndForwardsWaitForTheCommitAndNoLongerThanAllowed()
-      throws IOException, InterruptedException {
+  void answersAndForwardsWaitForCommitUpToMaximumTime() throws IOException, InterruptedException {
     LedgerRecorder recorder =
         start("answers: AFTER_COMMIT forwards: AFTER_COMMIT most_wait_ms: 50");
-    fault = "full";
+    diskFault = "full";
     runTask(recorder);
     assertThat(released).isEmpty();
     timers.now(timers.now() + 49 * NANOS_PER_MS);
@@ -145,35 +145,34 @@
     timers.now(timers.now() + NANOS_PER_MS);
     timers.runDue();
     assertThat(released).containsExactly("sent t1", "answered t1");
-    fault = "";
+    diskFault = "";
     runTask(recorder);
     runLoopUntil(() -> released.size() == 4);
     assertThat(released).endsWith("sent t2", "answered t2");
     recorder.close();
-    assertThat(read().entries()).hasSize(2);
+    assertThat(readLedger().entries()).hasSize(2);
   }
 
   @Test
-  void whereTheFileSaysSoNoTaskIsLetInThatCouldNotBeKept()
-      throws IOException, InterruptedException {
+  void rejectModeAcceptsOnlyTasksThatCanBeRecorded() throws IOException, InterruptedException {
     LedgerRecorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
-    fault = "full";
+    diskFault = "full";
     while (recorder.acceptsTasks()) {
       runTask(recorder);
     }
     assertThat(tasks).isEqualTo(20);
-    fault = "";
+    diskFault = "";
     runLoopUntil(recorder::acceptsTasks);
     recorder.close();
-    assertThat(read().entries()).hasSize(20);
-    assertThat(read().gaps()).isEmpty();
+    assertThat(readLedger().entries()).hasSize(20);
+    assertThat(readLedger().gaps()).isEmpty();
   }
 
   /** The updates of rejected tasks must not use the room that accepted tasks still need. */
   @Test
-  void tasksThatWereLetInAreKeptHoweverManyAreBounced() throws IOException, InterruptedException {
+  void rejectedTasksDoNotUseRoomOfAcceptedTasks() throws IOException, InterruptedException {
     LedgerRecorder recorder = start("most_unwritten: 64 when_full: BOUNCE");
-    fault = "full";
+    diskFault = "full";
     int open = 0;
     for (; recorder.acceptsTasks(); open++) {
       recorder.taskAccepted(timers.now(), new TaskRequest("in" + open, "g", "a", null, 0, 0, 0, 0));
@@ -187,23 +186,23 @@
       recorder.forwardEnded(timers.now(), "in" + i, 0, Outcome.OK, 5, 1, true);
       recorder.beforeAnswer(timers.now(), "in" + i, TaskListener.TaskEnd.HANDLED, 10, () -> {});
     }
-    fault = "";
+    diskFault = "";
     runLoopUntil(() -> recorder.unwritten() == 0);
     recorder.close();
     assertThat(open).isGreaterThan(5);
     for (long number = 1; number <= open; number++) {
-      assertThat(read().entries().get(new MergedLedger.Key("m", 1, number)))
+      assertThat(readLedger().entries().get(new MergedLedger.Key("m", 1, number)))
           .singleElement()
           .satisfies(one -> assertThat(one.end()).isEqualTo(TaskEnd.HANDLED));
     }
-    assertThat(read().missingRanges()).isEmpty();
+    assertThat(readLedger().missingRanges()).isEmpty();
   }
 
   @Test
-  void aDiskThatIsSlowBySecondsHoldsUpNoTaskForLongerThanAllowedAndLosesNothing()
+  void slowDiskDelaysNoTaskBeyondMaximumTimeAndLosesNothing()
       throws IOException, InterruptedException {
     LedgerRecorder recorder = start("answers: AFTER_COMMIT most_wait_ms: 50");
-    fault = "slow";
+    diskFault = "slow";
     long from = System.nanoTime();
     runTask(recorder);
     Thread.sleep(100); // By now the writer thread is in the first commit.
@@ -216,25 +215,25 @@
     timers.now(timers.now() + 50 * NANOS_PER_MS);
     timers.runDue();
     assertThat(released).filteredOn(one -> one.startsWith("answered")).hasSize(21);
-    fault = "";
+    diskFault = "";
     runLoopUntil(() -> recorder.unwritten() == 0);
     recorder.close();
-    assertThat(read().entries()).hasSize(21);
-    assertThat(read().gaps()).isEmpty();
+    assertThat(readLedger().entries()).hasSize(21);
+    assertThat(readLedger().gaps()).isEmpty();
   }
 
   @Test
-  void refusalsNeverWaitAndTheEndReleasesWhatDoes() throws IOException {
+  void refusalsDoNotWaitAndCloseReleasesAnswers() throws IOException {
     LedgerRecorder recorder = start("answers: AFTER_COMMIT most_wait_ms: 10000");
-    fault = "full";
+    diskFault = "full";
     recorder.taskAccepted(timers.now(), new TaskRequest("b", "g", "a", null, 0, 0, 0, 0));
     recorder.beforeAnswer(
         timers.now(), "b", TaskListener.TaskEnd.BOUNCED, 0, () -> released.add("bounced"));
     runTask(recorder);
     assertThat(released).containsExactly("bounced", "sent t1");
-    fault = "";
+    diskFault = "";
     recorder.close();
     assertThat(released).endsWith("answered t1");
-    assertThat(read().entries()).hasSize(2);
+    assertThat(readLedger().entries()).hasSize(2);
   }
 }
--- a/src/test/java/tansytrack/ledger/disk/LedgerStoreTest.java
+++ b/src/test/java/tansytrack/ledger/disk/LedgerStoreTest.java
@@ -34,60 +34,61 @@
 
   private static void ignore(String task, String engine) {}
 
-  private Path ledger() {
+  private Path ledgerFolder() {
     return folder.resolve("ledger");
   }
 
-  private Path out() {
+  private Path exportFolder() {
     return folder.resolve("out");
   }
 
   /** Updates of some tasks: by turns rejected, handled, and open with a forward in flight. */
-  private List<LedgerUpdate> tasks(int from, int count) {
-    List<LedgerUpdate> lines = new ArrayList<>();
+  private List<LedgerUpdate> taskUpdates(int from, int count) {
+    List<LedgerUpdate> updates = new ArrayList<>();
     for (int i = from; i < from + count; i++) {
       String task = "t" + i;
-      tracker.taskTaken(i, task, "tenant" + i % 7, "g");
+      tracker.taskAccepted(i, task, "tenant" + i % 7, "g");
       if (i % 3 > 0) {
-        lines.add(tracker.forwardSent(i + 1, task, 0, "e" + i % 2, 64));
+        updates.add(tracker.forwardSent(i + 1, task, 0, "e" + i % 2, 64));
       }
       if (i % 3 == 1) {
-        lines.add(tracker.forwardEnded(i + 2, task, 0, "OK", 5_000_000, 3, true));
+        updates.add(tracker.forwardEnded(i + 2, task, 0, "OK", 5_000_000, 3, true));
       }
       if (i % 3 < 2) {
-        lines.add(
+        updates.add(
             tracker.taskAnswered(i + 3, task, i % 3 == 0 ? TaskEnd.BOUNCED : TaskEnd.HANDLED, 100));
       }
     }
-    return lines;
+    return updates;
   }
 
   private static List<Entry> entries(LedgerStore store) throws IOException {
-    List<Entry> all = new ArrayList<>();
+    List<Entry> entries = new ArrayList<>();
     store.read(
         1,
         Long.MAX_VALUE,
         new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            all.add(entry);
+            entries.add(entry);
           }
         });
-    return all;
+    return entries;
   }
 
   @Test
-  void whatALifeLeftOpenIsUnresolvedInTheNextAndNeverDropped() throws IOException {
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+  void nextEpochMarksOpenTasksAsUnresolved() throws IOException {
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
       assertThat(store.beginEpoch(1, LedgerStoreTest::ignore)).isZero();
-      store.write(tasks(0, 9));
+      store.write(taskUpdates(0, 9));
       assertThat(store.lastPosition()).isEqualTo(6);
       assertThat(store.openTasks()).isEqualTo(3);
     }
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
-      List<String> left = new ArrayList<>();
-      assertThat(store.beginEpoch(2, (task, engine) -> left.add(task + " " + engine))).isEqualTo(3);
-      assertThat(left).containsExactly("t2 e0", "t5 e1", "t8 e0");
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
+      List<String> openForwards = new ArrayList<>();
+      assertThat(store.beginEpoch(2, (task, engine) -> openForwards.add(task + " " + engine)))
+          .isEqualTo(3);
+      assertThat(openForwards).containsExactly("t2 e0", "t5 e1", "t8 e0");
       Reconciliation.Run run = new Reconciliation.Run("e0", "t2", 7, true);
       store.write(List.of(new LedgerUpdate.RunReported(run), new LedgerUpdate.RunReported(run)));
       assertThat(store.reportedRuns()).containsExactly(run);
@@ -103,41 +104,45 @@
   }
 
   @Test
-  void aSecondManagerIsToldWhoHoldsTheLedger() throws IOException {
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "first", FaultInjector.NONE)) {
+  void secondManagerIsRejectedWithNameOfHolder() throws IOException {
+    try (LedgerStore store =
+        LedgerStore.openForManager(ledgerFolder(), "first", FaultInjector.NONE)) {
       assertThat(store.manager()).isEqualTo("first");
-      assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "second", FaultInjector.NONE))
+      assertThatThrownBy(
+              () -> LedgerStore.openForManager(ledgerFolder(), "second", FaultInjector.NONE))
           .isInstanceOf(IOException.class)
           .hasMessageContaining("held by first, process " + ProcessHandle.current().pid());
     }
-    assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "second", FaultInjector.NONE))
+    assertThatThrownBy(
+            () -> LedgerStore.openForManager(ledgerFolder(), "second", FaultInjector.NONE))
         .hasMessageContaining("is the ledger of first, not of second");
   }
 
   @Test
-  void whatIsNoLedgerIsSaidAndLeftAsItIs() throws IOException {
-    assertThatThrownBy(() -> LedgerStore.openForCommand(ledger(), FaultInjector.NONE))
+  void rejectsOtherFilesWithoutChangingThem() throws IOException {
+    assertThatThrownBy(() -> LedgerStore.openForCommand(ledgerFolder(), FaultInjector.NONE))
         .hasMessageContaining("holds no ledger");
-    Files.createDirectories(ledger());
+    Files.createDirectories(ledgerFolder());
     Path file =
         Files.writeString(
-            ledger().resolve("ledger.sqlite"), "no database, but somebody's text ".repeat(100));
-    assertThatThrownBy(() -> LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE))
+            ledgerFolder().resolve("ledger.sqlite"),
+            "no database, but somebody's text ".repeat(100));
+    assertThatThrownBy(() -> LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE))
         .hasMessageContaining("not a database");
     assertThat(file).content().startsWith("no database");
   }
 
   @Test
-  void aNewerSchemaIsRefusedAndAnOlderOneIsLifted() throws IOException, SQLException {
-    LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE).close();
-    String file = "jdbc:sqlite:" + ledger().resolve("ledger.sqlite");
+  void upgradesOlderSchemaAndRejectsNewer() throws IOException, SQLException {
+    LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE).close();
+    String file = "jdbc:sqlite:" + ledgerFolder().resolve("ledger.sqlite");
     try (var db = DriverManager.getConnection(file);
         var run = db.createStatement()) {
       run.execute("ALTER TABLE closed DROP COLUMN billing");
       run.execute("DROP TABLE told");
       run.execute("PRAGMA user_version = 1");
     }
-    try (LedgerStore store = LedgerStore.openForCommand(ledger(), FaultInjector.NONE)) {
+    try (LedgerStore store = LedgerStore.openForCommand(ledgerFolder(), FaultInjector.NONE)) {
       assertThat(store.closedPeriods()).isEmpty();
       assertThat(store.reportedRuns()).isEmpty();
     }
@@ -145,22 +150,22 @@
         var run = db.createStatement()) {
       run.execute("PRAGMA user_version = 99");
     }
-    assertThatThrownBy(() -> LedgerStore.openForCommand(ledger(), FaultInjector.NONE))
+    assertThatThrownBy(() -> LedgerStore.openForCommand(ledgerFolder(), FaultInjector.NONE))
         .hasMessageContaining("has schema 99");
   }
 
   @Test
-  void aTornTailCostsTheUnsyncedTailAlone() throws IOException {
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+  void truncatedLogLosesOnlyLastTransaction() throws IOException {
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
       store.beginEpoch(1, LedgerStoreTest::ignore);
-      store.write(tasks(0, 30));
-      store.write(tasks(30, 30));
+      store.write(taskUpdates(0, 30));
+      store.write(taskUpdates(30, 30));
       // The files as after a power failure: the write-ahead log ends within its last transaction.
-      Path torn = Files.createDirectories(folder.resolve("torn"));
-      Files.copy(ledger().resolve("ledger.sqlite"), torn.resolve("ledger.sqlite"));
-      byte[] log = Files.readAllBytes(ledger().resolve("ledger.sqlite-wal"));
+      Path truncated = Files.createDirectories(folder.resolve("torn"));
+      Files.copy(ledgerFolder().resolve("ledger.sqlite"), truncated.resolve("ledger.sqlite"));
+      byte[] log = Files.readAllBytes(ledgerFolder().resolve("ledger.sqlite-wal"));
       Files.write(
-          torn.resolve("ledger.sqlite-wal"), java.util.Arrays.copyOf(log, log.length - 100));
+          truncated.resolve("ledger.sqlite-wal"), java.util.Arrays.copyOf(log, log.length - 100));
     }
     try (LedgerStore store =
         LedgerStore.openForManager(folder.resolve("torn"), "m", FaultInjector.NONE)) {
@@ -171,17 +176,17 @@
   }
 
   private static final class FailingStep implements FaultInjector {
-    private final AtomicInteger left;
-    private boolean broke;
+    private final AtomicInteger remainingSteps;
+    private boolean failed;
 
-    FailingStep(int after) {
-      left = new AtomicInteger(after);
+    FailingStep(int stepsBeforeFailure) {
+      remainingSteps = new AtomicInteger(stepsBeforeFailure);
     }
 
     @Override
     public void beforeStep(String step) throws IOException {
-      if (left.getAndDecrement() == 0) {
-        broke = true;
+      if (remainingSteps.getAndDecrement() == 0) {
+        failed = true;
         throw new IOException("injected failure before " + step);
       }
     }
@@ -192,41 +197,42 @@
    * succeed as if there had been no failure.
    */
   @Test
-  void afterAFaultAtAnyStepNothingIsSkippedAndNothingIsTwice() throws IOException {
+  void failureAtAnyStepNeitherSkipsNorDuplicates() throws IOException {
     int steps = 0;
     for (boolean more = true; more; steps++) {
-      Path here = folder.resolve("n" + steps);
-      try (LedgerStore store = LedgerStore.openForManager(here, "m", FaultInjector.NONE)) {
+      Path ledgerFolder = folder.resolve("n" + steps);
+      try (LedgerStore store = LedgerStore.openForManager(ledgerFolder, "m", FaultInjector.NONE)) {
         store.beginEpoch(1, LedgerStoreTest::ignore);
-        store.write(tasks(steps * 1000, 30));
+        store.write(taskUpdates(steps * 1000, 30));
       }
       FailingStep faults = new FailingStep(steps);
-      try (LedgerStore store = LedgerStore.openForManager(here, "m", faults)) {
+      try (LedgerStore store = LedgerStore.openForManager(ledgerFolder, "m", faults)) {
         store.beginEpoch(2, LedgerStoreTest::ignore);
-        store.write(new ArrayList<>(new LedgerStoreTest().tasks(0, 9)));
-        new Exporter(store, here.resolve("out"), faults).export("protobuf", 25, 5);
+        store.write(new ArrayList<>(new LedgerStoreTest().taskUpdates(0, 9)));
+        new Exporter(store, ledgerFolder.resolve("out"), faults).export("protobuf", 25, 5);
       } catch (IOException e) {
         assertThat(e).hasMessageContaining("injected failure before");
       }
-      more = faults.broke;
-      try (LedgerStore store = LedgerStore.openForManager(here, "m", FaultInjector.NONE)) {
+      more = faults.failed;
+      try (LedgerStore store = LedgerStore.openForManager(ledgerFolder, "m", FaultInjector.NONE)) {
         store.beginEpoch(3, LedgerStoreTest::ignore);
-        new Exporter(store, here.resolve("out"), FaultInjector.NONE).export("protobuf", 25, 6);
+        new Exporter(store, ledgerFolder.resolve("out"), FaultInjector.NONE)
+            .export("protobuf", 25, 6);
         List<LedgerStore.Batch> batches = store.batches();
-        long next = 1;
-        for (LedgerStore.Batch one : batches) {
-          assertThat(one.firstPosition()).isEqualTo(next);
-          assertThat(Exporter.hash(here.resolve("out").resolve(Exporter.fileName(one))))
-              .isEqualTo(one.sha256())
-              .isEqualTo(Exporter.hash(store, one));
-          next = one.lastPosition() + 1;
+        long nextPosition = 1;
+        for (LedgerStore.Batch batch : batches) {
+          assertThat(batch.firstPosition()).isEqualTo(nextPosition);
+          assertThat(Exporter.hash(ledgerFolder.resolve("out").resolve(Exporter.fileName(batch))))
+              .isEqualTo(batch.sha256())
+              .isEqualTo(Exporter.hash(store, batch));
+          nextPosition = batch.lastPosition() + 1;
         }
-        assertThat(next - 1).isEqualTo(store.lastPosition());
+        assertThat(nextPosition - 1).isEqualTo(store.lastPosition());
         assertThat(entries(store)).hasSizeGreaterThanOrEqualTo(30).doesNotHaveDuplicates();
-        MergedLedger exported = LedgerFiles.readMerged(List.of(here.resolve("out")));
-        assertThat(exported).isEqualTo(LedgerFiles.readMerged(List.of(here)));
-        try (Stream<Path> files = Files.list(here.resolve("out"))) {
-          assertThat(files.filter(one -> one.toString().endsWith(".tmp"))).isEmpty();
+        MergedLedger exported = LedgerFiles.readMerged(List.of(ledgerFolder.resolve("out")));
+        assertThat(exported).isEqualTo(LedgerFiles.readMerged(List.of(ledgerFolder)));
+        try (Stream<Path> files = Files.list(ledgerFolder.resolve("out"))) {
+          assertThat(files.filter(batch -> batch.toString().endsWith(".tmp"))).isEmpty();
         }
       }
     }
@@ -235,10 +241,10 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"protobuf", "csv"})
-  void aNumberAlwaysHasTheSameBytes(String form) throws IOException {
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+  void batchNumberAlwaysHasSameBytes(String form) throws IOException {
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
       store.beginEpoch(1, LedgerStoreTest::ignore);
-      store.write(tasks(0, 30));
+      store.write(taskUpdates(0, 30));
       store.addAmendment(
           new Amendment(
               0,
@@ -250,12 +256,12 @@
               "",
               9,
               false));
-      Exporter exporter = new Exporter(store, out(), FaultInjector.NONE);
+      Exporter exporter = new Exporter(store, exportFolder(), FaultInjector.NONE);
       LedgerStore.Batch batch = exporter.export(form, 1000, 5);
       assertThat(batch.lastPosition()).isEqualTo(21);
-      Path file = out().resolve(Exporter.fileName(batch));
+      Path file = exportFolder().resolve(Exporter.fileName(batch));
       byte[] first = Files.readAllBytes(file);
-      store.write(tasks(30, 30));
+      store.write(taskUpdates(30, 30));
       assertThat(exporter.export(form, 1000, 6).number()).isEqualTo(2);
       assertThat(exporter.export(form, 1000, 7)).as("nothing new").isNull();
       Files.writeString(file, "spoilt");
@@ -267,13 +273,13 @@
   }
 
   @Test
-  void aDamagedBatchIsNamedAndTheOthersAreRead() throws IOException {
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+  void namesDamagedBatchAndReadsOthers() throws IOException {
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
       store.beginEpoch(1, LedgerStoreTest::ignore);
-      store.write(tasks(0, 30));
-      new Exporter(store, out(), FaultInjector.NONE).export("protobuf", 10, 5);
+      store.write(taskUpdates(0, 30));
+      new Exporter(store, exportFolder(), FaultInjector.NONE).export("protobuf", 10, 5);
     }
-    Path good = out().resolve("batch-00000001.pb");
+    Path good = exportFolder().resolve("batch-00000001.pb");
     Path cut = folder.resolve("cut.pb");
     Files.copy(good, cut, StandardCopyOption.REPLACE_EXISTING);
     byte[] bytes = Files.readAllBytes(cut);
@@ -283,32 +289,33 @@
   }
 
   @Test
-  void verifyFindsWhatWasChangedBehindItsBack() throws IOException, SQLException {
+  void verifyDetectsManipulatedEntry() throws IOException, SQLException {
     OperatorFile.LedgerSection section =
         OperatorFile.parse(
                 "f",
                 "ledger { folder: '"
-                    + ledger()
+                    + ledgerFolder()
                     + "' billing { period: DAY"
                     + " rates { per_task: '0.10' } } }")
             .ledger();
-    try (LedgerStore store = LedgerStore.openForManager(ledger(), "m", FaultInjector.NONE)) {
+    try (LedgerStore store = LedgerStore.openForManager(ledgerFolder(), "m", FaultInjector.NONE)) {
       store.beginEpoch(1, LedgerStoreTest::ignore);
-      store.write(tasks(0, 30));
-      new Exporter(store, out(), FaultInjector.NONE).export("csv", 10, 5);
+      store.write(taskUpdates(0, 30));
+      new Exporter(store, exportFolder(), FaultInjector.NONE).export("csv", 10, 5);
       Billing.closePeriod(store, section, "1970-01-01", "me", 7);
-      store.write(tasks(30, 30));
+      store.write(taskUpdates(30, 30));
       assertThat(Billing.verify(store, section, seen -> {})).isNull();
       assertThat(
               Billing.computeBill(store, section.periods(), section.rates(), "1970-01-01")
                   .lateSubtotals())
           .isNotEmpty();
     }
-    try (var db = DriverManager.getConnection("jdbc:sqlite:" + ledger().resolve("ledger.sqlite"));
+    try (var db =
+            DriverManager.getConnection("jdbc:sqlite:" + ledgerFolder().resolve("ledger.sqlite"));
         var run = db.createStatement()) {
       run.execute("UPDATE entry SET ended = 'BOUNCED' WHERE pos = 2");
     }
-    try (LedgerStore store = LedgerStore.openForCommand(ledger(), FaultInjector.NONE)) {
+    try (LedgerStore store = LedgerStore.openForCommand(ledgerFolder(), FaultInjector.NONE)) {
       assertThat(Billing.verify(store, section, seen -> {})).contains("was rejected but has work");
     }
   }
