--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -43,11 +43,13 @@
 
     @Override
     int execute(LedgerStore store) throws IOException {
-      String of = period == null ? section.periods().periodAt(nowNanos()) : period;
-      section.periods().firstDay(of);
-      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), of);
-      bill.subtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, ""));
-      bill.lateSubtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, "late"));
+      String shownPeriod = period == null ? section.periods().periodAt(nowNanos()) : period;
+      section.periods().firstDay(shownPeriod);
+      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), shownPeriod);
+      bill.subtotals()
+          .forEach((key, subtotal) -> addSubtotalRow(bill, shownPeriod, key, subtotal, ""));
+      bill.lateSubtotals()
+          .forEach((key, subtotal) -> addSubtotalRow(bill, shownPeriod, key, subtotal, "late"));
       printTable();
       addTotalRows(bill);
       printTable();
@@ -122,26 +124,27 @@
           store.closedPeriods().stream()
               .collect(Collectors.toMap(LedgerStore.ClosedPeriod::period, Function.identity()));
       Map<String, Long> counts = Billing.taskCounts(store, section.periods());
-      TreeSet<String> all = new TreeSet<>(counts.keySet());
-      all.addAll(closed.keySet());
-      for (String one : all) {
-        LedgerStore.ClosedPeriod was = closed.get(one);
+      TreeSet<String> names = new TreeSet<>(counts.keySet());
+      names.addAll(closed.keySet());
+      for (String name : names) {
+        LedgerStore.ClosedPeriod closing = closed.get(name);
         addRow(
             columns(
                 "period",
-                one,
+                name,
                 "from",
-                formatTime(section.periods().startNanos(one)),
+                formatTime(section.periods().startNanos(name)),
                 "until",
-                formatTime(section.periods().endNanos(one)),
+                formatTime(section.periods().endNanos(name)),
                 "tasks",
-                counts.getOrDefault(one, 0L),
+                counts.getOrDefault(name, 0L),
                 "open",
-                store.openTasks(section.periods().startNanos(one), section.periods().endNanos(one)),
+                store.openTasks(
+                    section.periods().startNanos(name), section.periods().endNanos(name)),
                 "closed",
-                was == null ? "-" : formatTime(was.closedAt()),
+                closing == null ? "-" : formatTime(closing.closedAt()),
                 "by",
-                was == null ? "-" : was.author()));
+                closing == null ? "-" : closing.author()));
       }
       printTable();
       return 0;
@@ -163,7 +166,7 @@
 
     @Override
     int execute(LedgerStore store) throws IOException {
-      String refused =
+      String rejection =
           section
               .closingPolicy()
               .rejectionReason(
@@ -172,8 +175,8 @@
                   store.closedPeriods().stream().map(LedgerStore.ClosedPeriod::period).toList(),
                   store.openTasks(
                       section.periods().startNanos(period), section.periods().endNanos(period)));
-      if (refused != null) {
-        throw new InvalidInputException(refused);
+      if (rejection != null) {
+        throw new InvalidInputException(rejection);
       }
       LedgerStore.ClosedPeriod closed =
           Billing.closePeriod(store, section, period, author, nowNanos());
@@ -241,22 +244,22 @@
     int execute(LedgerStore store) throws IOException {
       section.periods().firstDay(period);
       checkAmount();
-      Amendment wanted = requestedAmendment();
-      String refused = rejectionReason(store, wanted);
-      if (refused != null) {
-        throw new InvalidInputException(refused);
+      Amendment requested = requestedAmendment();
+      String rejection = rejectionReason(store, requested);
+      if (rejection != null) {
+        throw new InvalidInputException(rejection);
       }
-      Amendment made = store.addAmendment(wanted);
+      Amendment stored = store.addAmendment(requested);
       addRow(
           columns(
               "amendment",
-              made.number(),
+              stored.number(),
               "period",
               period,
               "tenant",
               tenant,
               "amount",
-              made.amount().toPlainString()));
+              stored.amount().toPlainString()));
       printTable();
       return 0;
     }
@@ -327,28 +330,29 @@
 
     @Override
     int execute(LedgerStore store) throws IOException {
-      EntryResolver by = new EntryResolver(section.rates(), section.periods(), store.amendments());
-      store.reportedRuns().forEach(by::addRun);
-      for (String one : statements) {
-        try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.readStatement(one, in, engine -> {}, by::addRun);
+      EntryResolver resolver =
+          new EntryResolver(section.rates(), section.periods(), store.amendments());
+      store.reportedRuns().forEach(resolver::addRun);
+      for (String file : statements) {
+        try (InputStream in = Files.newInputStream(Path.of(file))) {
+          LedgerFiles.readStatement(file, in, engine -> {}, resolver::addRun);
         }
       }
-      for (Amendment one : Billing.resolve(store, by, author, nowNanos())) {
+      for (Amendment amendment : Billing.resolve(store, resolver, author, nowNanos())) {
         addRow(
             columns(
                 "amendment",
-                one.number(),
+                amendment.number(),
                 "period",
-                one.period(),
+                amendment.period(),
                 "tenant",
-                one.tenant(),
+                amendment.tenant(),
                 "corrects",
-                one.corrects(),
+                amendment.corrects(),
                 "amount",
-                one.amount().toPlainString(),
+                amendment.amount().toPlainString(),
                 "reason",
-                one.reason()));
+                amendment.reason()));
       }
       printTable();
       return 0;
--- a/src/main/java/tansytrack/LedgerExchangeCommands.java
+++ b/src/main/java/tansytrack/LedgerExchangeCommands.java
@@ -65,28 +65,28 @@
       if (batchToRewrite > 0) {
         exporter.exportAgain(batchToRewrite);
       } else {
-        long before = store.batches().stream().filter(one -> one.placedAt() > 0).count();
+        long before = store.batches().stream().filter(batch -> batch.placedAt() > 0).count();
         exporter.export(format, maxLines, nowNanos());
         long after = store.batches().size();
         System.err.println((after - before) + " batches placed in " + to);
       }
-      for (LedgerStore.Batch one : store.batches()) {
+      for (LedgerStore.Batch batch : store.batches()) {
         addRow(
             columns(
                 "batch",
-                one.number(),
+                batch.number(),
                 "file",
-                Exporter.fileName(one),
+                Exporter.fileName(batch),
                 "lines",
-                one.lastPosition() - one.firstPosition() + 1,
+                batch.lastPosition() - batch.firstPosition() + 1,
                 "bytes",
-                one.size(),
+                batch.size(),
                 "sha256",
-                one.sha256(),
+                batch.sha256(),
                 "placed",
-                formatTime(one.placedAt()),
+                formatTime(batch.placedAt()),
                 "acknowledged",
-                formatTime(one.ackedAt())));
+                formatTime(batch.ackedAt())));
       }
       printTable();
       return 0;
@@ -114,11 +114,16 @@
 
     @Override
     int execute(LedgerStore store) throws IOException {
-      for (LedgerStore.Batch one : store.batches()) {
-        if (one.number() == number && one.placedAt() > 0) {
-          if (sha256 != null && !sha256.equalsIgnoreCase(one.sha256())) {
+      for (LedgerStore.Batch batch : store.batches()) {
+        if (batch.number() == number && batch.placedAt() > 0) {
+          if (sha256 != null && !sha256.equalsIgnoreCase(batch.sha256())) {
             throw new InvalidInputException(
-                "batch " + number + " was sealed with SHA-256 " + one.sha256() + ", not " + sha256);
+                "batch "
+                    + number
+                    + " was sealed with SHA-256 "
+                    + batch.sha256()
+                    + ", not "
+                    + sha256);
           }
           store.markAcknowledged(number, nowNanos());
           return 0;
@@ -222,25 +227,25 @@
           .entries()
           .values()
           .forEach(versions -> versions.forEach((Entry entry) -> reconciliation.add(entry)));
-      for (String item : statements) {
-        try (InputStream in = Files.newInputStream(Path.of(item))) {
-          LedgerFiles.readStatement(item, in, reconciliation);
+      for (String file : statements) {
+        try (InputStream in = Files.newInputStream(Path.of(file))) {
+          LedgerFiles.readStatement(file, in, reconciliation);
         }
       }
       List<Reconciliation.Finding> findings = reconciliation.findings();
-      for (Reconciliation.Finding item : findings) {
+      for (Reconciliation.Finding finding : findings) {
         addRow(
             columns(
                 "finding",
-                item.kind(),
+                finding.kind(),
                 "engine",
-                item.engine(),
+                finding.engine(),
                 "task",
-                item.task(),
+                finding.task(),
                 "cause",
-                item.cause(),
+                finding.cause(),
                 "fault",
-                item.fault() ? "yes" : "no"));
+                finding.fault() ? "yes" : "no"));
       }
       printTable();
       long faults = findings.stream().filter(Reconciliation.Finding::fault).count();
@@ -267,7 +272,7 @@
 
     @Override
     int execute(LedgerStore store) throws IOException {
-      String breach =
+      String violation =
           Billing.verify(store, section, seen -> System.err.println(seen + " positions read"));
       addRow(
           columns(
@@ -280,9 +285,9 @@
               "open tasks",
               store.openTasks(),
               "breach",
-              breach == null ? "none" : breach));
+              violation == null ? "none" : violation));
       printTable();
-      return breach == null ? 0 : EXIT_DIFFERENCE;
+      return violation == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
@@ -195,11 +195,12 @@
   }
 
   @Override
-  public void forwardResolved(TaskListener.UnresolvedForward about, boolean ended, long work) {
+  public void forwardResolved(
+      TaskListener.UnresolvedForward forward, boolean ended, long workNanos) {
     enqueue(
         timers.now(),
         new LedgerUpdate.RunReported(
-            new Reconciliation.Run(about.engine(), about.task(), work, ended)));
+            new Reconciliation.Run(forward.engine(), forward.task(), workNanos, ended)));
   }
 
   private long earningsMilli(
