--- a/src/main/java/tansytrack/LedgerBillCommands.java
+++ b/src/main/java/tansytrack/LedgerBillCommands.java
@@ -22,32 +22,34 @@
 import tansytrack.ledger.disk.LedgerStore;
 import tansytrack.settings.InvalidInputException;
 
-/** The ledger commands on bills: what is shown of a period, its closing and its corrections. */
+/** The ledger commands for bills: showing, closing, correcting and resolving. */
 public final class LedgerBillCommands {
 
   private LedgerBillCommands() {}
 
   /** Shows the bill of a period. */
   public static final class Show extends LedgerBillingCommand {
-    @Option(name = "--period", metaVar = "PERIOD", usage = "the period; absent: the present one")
+    @Option(name = "--period", metaVar = "PERIOD", usage = "the period; default: the current one")
     private String period;
 
-    @Option(name = "--tenant", metaVar = "NAME", usage = "of that tenant alone")
+    @Option(name = "--tenant", metaVar = "NAME", usage = "show only this tenant")
     private String tenant;
 
     @Override
     public String description() {
-      return "ledger show: what each tenant used in a period, by service grade, what came after it"
-          + " was closed, and amendments.";
+      return "ledger show: shows what each tenant used in a period, by query class, with entries"
+          + " that came after its closing, and amendments.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
-      String of = period == null ? section.periods().periodAt(nowNanos()) : period;
-      section.periods().firstDay(of);
-      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), of);
-      bill.subtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, ""));
-      bill.lateSubtotals().forEach((whose, sum) -> addSubtotalRow(bill, of, whose, sum, "late"));
+    int execute(LedgerStore store) throws IOException {
+      String shownPeriod = period == null ? section.periods().periodAt(nowNanos()) : period;
+      section.periods().firstDay(shownPeriod);
+      Bill bill = Billing.computeBill(store, section.periods(), section.rates(), shownPeriod);
+      bill.subtotals()
+          .forEach((key, subtotal) -> addSubtotalRow(bill, shownPeriod, key, subtotal, ""));
+      bill.lateSubtotals()
+          .forEach((key, subtotal) -> addSubtotalRow(bill, shownPeriod, key, subtotal, "late"));
       printTable();
       addTotalRows(bill);
       printTable();
@@ -55,93 +57,94 @@
     }
 
     private void addSubtotalRow(
-        Bill bill, String of, Bill.SubtotalKey whose, Bill.Subtotal sum, String late) {
-      if (tenant != null && !tenant.equals(whose.tenant())) {
+        Bill bill, String shownPeriod, Bill.SubtotalKey key, Bill.Subtotal subtotal, String late) {
+      if (tenant != null && !tenant.equals(key.tenant())) {
         return;
       }
       addRow(
           columns(
               "period",
-              of,
+              shownPeriod,
               "tenant",
-              whose.tenant(),
+              key.tenant(),
               "grade",
-              whose.grade(),
+              key.grade(),
               "tasks",
-              sum.tasks(),
+              subtotal.tasks(),
               "handled",
-              sum.handled(),
+              subtotal.handled(),
               "bounced",
-              sum.bounced(),
+              subtotal.rejected(),
               "unresolved",
-              sum.unresolved(),
+              subtotal.unresolved(),
               "work ms",
-              sum.workNanos() / 1_000_000,
+              subtotal.workNanos() / 1_000_000,
               "wasted ms",
-              sum.wasteNanos() / 1_000_000,
+              subtotal.wasteNanos() / 1_000_000,
               "bytes",
-              sum.bytes(),
+              subtotal.bytes(),
               "amount",
-              bill.roundedAmount(sum).toPlainString(),
+              bill.roundedAmount(subtotal).toPlainString(),
               "",
               late));
     }
 
     private void addTotalRows(Bill bill) {
-      for (String one : bill.tenants()) {
-        if (tenant == null || tenant.equals(one)) {
+      for (String billedTenant : bill.tenants()) {
+        if (tenant == null || tenant.equals(billedTenant)) {
           addRow(
               columns(
                   "tenant",
-                  one,
+                  billedTenant,
                   "amended",
-                  bill.amendedAmount(one).toPlainString(),
+                  bill.amendedAmount(billedTenant).toPlainString(),
                   "total",
-                  bill.total(one).toPlainString(),
+                  bill.total(billedTenant).toPlainString(),
                   "quota",
-                  Billing.quotaStatus(bill, one, section.quotas())));
+                  Billing.quotaStatus(bill, billedTenant, section.quotas())));
         }
       }
     }
   }
 
-  /** Lists the periods, and closes those whose grace is over. */
+  /** Closes the periods whose grace period is over, and lists all periods. */
   public static final class PeriodList extends LedgerBillingCommand {
     @Override
     public String description() {
-      return "ledger periods: each period with entries, and whether it is closed. Those whose grace"
-          + " is over are closed first.";
+      return "ledger periods: lists the periods with entries and whether they are closed. First"
+          + " closes those whose grace period is over.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       for (String closed : Billing.closeDuePeriods(store, section, nowNanos())) {
-        System.err.println("closed " + closed + ": its grace is over");
+        System.err.println("closed " + closed + ": its grace period is over");
       }
       Map<String, LedgerStore.ClosedPeriod> closed =
           store.closedPeriods().stream()
               .collect(Collectors.toMap(LedgerStore.ClosedPeriod::period, Function.identity()));
       Map<String, Long> counts = Billing.taskCounts(store, section.periods());
-      TreeSet<String> all = new TreeSet<>(counts.keySet());
-      all.addAll(closed.keySet());
-      for (String one : all) {
-        LedgerStore.ClosedPeriod was = closed.get(one);
+      TreeSet<String> names = new TreeSet<>(counts.keySet());
+      names.addAll(closed.keySet());
+      for (String name : names) {
+        LedgerStore.ClosedPeriod closing = closed.get(name);
         addRow(
             columns(
                 "period",
-                one,
+                name,
                 "from",
-                formatTime(section.periods().startNanos(one)),
+                formatTime(section.periods().startNanos(name)),
                 "until",
-                formatTime(section.periods().endNanos(one)),
+                formatTime(section.periods().endNanos(name)),
                 "tasks",
-                counts.getOrDefault(one, 0L),
+                counts.getOrDefault(name, 0L),
                 "open",
-                store.openTasks(section.periods().startNanos(one), section.periods().endNanos(one)),
+                store.openTasks(
+                    section.periods().startNanos(name), section.periods().endNanos(name)),
                 "closed",
-                was == null ? "-" : formatTime(was.closedAt()),
+                closing == null ? "-" : formatTime(closing.closedAt()),
                 "by",
-                was == null ? "-" : was.author()));
+                closing == null ? "-" : closing.author()));
       }
       printTable();
       return 0;
@@ -158,12 +161,12 @@
 
     @Override
     public String description() {
-      return "ledger close: closes a period; its sums stay as they are from then on.";
+      return "ledger close: closes a period; its subtotals don't change after that.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
-      String refused =
+    int execute(LedgerStore store) throws IOException {
+      String rejection =
           section
               .closingPolicy()
               .rejectionReason(
@@ -172,8 +175,8 @@
                   store.closedPeriods().stream().map(LedgerStore.ClosedPeriod::period).toList(),
                   store.openTasks(
                       section.periods().startNanos(period), section.periods().endNanos(period)));
-      if (refused != null) {
-        throw new InvalidInputException(refused);
+      if (rejection != null) {
+        throw new InvalidInputException(rejection);
       }
       LedgerStore.ClosedPeriod closed =
           Billing.closePeriod(store, section, period, author, nowNanos());
@@ -192,70 +195,78 @@
 
   /** Adds an amendment to a period, or withdraws one. */
   public static final class Correct extends LedgerBillingCommand {
-    @Option(
-        name = "--period",
-        metaVar = "PERIOD",
-        required = true,
-        usage = "the period that it belongs to")
+    @Option(name = "--period", metaVar = "PERIOD", required = true, usage = "the period to correct")
     private String period;
 
-    @Option(name = "--tenant", metaVar = "NAME", required = true, usage = "whose bill")
+    @Option(
+        name = "--tenant",
+        metaVar = "NAME",
+        required = true,
+        usage = "the tenant whose bill is corrected")
     private String tenant;
 
     @Option(
         name = "--amount",
         metaVar = "DECIMAL",
-        usage = "what is added to the bill, as in -1.25")
+        usage = "the amount to add to the bill, as in -1.25")
     private String amount;
 
-    @Option(name = "--withdraw", usage = "takes back the amendment that --corrects names")
+    @Option(name = "--withdraw", usage = "withdraw the amendment given by --corrects")
     private boolean withdraw;
 
     @Option(
         name = "--corrects",
         metaVar = "WHAT",
-        usage = "e:EPOCH:NUMBER, an entry; a:NUMBER, an amendment; absent: the tenant's sum")
+        usage = "e:EPOCH:NUMBER, an entry; a:NUMBER, an amendment; default: the tenant's total")
     private String corrects = "";
 
-    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who corrects")
+    @Option(
+        name = "--author",
+        metaVar = "NAME",
+        required = true,
+        usage = "who makes the correction")
     private String author;
 
-    @Option(name = "--reason", metaVar = "TEXT", required = true, usage = "why")
+    @Option(
+        name = "--reason",
+        metaVar = "TEXT",
+        required = true,
+        usage = "the reason for the correction")
     private String reason;
 
     @Override
     public String description() {
-      return "ledger correct: adds an amendment to a period, open or closed, or withdraws one."
-          + " Nothing is rewritten.";
+      return "ledger correct: adds an amendment to an open or closed period, or withdraws one."
+          + " Existing entries don't change.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       section.periods().firstDay(period);
       checkAmount();
-      Amendment wanted = requestedAmendment();
-      String refused = rejectionReason(store, wanted);
-      if (refused != null) {
-        throw new InvalidInputException(refused);
+      Amendment requested = requestedAmendment();
+      String rejection = rejectionReason(store, requested);
+      if (rejection != null) {
+        throw new InvalidInputException(rejection);
       }
-      Amendment made = store.addAmendment(wanted);
+      Amendment stored = store.addAmendment(requested);
       addRow(
           columns(
               "amendment",
-              made.number(),
+              stored.number(),
               "period",
               period,
               "tenant",
               tenant,
               "amount",
-              made.amount().toPlainString()));
+              stored.amount().toPlainString()));
       printTable();
       return 0;
     }
 
     private void checkAmount() {
       if (withdraw == (amount != null)) {
-        throw new InvalidInputException("one of --amount and --withdraw is needed");
+        throw new InvalidInputException("exactly one of --amount and --withdraw is required");
       }
       if (amount != null
           && !amount.matches(
@@ -265,7 +276,7 @@
                 + amount
                 + "'; allowed: a plain decimal with at most "
                 + section.rates().decimals()
-                + " digits behind the point, as in -1.25");
+                + " digits after the decimal point, as in -1.25");
       }
     }
 
@@ -282,9 +293,10 @@
           withdraw);
     }
 
-    private static String rejectionReason(LedgerStore store, Amendment wanted) throws IOException {
+    private static String rejectionReason(LedgerStore store, Amendment requested)
+        throws IOException {
       return AmendmentValidator.rejectionReason(
-          wanted,
+          requested,
           store.amendments(),
           (epoch, number) -> {
             try {
@@ -296,48 +308,51 @@
     }
   }
 
-  /** Resolves tasks without a known end from the engines' statements. */
+  /** Resolves tasks with an unknown end from engines' statements. */
   public static final class Resolve extends LedgerBillingCommand {
     @Option(
         name = "--statement",
         metaVar = "FILE",
-        usage = "CSV of the engines: engine,task,work_ns,done; beside what they said at starts")
+        usage =
+            "a statement of engines as CSV: engine,task,work_ns,done; used in addition to what"
+                + " engines reported when the manager started")
     private List<String> statements = new ArrayList<>();
 
-    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who resolves")
+    @Option(name = "--author", metaVar = "NAME", required = true, usage = "who resolves the tasks")
     private String author;
 
     @Override
     public String description() {
-      return "ledger resolve: an amendment for each task whose end nobody told and of which the"
-          + " engines' statements tell what ran.\n"
-          + "A statement may be read in again.";
+      return "ledger resolve: adds an amendment for each task with an unknown end whose runs are in"
+          + " the engines' statements.\n"
+          + "Tasks that are resolved already are skipped, so a statement may be read again.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
-      EntryResolver by = new EntryResolver(section.rates(), section.periods(), store.amendments());
-      store.reportedRuns().forEach(by::addRun);
-      for (String one : statements) {
-        try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.readStatement(one, in, engine -> {}, by::addRun);
+    int execute(LedgerStore store) throws IOException {
+      EntryResolver resolver =
+          new EntryResolver(section.rates(), section.periods(), store.amendments());
+      store.reportedRuns().forEach(resolver::addRun);
+      for (String file : statements) {
+        try (InputStream in = Files.newInputStream(Path.of(file))) {
+          LedgerFiles.readStatement(file, in, engine -> {}, resolver::addRun);
         }
       }
-      for (Amendment one : Billing.resolve(store, by, author, nowNanos())) {
+      for (Amendment amendment : Billing.resolve(store, resolver, author, nowNanos())) {
         addRow(
             columns(
                 "amendment",
-                one.number(),
+                amendment.number(),
                 "period",
-                one.period(),
+                amendment.period(),
                 "tenant",
-                one.tenant(),
+                amendment.tenant(),
                 "corrects",
-                one.corrects(),
+                amendment.corrects(),
                 "amount",
-                one.amount().toPlainString(),
+                amendment.amount().toPlainString(),
                 "reason",
-                one.reason()));
+                amendment.reason()));
       }
       printTable();
       return 0;
--- a/src/main/java/tansytrack/LedgerBillingCommand.java
+++ b/src/main/java/tansytrack/LedgerBillingCommand.java
@@ -7,28 +7,29 @@
 import tansytrack.operator.OperatorFile;
 import tansytrack.settings.InvalidInputException;
 
-/** A ledger command that needs the operators' file, as it must know how is billed. */
+/** A ledger command that reads the operator file, because it needs the billing section. */
 abstract class LedgerBillingCommand extends LedgerRowsCommand {
   @Option(
       name = "--operator",
       metaVar = "FILE",
       required = true,
-      usage = "the operators' file that names the ledger and its billing")
+      usage = "the operator file with the ledger section")
   String operator;
 
   OperatorFile.LedgerSection section;
 
-  abstract int work(LedgerStore store) throws IOException;
+  /** Runs the command on an open store and returns the exit code. */
+  abstract int execute(LedgerStore store) throws IOException;
 
   @Override
   protected final int execute() throws IOException {
     section = OperatorFile.read(operator).ledger();
     if (section == null) {
       throw new InvalidInputException(
-          operator + ": ledger: missing; allowed: a section that names the ledger's folder");
+          operator + ": ledger: missing; allowed: a section with the ledger's folder");
     }
     try (LedgerStore store = LedgerStore.openForCommand(section.folder(), FaultInjector.NONE)) {
-      return work(store);
+      return execute(store);
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerExchangeCommands.java
+++ b/src/main/java/tansytrack/LedgerExchangeCommands.java
@@ -21,39 +21,40 @@
 import tansytrack.ledger.disk.LedgerStore;
 import tansytrack.settings.InvalidInputException;
 
-/**
- * The ledger commands on what goes out and comes together: exports, merging, reconciliation,
- * checks.
- */
+/** The ledger commands for exporting, merging, reconciling and verifying ledgers. */
 public final class LedgerExchangeCommands {
 
   private LedgerExchangeCommands() {}
 
   /** Exports new lines in numbered batches. */
   public static final class Export extends LedgerFolderCommand {
-    @Option(name = "--to", metaVar = "FOLDER", required = true, usage = "where batches are placed")
+    @Option(
+        name = "--to",
+        metaVar = "FOLDER",
+        required = true,
+        usage = "the folder for the batches")
     private String to;
 
     @Option(name = "--form", metaVar = "FORM", usage = "protobuf (delimited, ledger.proto) or csv")
     private String format = "protobuf";
 
-    @Option(name = "--lines", metaVar = "N", usage = "lines in a batch at most")
+    @Option(name = "--lines", metaVar = "N", usage = "the maximum number of lines in a batch")
     private long maxLines = 1_000_000;
 
     @Option(
         name = "--again",
         metaVar = "NUMBER",
-        usage = "writes a batch that was placed before once more, as the same bytes")
+        usage = "write a batch that was placed before again, with the same bytes")
     private long batchToRewrite;
 
     @Override
     public String description() {
-      return "ledger export: finishes what was begun, then places all new lines in numbered"
-          + " batches. A number always has the same bytes.";
+      return "ledger export: completes an interrupted export, then writes all new lines in numbered"
+          + " batches. A batch always has the same bytes.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
+    int execute(LedgerStore store) throws IOException {
       if (!format.equals("protobuf") && !format.equals("csv")) {
         throw new InvalidInputException("--form '" + format + "'; allowed: protobuf, csv");
       }
@@ -64,57 +65,65 @@
       if (batchToRewrite > 0) {
         exporter.exportAgain(batchToRewrite);
       } else {
-        long before = store.batches().stream().filter(one -> one.placedAt() > 0).count();
+        long before = store.batches().stream().filter(batch -> batch.placedAt() > 0).count();
         exporter.export(format, maxLines, nowNanos());
         long after = store.batches().size();
         System.err.println((after - before) + " batches placed in " + to);
       }
-      for (LedgerStore.Batch one : store.batches()) {
+      for (LedgerStore.Batch batch : store.batches()) {
         addRow(
             columns(
                 "batch",
-                one.number(),
+                batch.number(),
                 "file",
-                Exporter.fileName(one),
+                Exporter.fileName(batch),
                 "lines",
-                one.lastPosition() - one.firstPosition() + 1,
+                batch.lastPosition() - batch.firstPosition() + 1,
                 "bytes",
-                one.size(),
+                batch.size(),
                 "sha256",
-                one.sha256(),
+                batch.sha256(),
                 "placed",
-                formatTime(one.placedAt()),
+                formatTime(batch.placedAt()),
                 "acknowledged",
-                formatTime(one.ackedAt())));
+                formatTime(batch.ackedAt())));
       }
       printTable();
       return 0;
     }
   }
 
-  /** Notes that the consumer has a batch. */
+  /** Stores that the consumer has received a batch. */
   public static final class Ack extends LedgerFolderCommand {
-    @Argument(required = true, metaVar = "NUMBER", usage = "the batch that the consumer has")
+    @Argument(
+        required = true,
+        metaVar = "NUMBER",
+        usage = "the batch that the consumer has received")
     private long number;
 
     @Option(
         name = "--sha256",
         metaVar = "HASH",
-        usage = "what the consumer got; refused if it is not what was sealed")
-    private String sha;
+        usage = "the hash of what the consumer received; must be that of the sealed batch")
+    private String sha256;
 
     @Override
     public String description() {
-      return "ledger ack: notes that the consumer has a batch. Once more does no harm.";
+      return "ledger ack: stores that the consumer has received a batch. May be repeated.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
-      for (LedgerStore.Batch one : store.batches()) {
-        if (one.number() == number && one.placedAt() > 0) {
-          if (sha != null && !sha.equalsIgnoreCase(one.sha256())) {
+    int execute(LedgerStore store) throws IOException {
+      for (LedgerStore.Batch batch : store.batches()) {
+        if (batch.number() == number && batch.placedAt() > 0) {
+          if (sha256 != null && !sha256.equalsIgnoreCase(batch.sha256())) {
             throw new InvalidInputException(
-                "batch " + number + " was sealed as " + one.sha256() + ", not as " + sha);
+                "batch "
+                    + number
+                    + " was sealed with SHA-256 "
+                    + batch.sha256()
+                    + ", not "
+                    + sha256);
           }
           store.markAcknowledged(number, nowNanos());
           return 0;
@@ -124,20 +133,20 @@
     }
   }
 
-  /** Merges several managers' ledgers and names what is missing or contradicts. */
+  /** Merges several managers' ledgers and reports missing and contradicting entries. */
   public static final class Merge extends LedgerRowsCommand {
     @Argument(
         required = true,
         multiValued = true,
         metaVar = "PLACE",
-        usage = "folders of ledgers, exported batches (.pb), or folders of such")
+        usage = "ledger folders, exported batches (.pb), or folders of batches")
     private List<String> places = new ArrayList<>();
 
     @Override
     public String description() {
-      return "ledger merge: several managers' ledgers as one: tasks by manager, numbers that are"
-          + " missing, contradictions.\n"
-          + "Exit code 1: numbers are missing, or two ledgers say different things.";
+      return "ledger merge: merges several managers' ledgers; shows the number of tasks by manager,"
+          + " missing task numbers, and contradictions.\n"
+          + "Exit code 1: numbers are missing, or two ledgers contradict each other.";
     }
 
     @Override
@@ -162,22 +171,22 @@
                 gap.cause()));
       }
       printTable();
-      for (MergedLedger.MissingRange hole : merged.missingRanges()) {
+      for (MergedLedger.MissingRange range : merged.missingRanges()) {
         addRow(
             columns(
                 "missing from",
-                hole.manager(),
+                range.manager(),
                 "epoch",
-                hole.epoch(),
+                range.epoch(),
                 "first",
-                hole.first(),
+                range.first(),
                 "last",
-                hole.last()));
+                range.last()));
       }
       printTable();
       for (MergedLedger.Key key : merged.contradictions()) {
-        for (Object said : merged.entries().getOrDefault(key, Set.of())) {
-          addRow(columns("contradiction", key, "said", said));
+        for (Object entry : merged.entries().getOrDefault(key, Set.of())) {
+          addRow(columns("contradiction", key, "said", entry));
         }
       }
       printTable();
@@ -193,54 +202,57 @@
         required = true,
         multiValued = true,
         metaVar = "PLACE",
-        usage = "folders of ledgers, exported batches (.pb), or folders of such")
+        usage = "ledger folders, exported batches (.pb), or folders of batches")
     private List<String> places = new ArrayList<>();
 
     @Option(
         name = "--statement",
         metaVar = "FILE",
         required = true,
-        usage = "CSV of the engines: engine,task,work_ns,done")
+        usage = "a statement of engines as CSV: engine,task,work_ns,done")
     private List<String> statements = new ArrayList<>();
 
     @Override
     public String description() {
-      return "ledger reconcile: ledgers against the engines' statements; what stands on one side"
-          + " only, with its likely cause.\n"
-          + "Exit code 1: something stands on one side only without an innocent cause.";
+      return "ledger reconcile: compares ledgers with the engines' statements; shows the"
+          + " differences with their likely causes.\n"
+          + "Exit code 1: a difference is a fault, not an expected one.";
     }
 
     @Override
     protected int execute() throws IOException {
       MergedLedger merged = LedgerFiles.readMerged(places.stream().map(Path::of).toList());
-      Reconciliation all = new Reconciliation();
-      merged.entries().values().forEach(said -> said.forEach((Entry entry) -> all.add(entry)));
-      for (String one : statements) {
-        try (InputStream in = Files.newInputStream(Path.of(one))) {
-          LedgerFiles.readStatement(one, in, all);
+      Reconciliation reconciliation = new Reconciliation();
+      merged
+          .entries()
+          .values()
+          .forEach(versions -> versions.forEach((Entry entry) -> reconciliation.add(entry)));
+      for (String file : statements) {
+        try (InputStream in = Files.newInputStream(Path.of(file))) {
+          LedgerFiles.readStatement(file, in, reconciliation);
         }
       }
-      List<Reconciliation.Finding> findings = all.findings();
-      for (Reconciliation.Finding one : findings) {
+      List<Reconciliation.Finding> findings = reconciliation.findings();
+      for (Reconciliation.Finding finding : findings) {
         addRow(
             columns(
                 "finding",
-                one.kind(),
+                finding.kind(),
                 "engine",
-                one.engine(),
+                finding.engine(),
                 "task",
-                one.task(),
+                finding.task(),
                 "cause",
-                one.cause(),
+                finding.cause(),
                 "fault",
-                one.fault() ? "yes" : "no"));
+                finding.fault() ? "yes" : "no"));
       }
       printTable();
       long faults = findings.stream().filter(Reconciliation.Finding::fault).count();
       addRow(
           columns(
               "agreed",
-              all.matchedForwards(),
+              reconciliation.matchedForwards(),
               "without fault",
               findings.size() - faults,
               "faults",
@@ -250,17 +262,17 @@
     }
   }
 
-  /** Checks every invariant of a ledger. */
+  /** Checks all invariants of a ledger. */
   public static final class Verify extends LedgerBillingCommand {
     @Override
     public String description() {
-      return "ledger verify: checks every invariant of a ledger and says the first breach. Exit"
-          + " code 1: one is broken.";
+      return "ledger verify: checks all invariants of a ledger and shows the first violation. Exit"
+          + " code 1: one is violated.";
     }
 
     @Override
-    int work(LedgerStore store) throws IOException {
-      String breach =
+    int execute(LedgerStore store) throws IOException {
+      String violation =
           Billing.verify(store, section, seen -> System.err.println(seen + " positions read"));
       addRow(
           columns(
@@ -273,9 +285,9 @@
               "open tasks",
               store.openTasks(),
               "breach",
-              breach == null ? "none" : breach));
+              violation == null ? "none" : violation));
       printTable();
-      return breach == null ? 0 : EXIT_DIFFERENCE;
+      return violation == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerFolderCommand.java
+++ b/src/main/java/tansytrack/LedgerFolderCommand.java
@@ -6,7 +6,7 @@
 import tansytrack.ledger.disk.FaultInjector;
 import tansytrack.ledger.disk.LedgerStore;
 
-/** A ledger command that needs no more than the ledger's folder. */
+/** A ledger command that only needs the ledger's folder. */
 abstract class LedgerFolderCommand extends LedgerRowsCommand {
   @Option(
       name = "--ledger",
@@ -15,12 +15,13 @@
       usage = "the folder that holds the ledger")
   String folder;
 
-  abstract int work(LedgerStore store) throws IOException;
+  /** Runs the command on an open store and returns the exit code. */
+  abstract int execute(LedgerStore store) throws IOException;
 
   @Override
   protected final int execute() throws IOException {
     try (LedgerStore store = LedgerStore.openForCommand(Path.of(folder), FaultInjector.NONE)) {
-      return work(store);
+      return execute(store);
     }
   }
 }
--- a/src/main/java/tansytrack/LedgerRowsCommand.java
+++ b/src/main/java/tansytrack/LedgerRowsCommand.java
@@ -11,25 +11,26 @@
 import tansytrack.command.ErrorReportingCommand;
 import tansytrack.log.JsonLinesWriter;
 
-/** A ledger command that prints rows, as a table for people or as JSON lines for programs. */
+/** A ledger command that prints rows, either as a table or as JSON lines. */
 abstract class LedgerRowsCommand extends ErrorReportingCommand {
-  @Option(name = "--json", usage = "print for programs: one JSON object a line")
+  @Option(name = "--json", usage = "print one JSON object per line instead of tables")
   boolean json;
 
   PrintStream out = System.out;
 
-  /** One row, by column. */
+  /** Prints a row as a JSON line, or adds it to the next table. */
   void addRow(Map<String, Object> columns) {
     if (json) {
       out.println(
           columns.entrySet().stream()
               .map(
-                  one ->
-                      JsonLinesWriter.quote(one.getKey())
+                  column ->
+                      JsonLinesWriter.quote(column.getKey())
                           + ':'
-                          + (one.getValue() instanceof Long || one.getValue() instanceof Boolean
-                              ? one.getValue().toString()
-                              : JsonLinesWriter.quote(one.getValue().toString())))
+                          + (column.getValue() instanceof Long
+                                  || column.getValue() instanceof Boolean
+                              ? column.getValue().toString()
+                              : JsonLinesWriter.quote(column.getValue().toString())))
               .collect(Collectors.joining(",", "{", "}")));
     } else {
       rows.add(columns.values().stream().map(Object::toString).toList());
@@ -40,7 +41,7 @@
   private List<String> headings;
   private final List<List<String>> rows = new ArrayList<>();
 
-  /** Prints the rows so far as one table. */
+  /** Prints the rows added so far as a table; all of them must have the same columns. */
   void printTable() {
     if (headings == null) {
       return;
@@ -48,15 +49,15 @@
     rows.add(0, headings);
     int[] widths = new int[headings.size()];
     rows.forEach(
-        one -> {
+        row -> {
           for (int i = 0; i < widths.length; i++) {
-            widths[i] = Math.max(widths[i], one.get(i).length());
+            widths[i] = Math.max(widths[i], row.get(i).length());
           }
         });
-    for (List<String> one : rows) {
+    for (List<String> row : rows) {
       StringBuilder line = new StringBuilder();
       for (int i = 0; i < widths.length; i++) {
-        line.append(one.get(i)).append(" ".repeat(widths[i] - one.get(i).length() + 2));
+        line.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length() + 2));
       }
       out.println(line.toString().stripTrailing());
     }
@@ -64,20 +65,23 @@
     headings = null;
   }
 
+  /** Returns a row from alternating names and values, in this order. */
   static Map<String, Object> columns(Object... pairs) {
-    Map<String, Object> made = new LinkedHashMap<>();
+    Map<String, Object> row = new LinkedHashMap<>();
     for (int i = 0; i < pairs.length; i += 2) {
-      made.put((String) pairs[i], pairs[i + 1]);
+      row.put((String) pairs[i], pairs[i + 1]);
     }
-    return made;
+    return row;
   }
 
+  /** The current time in nanoseconds of the Unix clock. */
   static long nowNanos() {
     Instant now = Instant.now();
     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
   }
 
-  static String formatTime(long at) {
-    return at == 0 ? "-" : Instant.ofEpochSecond(at / 1_000_000_000L).toString();
+  /** Formats a time in nanoseconds of the Unix clock, to seconds; "-" for 0. */
+  static String formatTime(long unixNanos) {
+    return unixNanos == 0 ? "-" : Instant.ofEpochSecond(unixNanos / 1_000_000_000L).toString();
   }
 }
--- a/src/main/java/tansytrack/ledger/Bill.java
+++ b/src/main/java/tansytrack/ledger/Bill.java
@@ -10,199 +10,210 @@
 import java.util.TreeMap;
 
 /**
- * The bill of one period: a sum for each tenant and grade, and what came after the fact. Of a
- * closed period only the entries up to its closing position are in the sums; later ones and
- * corrections stand beside them, so the sums never change.
+ * The bill of one period: a subtotal for each tenant and query class, plus late entries and
+ * amendments. The subtotals of a closed period contain only the entries up to its closing position.
+ * Later entries and amendments are kept separately, so these subtotals never change.
  */
 public final class Bill {
 
-  /** One sum. */
+  /** The subtotal of one tenant and query class. */
   public static final class Subtotal {
     private long tasks;
     private long handled;
-    private long bounced;
+    private long rejected;
     private long unresolved;
     private long workNanos;
     private long wasteNanos;
     private long bytes;
     private BigDecimal exactAmount = BigDecimal.ZERO;
 
-    /** Tasks taken in. */
+    /** The number of tasks accepted. */
     public long tasks() {
       return tasks;
     }
 
-    /** Tasks answered with their result. */
+    /** The number of tasks answered with their result. */
     public long handled() {
       return handled;
     }
 
-    /** Tasks refused or failed. */
-    public long bounced() {
-      return bounced;
+    /** The number of tasks rejected or failed. */
+    public long rejected() {
+      return rejected;
     }
 
-    /** Tasks whose end nobody knows, as their manager died. */
+    /** The number of tasks whose end is unknown because their manager died. */
     public long unresolved() {
       return unresolved;
     }
 
-    /** Work that engines reported, in nanoseconds. */
+    /** The work that engines reported, in nanoseconds. */
     public long workNanos() {
       return workNanos;
     }
 
-    /** Work of forwards whose result was not used, in nanoseconds. */
+    /** The part of the work whose result was not used, in nanoseconds. */
     public long wasteNanos() {
       return wasteNanos;
     }
 
-    /** Bytes of results sent to clients. */
+    /** The number of result bytes sent to clients. */
     public long bytes() {
       return bytes;
     }
   }
 
-  /** Whose sum it is. */
+  /** The tenant and query class of a subtotal. */
   public record SubtotalKey(String tenant, String grade) implements Comparable<SubtotalKey> {
     @Override
     public int compareTo(SubtotalKey other) {
-      int by = tenant.compareTo(other.tenant);
-      return by != 0 ? by : grade.compareTo(other.grade);
+      int byTenant = tenant.compareTo(other.tenant);
+      return byTenant != 0 ? byTenant : grade.compareTo(other.grade);
     }
   }
 
   private final String period;
   private final BillingPeriods periods;
   private final Rates rates;
-  private final long closingPosition; // position; 0: open
+  // The last position in the subtotals of a closed period; 0 while the period is open.
+  private final long closingPosition;
   private final TreeMap<SubtotalKey, Subtotal> subtotals = new TreeMap<>();
   private final TreeMap<SubtotalKey, Subtotal> lateSubtotals = new TreeMap<>();
   private final List<Amendment> amendments = new ArrayList<>();
 
-  /** An empty bill of a period; closed at that time, 0 while it is open. */
-  public Bill(String period, BillingPeriods periods, Rates rates, long closedAt) {
+  /**
+   * Creates an empty bill.
+   *
+   * @param closingPosition the position at which the period was closed; 0 while it is open
+   */
+  public Bill(String period, BillingPeriods periods, Rates rates, long closingPosition) {
     this.period = period;
     this.periods = periods;
     this.rates = rates;
-    this.closingPosition = closedAt;
+    this.closingPosition = closingPosition;
   }
 
-  /** Takes an entry, if it belongs here; a task belongs to the period in which it was taken. */
+  /**
+   * Adds an entry if it belongs to this period. A task belongs to the period in which it was
+   * accepted.
+   */
   public void add(long position, Entry entry) {
     if (!periods.periodAt(entry.takenAt()).equals(period)) {
       return;
     }
-    TreeMap<SubtotalKey, Subtotal> into =
+    TreeMap<SubtotalKey, Subtotal> target =
         closingPosition > 0 && position > closingPosition ? lateSubtotals : subtotals;
-    Subtotal sum =
-        into.computeIfAbsent(
-            new SubtotalKey(entry.tenant(), entry.grade()), whose -> new Subtotal());
-    sum.tasks++;
-    sum.handled += entry.end() == TaskEnd.HANDLED ? 1 : 0;
-    sum.bounced += entry.end() == TaskEnd.BOUNCED ? 1 : 0;
-    sum.unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
-    sum.workNanos += entry.workNanos(true);
-    sum.wasteNanos += entry.workNanos(true) - entry.workNanos(false);
-    sum.bytes += entry.bytes();
-    sum.exactAmount = sum.exactAmount.add(rates.price(entry, periods.dayAt(entry.takenAt())));
+    Subtotal subtotal =
+        target.computeIfAbsent(
+            new SubtotalKey(entry.tenant(), entry.grade()), key -> new Subtotal());
+    subtotal.tasks++;
+    subtotal.handled += entry.end() == TaskEnd.HANDLED ? 1 : 0;
+    subtotal.rejected += entry.end() == TaskEnd.BOUNCED ? 1 : 0;
+    subtotal.unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
+    subtotal.workNanos += entry.workNanos(true);
+    subtotal.wasteNanos += entry.workNanos(true) - entry.workNanos(false);
+    subtotal.bytes += entry.bytes();
+    subtotal.exactAmount =
+        subtotal.exactAmount.add(rates.price(entry, periods.dayAt(entry.takenAt())));
   }
 
-  /** Adds an amendment if it is for this period. */
+  /** Adds an amendment if it belongs to this period. */
   public void add(Amendment amendment) {
     if (amendment.period().equals(period)) {
       amendments.add(amendment);
     }
   }
 
-  /** Sums by tenant and query class. */
+  /** The subtotals by tenant and query class. */
   public Map<SubtotalKey, Subtotal> subtotals() {
     return subtotals;
   }
 
-  /** What came after the period was closed. */
+  /** The subtotals of entries that were written after the period was closed. */
   public Map<SubtotalKey, Subtotal> lateSubtotals() {
     return lateSubtotals;
   }
 
-  /** The rounded amount of one sum. */
-  public BigDecimal roundedAmount(Subtotal sum) {
-    return rates.round(sum.exactAmount);
+  /** The rounded amount of one subtotal. */
+  public BigDecimal roundedAmount(Subtotal subtotal) {
+    return rates.round(subtotal.exactAmount);
   }
 
   /**
-   * What the amendments come to for a tenant: one that was withdrawn counts for nothing, and
-   * neither does a withdrawal that was withdrawn itself.
+   * The sum of a tenant's amendments. Withdrawn amendments don't count; a withdrawal that was
+   * itself withdrawn has no effect.
    */
   public BigDecimal amendedAmount(String tenant) {
-    Set<Long> stand = effectiveAmendments(amendments);
+    Set<Long> effective = effectiveAmendments(amendments);
     BigDecimal sum = BigDecimal.ZERO;
-    for (Amendment one : amendments) {
-      if (one.tenant().equals(tenant) && !one.withdraws() && stand.contains(one.number())) {
-        sum = sum.add(one.amount());
+    for (Amendment amendment : amendments) {
+      if (amendment.tenant().equals(tenant)
+          && !amendment.withdraws()
+          && effective.contains(amendment.number())) {
+        sum = sum.add(amendment.amount());
       }
     }
     return sum;
   }
 
   /**
-   * The numbers of the amendments that stand: judged from the latest back, as each can only
-   * withdraw an earlier one.
+   * The numbers of the amendments that are in effect. The amendments are evaluated from the latest
+   * to the earliest, because each can only withdraw an earlier one.
    */
-  public static Set<Long> effectiveAmendments(List<Amendment> all) {
+  public static Set<Long> effectiveAmendments(List<Amendment> amendments) {
     Map<Long, Boolean> withdrawn = new HashMap<>();
-    Set<Long> stand = new HashSet<>();
-    List<Amendment> latestFirst = new ArrayList<>(all);
+    Set<Long> effective = new HashSet<>();
+    List<Amendment> latestFirst = new ArrayList<>(amendments);
     latestFirst.sort((a, b) -> Long.compare(b.number(), a.number()));
-    for (Amendment one : latestFirst) {
-      if (!withdrawn.containsKey(one.number())) {
-        stand.add(one.number());
-        if (one.withdraws()) {
-          withdrawn.put(Long.parseLong(one.corrects().substring(2)), true);
+    for (Amendment amendment : latestFirst) {
+      if (!withdrawn.containsKey(amendment.number())) {
+        effective.add(amendment.number());
+        if (amendment.withdraws()) {
+          withdrawn.put(Long.parseLong(amendment.corrects().substring(2)), true);
         }
       }
     }
-    return stand;
+    return effective;
   }
 
-  /** All tenants that the bill names, in order. */
+  /** All tenants on the bill, sorted by name. */
   public Set<String> tenants() {
     Set<String> tenants = new java.util.TreeSet<>();
-    subtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
-    lateSubtotals.keySet().forEach(whose -> tenants.add(whose.tenant()));
-    amendments.forEach(one -> tenants.add(one.tenant()));
+    subtotals.keySet().forEach(key -> tenants.add(key.tenant()));
+    lateSubtotals.keySet().forEach(key -> tenants.add(key.tenant()));
+    amendments.forEach(amendment -> tenants.add(amendment.tenant()));
     return tenants;
   }
 
-  /** What a tenant owes: its rounded sums, those that came late, and its amendments. */
+  /** The amount a tenant owes: its rounded subtotals, late ones included, and its amendments. */
   public BigDecimal total(String tenant) {
     BigDecimal total = amendedAmount(tenant);
-    for (Map<SubtotalKey, Subtotal> part : List.of(subtotals, lateSubtotals)) {
-      for (Map.Entry<SubtotalKey, Subtotal> one : part.entrySet()) {
-        if (one.getKey().tenant().equals(tenant)) {
-          total = total.add(roundedAmount(one.getValue()));
+    for (Map<SubtotalKey, Subtotal> subtotalMap : List.of(subtotals, lateSubtotals)) {
+      for (Map.Entry<SubtotalKey, Subtotal> keyAndSubtotal : subtotalMap.entrySet()) {
+        if (keyAndSubtotal.getKey().tenant().equals(tenant)) {
+          total = total.add(roundedAmount(keyAndSubtotal.getValue()));
         }
       }
     }
     return total.setScale(Math.max(rates.decimals(), total.scale()));
   }
 
-  /** The sums in one fixed form, of which a closed period keeps the hash. */
+  /** The subtotals as text in a fixed format; its hash is stored when the period is closed. */
   public String canonicalText() {
     StringBuilder text = new StringBuilder();
     subtotals.forEach(
-        (whose, sum) ->
-            text.append(whose.tenant)
+        (key, subtotal) ->
+            text.append(key.tenant)
                 .append('\t')
-                .append(whose.grade)
+                .append(key.grade)
                 .append('\t')
-                .append(sum.tasks)
+                .append(subtotal.tasks)
                 .append('\t')
-                .append(sum.handled)
+                .append(subtotal.handled)
                 .append('\t')
-                .append(sum.workNanos)
+                .append(subtotal.workNanos)
                 .append('\t')
-                .append(roundedAmount(sum).toPlainString())
+                .append(roundedAmount(subtotal).toPlainString())
                 .append('\n'));
     return text.toString();
   }
--- a/src/main/java/tansytrack/ledger/BillingPeriods.java
+++ b/src/main/java/tansytrack/ledger/BillingPeriods.java
@@ -10,26 +10,27 @@
 import java.time.temporal.TemporalAdjusters;
 
 /**
- * Billing periods in a time zone: 2026-12, 2026-W49 or 2026-12-01. Each reaches from midnight to
- * midnight of that zone (or the day's first moment, where summer time leaves midnight out), so a
- * period is as long as its days there.
+ * Billing periods in a time zone, named like 2026-12, 2026-W49 or 2026-12-01. A period starts and
+ * ends at midnight of that zone, or at the first moment of the day if a change to daylight saving
+ * time skips midnight. The length of a period therefore varies with the length of its days.
  */
 public record BillingPeriods(Length length, ZoneId zone) {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-  /** How long a period is: each is a calendar unit of its time zone. */
+  /** The calendar unit of a period. */
   public enum Length {
     MONTH,
     WEEK,
     DAY
   }
 
-  /** The period that a moment falls in; nanoseconds of the Unix clock. */
-  public String periodAt(long at) {
+  /** Returns the period that contains a time, given in nanoseconds of the Unix clock. */
+  public String periodAt(long unixNanos) {
     LocalDate day =
         Instant.ofEpochSecond(
-                Math.floorDiv(at, NANOS_PER_SECOND), Math.floorMod(at, NANOS_PER_SECOND))
+                Math.floorDiv(unixNanos, NANOS_PER_SECOND),
+                Math.floorMod(unixNanos, NANOS_PER_SECOND))
             .atZone(zone)
             .toLocalDate();
     return switch (length) {
@@ -42,7 +43,11 @@
     };
   }
 
-  /** Its first day, or a BadPeriod that says what a period looks like. */
+  /**
+   * Returns the first day of a period.
+   *
+   * @throws InvalidPeriodException if the text is not a period; the message shows the expected form
+   */
   public LocalDate firstDay(String period) {
     try {
       LocalDate day =
@@ -55,12 +60,12 @@
         return day;
       }
     } catch (DateTimeParseException | NumberFormatException | IndexOutOfBoundsException e) {
-      // said below
+      // Reported below, together with texts that parse but are not the name of a period.
     }
     throw new InvalidPeriodException(
         "period '"
             + period
-            + "' is none; allowed: "
+            + "' is not valid; allowed: "
             + switch (length) {
               case MONTH -> "a month, as in 2026-12";
               case WEEK -> "a week, as in 2026-W49";
@@ -81,12 +86,12 @@
     return day.atStartOfDay(zone).toEpochSecond() * NANOS_PER_SECOND;
   }
 
-  /** The first moment of a period, in nanoseconds of the Unix clock. */
+  /** The start of a period in nanoseconds of the Unix clock. */
   public long startNanos(String period) {
     return startNanos(firstDay(period));
   }
 
-  /** The moment at which it is over. */
+  /** The end of a period (exclusive) in nanoseconds of the Unix clock. */
   public long endNanos(String period) {
     LocalDate day = firstDay(period);
     return startNanos(
@@ -97,17 +102,19 @@
         });
   }
 
-  /** The day that a moment falls in, in the time zone of the periods. */
-  public LocalDate dayAt(long at) {
-    return Instant.ofEpochSecond(Math.floorDiv(at, NANOS_PER_SECOND)).atZone(zone).toLocalDate();
+  /** The day that contains a time, in the time zone of the periods. */
+  public LocalDate dayAt(long unixNanos) {
+    return Instant.ofEpochSecond(Math.floorDiv(unixNanos, NANOS_PER_SECOND))
+        .atZone(zone)
+        .toLocalDate();
   }
 
-  /** A text that names no period. */
+  /** Thrown for a text that is not the name of a period. */
   public static final class InvalidPeriodException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    InvalidPeriodException(String what) {
-      super(what);
+    InvalidPeriodException(String message) {
+      super(message);
     }
   }
 }
--- a/src/main/java/tansytrack/ledger/EntryResolver.java
+++ b/src/main/java/tansytrack/ledger/EntryResolver.java
@@ -9,13 +9,14 @@
 import java.util.Set;
 
 /**
- * What engines' statements say of entries whose end nobody told: an amendment each, in the period
- * that the task belongs to, which says what the engines ran. Nobody got an answer, so the work is
- * waste, and by the rule on waste the house's or the tenant's. What was resolved before is left
- * alone, so a statement may be read in again.
+ * Resolves entries with an unknown end from engines' statements. Each resolved entry gets an
+ * amendment in the period of its task that says what the engines ran. No client got an answer, so
+ * the work is waste, which is billed to the tenant only if the rates bill waste. Entries that were
+ * resolved before are skipped, so that a statement may be read again.
  */
 public final class EntryResolver {
 
+  // Start of the reason of every amendment made here; also used to recognize them later.
   private static final String REASON_PREFIX = "resolved: ";
 
   private final Rates rates;
@@ -23,38 +24,41 @@
   private final Map<String, List<Reconciliation.Run>> runs = new HashMap<>();
   private final Set<String> resolved = new HashSet<>();
 
-  /** Resolutions that leave out what the amendments made before already say. */
-  public EntryResolver(Rates rates, BillingPeriods periods, List<Amendment> before) {
+  /** Creates a resolver that skips the entries resolved by the given amendments. */
+  public EntryResolver(Rates rates, BillingPeriods periods, List<Amendment> amendments) {
     this.rates = rates;
     this.periods = periods;
-    for (Amendment one : before) {
-      if (one.reason().startsWith(REASON_PREFIX)) {
-        resolved.add(one.corrects());
+    for (Amendment amendment : amendments) {
+      if (amendment.reason().startsWith(REASON_PREFIX)) {
+        resolved.add(amendment.corrects());
       }
     }
   }
 
-  /** Takes a run that an engine states; the same statement twice counts once. */
+  /** Adds a run that an engine states; a repeated run counts once. */
   public void addRun(Reconciliation.Run run) {
-    List<Reconciliation.Run> known = runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
-    if (!known.contains(run)) {
-      known.add(run); // told at a start and again in a statement
+    List<Reconciliation.Run> runsOfTask =
+        runs.computeIfAbsent(run.task(), task -> new ArrayList<>(1));
+    if (!runsOfTask.contains(run)) {
+      // An engine may report a run after a manager's start and again in a statement.
+      runsOfTask.add(run);
     }
   }
 
-  /** The amendment that resolves an entry, not yet numbered, or null. */
+  /** Returns an amendment without a number that resolves an entry, or null. */
   public Amendment resolve(Entry entry, String author, long now) {
-    String name = "e:" + entry.epoch() + ':' + entry.sequence();
-    List<Reconciliation.Run> ran = runs.getOrDefault(entry.task(), List.of());
-    if (entry.end() != TaskEnd.UNRESOLVED || ran.isEmpty() || !resolved.add(name)) {
+    String reference = "e:" + entry.epoch() + ':' + entry.sequence();
+    List<Reconciliation.Run> runsOfTask = runs.getOrDefault(entry.task(), List.of());
+    if (entry.end() != TaskEnd.UNRESOLVED || runsOfTask.isEmpty() || !resolved.add(reference)) {
       return null;
     }
     List<Use> uses = new ArrayList<>();
-    StringBuilder said = new StringBuilder(REASON_PREFIX);
+    StringBuilder reason = new StringBuilder(REASON_PREFIX);
     for (Use use : entry.uses()) {
-      for (Reconciliation.Run run : ran) {
+      for (Reconciliation.Run run : runsOfTask) {
         if (run.engine().equals(use.engine())) {
-          said.append(said.length() > REASON_PREFIX.length() ? ", " : "")
+          reason
+              .append(reason.length() > REASON_PREFIX.length() ? ", " : "")
               .append(run.engine())
               .append(run.done() ? " ran it, " + run.work() + " ns" : " dropped it");
           uses.add(wastedUse(use, run));
@@ -62,19 +66,20 @@
       }
     }
     if (uses.isEmpty()) {
-      resolved.remove(name);
-      return null; // the runs are another manager's, at engines that this one did not ask
+      resolved.remove(reference);
+      // The runs belong to another manager's task, at engines that this manager did not use.
+      return null;
     }
-    Entry known = asAbandoned(entry, uses);
-    BigDecimal amount = rates.round(rates.price(known, periods.dayAt(entry.takenAt())));
+    Entry resolvedEntry = asAbandoned(entry, uses);
+    BigDecimal amount = rates.round(rates.price(resolvedEntry, periods.dayAt(entry.takenAt())));
     return new Amendment(
         0,
         periods.periodAt(entry.takenAt()),
         entry.tenant(),
         amount,
         author,
-        said.toString(),
-        name,
+        reason.toString(),
+        reference,
         now,
         false);
   }
@@ -92,7 +97,7 @@
         true);
   }
 
-  /** The entry as if its client had left it with those uses. */
+  /** Returns the entry as if its client had abandoned the task after those forwards. */
   private static Entry asAbandoned(Entry entry, List<Use> uses) {
     return new Entry(
         entry.epoch(),
--- a/src/main/java/tansytrack/ledger/EntryTracker.java
+++ b/src/main/java/tansytrack/ledger/EntryTracker.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * Makes lines of what tasks do: numbers each task as it is taken, and knows which forwards are out.
- * Pure: it is told the time, and gives lines back. It holds as much as there are open tasks.
+ * Turns the events of tasks into ledger updates: numbers each task as it is accepted and keeps
+ * track of its forwards in flight. Does no I/O and gets the time from its caller. Its memory grows
+ * with the number of open tasks.
  */
 public final class EntryTracker {
 
-  /** One open task. */
+  /** A task that is not answered yet or has forwards in flight. */
   private static final class OpenEntry {
     final long sequence;
     final String tenant;
@@ -29,54 +30,61 @@
     }
   }
 
-  /** What a task of that grade earned in thousandths, by its end and the time that it took. */
+  /** Computes what a task earned. */
   public interface EarningsFunction {
-    /** Earnings in thousandths, by query class, end and time to the answer. */
-    long earningsMilli(String grade, TaskEnd end, long time);
+    /**
+     * Returns the earnings of a task in thousandths.
+     *
+     * @param grade the query class
+     * @param durationNanos the time from acceptance to answer in nanoseconds
+     */
+    long earningsMilli(String grade, TaskEnd end, long durationNanos);
   }
 
   private final EarningsFunction earnings;
   private final Map<String, OpenEntry> openEntries = new HashMap<>();
   private long lastSequence;
 
-  /** Entries whose earnings are computed by the given function. */
+  /** Creates a tracker that computes earnings with the given function. */
   public EntryTracker(EarningsFunction earnings) {
     this.earnings = earnings;
   }
 
-  /** A task was taken in; gives its number in this epoch. */
-  public long taskTaken(long now, String task, String tenant, String grade) {
+  /** Registers an accepted task and returns its number in this epoch. */
+  public long taskAccepted(long now, String task, String tenant, String grade) {
     openEntries.put(task, new OpenEntry(++lastSequence, tenant, grade, now));
     return lastSequence;
   }
 
-  /** A forward is about to go out. */
+  /** Records a forward that is about to be sent. */
   public LedgerUpdate forwardSent(long now, String task, int index, String engine, long grantedMb) {
-    OpenEntry one = openEntries.get(task);
+    OpenEntry entry = openEntries.get(task);
     Use use = new Use(index, engine, now, 0, "", 0, 0, grantedMb, false);
-    one.uses.add(use);
-    one.inFlight++;
+    entry.uses.add(use);
+    entry.inFlight++;
     return new LedgerUpdate.ForwardSent(
-        one.sequence, task, one.tenant, one.grade, one.takenAt, use);
+        entry.sequence, task, entry.tenant, entry.grade, entry.takenAt, use);
   }
 
   /**
-   * A forward's end; served: its result went to the client. Null where the forward is not known to
-   * be out.
+   * Records the end of a forward.
+   *
+   * @param served whether its result goes to the client
+   * @return the update, or null if the forward is not known to be in flight
    */
   public LedgerUpdate forwardEnded(
       long now,
       String task,
       int index,
       String outcome,
-      long work,
+      long workNanos,
       double neededMb,
       boolean served) {
-    OpenEntry one = openEntries.get(task);
-    if (one == null || index >= one.uses.size() || !one.uses.get(index).inFlight()) {
+    OpenEntry entry = openEntries.get(task);
+    if (entry == null || index >= entry.uses.size() || !entry.uses.get(index).inFlight()) {
       return null;
     }
-    Use sent = one.uses.get(index);
+    Use sent = entry.uses.get(index);
     Use use =
         new Use(
             index,
@@ -84,42 +92,42 @@
             sent.sentAt(),
             now,
             outcome,
-            work,
+            workNanos,
             Math.round(neededMb),
             sent.grantedMb(),
             !served);
-    one.uses.set(index, use);
-    one.inFlight--;
-    return new LedgerUpdate.ForwardEnded(one.sequence, use, removeIfComplete(task, one));
+    entry.uses.set(index, use);
+    entry.inFlight--;
+    return new LedgerUpdate.ForwardEnded(entry.sequence, use, removeIfComplete(task, entry));
   }
 
-  /** The client was answered; forwards may still be out. */
+  /** Records that the client was answered; forwards may still be in flight. */
   public LedgerUpdate taskAnswered(long now, String task, TaskEnd end, long bytes) {
-    OpenEntry one = openEntries.get(task);
-    one.answered = true;
-    boolean complete = removeIfComplete(task, one);
+    OpenEntry entry = openEntries.get(task);
+    entry.answered = true;
+    boolean complete = removeIfComplete(task, entry);
     return new LedgerUpdate.TaskAnswered(
-        one.sequence,
+        entry.sequence,
         task,
-        one.tenant,
-        one.grade,
-        one.takenAt,
+        entry.tenant,
+        entry.grade,
+        entry.takenAt,
         now,
         end,
         bytes,
-        earnings.earningsMilli(one.grade, end, now - one.takenAt),
+        earnings.earningsMilli(entry.grade, end, now - entry.takenAt),
         complete);
   }
 
-  private boolean removeIfComplete(String task, OpenEntry one) {
-    boolean complete = one.answered && one.inFlight == 0;
+  private boolean removeIfComplete(String task, OpenEntry entry) {
+    boolean complete = entry.answered && entry.inFlight == 0;
     if (complete) {
-      openEntries.remove(task, one);
+      openEntries.remove(task, entry);
     }
     return complete;
   }
 
-  /** How many tasks are not complete yet. */
+  /** The number of tasks that are not complete yet. */
   public int openTasks() {
     return openEntries.size();
   }
--- a/src/main/java/tansytrack/ledger/Rates.java
+++ b/src/main/java/tansytrack/ledger/Rates.java
@@ -6,20 +6,21 @@
 import java.util.List;
 
 /**
- * What use costs, in exact decimals. Of the rates that a task's day has reached, the one that names
- * most holds (tenant and grade, then tenant, then grade, then none), of those the latest that
- * began. Amounts are exact for a task, and rounded once, for each sum of a tenant's grade in a
- * period. A bounced task costs nothing, nor does one whose end nobody knows.
+ * The price list, in exact decimals. Of the rates that are valid on the day of a task, the most
+ * specific one applies (tenant and query class, then tenant, then query class, then neither); among
+ * equally specific ones, the one with the latest start. The price of a task is exact; amounts are
+ * rounded once, for each subtotal of a tenant and query class in a period. Rejected tasks and tasks
+ * whose end is unknown cost nothing.
  */
 public record Rates(List<Rate> rates, int decimals, RoundingMode rounding, boolean billsWaste) {
 
   private static final BigDecimal NANOS_PER_SECOND = new BigDecimal("1000000000");
   private static final BigDecimal MB_NANOS_PER_GB_SECOND = new BigDecimal("1024000000000");
   private static final BigDecimal BYTES_PER_MB = new BigDecimal("1048576");
-  private static final int QUOTIENT_SCALE =
-      24; // digits behind the point; a binary fraction of 2^20 needs 20
+  // Decimal places of quotients; an exact quotient by 2^20 (the bytes of a MB) needs 20.
+  private static final int QUOTIENT_SCALE = 24;
 
-  /** One price list; an empty tenant or grade means any. */
+  /** One rate; an empty tenant or query class stands for all. */
   public record Rate(
       String tenant,
       String grade,
@@ -33,14 +34,14 @@
       return (tenant.isEmpty() ? 0 : 2) + (grade.isEmpty() ? 0 : 1);
     }
 
-    private boolean appliesTo(String ofTenant, String ofGrade, LocalDate day) {
-      return (tenant.isEmpty() || tenant.equals(ofTenant))
-          && (grade.isEmpty() || grade.equals(ofGrade))
+    private boolean appliesTo(String taskTenant, String taskGrade, LocalDate day) {
+      return (tenant.isEmpty() || tenant.equals(taskTenant))
+          && (grade.isEmpty() || grade.equals(taskGrade))
           && !validFrom.isAfter(day);
     }
   }
 
-  /** The rate that holds, or null. */
+  /** The rate that applies, or null. */
   public Rate rateFor(String tenant, String grade, LocalDate day) {
     Rate best = null;
     for (Rate rate : rates) {
@@ -55,14 +56,15 @@
     return best;
   }
 
-  /** The exact price of a task on its day. */
+  /** The exact price of a task by the rate of the given day. */
   public BigDecimal price(Entry entry, LocalDate day) {
     Rate rate = rateFor(entry.tenant(), entry.grade(), day);
     if (rate == null || entry.end() == TaskEnd.BOUNCED || entry.end() == TaskEnd.UNRESOLVED) {
       return BigDecimal.ZERO;
     }
-    BigDecimal sum = entry.end() == TaskEnd.HANDLED ? rate.perTask : BigDecimal.ZERO;
-    return sum.add(
+    BigDecimal taskPrice = entry.end() == TaskEnd.HANDLED ? rate.perTask : BigDecimal.ZERO;
+    return taskPrice
+        .add(
             cost(
                 rate.perWorkSecond,
                 BigDecimal.valueOf(entry.workNanos(billsWaste)),
@@ -71,13 +73,13 @@
         .add(cost(rate.perMbReturned, BigDecimal.valueOf(entry.bytes()), BYTES_PER_MB));
   }
 
-  private static BigDecimal cost(BigDecimal price, BigDecimal amount, BigDecimal unit) {
-    return price.signum() == 0 || amount.signum() == 0
+  private static BigDecimal cost(BigDecimal unitPrice, BigDecimal amount, BigDecimal unit) {
+    return unitPrice.signum() == 0 || amount.signum() == 0
         ? BigDecimal.ZERO
-        : price.multiply(amount).divide(unit, QUOTIENT_SCALE, RoundingMode.HALF_EVEN);
+        : unitPrice.multiply(amount).divide(unit, QUOTIENT_SCALE, RoundingMode.HALF_EVEN);
   }
 
-  /** The amount as it is billed, by the rounding that the operator chose. */
+  /** Rounds an amount for the bill, by the decimals and the rounding mode that are configured. */
   public BigDecimal round(BigDecimal exact) {
     return exact.setScale(decimals, rounding);
   }
--- a/src/main/java/tansytrack/ledger/Reconciliation.java
+++ b/src/main/java/tansytrack/ledger/Reconciliation.java
@@ -7,27 +7,33 @@
 import java.util.TreeSet;
 
 /**
- * A ledger against what the engines say that they ran. Each forward in the ledger and each run in a
- * statement are matched by engine and task; what stands on one side only is named with its likely
- * cause. Some of that is no fault: a forward that never came to its engine has no run, and one
+ * Compares ledgers with the runs that engines state. Each forward in a ledger is matched with a run
+ * of the same engine and task; what is found on one side only is reported with its likely cause.
+ * Some differences are expected: a forward that did not reach its engine has no run, and a forward
  * whose manager died has a run that resolves it.
  */
 public final class Reconciliation {
 
-  /** One run in an engine's statement; work in nanoseconds on one core. */
+  /**
+   * One run in an engine's statement.
+   *
+   * @param work the work in nanoseconds on one core
+   * @param done whether the run was completed; false if the engine dropped it
+   */
   public record Run(String engine, String task, long work, boolean done) {}
 
   private record EngineTask(String engine, String task) implements Comparable<EngineTask> {
     @Override
     public int compareTo(EngineTask other) {
-      int by = task.compareTo(other.task);
-      return by != 0 ? by : engine.compareTo(other.engine);
+      int byTask = task.compareTo(other.task);
+      return byTask != 0 ? byTask : engine.compareTo(other.engine);
     }
   }
 
   /**
-   * What was found of one task at one engine; a fault is on one side only, without an innocent
-   * cause.
+   * A difference between the two sides for one task and engine.
+   *
+   * @param fault whether the difference is an error rather than an expected one
    */
   public record Finding(boolean fault, String kind, String engine, String task, String cause) {}
 
@@ -40,88 +46,91 @@
   private final Set<String> statedEngines = new TreeSet<>();
   private long matchedForwards;
 
-  /** Takes a ledger entry with all its uses of engines. */
+  /** Adds a ledger entry with all its forwards. */
   public void add(Entry entry) {
     for (Use use : entry.uses()) {
       forwards
-          .computeIfAbsent(new EngineTask(use.engine(), entry.task()), place -> new ArrayList<>(1))
+          .computeIfAbsent(new EngineTask(use.engine(), entry.task()), key -> new ArrayList<>(1))
           .add(use);
     }
   }
 
-  /** An engine whose statement is whole, even if it ran nothing. */
+  /**
+   * Adds an engine that has stated all its runs, even if there are none. Forwards to engines
+   * without a statement are not compared.
+   */
   public void addEngine(String engine) {
     statedEngines.add(engine);
   }
 
-  /** Takes a run that an engine states. */
+  /** Adds a run that an engine states. */
   public void add(Run run) {
     statedEngines.add(run.engine);
-    runs.computeIfAbsent(new EngineTask(run.engine, run.task), place -> new ArrayList<>(1))
-        .add(run);
+    runs.computeIfAbsent(new EngineTask(run.engine, run.task), key -> new ArrayList<>(1)).add(run);
   }
 
-  /** Compares both sides, by engine and task in the order of their names. */
+  /** Compares both sides and returns the differences, sorted by task and engine. */
   public List<Finding> findings() {
     matchedForwards = 0;
     List<Finding> findings = new ArrayList<>();
-    Set<EngineTask> places = new TreeSet<>(forwards.keySet());
-    places.addAll(runs.keySet());
-    for (EngineTask place : places) {
-      if (statedEngines.contains(place.engine)) {
+    Set<EngineTask> engineTasks = new TreeSet<>(forwards.keySet());
+    engineTasks.addAll(runs.keySet());
+    for (EngineTask engineTask : engineTasks) {
+      if (statedEngines.contains(engineTask.engine)) {
         compare(
-            place,
-            forwards.getOrDefault(place, List.of()),
-            runs.getOrDefault(place, List.of()),
+            engineTask,
+            forwards.getOrDefault(engineTask, List.of()),
+            runs.getOrDefault(engineTask, List.of()),
             findings);
       }
     }
     return findings;
   }
 
-  private void compare(EngineTask place, List<Use> uses, List<Run> runs, List<Finding> findings) {
-    List<Run> left = new ArrayList<>(runs);
+  private void compare(
+      EngineTask engineTask, List<Use> uses, List<Run> runs, List<Finding> findings) {
+    List<Run> unmatchedRuns = new ArrayList<>(runs);
     for (Use use : uses) {
-      Run run = bestMatch(use, left);
-      left.remove(run);
-      Finding finding = compare(place, use, run);
+      Run run = bestMatch(use, unmatchedRuns);
+      unmatchedRuns.remove(run);
+      Finding finding = compare(engineTask, use, run);
       if (finding == null) {
         matchedForwards++;
       } else {
         findings.add(finding);
       }
     }
-    for (int unmatched = left.size(); unmatched > 0; unmatched--) {
+    for (int remaining = unmatchedRuns.size(); remaining > 0; remaining--) {
       findings.add(
           new Finding(
               true,
               "at the engine only",
-              place.engine,
-              place.task,
+              engineTask.engine,
+              engineTask.task,
               uses.isEmpty()
-                  ? "no manager's ledger names it: a ledger is missing, or one crashed within its"
-                      + " loss window, or ran with a gap"
-                  : "the engine ran it once more than it was forwarded"));
+                  ? "no ledger has this task: a ledger is missing, a manager crashed before it"
+                      + " committed the task, or its ledger has a gap"
+                  : "the engine has more runs of this task than the ledgers have forwards"));
     }
   }
 
-  /** What is wrong or to be told of a use and the run that fits it, null where both agree. */
-  private static Finding compare(EngineTask place, Use use, Run run) {
+  /** Compares a forward with the run matched to it, which may be null; null if they agree. */
+  private static Finding compare(EngineTask engineTask, Use use, Run run) {
     String outcome = use.outcome();
     if (run != null && outcome.equals("OK") && run.work != use.work()) {
       return new Finding(
           true,
           "work differs",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "ledger " + use.work() + " ns, engine " + run.work + " ns");
     }
     if (run != null && outcome.equals(Use.UNKNOWN_OUTCOME)) {
       return new Finding(
           false,
           "resolved by the engine",
-          place.engine,
-          place.task,
+          engineTask.engine,
+          engineTask.task,
           "its manager died; the engine "
               + (run.done ? "ran it, " + run.work + " ns" : "dropped it"));
     }
@@ -129,9 +138,9 @@
       return new Finding(
           true,
           "in the ledger only",
-          place.engine,
-          place.task,
-          "the statement is cut off, or of another time");
+          engineTask.engine,
+          engineTask.task,
+          "the statement is incomplete or covers another time");
     }
     if (run == null
         && !NEVER_RUN_OUTCOMES.contains(outcome)
@@ -139,26 +148,29 @@
       return new Finding(
           true,
           "in the ledger only",
-          place.engine,
-          place.task,
-          "the engine answered " + outcome + " and states no run");
+          engineTask.engine,
+          engineTask.task,
+          "the engine answered " + outcome + " but states no run");
     }
     return null;
   }
 
-  /** The run that fits best: for a good end one with its work, for others one that is not done. */
+  /**
+   * Returns the run that matches best, or null if there is none: for a successful forward a
+   * completed run with the same work, for others a run that was not completed.
+   */
   private static Run bestMatch(Use use, List<Run> runs) {
     Run best = null;
     for (Run run : runs) {
-      boolean good = use.outcome().equals("OK") ? run.work == use.work() && run.done : !run.done;
-      if (best == null || good) {
+      boolean matches = use.outcome().equals("OK") ? run.work == use.work() && run.done : !run.done;
+      if (best == null || matches) {
         best = run;
       }
     }
     return best;
   }
 
-  /** Forwards that both sides account for; known once the findings were asked for. */
+  /** The number of forwards on which both sides agree; valid after {@link #findings}. */
   public long matchedForwards() {
     return matchedForwards;
   }
--- a/src/main/java/tansytrack/ledger/TaskEnd.java
+++ b/src/main/java/tansytrack/ledger/TaskEnd.java
@@ -1,8 +1,9 @@
 package tansytrack.ledger;
 
 /**
- * How a task ended, as far as its client is concerned; unresolved: its manager died, and nothing
- * told the end.
+ * How a task ended from its client's point of view. {@code UNRESOLVED} means that the manager died
+ * before it recorded an end, {@code BOUNCED} that the task was rejected or failed. The names are
+ * stored in ledgers and exports.
  */
 public enum TaskEnd {
   HANDLED,
--- a/src/main/java/tansytrack/ledger/WriteFlowControl.java
+++ b/src/main/java/tansytrack/ledger/WriteFlowControl.java
@@ -5,25 +5,29 @@
 import java.util.List;
 
 /**
- * Decides what leaves the loop for the disk, and when an answer that waits for the disk may go.
- * Lines on their way are bounded; what finds no room is counted into one gap, which goes out,
- * numbered, ahead of the next line that does. An answer waits for the commit of its line, for the
- * patience at most: guards against clients that hear nothing because a disk is slow or dead. Harm:
- * what is answered then may be lost in a crash, and is counted as such. Pure.
+ * Bounds the updates on their way from the event loop to the disk, and decides when an answer or
+ * forward that waits for the disk is released. Updates that exceed the bound are lost and counted
+ * in one gap, which is handed over, with a number, before the next accepted update. An answer waits
+ * until the updates before it are committed, but no longer than a maximum time, so that clients get
+ * answers even if the disk is slow or fails. The cost is that an answer released early may be
+ * missing from the ledger after a crash; such releases are counted. Does no I/O and gets the time
+ * from its caller.
  */
 public final class WriteFlowControl {
 
-  /** One answer that waits, by the number of its line. */
+  /** An answer or forward that waits until the update with this number is durable. */
   private record HeldAction(long updateNumber, long since, Runnable action) {}
 
-  private static final int MAX_UPDATES_PER_TASK = 5; // two forwards out and in, and the answer
+  // Two forwards with an update for sending and for the end each, and the answer.
+  private static final int MAX_UPDATES_PER_TASK = 5;
 
   private final long epoch;
   private final int maxUnwritten;
   private final long maxHoldNanos;
   private final ArrayDeque<HeldAction> held = new ArrayDeque<>();
-  private long handedOver; // lines, ever
-  private long markDurable;
+  // The number of updates handed over since the start.
+  private long handedOver;
+  private long durableUpdates;
   private long gapCount;
   private long gapFirst;
   private long gapLast;
@@ -32,63 +36,74 @@
   private long releasedBeforeCommit;
 
   /**
-   * A hand-over that refuses lines above a bound, and gives up waiting for the disk after a time.
+   * Creates a flow control for one epoch.
+   *
+   * @param maxUnwritten the maximum number of updates handed over and not yet durable
+   * @param maxHoldNanos the maximum time that an answer or forward is held, in nanoseconds
    */
-  public WriteFlowControl(long epoch, int mostUnwritten, long patience) {
+  public WriteFlowControl(long epoch, int maxUnwritten, long maxHoldNanos) {
     this.epoch = epoch;
-    this.maxUnwritten = mostUnwritten;
-    this.maxHoldNanos = patience;
+    this.maxUnwritten = maxUnwritten;
+    this.maxHoldNanos = maxHoldNanos;
   }
 
-  /** The lines to hand over now: this one, with a gap before it where one is open, or none. */
-  public List<LedgerUpdate> offer(long now, LedgerUpdate line) {
-    return offer(now, line, 0);
+  /**
+   * Returns the updates to hand over now: the given one, preceded by a gap if one is open, or none
+   * if the update is lost.
+   */
+  public List<LedgerUpdate> offer(long now, LedgerUpdate update) {
+    return offer(now, update, 0);
   }
 
   /**
-   * The same for a line that must leave the room which so many open tasks may yet need: that of one
-   * which was bounced.
+   * Like {@link #offer(long, LedgerUpdate)}, but keeps room for the updates that this many open
+   * tasks may still need. Used for the updates of rejected tasks.
    */
-  public List<LedgerUpdate> offer(long now, LedgerUpdate line, int openTasks) {
-    boolean gap = gapUpdates > 0;
-    if (handedOver - markDurable + (gap ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
+  public List<LedgerUpdate> offer(long now, LedgerUpdate update, int openTasks) {
+    boolean gapOpen = gapUpdates > 0;
+    if (handedOver - durableUpdates + (gapOpen ? 2 : 1) + (long) MAX_UPDATES_PER_TASK * openTasks
         > maxUnwritten) {
-      if (!gap) {
+      if (!gapOpen) {
         gapFrom = now;
         gapFirst = 0;
         gapLast = 0;
       }
-      if (line.sequence() > 0) { // what is told of an earlier life has no number in this one
-        gapFirst = gapFirst == 0 ? line.sequence() : Math.min(gapFirst, line.sequence());
-        gapLast = Math.max(gapLast, line.sequence());
+      // A report on a forward of an earlier epoch has no number in this one.
+      if (update.sequence() > 0) {
+        gapFirst = gapFirst == 0 ? update.sequence() : Math.min(gapFirst, update.sequence());
+        gapLast = Math.max(gapLast, update.sequence());
       }
       gapUpdates++;
       return List.of();
     }
-    if (!gap) {
+    if (!gapOpen) {
       handedOver++;
-      return List.of(line);
+      return List.of(update);
     }
-    List<LedgerUpdate> both = new ArrayList<>(2);
-    both.add(closeGap(now));
-    both.add(line);
+    List<LedgerUpdate> gapAndUpdate = new ArrayList<>(2);
+    gapAndUpdate.add(closeGap(now));
+    gapAndUpdate.add(update);
     handedOver += 2;
-    return both;
+    return gapAndUpdate;
   }
 
   /**
-   * Is there room for a further task beside those open? Each may bring some lines yet, and no line
-   * of a task that was let in is to be lost. Guards against work that nobody can be billed for; the
-   * harm is that tasks are refused.
+   * Whether there is room for all updates of a further task and of the open ones, so that no update
+   * of an accepted task is lost. This prevents work that cannot be billed, at the cost of rejected
+   * tasks.
    */
-  public boolean admits(int openTasks) {
+  public boolean acceptsTask(int openTasks) {
     return gapUpdates == 0
-        && handedOver - markDurable + (long) MAX_UPDATES_PER_TASK * (openTasks + 1) <= maxUnwritten;
+        && handedOver - durableUpdates + (long) MAX_UPDATES_PER_TASK * (openTasks + 1)
+            <= maxUnwritten;
   }
 
-  /** The open gap, where there is room for it now: it must not wait for another task. */
+  /**
+   * Returns the open gap if there is room for it now. A gap must not wait for the update of another
+   * task.
+   */
   public List<LedgerUpdate> flushGap(long now) {
-    if (gapUpdates == 0 || handedOver - markDurable >= maxUnwritten) {
+    if (gapUpdates == 0 || handedOver - durableUpdates >= maxUnwritten) {
       return List.of();
     }
     handedOver++;
@@ -96,7 +111,7 @@
   }
 
   private LedgerUpdate closeGap(long now) {
-    LedgerUpdate.UpdatesLost missing =
+    LedgerUpdate.UpdatesLost updatesLost =
         new LedgerUpdate.UpdatesLost(
             new Gap(
                 epoch,
@@ -108,31 +123,37 @@
                 gapUpdates,
                 "the disk did not keep up"));
     gapUpdates = 0;
-    return missing;
+    return updatesLost;
   }
 
   /**
-   * An answer that may go once all handed over so far is durable; given back at once where it need
-   * not wait.
+   * Runs an action once all updates handed over so far are durable; at once if it need not wait,
+   * and also if a gap is open.
    */
-  public void hold(long now, Runnable say) {
-    if (gapUpdates > 0 || handedOver == markDurable || maxHoldNanos == 0) {
-      releasedBeforeCommit += handedOver > markDurable || gapUpdates > 0 ? 1 : 0;
-      say.run();
+  public void hold(long now, Runnable action) {
+    if (gapUpdates > 0 || handedOver == durableUpdates || maxHoldNanos == 0) {
+      releasedBeforeCommit += handedOver > durableUpdates || gapUpdates > 0 ? 1 : 0;
+      action.run();
     } else {
-      held.add(new HeldAction(handedOver, now, say));
+      held.add(new HeldAction(handedOver, now, action));
     }
   }
 
-  /** So many lines are on the disk; answers that waited for them go, in order. */
-  public void markDurable(long lines) {
-    markDurable = Math.max(markDurable, lines);
-    while (!held.isEmpty() && held.peek().updateNumber <= markDurable) {
+  /**
+   * Notes that this many updates since the start are durable, and releases in order what waited for
+   * them.
+   */
+  public void markDurable(long updates) {
+    durableUpdates = Math.max(durableUpdates, updates);
+    while (!held.isEmpty() && held.peek().updateNumber <= durableUpdates) {
       held.poll().action.run();
     }
   }
 
-  /** Lets go what has waited for too long, and says when to ask again: 0 where nothing waits. */
+  /**
+   * Releases what has waited for the maximum time, and returns the time of the next call; 0 if
+   * nothing waits.
+   */
   public long releaseOverdue(long now) {
     while (!held.isEmpty() && now - held.peek().since >= maxHoldNanos) {
       releasedBeforeCommit++;
@@ -141,29 +162,29 @@
     return held.isEmpty() ? 0 : held.peek().since + maxHoldNanos;
   }
 
-  /** The manager ends: nothing waits any more. */
+  /** Releases everything; called when the manager ends. */
   public void releaseAll() {
     while (!held.isEmpty()) {
       held.poll().action.run();
     }
   }
 
-  /** Lines handed over that are not durable yet. */
+  /** The number of updates handed over that are not durable yet. */
   public long unwritten() {
-    return handedOver - markDurable;
+    return handedOver - durableUpdates;
   }
 
-  /** Lines that the gap now open leaves out. */
+  /** The number of updates lost in the gap that is open. */
   public long openGapUpdates() {
     return gapUpdates;
   }
 
-  /** How many gaps were opened so far. */
+  /** The number of gaps handed over so far. */
   public long gapCount() {
     return gapCount;
   }
 
-  /** How many clients were answered before their entry was durable. */
+  /** The number of answers and forwards released before the updates before them were durable. */
   public long releasedBeforeCommit() {
     return releasedBeforeCommit;
   }
--- a/src/main/java/tansytrack/ledger/disk/Billing.java
+++ b/src/main/java/tansytrack/ledger/disk/Billing.java
@@ -17,23 +17,24 @@
 import tansytrack.ledger.Rates;
 import tansytrack.operator.OperatorFile;
 
-/** Runs a store's lines through the modules that bill and check. */
+/** Computes bills from the lines of a store, closes periods, and verifies stores. */
 public final class Billing {
 
-  private static final long PROGRESS_INTERVAL_LINES = 1_000_000; // lines, on long work
+  // Progress of a verification is reported after this many lines.
+  private static final long PROGRESS_INTERVAL_LINES = 1_000_000;
 
   private Billing() {}
 
-  /** A period's bill: as it was closed, or of all that is there by now. */
+  /** Computes the bill of a period: as it was closed, or of all lines so far while it is open. */
   public static Bill computeBill(
       LedgerStore store, BillingPeriods periods, Rates rates, String period) throws IOException {
-    long upTo =
+    long closingPosition =
         store.closedPeriods().stream()
-            .filter(one -> one.period().equals(period))
+            .filter(closed -> closed.period().equals(period))
             .mapToLong(LedgerStore.ClosedPeriod::lastPosition)
             .findAny()
             .orElse(0);
-    return fill(store, new Bill(period, periods, rates, upTo));
+    return fill(store, new Bill(period, periods, rates, closingPosition));
   }
 
   private static Bill fill(LedgerStore store, Bill bill) throws IOException {
@@ -54,7 +55,7 @@
     return bill;
   }
 
-  /** Complete tasks by period. */
+  /** The number of complete tasks by period. */
   public static Map<String, Long> taskCounts(LedgerStore store, BillingPeriods periods)
       throws IOException {
     Map<String, Long> counts = new TreeMap<>();
@@ -70,20 +71,23 @@
     return counts;
   }
 
-  /** Closes a period with all that is in the store now; later entries become corrections. */
+  /**
+   * Closes a period at the current position of the store. Later entries appear as late subtotals on
+   * its bill.
+   */
   public static LedgerStore.ClosedPeriod closePeriod(
       LedgerStore store, OperatorFile.LedgerSection section, String period, String author, long now)
       throws IOException {
-    long upTo = store.lastPosition();
-    Bill bill = fill(store, new Bill(period, section.periods(), section.rates(), upTo));
+    long lastPosition = store.lastPosition();
+    Bill bill = fill(store, new Bill(period, section.periods(), section.rates(), lastPosition));
     LedgerStore.ClosedPeriod closed =
         new LedgerStore.ClosedPeriod(
-            period, upTo, now, author, subtotalsHash(bill), section.billingText());
+            period, lastPosition, now, author, subtotalsHash(bill), section.billingText());
     store.close(closed);
     return closed;
   }
 
-  /** Closes the periods whose grace is over. */
+  /** Closes the periods whose grace period is over, and returns their names. */
   public static List<String> closeDuePeriods(
       LedgerStore store, OperatorFile.LedgerSection section, long now) throws IOException {
     List<String> closed = new ArrayList<>();
@@ -101,49 +105,49 @@
   }
 
   private static String subtotalsHash(Bill bill) {
-    Exporter.Sha256OutputStream sha =
+    Exporter.Sha256OutputStream hashing =
         new Exporter.Sha256OutputStream(java.io.OutputStream.nullOutputStream());
     byte[] text = bill.canonicalText().getBytes(StandardCharsets.UTF_8);
     try {
-      sha.write(text, 0, text.length);
+      hashing.write(text, 0, text.length);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
-    return sha.hex();
+    return hashing.hex();
   }
 
-  /** Writes an amendment for each entry that the statements resolve; gives those written. */
+  /** Writes an amendment for each entry that is resolved, and returns these amendments. */
   public static List<Amendment> resolve(
-      LedgerStore store, EntryResolver by, String author, long now) throws IOException {
-    List<Amendment> wanted = new ArrayList<>();
+      LedgerStore store, EntryResolver resolver, String author, long now) throws IOException {
+    List<Amendment> amendments = new ArrayList<>();
     store.read(
         1,
         Long.MAX_VALUE,
         new LedgerStore.LineVisitor() {
           @Override
           public void entry(long position, Entry entry) {
-            Amendment one = by.resolve(entry, author, now);
+            Amendment one = resolver.resolve(entry, author, now);
             if (one != null) {
-              wanted.add(one);
+              amendments.add(one);
             }
           }
         });
     List<Amendment> written = new ArrayList<>();
-    for (Amendment one : wanted) {
-      written.add(store.addAmendment(one));
+    for (Amendment amendment : amendments) {
+      written.add(store.addAmendment(amendment));
     }
     return written;
   }
 
-  /** How a tenant stands against its quota in words. */
+  /** Returns "over" or "within" for a tenant with a quota, and "-" for one without. */
   public static String quotaStatus(
       Bill bill, String tenant, List<OperatorFile.TenantQuota> quotas) {
     long tasks = 0;
     long work = 0;
-    for (Map.Entry<Bill.SubtotalKey, Bill.Subtotal> one : bill.subtotals().entrySet()) {
-      if (one.getKey().tenant().equals(tenant)) {
-        tasks += one.getValue().tasks() - one.getValue().bounced();
-        work += one.getValue().workNanos();
+    for (Map.Entry<Bill.SubtotalKey, Bill.Subtotal> keyAndSubtotal : bill.subtotals().entrySet()) {
+      if (keyAndSubtotal.getKey().tenant().equals(tenant)) {
+        tasks += keyAndSubtotal.getValue().tasks() - keyAndSubtotal.getValue().rejected();
+        work += keyAndSubtotal.getValue().workNanos();
       }
     }
     for (OperatorFile.TenantQuota quota : quotas) {
@@ -157,7 +161,7 @@
     return "-";
   }
 
-  /** The first breach of an invariant, or null. */
+  /** Checks all invariants of a store and returns the first violation, or null. */
   public static String verify(
       LedgerStore store, OperatorFile.LedgerSection section, LongConsumer progress)
       throws IOException {
@@ -165,7 +169,7 @@
     if (damage != null) {
       return "the file is damaged: " + damage;
     }
-    LedgerChecker checks = new LedgerChecker();
+    LedgerChecker checker = new LedgerChecker();
     store.read(
         1,
         Long.MAX_VALUE,
@@ -178,22 +182,22 @@
 
           @Override
           public void entry(long position, Entry entry) {
-            checks.checkLine(position, entry);
+            checker.checkLine(position, entry);
             told(position);
           }
 
           @Override
           public void amendment(long position, Amendment amendment) {
-            checks.checkLine(position);
+            checker.checkLine(position);
           }
 
           @Override
           public void gap(long position, Gap gap) {
-            checks.checkLine(position);
+            checker.checkLine(position);
           }
         });
     for (LedgerStore.Batch one : store.batches()) {
-      checks.checkBatch(
+      checker.checkBatch(
           one.number(),
           one.firstPosition(),
           one.lastPosition(),
@@ -201,12 +205,13 @@
           Exporter.hash(store, one));
     }
     for (LedgerStore.ClosedPeriod one : store.closedPeriods()) {
-      // Only where billing is still what it was: other rates give other sums by right.
+      // A changed billing section legitimately gives other subtotals, so only periods that were
+      // closed with the present one can be checked.
       if (section.billingText().equals(one.billing())) {
         Bill bill = computeBill(store, section.periods(), section.rates(), one.period());
-        checks.checkClosedPeriod(one.period(), one.sha256(), subtotalsHash(bill));
+        checker.checkClosedPeriod(one.period(), one.sha256(), subtotalsHash(bill));
       }
     }
-    return checks.firstViolation();
+    return checker.firstViolation();
   }
 }
--- a/src/main/java/tansytrack/ledger/disk/Exporter.java
+++ b/src/main/java/tansytrack/ledger/disk/Exporter.java
@@ -17,7 +17,10 @@
 import java.util.List;
 import tansytrack.ledger.ExportSteps;
 
-/** Does the steps of an export as {@link ExportSteps} says; one export of a ledger at a time. */
+/**
+ * Exports the lines of a ledger as numbered batch files, in the steps given by {@link ExportSteps}.
+ * A lock file allows only one export of a ledger at a time.
+ */
 public final class Exporter {
 
   private static final String LOCK_FILE = "export.lock";
@@ -26,24 +29,24 @@
   private final Path folder;
   private final FaultInjector faults;
 
-  /** Exports a store's lines as files into a folder. */
+  /** Creates an exporter that places the files of a store's batches in a folder. */
   public Exporter(LedgerStore store, Path folder, FaultInjector faults) {
     this.store = store;
     this.folder = folder;
     this.faults = faults;
   }
 
-  /** The name of a batch's file, which has its number and form. */
+  /** The name of a batch's file, made of its number and its format. */
   public static String fileName(LedgerStore.Batch batch) {
     return String.format(
         "batch-%08d.%s", batch.number(), ExportFormats.fileExtension(batch.format()));
   }
 
   /**
-   * Finishes what was begun, then seals and places what is new, at most so many lines a batch.
-   * Gives the last batch placed, or null.
+   * Completes an interrupted export, then exports all new lines in batches of at most the given
+   * number of lines. Returns the last batch placed by this call, or null if there was none.
    */
-  public LedgerStore.Batch export(String form, long most, long now) throws IOException {
+  public LedgerStore.Batch export(String format, long maxLines, long now) throws IOException {
     Files.createDirectories(folder);
     try (FileChannel channel =
             FileChannel.open(
@@ -52,7 +55,7 @@
                 StandardOpenOption.WRITE);
         FileLock held = lock(channel)) {
       assert held.isValid();
-      return runSteps(form, most, now);
+      return runSteps(format, maxLines, now);
     }
   }
 
@@ -61,7 +64,7 @@
     try {
       held = channel.tryLock();
     } catch (OverlappingFileLockException e) {
-      // said below
+      // Another thread of this process holds the lock; reported below.
     }
     if (held == null) {
       throw new IOException("another export of " + store.folder() + " is running");
@@ -69,23 +72,24 @@
     return held;
   }
 
-  private LedgerStore.Batch runSteps(String form, long most, long now) throws IOException {
+  private LedgerStore.Batch runSteps(String format, long maxLines, long now) throws IOException {
     Progress progress = new Progress();
     while (true) {
       List<LedgerStore.Batch> batches = store.batches();
       LedgerStore.Batch last = batches.isEmpty() ? null : batches.get(batches.size() - 1);
       LedgerStore.Batch open = last != null && last.placedAt() == 0 ? last : null;
-      long behind = last == null ? 0 : last.lastPosition();
-      ExportSteps.Step step = ExportSteps.next(progress.state(open, store.lastPosition() > behind));
+      long lastSealedPosition = last == null ? 0 : last.lastPosition();
+      ExportSteps.Step step =
+          ExportSteps.next(progress.state(open, store.lastPosition() > lastSealedPosition));
       faults.beforeStep(step.name());
       switch (step) {
         case SEAL ->
             progress.temporaryFileHash =
                 seal(
                     last == null ? 1 : last.number() + 1,
-                    behind + 1,
-                    Math.min(store.lastPosition(), behind + most),
-                    form,
+                    lastSealedPosition + 1,
+                    Math.min(store.lastPosition(), lastSealedPosition + maxLines),
+                    format,
                     now);
         case DONE -> {
           return progress.lastPlaced;
@@ -95,10 +99,14 @@
     }
   }
 
-  /** How far this process has come with the open batch; what it did not do itself is looked up. */
+  /**
+   * The progress of this process with the open batch. What this process did not write itself is
+   * read from the files.
+   */
   private final class Progress {
-    private String temporaryFileHash; // the hash of the temporary file, where this process wrote it
-    private String finalFileHash; // and of the file in place
+    // The hashes of the temporary and of the final file; null unless this process wrote them.
+    private String temporaryFileHash;
+    private String finalFileHash;
     private boolean temporaryFileSynced;
     private boolean folderSynced;
     private LedgerStore.Batch lastPlaced;
@@ -160,49 +168,55 @@
   }
 
   /**
-   * Writes the lines to the temporary file and fixes range and hash; before that the file counts
-   * for nothing.
+   * Writes lines to a temporary file, then stores the range and the hash of the batch. A temporary
+   * file without a stored batch is overwritten by the next export.
    */
-  private String seal(long number, long first, long last, String form, long now)
+  private String seal(long number, long first, long last, String format, long now)
       throws IOException {
-    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, form, "", 0, now, 0, 0);
+    LedgerStore.Batch batch = new LedgerStore.Batch(number, first, last, format, "", 0, now, 0, 0);
     try (OutputStream out = Files.newOutputStream(folder.resolve(fileName(batch) + ".tmp"))) {
-      Sha256OutputStream sha = new Sha256OutputStream(out);
-      ExportFormats.writeBatch(store, number, first, last, form, sha);
+      Sha256OutputStream hashing = new Sha256OutputStream(out);
+      ExportFormats.writeBatch(store, number, first, last, format, hashing);
       store.addBatch(
-          new LedgerStore.Batch(number, first, last, form, sha.hex(), sha.size, now, 0, 0));
-      return sha.hex();
+          new LedgerStore.Batch(
+              number, first, last, format, hashing.hex(), hashing.size, now, 0, 0));
+      return hashing.hex();
     }
   }
 
-  private void write(LedgerStore.Batch batch, Path to) throws IOException {
-    try (OutputStream out = Files.newOutputStream(to)) {
-      Sha256OutputStream sha = new Sha256OutputStream(out);
+  private void write(LedgerStore.Batch batch, Path file) throws IOException {
+    try (OutputStream out = Files.newOutputStream(file)) {
+      Sha256OutputStream hashing = new Sha256OutputStream(out);
       ExportFormats.writeBatch(
-          store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
-      if (!sha.hex().equals(batch.sha256())) {
+          store,
+          batch.number(),
+          batch.firstPosition(),
+          batch.lastPosition(),
+          batch.format(),
+          hashing);
+      if (!hashing.hex().equals(batch.sha256())) {
         throw new IOException(
             "batch "
                 + batch.number()
-                + " was sealed as "
+                + " was sealed with SHA-256 "
                 + batch.sha256()
-                + " and its lines now give "
-                + sha.hex()
+                + ", but that of its lines now is "
+                + hashing.hex()
                 + ": the ledger is damaged");
       }
     }
   }
 
-  /** Writes a batch that was placed before once more, as the same bytes. */
+  /** Writes the file of a batch that was placed before again, with the same bytes. */
   public void exportAgain(long number) throws IOException {
     for (LedgerStore.Batch batch : store.batches()) {
       if (batch.number() == number && batch.placedAt() > 0) {
-        Path temporary = folder.resolve(fileName(batch) + ".tmp");
+        Path temporaryFile = folder.resolve(fileName(batch) + ".tmp");
         Files.createDirectories(folder);
-        write(batch, temporary);
-        forceToDisk(temporary, StandardOpenOption.WRITE);
+        write(batch, temporaryFile);
+        forceToDisk(temporaryFile, StandardOpenOption.WRITE);
         Files.move(
-            temporary,
+            temporaryFile,
             folder.resolve(fileName(batch)),
             StandardCopyOption.ATOMIC_MOVE,
             StandardCopyOption.REPLACE_EXISTING);
@@ -214,35 +228,42 @@
         "batch " + number + " does not exist, or was not yet placed");
   }
 
-  /** The hash that a batch's lines give now. */
+  /** Computes the hash of a batch from its lines as they are now. */
   public static String hash(LedgerStore store, LedgerStore.Batch batch) throws IOException {
-    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    Sha256OutputStream hashing = new Sha256OutputStream(OutputStream.nullOutputStream());
     ExportFormats.writeBatch(
-        store, batch.number(), batch.firstPosition(), batch.lastPosition(), batch.format(), sha);
-    return sha.hex();
+        store,
+        batch.number(),
+        batch.firstPosition(),
+        batch.lastPosition(),
+        batch.format(),
+        hashing);
+    return hashing.hex();
   }
 
-  private static void forceToDisk(Path what, StandardOpenOption how) throws IOException {
-    try (FileChannel channel = FileChannel.open(what, how)) {
+  private static void forceToDisk(Path path, StandardOpenOption option) throws IOException {
+    try (FileChannel channel = FileChannel.open(path, option)) {
       channel.force(true);
     }
   }
 
+  /** Computes the hash of a file; null if there is no such file. */
   static String hash(Path file) throws IOException {
     if (file == null || !Files.exists(file)) {
       return null;
     }
-    Sha256OutputStream sha = new Sha256OutputStream(OutputStream.nullOutputStream());
+    Sha256OutputStream hashing = new Sha256OutputStream(OutputStream.nullOutputStream());
     try (InputStream in = Files.newInputStream(file)) {
-      in.transferTo(sha);
+      in.transferTo(hashing);
     }
-    return sha.hex();
+    return hashing.hex();
   }
 
-  /** Hashes and counts what goes through. */
+  /** Hashes and counts the bytes that are written to it. */
   static final class Sha256OutputStream extends DigestOutputStream {
     private long size;
-    private String hex; // once it is asked for, nothing more may come
+    // Set by the first call of hex(); nothing may be written after that.
+    private String hex;
 
     Sha256OutputStream(OutputStream to) {
       super(to, sha256());
--- a/src/main/java/tansytrack/ledger/disk/LedgerLock.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerLock.java
@@ -9,17 +9,21 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The lock file that keeps a second manager from writing the same ledger. */
+/** The lock file that prevents two managers from writing the same ledger. */
 final class LedgerLock {
 
   private static final String LOCK_FILE = "ledger.lock";
-  private static final long LOCK_TIMEOUT_NANOS =
-      2_000_000_000L; // for the process before, which may be ending
+  // A previous process may still be shutting down.
+  private static final long LOCK_TIMEOUT_NANOS = 2_000_000_000L;
   private static final long LOCK_RETRY_DELAY_NANOS = 50_000_000L;
 
   private LedgerLock() {}
 
-  /** Takes the lock, or fails with the name of the process that holds it. */
+  /**
+   * Acquires the lock and writes the manager and its process id to the file.
+   *
+   * @throws IOException if another process keeps the lock; the message has that process
+   */
   static FileChannel acquire(Path folder, String manager) throws IOException {
     FileChannel channel =
         FileChannel.open(
@@ -27,11 +31,11 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE);
-    long until = System.nanoTime() + LOCK_TIMEOUT_NANOS;
+    long deadline = System.nanoTime() + LOCK_TIMEOUT_NANOS;
     try {
       while (true) {
-        FileLock held = tryLock(channel);
-        if (held != null) {
+        FileLock lock = tryLock(channel);
+        if (lock != null) {
           channel.truncate(0);
           channel.write(
               ByteBuffer.wrap(
@@ -40,13 +44,13 @@
               0);
           return channel;
         }
-        if (System.nanoTime() > until) {
-          ByteBuffer text = ByteBuffer.allocate(256);
-          channel.read(text, 0);
+        if (System.nanoTime() > deadline) {
+          ByteBuffer holder = ByteBuffer.allocate(256);
+          channel.read(holder, 0);
           throw new IOException(
               folder
                   + " is held by "
-                  + new String(text.array(), 0, text.position(), StandardCharsets.UTF_8));
+                  + new String(holder.array(), 0, holder.position(), StandardCharsets.UTF_8));
         }
         Thread.sleep(LOCK_RETRY_DELAY_NANOS / 1_000_000);
       }
--- a/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerRecorder.java
@@ -22,31 +22,33 @@
 import tansytrack.state.Timers;
 
 /**
- * The ledger of a running manager. In the loop it makes lines of what tasks do and hands them over;
- * one thread of its own writes them, many to a commit, and tells the loop by a note how far the
- * disk has come. A commit that fails is tried again until it succeeds; meanwhile lines queue up to
- * their bound, and beyond it count as a gap.
+ * The ledger of a running manager. In the event loop it turns the events of tasks into updates and
+ * queues them; a writer thread writes them, many in one commit, and reports through the inbox of
+ * the loop how many are durable. A commit that fails is retried until it succeeds. Meanwhile
+ * updates are queued up to a bound; further ones are lost and counted as a gap.
  */
 public final class LedgerRecorder implements TaskListener {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final long COMMIT_RETRY_DELAY_NANOS =
-      200 * NANOS_PER_MS; // after a commit that failed
-  private static final long GAP_CHECK_INTERVAL_NANOS =
-      500 * NANOS_PER_MS; // for a gap that waits for room, with no task coming
-  private static final long FINAL_WRITE_TIMEOUT_NANOS =
-      2000 * NANOS_PER_MS; // for what is unwritten at the end
+  private static final long COMMIT_RETRY_DELAY_NANOS = 200 * NANOS_PER_MS;
+  // An open gap is handed over after this time even if no further task causes an update.
+  private static final long GAP_CHECK_INTERVAL_NANOS = 500 * NANOS_PER_MS;
+  // Failing commits are retried for this time after the end of the manager.
+  private static final long FINAL_WRITE_TIMEOUT_NANOS = 2000 * NANOS_PER_MS;
   private static final int MAX_BATCH_UPDATES = 16384;
 
   private final LedgerStore store;
   private final Timers timers;
   private final Consumer<Runnable> inbox;
-  private final boolean answersAfterCommit; // answers wait for the disk
-  private final boolean forwardsAfterCommit; // so do forwards
-  private final boolean rejectsTasksWhenFull; // where there is no room for what a task brings
+  // Answers wait for the commit of their updates.
+  private final boolean answersAfterCommit;
+  // Forwards wait for the commit of their updates.
+  private final boolean forwardsAfterCommit;
+  // New tasks are rejected while there is no room for their updates.
+  private final boolean rejectsTasksWhenFull;
   private final long commitIntervalNanos;
-  private final Map<String, QueryClass> grades = new HashMap<>();
-  private final List<TaskListener.UnresolvedForward> left;
+  private final Map<String, QueryClass> queryClasses = new HashMap<>();
+  private final List<TaskListener.UnresolvedForward> unresolvedForwards;
   private final EntryTracker entries = new EntryTracker(this::earningsMilli);
   private final WriteFlowControl flow;
   private final SpscArrayQueue<LedgerUpdate> queue;
@@ -58,89 +60,97 @@
   private LedgerRecorder(
       OperatorFile.LedgerSection section,
       LedgerStore store,
-      List<TaskListener.UnresolvedForward> left,
-      List<QueryClass> known,
+      List<TaskListener.UnresolvedForward> unresolvedForwards,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox) {
     this.store = store;
-    this.left = left;
+    this.unresolvedForwards = unresolvedForwards;
     this.timers = timers;
     this.inbox = inbox;
     answersAfterCommit = section.answersAfterCommit();
     forwardsAfterCommit = section.forwardsAfterCommit();
     rejectsTasksWhenFull = section.rejectsTasksWhenFull();
     commitIntervalNanos = section.commitIntervalNanos();
-    known.forEach(grade -> grades.put(grade.name(), grade));
+    queryClasses.forEach(queryClass -> this.queryClasses.put(queryClass.name(), queryClass));
     flow = new WriteFlowControl(store.epoch(), section.maxUnwrittenLines(), section.maxWaitNanos());
     queue = new SpscArrayQueue<>(section.maxUnwrittenLines() + 2);
   }
 
-  /** Opens the ledger, resolves what the life before left open, and begins a new epoch. */
+  /**
+   * Opens the ledger, begins a new epoch, marks the tasks that earlier epochs left open as
+   * unresolved, and starts the writer thread.
+   *
+   * @param inbox runs actions in the event loop
+   */
   public static LedgerRecorder start(
       OperatorFile.LedgerSection section,
       String manager,
-      List<QueryClass> grades,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox)
       throws IOException {
-    return start(section, manager, grades, timers, inbox, FaultInjector.NONE);
+    return start(section, manager, queryClasses, timers, inbox, FaultInjector.NONE);
   }
 
+  /** Starts a recorder whose steps on the disk can be made to fail. */
   static LedgerRecorder start(
       OperatorFile.LedgerSection section,
       String manager,
-      List<QueryClass> grades,
+      List<QueryClass> queryClasses,
       Timers timers,
       Consumer<Runnable> inbox,
       FaultInjector faults)
       throws IOException {
     LedgerStore store = LedgerStore.openForManager(section.folder(), manager, faults);
-    List<TaskListener.UnresolvedForward> left = new ArrayList<>();
+    List<TaskListener.UnresolvedForward> unresolvedForwards = new ArrayList<>();
     long unresolved =
         store.beginEpoch(
             timers.now(),
-            (task, engine) -> left.add(new TaskListener.UnresolvedForward(task, engine)));
+            (task, engine) ->
+                unresolvedForwards.add(new TaskListener.UnresolvedForward(task, engine)));
     Event.info(
         "ledger.opened",
-        "ledger in "
+        "ledger opened in "
             + section.folder()
             + ": epoch "
             + store.epoch()
             + ", "
             + unresolved
-            + " tasks of the life before unresolved",
+            + " tasks of earlier epochs marked as unresolved",
         "epoch",
         store.epoch(),
         "unresolved",
         unresolved);
-    LedgerRecorder recorder = new LedgerRecorder(section, store, left, grades, timers, inbox);
+    LedgerRecorder recorder =
+        new LedgerRecorder(section, store, unresolvedForwards, queryClasses, timers, inbox);
     recorder.writer.setDaemon(true);
     recorder.writer.start();
     recorder.checkForGap();
     return recorder;
   }
 
-  // ---- In the loop ----
+  // ---- Event loop ----
 
   @Override
   public void taskAccepted(long now, TaskRequest offer) {
-    entries.taskTaken(now, offer.id(), offer.tenant(), offer.queryClass());
+    entries.taskAccepted(now, offer.id(), offer.tenant(), offer.queryClass());
   }
 
   @Override
   public boolean acceptsTasks() {
-    return !rejectsTasksWhenFull || flow.admits(entries.openTasks());
+    return !rejectsTasksWhenFull || flow.acceptsTask(entries.openTasks());
   }
 
   @Override
   public void beforeForward(
-      long now, String task, int index, String engine, long memoryMb, Runnable go) {
+      long now, String task, int index, String engine, long memoryMb, Runnable send) {
     enqueue(now, entries.forwardSent(now, task, index, engine, memoryMb));
     if (forwardsAfterCommit) {
-      flow.hold(now, go);
+      flow.hold(now, send);
       releaseOverdue();
     } else {
-      go.run();
+      send.run();
     }
   }
 
@@ -150,64 +160,67 @@
       String task,
       int index,
       Outcome outcome,
-      long work,
+      long workNanos,
       double memoryMb,
       boolean served) {
-    LedgerUpdate line =
-        entries.forwardEnded(now, task, index, outcome.name(), work, memoryMb, served);
-    if (line != null) {
-      enqueue(now, line);
+    LedgerUpdate update =
+        entries.forwardEnded(now, task, index, outcome.name(), workNanos, memoryMb, served);
+    if (update != null) {
+      enqueue(now, update);
     }
   }
 
   @Override
   public void beforeAnswer(
-      long now, String task, TaskListener.TaskEnd end, long bytes, Runnable say) {
-    LedgerUpdate line =
+      long now, String task, TaskListener.TaskEnd end, long bytes, Runnable answer) {
+    LedgerUpdate update =
         entries.taskAnswered(now, task, tansytrack.ledger.TaskEnd.valueOf(end.name()), bytes);
     enqueue(
         flow.offer(
             now,
-            line,
+            update,
             rejectsTasksWhenFull && end == TaskListener.TaskEnd.BOUNCED ? entries.openTasks() : 0));
     if (!answersAfterCommit || end != TaskListener.TaskEnd.HANDLED) {
-      say.run(); // what was given up is told at once, whatever the disk does
+      // Only answers with a result wait for the disk; rejections and failures are sent at once.
+      answer.run();
       return;
     }
-    flow.hold(now, say);
+    flow.hold(now, answer);
     releaseOverdue();
   }
 
   @Override
   public Collection<TaskListener.UnresolvedForward> unresolvedForwards() {
-    return left;
+    return unresolvedForwards;
   }
 
   @Override
-  public void forwardResolved(TaskListener.UnresolvedForward about, boolean ended, long work) {
+  public void forwardResolved(
+      TaskListener.UnresolvedForward forward, boolean ended, long workNanos) {
     enqueue(
         timers.now(),
         new LedgerUpdate.RunReported(
-            new Reconciliation.Run(about.engine(), about.task(), work, ended)));
+            new Reconciliation.Run(forward.engine(), forward.task(), workNanos, ended)));
   }
 
-  private long earningsMilli(String name, tansytrack.ledger.TaskEnd end, long time) {
-    QueryClass grade = grades.get(name);
+  private long earningsMilli(
+      String queryClassName, tansytrack.ledger.TaskEnd end, long durationNanos) {
+    QueryClass queryClass = queryClasses.get(queryClassName);
     return end != tansytrack.ledger.TaskEnd.HANDLED
         ? 0
         : Math.round(
             1000
-                * (time <= grade.latencyObjectiveNanos()
-                    ? grade.earnings()
-                    : grade.lateEarnings()));
+                * (durationNanos <= queryClass.latencyObjectiveNanos()
+                    ? queryClass.earnings()
+                    : queryClass.lateEarnings()));
   }
 
   private void releaseOverdue() {
-    long next = flow.releaseOverdue(timers.now());
-    if (next > 0 && timer == null) {
+    long nextCheckNanos = flow.releaseOverdue(timers.now());
+    if (nextCheckNanos > 0 && timer == null) {
       timer =
           timers.schedule(
-              next,
+              nextCheckNanos,
               () -> {
                 timer = null;
                 releaseOverdue();
@@ -215,17 +228,18 @@
     }
   }
 
-  private void enqueue(long now, LedgerUpdate line) {
-    enqueue(flow.offer(now, line));
+  private void enqueue(long now, LedgerUpdate update) {
+    enqueue(flow.offer(now, update));
   }
 
-  private void enqueue(List<LedgerUpdate> lines) {
-    for (LedgerUpdate one : lines) {
-      if (!queue.offer(one)) {
-        throw new IllegalStateException("the ledger's queue is full below its bound");
+  private void enqueue(List<LedgerUpdate> updates) {
+    for (LedgerUpdate update : updates) {
+      if (!queue.offer(update)) {
+        throw new IllegalStateException(
+            "the ledger's queue is full although the unwritten updates are below the bound");
       }
     }
-    if ((answersAfterCommit || forwardsAfterCommit) && !lines.isEmpty()) {
+    if ((answersAfterCommit || forwardsAfterCommit) && !updates.isEmpty()) {
       LockSupport.unpark(writer);
     }
   }
@@ -237,8 +251,8 @@
     }
   }
 
-  private void markDurable(long lines) {
-    flow.markDurable(lines);
+  private void markDurable(long updates) {
+    flow.markDurable(updates);
     enqueue(flow.flushGap(timers.now()));
   }
 
@@ -254,47 +268,47 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    long left = flow.unwritten() + flow.openGapUpdates();
+    long unwritten = flow.unwritten() + flow.openGapUpdates();
     Event.info(
         "ledger.closed",
-        "ledger: "
-            + left
-            + " lines unwritten, "
+        "ledger closed: "
+            + unwritten
+            + " updates unwritten, "
             + flow.gapCount()
             + " gaps, "
             + flow.releasedBeforeCommit()
-            + " forwards and answers before their commit",
+            + " forwards and answers released before their commit",
         "unwritten",
-        left,
+        unwritten,
         "gaps",
         flow.gapCount(),
         "before_commit",
         flow.releasedBeforeCommit());
   }
 
-  /** Lines handed over that are not yet on the disk; asked in the loop. */
+  /** The number of queued updates that are not durable yet; called in the event loop. */
   public long unwritten() {
     return flow.unwritten();
   }
 
-  // ---- On the thread of its own ----
+  // ---- Writer thread ----
 
   private void writeUntilClosed() {
     List<LedgerUpdate> batch = new ArrayList<>();
     long written = 0;
     boolean failing = false;
     while (true) {
-      boolean last = closing;
+      boolean finalPass = closing;
       queue.drain(batch::add, MAX_BATCH_UPDATES - batch.size());
       if (!batch.isEmpty()) {
         try {
           store.write(batch);
           written += batch.size();
           batch.clear();
-          long soFar = written;
-          inbox.accept(() -> markDurable(soFar));
+          long writtenSoFar = written;
+          inbox.accept(() -> markDurable(writtenSoFar));
           if (failing) {
-            Event.info("ledger.disk.well", "ledger: the disk takes lines again");
+            Event.info("ledger.disk.well", "ledger: writing succeeds again");
           }
           failing = false;
         } catch (IOException | RuntimeException e) {
@@ -302,10 +316,10 @@
             logFailure(e);
           }
           failing = true;
-          if (last && System.nanoTime() > closeDeadline) {
+          if (finalPass && System.nanoTime() > closeDeadline) {
             Event.error(
                 "ledger.lost",
-                "ledger: ends with " + (batch.size() + queue.size()) + " lines unwritten",
+                "ledger: closed with " + (batch.size() + queue.size()) + " updates unwritten",
                 "lines",
                 batch.size() + queue.size());
             break;
@@ -313,14 +327,14 @@
           LockSupport.parkNanos(COMMIT_RETRY_DELAY_NANOS);
           continue;
         }
-      } else if (last) {
-        // The loop is in close() and takes no notes any more, so the count is set here; join()
-        // orders it.
+      } else if (finalPass) {
+        // The loop is in close() and no longer reads its inbox, so this thread sets the count.
+        // join() makes it visible to the loop.
         flow.markDurable(written);
         break;
       }
       if (queue.size() < MAX_BATCH_UPDATES / 2
-          && !last
+          && !finalPass
           && ((!answersAfterCommit && !forwardsAfterCommit) || queue.isEmpty())) {
         LockSupport.parkNanos(commitIntervalNanos);
       }
--- a/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerSchema.java
@@ -8,10 +8,10 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 
-/** The tables of a ledger, their version, and the manager that owns them. */
+/** The tables of a ledger, the version of the schema, and the manager that owns the ledger. */
 final class LedgerSchema {
 
-  /** The version that this program writes; it reads and lifts all earlier ones. */
+  /** The version that this program writes; ledgers with an earlier one are upgraded. */
   static final int VERSION = 3;
 
   private static final String CREATE_TOLD =
@@ -47,8 +47,10 @@
   private LedgerSchema() {}
 
   /**
-   * Makes or lifts the schema, in one transaction, and gives the manager that owns the ledger; a
-   * null manager opens what is there and makes nothing.
+   * Creates or upgrades the schema in one transaction, and returns the manager that owns the
+   * ledger.
+   *
+   * @param manager the manager that opens the ledger; null to open only an existing ledger
    */
   static String prepare(Connection db, String manager, Path folder)
       throws SQLException, IOException {
@@ -58,31 +60,35 @@
 
   private static void upgrade(Connection db, String manager, Path folder)
       throws SQLException, IOException {
-    try (Statement run = db.createStatement()) {
-      int version = Sql.queryInt(run, "PRAGMA user_version");
+    try (Statement statement = db.createStatement()) {
+      int version = Sql.queryInt(statement, "PRAGMA user_version");
       if (version > VERSION) {
         throw new IOException(
-            folder + " has schema " + version + "; this program knows up to " + VERSION);
+            folder
+                + " has schema "
+                + version
+                + "; this program supports versions up to "
+                + VERSION);
       }
       if (version < VERSION) {
         if (manager == null && version == 0) {
           throw new IOException(folder + " holds no ledger (its file has no schema)");
         }
-        run.execute("BEGIN IMMEDIATE");
+        statement.execute("BEGIN IMMEDIATE");
         if (version == 0) {
-          for (String table : CREATE_STATEMENTS) {
-            run.execute(table);
+          for (String sql : CREATE_STATEMENTS) {
+            statement.execute(sql);
           }
-          run.execute("INSERT INTO meta VALUES('position', 0)");
+          statement.execute("INSERT INTO meta VALUES('position', 0)");
         } else {
           if (version == 1) {
-            // It did not keep with which billing section a period was closed.
-            run.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
+            // Version 1 did not store the billing section with which a period was closed.
+            statement.execute("ALTER TABLE closed ADD COLUMN billing TEXT");
           }
-          run.execute(CREATE_TOLD);
+          statement.execute(CREATE_TOLD);
         }
-        run.execute("PRAGMA user_version = " + VERSION);
-        run.execute("COMMIT");
+        statement.execute("PRAGMA user_version = " + VERSION);
+        statement.execute("COMMIT");
       }
     }
   }
@@ -90,14 +96,15 @@
   private static String owner(Connection db, String manager, Path folder)
       throws SQLException, IOException {
     String owner = null;
-    try (Statement run = db.createStatement();
-        ResultSet found = run.executeQuery("SELECT value FROM meta WHERE name = 'manager'")) {
-      owner = found.next() ? found.getString(1) : null;
+    try (Statement statement = db.createStatement();
+        ResultSet rows = statement.executeQuery("SELECT value FROM meta WHERE name = 'manager'")) {
+      owner = rows.next() ? rows.getString(1) : null;
     }
     if (owner == null && manager != null) {
-      try (PreparedStatement put = db.prepareStatement("INSERT INTO meta VALUES('manager', ?)")) {
-        put.setString(1, manager);
-        put.execute();
+      try (PreparedStatement insert =
+          db.prepareStatement("INSERT INTO meta VALUES('manager', ?)")) {
+        insert.setString(1, manager);
+        insert.execute();
       }
       return manager;
     }
--- a/src/main/java/tansytrack/ledger/disk/LedgerStore.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -21,20 +21,28 @@
 import tansytrack.ledger.Reconciliation;
 
 /**
- * One manager's ledger in SQLite: a write-ahead log, made durable at each commit. Complete entries,
- * amendments and gaps get a position in the order in which they became so, from one counter;
- * everything later (bills, batches) goes by positions. Opening it reads the tail alone: what is
- * open is found by an index of just that.
+ * One manager's ledger in an SQLite database with a write-ahead log that is synchronized at each
+ * commit. Complete entries, amendments and gaps (the lines of the ledger) get consecutive positions
+ * from one counter, in the order in which they are completed. Bills and batches refer to lines by
+ * position. Opening a ledger does not read all of it, because an index contains just the open
+ * tasks.
  */
 public final class LedgerStore implements AutoCloseable {
 
   private static final String DATABASE_FILE = "ledger.sqlite";
-  private static final int BUSY_TIMEOUT_MILLIS =
-      5000; // for a command that writes beside a running manager
-  private static final int WAL_CHECKPOINT_PAGES =
-      16384; // of 4 KB, before the log is taken over into the file
+  // Commands may write while the manager is running, so a writer may have to wait for the other.
+  private static final int BUSY_TIMEOUT_MS = 5000;
+  // Pages of 4 KB in the write-ahead log before SQLite copies them into the database.
+  private static final int WAL_CHECKPOINT_PAGES = 16384;
 
-  /** A period as it was closed; the sums hold entries up to that position. */
+  /**
+   * A closed period.
+   *
+   * @param lastPosition the last position whose entries are in its subtotals
+   * @param author who closed it
+   * @param sha256 the hash of its subtotals
+   * @param billing the text of the billing section with which it was closed
+   */
   public record ClosedPeriod(
       String period,
       long lastPosition,
@@ -43,7 +51,7 @@
       String sha256,
       String billing) {}
 
-  /** A sealed batch; placed and acknowledged 0: not yet. */
+  /** A sealed batch; {@code placedAt} and {@code ackedAt} are 0 until then. */
   public record Batch(
       long number,
       long firstPosition,
@@ -55,22 +63,24 @@
       long placedAt,
       long ackedAt) {}
 
-  /** Reads lines in the order of their positions; what is not overridden is passed over. */
+  /** Visits lines in the order of their positions; ignores those without an overridden method. */
   public interface LineVisitor {
-    /** A task's complete entry. */
+    /** Visits the complete entry of a task. */
     default void entry(long position, Entry entry) throws IOException {}
 
-    /** A correction of a bill. */
+    /** Visits an amendment. */
     default void amendment(long position, Amendment amendment) throws IOException {}
 
-    /** Lines that the manager could not write. */
+    /** Visits a gap. */
     default void gap(long position, Gap gap) throws IOException {}
   }
 
   private final Path folder;
   private final FaultInjector faults;
-  private final Connection db; // its transactions take the right to write as they begin
-  private final Connection reader; // sees the ledger as it was then, and holds up nobody
+  // Its transactions acquire the write lock when they begin.
+  private final Connection writeConnection;
+  // Its transactions read a snapshot and block nobody.
+  private final Connection readConnection;
   private final LineReader lineReader;
   private final FileChannel lock;
   private final String manager;
@@ -79,22 +89,22 @@
   private LedgerStore(
       Path folder,
       FaultInjector faults,
-      Connection db,
-      Connection reader,
+      Connection writeConnection,
+      Connection readConnection,
       FileChannel lock,
       String manager) {
     this.folder = folder;
     this.faults = faults;
-    this.db = db;
-    this.reader = reader;
-    lineReader = new LineReader(reader);
+    this.writeConnection = writeConnection;
+    this.readConnection = readConnection;
+    lineReader = new LineReader(readConnection);
     this.lock = lock;
     this.manager = manager;
   }
 
   // ---- Opening ----
 
-  /** For the manager that writes it, and makes it where there is none; one at a time. */
+  /** Opens or creates a ledger for its manager; fails if another process holds its lock. */
   static LedgerStore openForManager(Path folder, String manager, FaultInjector faults)
       throws IOException {
     Files.createDirectories(folder);
@@ -107,7 +117,7 @@
     }
   }
 
-  /** For a command, beside a manager or without one. */
+  /** Opens an existing ledger for a command; its manager may be running. */
   public static LedgerStore openForCommand(Path folder, FaultInjector faults) throws IOException {
     if (!Files.exists(folder.resolve(DATABASE_FILE))) {
       throw new IOException(folder + " holds no ledger (" + DATABASE_FILE + " is missing)");
@@ -120,25 +130,25 @@
     SQLiteConfig config = new SQLiteConfig();
     config.setJournalMode(SQLiteConfig.JournalMode.WAL);
     config.setSynchronous(SQLiteConfig.SynchronousMode.FULL);
-    config.setBusyTimeout(BUSY_TIMEOUT_MILLIS);
-    Connection db = null;
-    Connection reader = null;
+    config.setBusyTimeout(BUSY_TIMEOUT_MS);
+    Connection writeConnection = null;
+    Connection readConnection = null;
     try {
       faults.beforeStep("open");
-      db =
+      writeConnection =
           JDBC.createConnection(
               "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
-      try (Statement run = db.createStatement()) {
-        run.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
+      try (Statement statement = writeConnection.createStatement()) {
+        statement.execute("PRAGMA wal_autocheckpoint = " + WAL_CHECKPOINT_PAGES);
       }
-      String owner = LedgerSchema.prepare(db, manager, folder);
-      reader =
+      String owner = LedgerSchema.prepare(writeConnection, manager, folder);
+      readConnection =
           JDBC.createConnection(
               "jdbc:sqlite:" + folder.resolve(DATABASE_FILE), config.toProperties());
-      return new LedgerStore(folder, faults, db, reader, lock, owner);
+      return new LedgerStore(folder, faults, writeConnection, readConnection, lock, owner);
     } catch (SQLException | IOException e) {
-      close(db);
-      close(reader);
+      close(writeConnection);
+      close(readConnection);
       throw e instanceof IOException io ? io : toIoException(folder, (SQLException) e);
     }
   }
@@ -147,13 +157,13 @@
     return new IOException(folder.resolve(DATABASE_FILE) + ": " + cause.getMessage(), cause);
   }
 
-  private static void close(Connection db) {
+  private static void close(Connection connection) {
     try {
-      if (db != null) {
-        db.close();
+      if (connection != null) {
+        connection.close();
       }
     } catch (SQLException e) {
-      // it is given up for the reason that is being said
+      // Ignored: the caller reports the failure that made it close the connection.
     }
   }
 
@@ -162,50 +172,52 @@
     return manager;
   }
 
-  /** The folder that it lies in. */
+  /** The folder of this ledger. */
   public Path folder() {
     return folder;
   }
 
-  /** The epoch that was begun last by this process; 0 before. */
+  /** The epoch begun by {@link #beginEpoch}; 0 before. */
   public long epoch() {
     return epoch;
   }
 
   // ---- Transactions ----
 
-  /** What is done in one transaction. */
+  /** The body of a transaction. */
   private interface TransactionBody<T> {
     T run() throws SQLException, IOException;
   }
 
-  private <T> T inTransaction(String step, TransactionBody<T> work) throws IOException {
-    return inTransaction(step, db, "BEGIN IMMEDIATE", work);
+  private <T> T inTransaction(String step, TransactionBody<T> body) throws IOException {
+    return inTransaction(step, writeConnection, "BEGIN IMMEDIATE", body);
   }
 
-  private <T> T inReadTransaction(TransactionBody<T> work) throws IOException {
-    return inTransaction("read", reader, "BEGIN", work);
+  private <T> T inReadTransaction(TransactionBody<T> body) throws IOException {
+    return inTransaction("read", readConnection, "BEGIN", body);
   }
 
   /**
-   * Begun and ended by hand: the driver's own commit begins the next transaction, and with it the
-   * right to write, at once.
+   * Runs a transaction with explicit BEGIN and COMMIT statements. The commit of the JDBC driver
+   * would begin the next transaction at once and with it acquire the write lock again.
    */
-  private <T> T inTransaction(String step, Connection on, String begin, TransactionBody<T> work)
+  private <T> T inTransaction(
+      String step, Connection connection, String beginSql, TransactionBody<T> body)
       throws IOException {
-    try (Statement run = on.createStatement()) {
+    try (Statement statement = connection.createStatement()) {
       faults.beforeStep(step);
-      run.execute(begin);
+      statement.execute(beginSql);
       try {
-        T made = work.run();
+        T result = body.run();
         faults.beforeStep(step + " commit");
-        run.execute("COMMIT");
-        return made;
+        statement.execute("COMMIT");
+        return result;
       } catch (SQLException | IOException | RuntimeException e) {
         try {
-          run.execute("ROLLBACK");
-        } catch (SQLException again) {
-          e.addSuppressed(again); // as where the database has rolled back by itself
+          statement.execute("ROLLBACK");
+        } catch (SQLException rollbackFailure) {
+          // Also thrown if the database has already rolled back by itself.
+          e.addSuppressed(rollbackFailure);
         }
         throw e;
       }
@@ -214,29 +226,31 @@
     }
   }
 
-  // ---- The running manager's side ----
+  // ---- Operations of the running manager ----
 
   /**
-   * Begins a new epoch: what earlier ones left open has no end that anybody told. Gives the number
-   * of such tasks, and tells each forward that was left out, by task and engine.
+   * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns
+   * the number of such tasks.
+   *
+   * @param openForwards receives the task and the engine of each forward that was in flight
    */
-  long beginEpoch(long now, BiConsumer<String, String> left) throws IOException {
+  long beginEpoch(long now, BiConsumer<String, String> openForwards) throws IOException {
     return inTransaction(
         "epoch",
         () -> {
-          EpochStart start = new EpochStart(db);
+          EpochStart start = new EpochStart(writeConnection);
           epoch = start.begin(now);
-          return start.endOpenTasks(left);
+          return start.endOpenTasks(openForwards);
         });
   }
 
-  /** Writes lines of this epoch, in one transaction. */
-  void write(List<LedgerUpdate> lines) throws IOException {
+  /** Writes updates of this epoch in one transaction. */
+  void write(List<LedgerUpdate> updates) throws IOException {
     inTransaction(
         "lines",
         () -> {
-          try (UpdateWriter writer = new UpdateWriter(db, epoch)) {
-            Sql.lastPosition(db, writer.write(lines));
+          try (UpdateWriter writer = new UpdateWriter(writeConnection, epoch)) {
+            Sql.lastPosition(writeConnection, writer.write(updates));
           }
           return null;
         });
@@ -244,188 +258,188 @@
 
   // ---- Reading ----
 
-  /** The last position. */
+  /** The position of the last line. */
   public long lastPosition() throws IOException {
-    return inReadTransaction(() -> Sql.lastPosition(reader));
+    return inReadTransaction(() -> Sql.lastPosition(readConnection));
   }
 
-  /** How many tasks have no complete entry yet. */
+  /** The number of tasks that are not complete. */
   public long openTasks() throws IOException {
     return inReadTransaction(
         () -> {
-          try (Statement run = reader.createStatement()) {
+          try (Statement statement = readConnection.createStatement()) {
             return (long)
                 Sql.queryInt(
-                    run, "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
+                    statement,
+                    "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL");
           }
         });
   }
 
-  /** Open tasks that were taken in a stretch of time. */
+  /** The number of open tasks that were accepted in a time span (end exclusive). */
   public long openTasks(long from, long until) throws IOException {
     return inReadTransaction(
         () -> {
-          try (PreparedStatement ask =
-                  reader.prepareStatement(
+          try (PreparedStatement query =
+                  readConnection.prepareStatement(
                       "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL AND"
                           + " taken_at >= ? AND taken_at < ?");
-              ResultSet found = Sql.bind(ask, from, until).executeQuery()) {
-            found.next();
-            return found.getLong(1);
+              ResultSet rows = Sql.bind(query, from, until).executeQuery()) {
+            rows.next();
+            return rows.getLong(1);
           }
         });
   }
 
-  /** Whether there is an entry, complete or open, with that number. */
+  /** Whether there is a complete or open entry with that epoch and number. */
   public boolean containsEntry(long ofEpoch, long sequence) throws IOException {
     return inReadTransaction(
         () -> {
-          try (PreparedStatement ask =
-                  reader.prepareStatement("SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
-              ResultSet found = Sql.bind(ask, ofEpoch, sequence).executeQuery()) {
-            return found.next();
+          try (PreparedStatement query =
+                  readConnection.prepareStatement(
+                      "SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
+              ResultSet rows = Sql.bind(query, ofEpoch, sequence).executeQuery()) {
+            return rows.next();
           }
         });
   }
 
-  /** All lines from one position to another, in order. */
-  public void read(long first, long last, LineVisitor to) throws IOException {
+  /** Passes all lines from one position to another (inclusive) to a visitor, in order. */
+  public void read(long first, long last, LineVisitor visitor) throws IOException {
     inReadTransaction(
         () -> {
-          lineReader.read(first, last, to);
+          lineReader.read(first, last, visitor);
           return null;
         });
   }
 
-  /** All amendments, by number. */
+  /** All amendments, sorted by number. */
   public List<Amendment> amendments() throws IOException {
     return inReadTransaction(() -> List.copyOf(lineReader.amendments(0, Long.MAX_VALUE).values()));
   }
 
-  /** What engines said after starts. */
+  /** Runs that engines reported when a manager asked after its start about forwards in flight. */
   public List<Reconciliation.Run> reportedRuns() throws IOException {
     return inReadTransaction(
         () -> {
-          List<Reconciliation.Run> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found = run.executeQuery("SELECT engine, task, work, done FROM told")) {
-            while (found.next()) {
-              all.add(
+          List<Reconciliation.Run> runs = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row = statement.executeQuery("SELECT engine, task, work, done FROM told")) {
+            while (row.next()) {
+              runs.add(
                   new Reconciliation.Run(
-                      found.getString(1),
-                      found.getString(2),
-                      found.getLong(3),
-                      found.getInt(4) != 0));
+                      row.getString(1), row.getString(2), row.getLong(3), row.getInt(4) != 0));
             }
           }
-          return all;
+          return runs;
         });
   }
 
-  /** The closed periods, by name. */
+  /** The closed periods, sorted by name. */
   public List<ClosedPeriod> closedPeriods() throws IOException {
     return inReadTransaction(
         () -> {
-          List<ClosedPeriod> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found =
-                  run.executeQuery(
+          List<ClosedPeriod> closedPeriods = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row =
+                  statement.executeQuery(
                       "SELECT period, upto, at, author, sha, billing FROM closed ORDER BY"
                           + " period")) {
-            while (found.next()) {
-              all.add(
+            while (row.next()) {
+              closedPeriods.add(
                   new ClosedPeriod(
-                      found.getString(1),
-                      found.getLong(2),
-                      found.getLong(3),
-                      found.getString(4),
-                      found.getString(5),
-                      found.getString(6)));
+                      row.getString(1),
+                      row.getLong(2),
+                      row.getLong(3),
+                      row.getString(4),
+                      row.getString(5),
+                      row.getString(6)));
             }
           }
-          return all;
+          return closedPeriods;
         });
   }
 
-  /** The sealed batches, by number. */
+  /** The sealed batches, sorted by number. */
   public List<Batch> batches() throws IOException {
     return inReadTransaction(
         () -> {
-          List<Batch> all = new ArrayList<>();
-          try (Statement run = reader.createStatement();
-              ResultSet found =
-                  run.executeQuery(
+          List<Batch> batches = new ArrayList<>();
+          try (Statement statement = readConnection.createStatement();
+              ResultSet row =
+                  statement.executeQuery(
                       "SELECT number, first, last, form, sha, size, sealed_at, placed_at, acked_at"
                           + " FROM batch ORDER BY number")) {
-            while (found.next()) {
-              all.add(
+            while (row.next()) {
+              batches.add(
                   new Batch(
-                      found.getLong(1),
-                      found.getLong(2),
-                      found.getLong(3),
-                      found.getString(4),
-                      found.getString(5),
-                      found.getLong(6),
-                      found.getLong(7),
-                      found.getLong(8),
-                      found.getLong(9)));
+                      row.getLong(1),
+                      row.getLong(2),
+                      row.getLong(3),
+                      row.getString(4),
+                      row.getString(5),
+                      row.getLong(6),
+                      row.getLong(7),
+                      row.getLong(8),
+                      row.getLong(9)));
             }
           }
-          return all;
+          return batches;
         });
   }
 
-  // ---- The commands' side ----
+  // ---- Operations of commands ----
 
-  /** Writes an amendment under the next number; the one given back has it. */
-  public Amendment addAmendment(Amendment wanted) throws IOException {
+  /** Stores an amendment under the next number, and returns it with that number. */
+  public Amendment addAmendment(Amendment amendment) throws IOException {
     return inTransaction(
         "amendment",
         () -> {
-          long at = Sql.lastPosition(db) + 1;
+          long position = Sql.lastPosition(writeConnection) + 1;
           long number;
-          try (Statement run = db.createStatement()) {
-            number = 1L + Sql.queryInt(run, "SELECT max(number) FROM amendment");
+          try (Statement statement = writeConnection.createStatement()) {
+            number = 1L + Sql.queryInt(statement, "SELECT max(number) FROM amendment");
           }
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement(
+                  "INSERT INTO amendment VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)")) {
             Sql.bind(
-                    put,
+                    insert,
                     number,
-                    wanted.period(),
-                    wanted.tenant(),
-                    wanted.amount().toPlainString(),
-                    wanted.author(),
-                    wanted.reason(),
-                    wanted.corrects(),
-                    wanted.createdAt(),
-                    wanted.withdraws() ? 1 : 0,
-                    at)
+                    amendment.period(),
+                    amendment.tenant(),
+                    amendment.amount().toPlainString(),
+                    amendment.author(),
+                    amendment.reason(),
+                    amendment.corrects(),
+                    amendment.createdAt(),
+                    amendment.withdraws() ? 1 : 0,
+                    position)
                 .executeUpdate();
           }
-          Sql.lastPosition(db, at);
+          Sql.lastPosition(writeConnection, position);
           return new Amendment(
               number,
-              wanted.period(),
-              wanted.tenant(),
-              wanted.amount(),
-              wanted.author(),
-              wanted.reason(),
-              wanted.corrects(),
-              wanted.createdAt(),
-              wanted.withdraws());
+              amendment.period(),
+              amendment.tenant(),
+              amendment.amount(),
+              amendment.author(),
+              amendment.reason(),
+              amendment.corrects(),
+              amendment.createdAt(),
+              amendment.withdraws());
         });
   }
 
-  /** Closes a period: its bill takes no more entries; later ones go into corrections. */
+  /** Stores that a period is closed. */
   public void close(ClosedPeriod period) throws IOException {
     inTransaction(
         "close",
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement("INSERT INTO closed VALUES(?, ?, ?, ?, ?, ?)")) {
             Sql.bind(
-                    put,
+                    insert,
                     period.period(),
                     period.lastPosition(),
                     period.closedAt(),
@@ -438,15 +452,16 @@
         });
   }
 
-  /** Seals a batch: its range, form and hash are fixed from here on. */
+  /** Stores a sealed batch; its range, format and hash are fixed from then on. */
   public void addBatch(Batch batch) throws IOException {
     inTransaction(
         "seal",
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement("INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
+          try (PreparedStatement insert =
+              writeConnection.prepareStatement(
+                  "INSERT INTO batch VALUES(?, ?, ?, ?, ?, ?, ?, 0, 0)")) {
             Sql.bind(
-                    put,
+                    insert,
                     batch.number(),
                     batch.firstPosition(),
                     batch.lastPosition(),
@@ -460,37 +475,37 @@
         });
   }
 
-  /** Notes that a batch's file is in its place, once. */
-  public void markPlaced(long number, long at) throws IOException {
-    setTimeOnce("placed_at", number, at);
+  /** Stores the time at which a batch was placed, unless it has one. */
+  public void markPlaced(long number, long timeNanos) throws IOException {
+    setTimeOnce("placed_at", number, timeNanos);
   }
 
-  /** Notes that the billing side acknowledged a batch, once. */
-  public void markAcknowledged(long number, long at) throws IOException {
-    setTimeOnce("acked_at", number, at);
+  /** Stores the time at which the consumer acknowledged a batch, unless it has one. */
+  public void markAcknowledged(long number, long timeNanos) throws IOException {
+    setTimeOnce("acked_at", number, timeNanos);
   }
 
-  private void setTimeOnce(String column, long number, long at) throws IOException {
+  private void setTimeOnce(String column, long number, long timeNanos) throws IOException {
     inTransaction(
         column,
         () -> {
-          try (PreparedStatement put =
-              db.prepareStatement(
+          try (PreparedStatement update =
+              writeConnection.prepareStatement(
                   "UPDATE batch SET " + column + " = ? WHERE number = ? AND " + column + " = 0")) {
-            Sql.bind(put, at, number).executeUpdate();
+            Sql.bind(update, timeNanos, number).executeUpdate();
           }
           return null;
         });
   }
 
-  /** What SQLite itself finds wrong with its file, or null. */
+  /** Runs a quick check of the database and returns the first damage found, or null. */
   public String findDamage() throws IOException {
     return inReadTransaction(
         () -> {
-          try (Statement run = reader.createStatement();
-              ResultSet found = run.executeQuery("PRAGMA quick_check(1)")) {
-            String said = found.next() ? found.getString(1) : "no answer";
-            return said.equals("ok") ? null : said;
+          try (Statement statement = readConnection.createStatement();
+              ResultSet rows = statement.executeQuery("PRAGMA quick_check(1)")) {
+            String result = rows.next() ? rows.getString(1) : "no answer";
+            return result.equals("ok") ? null : result;
           }
         });
   }
@@ -498,8 +513,8 @@
   @Override
   public void close() throws IOException {
     try {
-      reader.close();
-      db.close();
+      readConnection.close();
+      writeConnection.close();
     } catch (SQLException e) {
       throw toIoException(folder, e);
     } finally {
--- a/src/test/java/tansytrack/LedgerCommandsTest.java
+++ b/src/test/java/tansytrack/LedgerCommandsTest.java
@@ -23,13 +23,16 @@
 import tansytrack.state.TaskListener;
 import tansytrack.state.Timers;
 
-/** The operators' commands on a ledger that a manager left: 10,000 tenants, one task unresolved. */
+/**
+ * Tests the ledger commands on the ledger of a manager that has ended, with 10,000 tenants and one
+ * unresolved task.
+ */
 class LedgerCommandsTest {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long START_NANOS = 20_000 * 86_400 * NANOS_PER_SECOND; // 2024-10-04
   private static final int TENANTS = 10_000;
-  private static final QueryClass GRADE =
+  private static final QueryClass QUERY_CLASS =
       new QueryClass(
           "g",
           QueryClass.RetrySafety.IDEMPOTENT,
@@ -60,29 +63,29 @@
   }
 
   private int run(String... args) throws IOException {
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    ByteArrayOutputStream wrong = new ByteArrayOutputStream();
+    ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
+    ByteArrayOutputStream errBytes = new ByteArrayOutputStream();
     PrintStream usualOut = System.out;
     PrintStream usualErr = System.err;
-    System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-    System.setErr(new PrintStream(wrong, true, StandardCharsets.UTF_8));
+    System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
     try {
       return Main.run(args);
     } finally {
       System.setOut(usualOut);
       System.setErr(usualErr);
-      out = said.toString(StandardCharsets.UTF_8);
-      err = wrong.toString(StandardCharsets.UTF_8);
+      out = outBytes.toString(StandardCharsets.UTF_8);
+      err = errBytes.toString(StandardCharsets.UTF_8);
     }
   }
 
   private LedgerRecorder startRecorder(Timers timers) throws IOException {
     return LedgerRecorder.start(
-        OperatorFile.read(operator()).ledger(), "m", List.of(GRADE), timers, note -> {});
+        OperatorFile.read(operator()).ledger(), "m", List.of(QUERY_CLASS), timers, note -> {});
   }
 
   @BeforeEach
-  void aManagersLife() throws IOException {
+  void writeLedgerOfEndedManager() throws IOException {
     Files.writeString(
         Path.of(operator()),
         "ledger { folder: '"
@@ -104,11 +107,12 @@
       }
     }
     recorder.close();
-    startRecorder(timers).close(); // the next start resolves the one that was left open
+    // The next start marks the task that was left open as unresolved.
+    startRecorder(timers).close();
   }
 
   @Test
-  void aBillIsShownCorrectedClosedAndStays() throws IOException {
+  void showsCorrectsAndClosesBill() throws IOException {
     assertThat(
             run(
                 "ledger",
@@ -181,7 +185,7 @@
   }
 
   @Test
-  void whatNobodyToldIsResolvedOnceByAStatement() throws IOException {
+  void statementResolvesTaskWithUnknownEndOnce() throws IOException {
     String statement =
         Files.writeString(
                 folder.resolve("e.csv"),
@@ -211,7 +215,7 @@
   }
 
   @Test
-  void batchesArePlacedOnceAcknowledgedAndMerged() throws IOException {
+  void exportsAcknowledgesAndMergesBatches() throws IOException {
     String to = folder.resolve("out").toString();
     assertThat(run("ledger", "export", "--ledger", ledger(), "--to", to, "--lines", "6000"))
         .isZero();
@@ -232,7 +236,7 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "show --operator OP --period 2024-13-01 | period '2024-13-01' is none; allowed: a day",
+        "show --operator OP --period 2024-13-01 | period '2024-13-01' is not valid; allowed: a day",
         "show --operator none.textproto | cannot be read",
         "close --operator OP --author me 2199-01-01 | is not over yet",
         "correct --operator OP --period 2024-10-04 --tenant t --amount 1e3 --author me --reason r |"
@@ -246,7 +250,7 @@
         "export --ledger L --to x --lines 0 | --lines 0; allowed",
         "merge nowhere.pb | nowhere.pb"
       })
-  void badInputIsNamedAndNothingIsWritten(String line, String said) throws IOException {
+  void reportsInvalidInputAndWritesNothing(String line, String expectedMessage) throws IOException {
     byte[] before = Files.readAllBytes(Path.of(ledger(), "ledger.sqlite"));
     String[] args =
         ("ledger " + line)
@@ -254,7 +258,7 @@
             .replace(" L ", ' ' + ledger() + ' ')
             .split(" ");
     assertThat(run(args)).isEqualTo(2);
-    assertThat(err).contains(said);
+    assertThat(err).contains(expectedMessage);
     assertThat(Files.readAllBytes(Path.of(ledger(), "ledger.sqlite"))).isEqualTo(before);
   }
 }
