--- a/src/main/java/tansytrack/lab/Claims.java
+++ b/src/main/java/tansytrack/lab/Claims.java
@@ -5,15 +5,22 @@
 import java.util.Map;
 import tansytrack.lab.proto.Claim;
 
-/** What an experiment claims, held against the figures of a run. */
+/** Compares the claims of an experiment with the figures of its runs. */
 public final class Claims {
 
-  /** One claim with what was measured; a figure that was not measured does not hold. */
+  /**
+   * A claim with its result.
+   *
+   * @param figure name of the figure
+   * @param bound relation and bound, as text
+   * @param measured the measured value, as text
+   * @param held whether the claim holds; false if the figure was not measured
+   */
   public record Judged(String figure, String bound, String measured, boolean held) {}
 
   private Claims() {}
 
-  /** Compares each claim with the figure that it names; one without a figure is not held. */
+  /** Compares each claim with the figure that it names; a claim without a figure fails. */
   public static List<Judged> judge(List<Claim> claims, Map<String, Double> figures) {
     List<Judged> judged = new ArrayList<>();
     for (Claim claim : claims) {
@@ -42,6 +49,7 @@
     return judged;
   }
 
+  /** Formats a figure: whole numbers without a fraction, others with three decimals. */
   static String shown(double figure) {
     return figure == Math.rint(figure) && Math.abs(figure) < 1e15
         ? Long.toString((long) figure)
--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -15,9 +15,10 @@
 import tansytrack.lab.simulation.LinkModel;
 
 /**
- * Datagrams between managers, each way through a socket of its own: a manager knows each peer by
- * the relay's address for the two, and gets that peer's datagrams from there. What becomes of them
- * follows the schedule of faults and a seed.
+ * Relays the datagrams between managers, with one socket for each ordered pair of managers. A
+ * manager knows each peer by the address of such a socket: it sends to it, and receives that peer's
+ * datagrams from it. The fault schedule and a seed decide which datagrams are lost, delayed or
+ * duplicated.
  */
 final class DatagramRelays implements AutoCloseable {
 
@@ -28,7 +29,10 @@
   private final List<String> places;
   private final List<InetSocketAddress> managers;
   private final Selector selector = Selector.open();
-  private final Leg[][] legs; // [whom it is known to][whom it stands for]
+
+  // By the manager that uses the socket, then by the peer that it represents.
+  private final Leg[][] legs;
+
   private final PriorityQueue<Late> late = new PriorityQueue<>();
   private long order;
   private volatile long start;
@@ -82,7 +86,7 @@
     StandInEngine.thread(this::run).start();
   }
 
-  /** Where the one sends to reach the other. */
+  /** The address that manager {@code at} uses for its peer {@code of}. */
   String address(int at, int of) {
     try {
       InetSocketAddress where = (InetSocketAddress) legs[at][of].channel.getLocalAddress();
@@ -92,15 +96,17 @@
     }
   }
 
-  /** The schedule begins now. */
+  /** Starts the fault schedule: its times count from this call. */
   void begin() {
     start = System.nanoTime();
   }
 
+  /** Number of datagrams that were passed on. */
   long forwarded() {
     return forwarded;
   }
 
+  /** Number of datagrams that were dropped. */
   long lost() {
     return lost;
   }
@@ -122,15 +128,15 @@
         long now = System.nanoTime();
         while (!late.isEmpty() && late.peek().at <= now) {
           Late one = late.poll();
-          // The other end's socket for the sender: its address is the one that the receiver knows
-          // the sender by.
+          // Sent from the receiver's socket for the sender, as the receiver knows the sender by
+          // that address.
           Leg out = legs[one.by.of][one.by.at];
           out.channel.send(ByteBuffer.wrap(one.datagram), managers.get(one.by.of));
           forwarded++;
         }
       }
     } catch (IOException | ClosedSelectorException e) {
-      // closed, or a receiver that is not there
+      // The relay was closed, or the receiver does not exist.
     }
   }
 
--- a/src/main/java/tansytrack/lab/FleetRun.java
+++ b/src/main/java/tansytrack/lab/FleetRun.java
@@ -31,8 +31,9 @@
 import tansytrack.wire.ProtocolException;
 
 /**
- * One run of an experiment on a fleet: managers as processes, or the pure part in virtual time,
- * under the same schedule of faults. Judged by what the managers logged of one another.
+ * One run of an experiment on a fleet, under a fault schedule: managers as processes, or the
+ * membership protocol alone in virtual time. Its figures come from the state changes that the
+ * managers logged of one another.
  */
 final class FleetRun implements AutoCloseable {
 
@@ -62,7 +63,7 @@
     }
   }
 
-  /** Says what in the file cannot be used. */
+  /** Throws an exception that names the first field that cannot be used. */
   static void checked(String file, Experiment read) {
     FleetPlan plan = read.getFleet();
     TextFile.bounded(
@@ -152,7 +153,7 @@
               + field
               + ": '"
               + end
-              + "'; allowed: a manager as m0, a place as place-0, or *");
+              + "'; allowed: a manager (m0), a zone (place-0) or *");
     }
   }
 
@@ -209,7 +210,7 @@
         from.getSpreadUs() * 1000L);
   }
 
-  /** Plays it, and gives its figures. */
+  /** Runs the experiment and returns its figures by name. */
   Map<String, Double> play() throws IOException, InterruptedException {
     return experiment.getFleet().getVirtualTime() ? virtual() : real();
   }
@@ -249,7 +250,7 @@
     return figures;
   }
 
-  /** Starts all managers, each behind relays, and waits until they listen. */
+  /** Starts all managers, each behind its relays, and waits until they listen. */
   private void launch() throws IOException, InterruptedException {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int i = 0; i < names.size(); i++) {
@@ -280,7 +281,7 @@
     }
   }
 
-  /** Waits until the faults are played; gives how long that took. */
+  /** Injects the process faults; returns the duration of the run, in nanoseconds. */
   private long playFaults(long from) throws IOException, InterruptedException {
     for (FaultSchedule.ProcessFault one : faults.processes()) {
       Thread thread = StandInEngine.thread(() -> trouble(one, from));
@@ -298,7 +299,7 @@
     return lasted;
   }
 
-  /** The jar that it runs from, or null: this program. */
+  /** The jar that a manager runs from; null: this program. */
   private String jar(String name) {
     String jar = null;
     for (Version one : experiment.getFleet().getVersionsList()) {
@@ -368,8 +369,8 @@
   }
 
   /**
-   * What a manager logged of the others, from the start of the schedule; what came before has the
-   * time 0.
+   * The state changes of other members that a manager logged, in nanoseconds from the start of the
+   * schedule; earlier ones have the time 0.
    */
   private static List<MembershipSimulation.Observation> seen(ManagerProcess by, Instant start)
       throws IOException {
@@ -392,7 +393,7 @@
                   MemberStatus.valueOf(
                       Json.asString(one.get("standing"), "standing").toUpperCase(Locale.ROOT))));
         } catch (ProtocolException e) {
-          throw new IOException(by.name + " logged what cannot be read: " + line, e);
+          throw new IOException(by.name + " logged a line that cannot be read: " + line, e);
         }
       }
     }
--- a/src/main/java/tansytrack/lab/FleetTable.java
+++ b/src/main/java/tansytrack/lab/FleetTable.java
@@ -21,16 +21,25 @@
 import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
- * What a membership is worth at a size and a loss, in virtual time; as a table and charts, beside
- * what SWIM's authors expect.
+ * Measures the membership protocol in virtual time by number of members and datagram loss: detection
+ * time, false accusations, bytes sent and time to heal after a partition. Writes a table and charts,
+ * with the detection time that the SWIM paper expects for comparison.
  */
 public final class FleetTable {
 
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1000 * MS;
-  private static final long CALM = 120 * SECOND; // in which the living are accused or not
-  private static final long LOOK = 60 * SECOND; // for the killed one to be known dead
-  private static final long APART = 60 * SECOND; // a place is cut off
+
+  // Time without faults but datagram loss, in which suspicions and declarations are false.
+  private static final long CALM = 120 * SECOND;
+
+  // Time in which a killed member must be declared dead.
+  private static final long LOOK = 60 * SECOND;
+
+  // Duration of the partition of one zone.
+  private static final long APART = 60 * SECOND;
+
+  // Time in which the members must agree again after the partition.
   private static final long MOST_HEALING = 120 * SECOND;
 
   private FleetTable() {}
@@ -38,9 +47,16 @@
   private static final class Row {
     final int members;
     final double loss;
-    final Histogram first = new Histogram(3); // ms until any suspects the killed one
-    final Histogram known = new Histogram(3); // ms until each holds it to be dead
-    final Histogram healed = new Histogram(3); // ms until all agree behind a cut
+
+    // Time until the first member suspects the killed one.
+    final Histogram first = new Histogram(3);
+
+    // Time until a member declares the killed one dead, of each member.
+    final Histogram known = new Histogram(3);
+
+    // Time until all members agree again after the partition.
+    final Histogram healed = new Histogram(3);
+
     int unknown;
     int unhealed;
     double suspected;
@@ -56,8 +72,15 @@
   }
 
   /**
-   * Plays all sizes and losses; true: each killed member was known dead by all, and each cut
-   * healed.
+   * Measures all combinations of size and loss; returns whether all members detected each killed
+   * member and healed after each partition.
+   *
+   * @param sizes numbers of members, separated by commas
+   * @param losses shares of datagrams lost, separated by commas
+   * @param runs number of runs of each combination
+   * @param seed seed of the first run; each further run has the next one
+   * @param out folder for table and charts
+   * @param to stream for the table
    */
   public static boolean run(
       String sizes, String losses, int runs, long seed, Path out, PrintStream to)
@@ -107,7 +130,7 @@
       row.suspected += one.at() > from && one.status() == MemberStatus.SUSPECT ? 1 : 0;
       row.declared += one.at() > from && one.status() == MemberStatus.DEAD ? 1 : 0;
     }
-    // Each member's word on each other counts once: accusations an hour of the fleet, by anyone.
+    // Counts each accusation by each observer; the rates are per hour and divided by the members.
     row.hours += CALM / 3600.0 / SECOND;
     for (MembershipSimulation.Node node : world.nodes()) {
       row.bytes += node.bytesSent / (CALM / (double) SECOND) / row.members;
@@ -140,8 +163,8 @@
     world.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
     world.runUntil(world.now() + APART);
     world.partition((a, b) -> false);
-    world.linkConditions(
-        LinkConditions.GOOD); // agreement is asked for, which loss disturbs by itself
+    // Loss by itself would disturb the agreement that is measured.
+    world.linkConditions(LinkConditions.GOOD);
     long took = world.runUntilConverged(MOST_HEALING);
     if (took < 0) {
       row.unhealed++;
@@ -151,8 +174,8 @@
   }
 
   /**
-   * Expected until the first of the others probes a dead member, by the paper: e / (e - 1) periods;
-   * then its probe must fail.
+   * Expected time to the first suspicion, in milliseconds. By the SWIM paper, it takes e / (e - 1)
+   * probe intervals until some member probes the dead one; the probe then fails after another one.
    */
   private static double swim(MembershipConfig rules) {
     return (Math.E / (Math.E - 1) * rules.probeIntervalNanos() + rules.probeIntervalNanos()) / MS;
@@ -185,7 +208,7 @@
         new XYChartBuilder()
             .width(900)
             .height(520)
-            .title("A killed member, until it is known dead")
+            .title("Detection time of a killed member")
             .xAxisTitle("members")
             .yAxisTitle("ms")
             .build();
@@ -218,7 +241,7 @@
         new XYChartBuilder()
             .width(900)
             .height(520)
-            .title("Sent by a member")
+            .title("Bytes sent by a member")
             .xAxisTitle("members")
             .yAxisTitle("bytes a second")
             .build();
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -23,13 +23,15 @@
 import tansytrack.lab.simulation.InvariantChecker;
 
 /**
- * What a fleet of processes serves: engines in places, a list for each manager, streams through
- * relays, an open-loop load on each manager. Keeps a log of all that clients, engines and the list
- * saw, for the checker of the rules.
+ * The surroundings of a fleet of manager processes: fake engines in zones, a command channel for
+ * each manager, relays for the connections, and an open-loop load on each manager. Logs what
+ * clients, engines and command channels observe, for the {@link InvariantChecker}.
  */
 final class FleetTraffic implements AutoCloseable {
 
   private static final long MS = 1_000_000L;
+
+  // Time that a manager may take from SIGTERM to its exit, in which it closes connections.
   private static final long ENDING = 4000 * MS;
 
   private final FleetPlan plan;
@@ -41,12 +43,19 @@
   private final List<InetSocketAddress> engineAddresses = new ArrayList<>();
   private final List<StandInChannel> channels = new ArrayList<>();
   private final List<StreamRelay> lists = new ArrayList<>();
-  private final List<List<StreamRelay>> relays = new ArrayList<>(); // by manager and engine
+
+  // By manager, then by engine.
+  private final List<List<StreamRelay>> relays = new ArrayList<>();
+
   private final List<InvariantChecker.Event> log = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Arrival> asked = new ConcurrentHashMap<>();
-  private final Map<String, String> taker = new ConcurrentHashMap<>(); // the manager of a task
-  private final Map<Integer, Long> startedAt =
-      new HashMap<>(); // of engines, ns on this machine's steady clock
+
+  // The manager that each task was sent to.
+  private final Map<String, String> taker = new ConcurrentHashMap<>();
+
+  // Start time of each restarted engine, by System.nanoTime().
+  private final Map<Integer, Long> startedAt = new HashMap<>();
+
   private final List<OpenLoop> loads = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private int revision = 1;
@@ -92,6 +101,7 @@
     }
   }
 
+  /** A start time that lies far enough back for an engine to be warm. */
   private long longAgo() {
     return System.nanoTime() - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * MS;
   }
@@ -141,7 +151,7 @@
         });
   }
 
-  /** Tells all managers of an engine; each by the address of its own relay. */
+  /** Announces an engine to all managers, to each by the address of its own relay. */
   private synchronized void told(int engine, String phase) {
     long since = startedAt.getOrDefault(engine, 0L);
     long unix = since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / MS;
@@ -169,15 +179,22 @@
     }
   }
 
+  /** The address of a manager's command channel. */
   String channel(int manager) {
     return lists.get(manager).address();
   }
 
+  /** The events of a manager's command channel up to now, as JSON. */
   String known(int manager) {
     return channels.get(manager).known();
   }
 
-  /** The load and the troubles begin now. */
+  /**
+   * Starts the load and the engine faults.
+   *
+   * @param listeners the managers' client addresses
+   * @param from start of the fault schedule, by System.nanoTime()
+   */
   void begin(List<InetSocketAddress> listeners, long from) {
     start = from;
     for (int m = 0; plan.hasLoad() && m < managers.size(); m++) {
@@ -192,7 +209,7 @@
     }
   }
 
-  /** Writes down what a manager's clients ask and hear. */
+  /** Logs the tasks and answers of a manager's clients. */
   private OpenLoop.Watcher watcher(String name) {
     return new OpenLoop.Watcher() {
       @Override
@@ -228,8 +245,8 @@
 
       @Override
       public void failed(String id, long connectedAt) {
-        // One that a manager was taken down under is lost with it; one that was never
-        // taken is owed nothing.
+        // A task is abandoned only if its manager went down; if the connection was never
+        // established, the manager did not accept the task.
         if (connectedAt >= 0 && downSince(name, connectedAt)) {
           log.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
         }
@@ -238,8 +255,8 @@
   }
 
   /**
-   * Was that manager killed or ended since? One that ends closes connections for a while, which
-   * tasks may cross.
+   * Whether a manager was killed or stopped since that time. A manager that is stopped closes its
+   * connections for some time, in which tasks may still be on their way to it.
    */
   private boolean downSince(String name, long time) {
     return faults.processes().stream()
@@ -254,7 +271,7 @@
                     && start + one.startNanos() <= System.nanoTime());
   }
 
-  /** That manager has been started again. */
+  /** Logs that a manager was started again. */
   void restarted(String name) {
     log.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
   }
@@ -317,13 +334,14 @@
     return old;
   }
 
+  /** Sleeps until that time of System.nanoTime(). */
   static void sleepUntil(long time) throws InterruptedException {
     Thread.sleep(Math.max(0, (time - System.nanoTime()) / MS));
   }
 
   /**
-   * Waits for the load, and gives the figures of what was served and of the rules; what was seen is
-   * left in a file.
+   * Waits for the end of the load; returns the figures of the load and the number of violations of
+   * each invariant. Writes the logged events to a file.
    */
   Map<String, Double> figures(Path folder) throws InterruptedException, IOException {
     for (Thread one : threads) {
--- a/src/main/java/tansytrack/lab/LabClient.java
+++ b/src/main/java/tansytrack/lab/LabClient.java
@@ -10,15 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * A client for the lab: simple queries over the PostgreSQL protocol 3.0, one at a time on a
- * session.
- */
+/** A client for experiments: simple queries over the PostgreSQL protocol 3.0, one at a time. */
 public final class LabClient implements AutoCloseable {
 
-  /** What came back: HANDLED, or the SQLSTATE of the error with its text. */
+  /**
+   * The answer to a query.
+   *
+   * @param code HANDLED, or the SQLSTATE of the error
+   * @param text the error text; empty without an error
+   * @param columns names of the columns
+   * @param cells the rows, as text
+   */
   public record Answer(String code, String text, List<String> columns, List<List<String>> cells) {
-    /** How many rows came. */
+    /** Number of rows. */
     public int rows() {
       return cells.size();
     }
@@ -29,12 +33,13 @@
     }
   }
 
-  private static final int BEHIND_NAME = 18; // bytes of a column's description
+  // Bytes that follow the name of a column in a RowDescription message.
+  private static final int BEHIND_NAME = 18;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
 
-  /** Connects and goes through the start-up of the PostgreSQL protocol. */
+  /** Connects and completes the start-up of the protocol; the timeout holds for each read too. */
   public LabClient(InetSocketAddress to, int patienceMs) throws IOException {
     socket.setTcpNoDelay(true);
     socket.setSoTimeout(patienceMs);
@@ -95,7 +100,7 @@
     for (int left = body.getShort(); left > 0; left--) {
       int from = body.position();
       while (body.get() != 0) {
-        // to its end
+        // skip to the terminating zero
       }
       into.add(text(body, from, body.position() - 1 - from));
       body.position(body.position() + BEHIND_NAME);
--- a/src/main/java/tansytrack/lab/Laboratory.java
+++ b/src/main/java/tansytrack/lab/Laboratory.java
@@ -15,20 +15,16 @@
 import tansytrack.log.JsonLinesWriter;
 import tansytrack.settings.InvalidInputException;
 
-/**
- * Runs an experiment: as many runs as its file says, a figure each, then its claims over all of
- * them.
- */
+/** Runs an experiment as often as its file says, and evaluates its claims over all runs. */
 public final class Laboratory {
 
-  private static final String WORST =
-      "_max"; // ends the names of figures of which the worst run counts
-
+  // Suffixes of figures for which the maximum or minimum of all runs counts; others are added up.
+  private static final String WORST = "_max";
   private static final String LEAST = "_min";
 
   private Laboratory() {}
 
-  /** Reads an experiment file and checks what holds for every kind of experiment. */
+  /** Reads and validates an experiment file. */
   public static Experiment read(String file) {
     Experiment read = TextFile.parsed(file, TextFile.text(file), Experiment.newBuilder()).build();
     if (read.hasFleet()) {
@@ -55,8 +51,14 @@
   }
 
   /**
-   * Plays all runs; true where every claim holds. Figures of several runs are their worst: the sum
-   * of what must not be. The factory makes the modules of scale runs.
+   * Runs an experiment; returns whether every claim holds. The claims apply to the figures of all
+   * runs together: maximum, minimum or sum, by the suffix of the figure's name.
+   *
+   * @param experiment the experiment
+   * @param seed seed of the first run; each further run has the next one
+   * @param out folder for the results
+   * @param factory creates the decision modules of scale experiments
+   * @param to stream for figures and claims
    */
   public static boolean run(
       Experiment experiment, long seed, Path out, ModuleFactory factory, PrintStream to)
--- a/src/main/java/tansytrack/lab/LedgerBench.java
+++ b/src/main/java/tansytrack/lab/LedgerBench.java
@@ -19,8 +19,8 @@
 import tansytrack.state.Timers;
 
 /**
- * Measures a ledger on this machine: the loop's cost an entry, durable entries a second, the wait
- * of an answer, a start.
+ * Benchmarks the ledger on this machine: time that an entry takes on the event loop, durable entries
+ * a second, time that an answer waits for its commit, and start-up time after a kill.
  */
 public final class LedgerBench {
 
@@ -33,7 +33,7 @@
   private final PrintStream out;
   private long tasks;
 
-  /** A bench that writes its figures to the stream. */
+  /** Creates a benchmark that prints its figures to the stream. */
   public LedgerBench(PrintStream out) {
     this.out = out;
   }
@@ -73,6 +73,7 @@
     return LedgerRecorder.start(section, "bench", List.of(grade), timers, inbox::add);
   }
 
+  /** Runs what the event loop would run now: callbacks of the ledger and due timers. */
   private void notes() {
     timers.now(System.nanoTime());
     for (Runnable one = inbox.poll(); one != null; one = inbox.poll()) {
@@ -81,7 +82,7 @@
     timers.runDue();
   }
 
-  /** One task with one forward; gives the time that the ledger took of the loop. */
+  /** Records a task with one forward; returns the time it took on the event loop, in ns. */
   private long entry(LedgerRecorder to, Runnable say) {
     String id = String.format("%016x", ++tasks);
     TaskRequest offer = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
@@ -94,7 +95,7 @@
     return System.nanoTime() - from;
   }
 
-  /** Entries as fast as the disk takes them, with the loop's cost of each. */
+  /** Measures entries written as fast as the disk takes them, and the loop time of each. */
   public void throughput(Path folder, int entries) throws IOException {
     LedgerRecorder to = start(folder, "AT_ONCE", 1 << 20);
     Histogram cost = new Histogram(LONGEST, 3);
@@ -120,11 +121,17 @@
     to.close();
     out.printf(
         "durable entries a second: %.0f (%d entries, %.1f s)%n", entries / took, entries, took);
-    told("the loop's cost an entry, ns, as fast as the disk takes them", cost);
+    told("loop time of an entry, ns, at full speed", cost);
   }
 
   /**
-   * Entries at an even rate, with the loop's cost of each and the wait of an answer for its commit.
+   * Measures entries at a fixed rate: the loop time of each, and how long its answer waits for the
+   * commit.
+   *
+   * @param folder folder of the ledger
+   * @param aSecond entries a second
+   * @param seconds duration
+   * @param wait AT_ONCE or AFTER_COMMIT, as in the operator's file
    */
   public void paced(Path folder, int aSecond, int seconds, String wait) throws IOException {
     LedgerRecorder to = start(folder, wait, 1 << 14);
@@ -148,8 +155,8 @@
       notes();
     }
     to.close();
-    told("the loop's cost an entry, ns, at " + aSecond + " a second, " + wait, cost);
-    told("the answer's wait, ns, at " + aSecond + " a second, " + wait, waited);
+    told("loop time of an entry, ns, at " + aSecond + " a second, " + wait, cost);
+    told("wait of an answer for its commit, ns, at " + aSecond + " a second, " + wait, waited);
   }
 
   private void told(String what, Histogram of) {
@@ -163,7 +170,10 @@
         of.getTotalCount());
   }
 
-  /** A start on the files that a kill left: a copy of them as they are while the ledger is open. */
+  /**
+   * Measures the start on the files that a killed process leaves, which are imitated by a copy of
+   * the files of an open ledger.
+   */
   public void restart(Path folder, Path copy) throws IOException {
     LedgerRecorder held = start(folder, "AT_ONCE", 1 << 14);
     for (int i = 0; i < 1000; i++) {
--- a/src/main/java/tansytrack/lab/LedgerCheck.java
+++ b/src/main/java/tansytrack/lab/LedgerCheck.java
@@ -19,15 +19,15 @@
 import tansytrack.ledger.proto.BatchHead;
 
 /**
- * Holds the ledgers and exports of a run against the engines' own count, and against what a
- * consumer saw meanwhile.
+ * Compares the ledgers and exports of a run with the engines' own records, and with the batches that
+ * a consumer read during the run.
  */
 final class LedgerCheck {
 
   private final Map<String, byte[]> seen = new HashMap<>();
   private long changed;
 
-  /** A consumer's look at the batches in place: a number must not come again with other bytes. */
+  /** Reads the exported batches as a consumer does; a batch must not change once it is there. */
   synchronized void look(List<ManagerProcess> managers) throws IOException {
     for (ManagerProcess one : managers) {
       for (Path file : batches(one.exports())) {
@@ -49,6 +49,7 @@
     }
   }
 
+  /** Compares all records; returns the figures by name. */
   Map<String, Double> figures(List<ManagerProcess> managers, List<StandInEngine> engines)
       throws IOException {
     look(managers);
--- a/src/main/java/tansytrack/lab/LedgerRun.java
+++ b/src/main/java/tansytrack/lab/LedgerRun.java
@@ -13,14 +13,18 @@
 import tansytrack.lab.proto.Fault;
 
 /**
- * One run of an experiment on real processes and loopback sockets: managers with ledgers, under
+ * One run of an experiment on ledgers: manager processes with ledgers on loopback sockets, under
  * load and faults.
  */
 final class LedgerRun implements AutoCloseable {
 
   private static final int PATIENCE_MS = 4000;
-  private static final int PAUSE_MS = 20; // of a client whose manager is away
-  private static final int WAIT_MS = 2500; // that a client gives its task
+
+  // Delay of a client before it connects again to a manager that is down.
+  private static final int PAUSE_MS = 20;
+
+  // Time that a client allows for its task.
+  private static final int WAIT_MS = 2500;
 
   private final Experiment experiment;
   private final SplittableRandom chance;
@@ -69,7 +73,7 @@
     }
   }
 
-  /** Plays it, and gives its figures. */
+  /** Runs the experiment and returns its figures by name. */
   Map<String, Double> play() throws IOException, InterruptedException {
     for (ManagerProcess one : managers) {
       one.start();
@@ -113,11 +117,11 @@
     return figures;
   }
 
-  /** Ends every manager, then lets each export what is left. */
+  /** Stops every manager, then exports what is left of each ledger. */
   private void endManagers() throws IOException, InterruptedException {
     for (ManagerProcess one : managers) {
       if (!one.stop()) {
-        throw new IOException(one.name + " did not end when told to");
+        throw new IOException(one.name + " did not stop on SIGTERM");
       }
     }
     for (ManagerProcess one : managers) {
@@ -188,7 +192,8 @@
     ManagerProcess of = managers.get(fault.getManager());
     try {
       if (fault.getKind() == Fault.Kind.KILL_MANAGER) {
-        synchronized (of) { // a kill waits until the start before it is over
+        // Waits until an earlier kill of this manager has started it again.
+        synchronized (of) {
           of.kill();
           pause(fault.getForMs());
           of.start();
--- a/src/main/java/tansytrack/lab/LoadCommand.java
+++ b/src/main/java/tansytrack/lab/LoadCommand.java
@@ -8,12 +8,20 @@
 import java.util.Map;
 import tansytrack.lab.load.Latencies;
 
-/** Plays a load file against a listener on loopback and judges its claims. */
+/** Runs a load file against a listener on loopback and evaluates its claims. */
 public final class LoadCommand {
 
   private LoadCommand() {}
 
-  /** True where the run is not void and every claim holds. */
+  /**
+   * Runs a load; returns whether the run is not void and every claim holds.
+   *
+   * @param name the load file
+   * @param to address of the listener
+   * @param seed seed of the load
+   * @param out folder for the results
+   * @param told stream for figures and claims
+   */
   public static boolean run(String name, String to, long seed, Path out, PrintStream told)
       throws IOException, InterruptedException {
     LoadFile file = LoadFile.read(name);
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -11,7 +11,7 @@
 import tansytrack.lab.proto.Part;
 import tansytrack.settings.InvalidInputException;
 
-/** A load as its file gives it, checked. */
+/** A validated load definition. */
 final class LoadFile {
 
   private static final long MS = 1_000_000L;
@@ -25,17 +25,19 @@
     this.load = load;
   }
 
+  /** Reads a file in protobuf text format. */
   static LoadFile read(String file) {
     return of(file, TextFile.text(file));
   }
 
+  /** Parses a text; the file's name stands in error messages. */
   static LoadFile of(String file, String text) {
     LoadFile read = new LoadFile(file, TextFile.parsed(file, text, Load.newBuilder()).build());
     read.check();
     return read;
   }
 
-  /** A load that stands in another file. */
+  /** A load that is part of another file. */
   static LoadFile checked(String file, Load load) {
     LoadFile read = new LoadFile(file, load);
     read.check();
@@ -127,6 +129,7 @@
     };
   }
 
+  /** The arrivals of the load for a seed. */
   Schedule schedule(long seed) {
     Mix mix =
         new Mix(
@@ -150,6 +153,7 @@
     return new Schedule(shape(), mix, load.getSeconds() * Shape.SECOND, load.getEven(), seed);
   }
 
+  /** The query class of that name, which must exist. */
   LoadGrade grade(String name) {
     return load.getGradesList().stream()
         .filter(one -> one.getName().equals(name))
@@ -157,6 +161,7 @@
         .orElseThrow();
   }
 
+  /** How clients retry tasks of a query class. */
   Behaviour behaviour(LoadGrade grade) {
     Clients clients = load.getClients();
     return new Behaviour(
--- a/src/main/java/tansytrack/lab/ManagerProcess.java
+++ b/src/main/java/tansytrack/lab/ManagerProcess.java
@@ -13,10 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import tansytrack.lab.proto.EngineForm;
 
-/**
- * A manager of this program in a process of its own, with its files in a folder of its own; it can
- * be killed and started again.
- */
+/** A manager as a process, with its files in a folder; it can be killed and started again. */
 final class ManagerProcess implements AutoCloseable {
 
   private static final long PATIENCE_MS = 20_000;
@@ -64,13 +61,13 @@
             + "}\n");
   }
 
-  /** With that text as its operators' file, at a free port of that address. */
+  /** A manager with that text as its operator file, at a free port of that address. */
   ManagerProcess(String name, Path folder, StandInChannel channel, String host, String operator)
       throws IOException {
     this(name, folder, channel.address(), channel.known(), host, operator, SETTINGS);
   }
 
-  /** With settings of its own, and the list at that address. */
+  /** A manager with its own settings and with the command channel at that address. */
   ManagerProcess(
       String name,
       Path folder,
@@ -105,7 +102,7 @@
     Files.writeString(operatorFile(), operator);
   }
 
-  /** Settings for one of so many managers, in a place; engines of that form. */
+  /** Settings of a manager in a zone, for that number of managers and engines of that form. */
   static String settings(int siblings, String place, EngineForm engine) {
     return SETTINGS
         .replace("\"siblings\":1", "\"siblings\":" + siblings + ",\"zone\":\"" + place + '"')
@@ -139,12 +136,12 @@
     return folder.resolve("operator.textproto");
   }
 
-  /** From now on it runs from that jar; null: this program. */
+  /** Sets the jar that later starts run from; null: this program. */
   void version(String path) {
     jar = path;
   }
 
-  /** This program with these arguments, its output in a file. */
+  /** Starts this program with these arguments; its output is appended to a file in the folder. */
   Process program(String log, String... arguments) throws IOException {
     List<String> command =
         new ArrayList<>(
@@ -166,42 +163,43 @@
     return made.start();
   }
 
-  /** Starts it and waits until it listens. */
+  /** Starts the manager and waits until it listens. */
   void start() throws IOException, InterruptedException {
     launch();
     listens();
   }
 
-  /** Starts it. */
+  /** Starts the manager without waiting. */
   void launch() throws IOException {
     String log = "manager-" + ++starts + ".log";
-    Files.deleteIfExists(folder.resolve(log)); // of an earlier run in the same folder
+    // An earlier run in the same folder may have left it.
+    Files.deleteIfExists(folder.resolve(log));
     process = program(log, "serve", "--operator", operatorFile().toString());
   }
 
-  /** Waits until it listens. */
+  /** Waits until the manager listens. */
   void listens() throws IOException, InterruptedException {
     String log = "manager-" + starts + ".log";
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (!Files.readString(folder.resolve(log), StandardCharsets.UTF_8).contains("listens at")) {
       if (!process.isAlive() || System.nanoTime() > until) {
-        throw new IOException(name + " does not come up: " + Files.readString(folder.resolve(log)));
+        throw new IOException(name + " does not start: " + Files.readString(folder.resolve(log)));
       }
       Thread.sleep(20);
     }
   }
 
-  /** SIGKILL. */
+  /** Kills the manager (SIGKILL). */
   void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGSTOP or SIGCONT, by name. */
+  /** Sends a signal by its name: STOP or CONT. */
   void signal(String which) throws IOException, InterruptedException {
     new ProcessBuilder("kill", '-' + which, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** What it logged in all its starts. */
+  /** The log lines of all starts. */
   List<String> lines() throws IOException {
     List<String> all = new ArrayList<>();
     for (int i = 1; i <= starts; i++) {
@@ -211,7 +209,7 @@
     return all;
   }
 
-  /** SIGTERM; false where it had to be killed. */
+  /** Stops the manager (SIGTERM); false if it had to be killed. */
   boolean stop() throws InterruptedException {
     process.destroy();
     if (process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
@@ -221,6 +219,7 @@
     return false;
   }
 
+  /** Starts an export of the ledger. */
   Process export() throws IOException {
     return program(
         "export.log",
--- a/src/main/java/tansytrack/lab/OpenLoop.java
+++ b/src/main/java/tansytrack/lab/OpenLoop.java
@@ -20,17 +20,18 @@
 import tansytrack.lab.proto.LoadGrade;
 
 /**
- * Plays a load on sockets: each arrival is handed to a free connection at its intended time, or to
- * a new one, whatever has become of those before it. What no connection is left for makes the run
- * void.
+ * An open-loop load generator: sends each task at its intended time on an idle or new connection,
+ * whether or not earlier tasks have been answered. The run is void if no connection is left for a
+ * task.
  */
 final class OpenLoop {
 
   private static final long MS = 1_000_000L;
-  private static final int SLACK_MS =
-      2000; // over a client's patience, before a connection is given up
 
-  /** Hears of each try, on the connection's thread; a try without an answer has none. */
+  // Time beyond a client's timeout after which its connection is closed.
+  private static final int SLACK_MS = 2000;
+
+  /** Observes each attempt, on the thread of its connection. */
   interface Watcher {
     Watcher NONE =
         new Watcher() {
@@ -44,12 +45,17 @@
           public void failed(String id, long connectedAt) {}
         };
 
+    /** An attempt is sent; the client waits that long for the answer. */
     void asking(String id, Arrival one, long waitMs);
 
+    /** The answer to an attempt has arrived. */
     void answered(String id, LabClient.Answer answer);
 
     /**
-     * The connection that came up then broke; -1: it did not come up, and the task was never taken.
+     * The connection failed before the answer arrived.
+     *
+     * @param connectedAt when it was established, by System.nanoTime(); -1: it was not, and the task
+     *     was not sent
      */
     void failed(String id, long connectedAt);
   }
@@ -64,7 +70,9 @@
   private final List<Sender> all = new ArrayList<>();
   private final Map<String, Long> ends = new TreeMap<>();
   private long start;
-  private int waiting; // tasks on their way
+
+  // Tasks that were sent and have not ended.
+  private int waiting;
 
   OpenLoop(LoadFile file, InetSocketAddress to, long seed) {
     this(file, to, seed, Watcher.NONE);
@@ -78,7 +86,7 @@
     punctuality = new Punctuality(file.load.getLateMs() * MS, file.load.getLatePart());
   }
 
-  /** Plays all of it and waits for what is on its way. */
+  /** Sends all tasks and waits until they have ended. */
   void play() throws InterruptedException {
     Schedule schedule = file.schedule(seed);
     int warm = Math.min(file.load.getClients().getMostConnections(), 16);
@@ -156,7 +164,7 @@
       }
     }
 
-    /** One task with its retries, which are part of it. */
+    /** Sends a task and its retries, and records its end. */
     private void play(Arrival one) throws InterruptedException {
       LoadGrade grade = file.grade(one.grade());
       Behaviour behaviour = file.behaviour(grade);
@@ -239,7 +247,7 @@
           client.close();
         }
       } catch (IOException e) {
-        // it is given up
+        // The connection is not used any more.
       }
       client = null;
     }
@@ -253,7 +261,7 @@
     return punctuality;
   }
 
-  /** Figures by name; latencies in milliseconds from the intended time. */
+  /** The figures by name; latencies in milliseconds from the intended time of sending. */
   synchronized Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
     figures.put("tasks", (double) latencies.tasks());
--- a/src/main/java/tansytrack/lab/ProgressLine.java
+++ b/src/main/java/tansytrack/lab/ProgressLine.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import tansytrack.lab.scale.ScaleWorld;
 
-/** Says now and then how far a run is, and how long it will still take. */
+/** Prints the progress of a run and its estimated remaining time at intervals. */
 final class ProgressLine implements ScaleWorld.Progress {
 
   private static final long EVERY = 5_000_000_000L;
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -18,7 +18,7 @@
 
   private ScaleCharts() {}
 
-  /** The work of each engine over the mean, in order. */
+  /** Draws the work of each engine over the mean, sorted by work. */
   static void work(ScaleResult result, Path folder) throws IOException {
     double[] work = result.engines().stream().mapToDouble(one -> one.work()).sorted().toArray();
     double mean = IntStream.range(0, work.length).mapToDouble(i -> work[i]).average().orElse(1);
@@ -31,7 +31,7 @@
     save(chart, folder.resolve("work.png"));
   }
 
-  /** The share answered in time, by second. */
+  /** Draws the share of statements answered in time, by second of arrival. */
   static void inTime(ScaleResult result, Path folder) throws IOException {
     double[] shares = result.inTimeShares();
     XYChart chart = chart("Answered in time", "second in which statements came", "share");
@@ -39,7 +39,7 @@
     save(chart, folder.resolve("in-time.png"));
   }
 
-  /** Counts by size, both logarithmic. */
+  /** Draws counts by size, both on logarithmic axes; counts that are 0 at some size are left out. */
   static void slopes(double[] sizes, Map<String, double[]> counts, Path folder) throws IOException {
     XYChart chart = chart("Counts by size", "size", "count");
     chart.getStyler().setXAxisLogarithmic(true);
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -12,7 +12,7 @@
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
-/** One run of an experiment on hollow managers: its parts one after the other. */
+/** One run of an experiment on hollow managers; its parts run one after the other. */
 final class ScaleExperiment {
 
   private final Experiment experiment;
@@ -25,7 +25,7 @@
     this.factory = factory;
   }
 
-  /** Says what in the file cannot be used. */
+  /** Throws an exception that names the first field that cannot be used. */
   static void checked(String file, Experiment read) {
     TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
     for (ScalePart part : read.getScaleList()) {
@@ -60,7 +60,7 @@
         seed);
   }
 
-  /** Plays its parts, and gives their figures. */
+  /** Runs all parts and returns their figures, prefixed with the part's name. */
   Map<String, Double> play() {
     for (ScalePart part : experiment.getScaleList()) {
       ScaleMemory.checked(
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -9,7 +9,7 @@
 import tansytrack.lab.scale.ScalePlan;
 import tansytrack.settings.InvalidInputException;
 
-/** Refuses scale runs that this machine or this process cannot hold, before they start. */
+/** Rejects scale runs that would not fit into the memory of this machine or process. */
 final class ScaleMemory {
 
   private static final double MIB = 1024.0 * 1024;
@@ -17,14 +17,14 @@
 
   private ScaleMemory() {}
 
-  /** Half of the machine's memory, in bytes. */
+  /** The memory that scale runs may use, in bytes: half of this machine's. */
   static double limit() {
     OperatingSystemMXBean machine =
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     return machine.getTotalMemorySize() * PART_OF_MACHINE;
   }
 
-  /** Refuses a plan that needs more than that many bytes, or than this process may take. */
+  /** Rejects a plan that needs more bytes than the limit or the maximum heap of this process. */
   static void checked(ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
     String sizes = plan.managers() + " managers x " + plan.engines() + " engines";
     double least = MemoryNeed.of(plan, 0);
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -19,14 +19,14 @@
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
-/** Plays hollow fleets at one size or several, and leaves tables, CSV and charts. */
+/** Simulates hollow fleets of one size or several, and writes tables, CSV files and charts. */
 public final class ScaleTable {
 
   private static final double MIB = 1024.0 * 1024;
   private static final int MOST_THREADS = 64;
   private static final String HEAP = "heap_bytes";
 
-  /** What grows from size to size. */
+  /** What grows from size to size; the constants are values of {@code --grow}. */
   public enum Grows {
     MANAGERS,
     ENGINES,
@@ -34,11 +34,11 @@
   }
 
   /**
-   * A ladder of sizes up to the plan's own.
+   * A geometric series of sizes, up to the size of the plan.
    *
-   * @param sizes how many; 1: only its own
-   * @param factor between two
-   * @param grows what differs
+   * @param sizes number of sizes; 1: only that of the plan
+   * @param factor ratio of two successive sizes
+   * @param grows what grows
    */
   public record Ladder(int sizes, int factor, Grows grows) {}
 
@@ -54,7 +54,17 @@
     this.progress = progress;
   }
 
-  /** Plays all sizes of a ladder on so many threads, the progress told apart from the table. */
+  /**
+   * Simulates all sizes of a series.
+   *
+   * @param largest the plan of the largest size
+   * @param ladder the sizes
+   * @param factory creates the decision modules
+   * @param threads number of threads; does not change the results
+   * @param out folder for the results
+   * @param to stream for the table
+   * @param progress stream for progress and timing
+   */
   public static void run(
       ScalePlan largest,
       Ladder ladder,
@@ -71,7 +81,7 @@
     }
   }
 
-  /** Names the option that cannot be used, its value and what is allowed. */
+  /** Rejects a plan that cannot be used, naming the option, its value and what is allowed. */
   public static void checked(ScalePlan plan) {
     bounded("--managers", plan.managers(), 1, Integer.MAX_VALUE);
     bounded("--engines", plan.engines(), 1, Integer.MAX_VALUE);
@@ -103,7 +113,7 @@
     }
   }
 
-  /** The schedule of that name. */
+  /** The failure schedule of that name; the option stands in the error message. */
   public static FailureSchedule schedule(String option, String name) {
     return FailureSchedule.named(name)
         .orElseThrow(
@@ -112,7 +122,7 @@
                     option + " '" + name + "'; allowed: " + FailureSchedule.names()));
   }
 
-  /** The plans of a ladder, the smallest first. */
+  /** The plans of a series, the smallest first. */
   static List<ScalePlan> rungs(ScalePlan largest, Ladder ladder) {
     bounded("--sizes", ladder.sizes(), 1, 20);
     if (ladder.sizes() > 1) {
@@ -134,7 +144,7 @@
     return rungs;
   }
 
-  /** Plays all sizes; nothing starts where one of them cannot be held. */
+  /** Simulates all sizes; nothing starts if one of them does not fit into memory. */
   private void run(ScalePlan largest, Ladder ladder, Path out) throws IOException {
     List<ScalePlan> rungs = rungs(largest, ladder);
     for (ScalePlan rung : rungs) {
@@ -160,7 +170,7 @@
     return plan.managers() + "x" + plan.engines();
   }
 
-  /** The heap that the managers hold behind it, in bytes. */
+  /** Simulates one size; returns the heap that its managers hold at the end, in bytes. */
   private double played(ScalePlan plan, Path folder, List<ScaleResult> results) throws IOException {
     long from = System.nanoTime();
     ScaleWorld world = new ScaleWorld(plan, factory, workers);
@@ -257,7 +267,10 @@
     return csv.toString();
   }
 
-  /** Counts by size, with the largest predicted from the others; heap apart, as it is no count. */
+  /**
+   * Fits a power law to each count over the smaller sizes and predicts the largest. Heap goes to a
+   * file of its own, as it depends on the machine.
+   */
   private void slopes(List<ScaleResult> results, List<Double> heaps, Ladder ladder, Path out)
       throws IOException {
     double[] sizes =
--- a/src/main/java/tansytrack/lab/StandInChannel.java
+++ b/src/main/java/tansytrack/lab/StandInChannel.java
@@ -11,7 +11,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A command channel for the lab, on loopback: numbered events, asked for by long polls. */
+/** A fake command channel on loopback, which serves numbered events to long polls. */
 public final class StandInChannel implements AutoCloseable {
 
   private static final Pattern ASKED =
@@ -21,27 +21,25 @@
   private final ServerSocket socket = new ServerSocket();
   private final List<String> events = new ArrayList<>();
 
-  /** Listens at the address at once; calls are answered on threads of its own. */
+  /** Starts to listen at the address; each connection is served on its own thread. */
   public StandInChannel(InetSocketAddress at) throws IOException {
     socket.setReuseAddress(true);
     socket.bind(at, 256);
     StandInEngine.thread(this::accept).start();
   }
 
-  /**
-   * The address that it listens at, as host:port; the port is the real one where 0 was asked for.
-   */
+  /** The address that it listens at, as host:port, with the actual port if 0 was requested. */
   public String address() {
     return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
   }
 
-  /** The next event, as JSON without its number. */
+  /** Publishes an event, given as JSON without its number. */
   public synchronized void tell(String nodes) {
     events.add("{\"cursor\":" + (events.size() + 1) + ",\"nodes\":" + nodes + '}');
     notifyAll();
   }
 
-  /** All that was told up to now, in the form of `known`. */
+  /** All events up to now, in the form of the configuration's field {@code known}. */
   public synchronized String known() {
     return after(0);
   }
@@ -71,7 +69,7 @@
         StandInEngine.thread(() -> serve(one)).start();
       }
     } catch (IOException e) {
-      // closed
+      // The socket was closed.
     }
   }
 
@@ -90,7 +88,7 @@
         one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
-      // the manager left
+      // The manager closed the connection.
     }
   }
 
--- a/src/main/java/tansytrack/lab/StandInEngine.java
+++ b/src/main/java/tansytrack/lab/StandInEngine.java
@@ -22,28 +22,32 @@
 import tansytrack.lab.simulation.EngineModel;
 
 /**
- * An engine for the lab, on loopback: takes statements over HTTP/1.1, works on each for a time that
- * follows from its id, and keeps its own count of what it ran. A query runs on until it ends, is
- * given up, or was not asked for in 2 s.
+ * A fake engine on loopback: accepts statements over HTTP/1.1, simulates work that depends on the
+ * id of the query, and records what it ran. A query runs until it is complete, is cancelled, or has
+ * not been polled for 2 s.
  */
 public final class StandInEngine implements AutoCloseable {
 
   private static final long HELD_OPEN_MS = 250;
   private static final long UNASKED_MS = 2000;
-  private static final long TICK_MS = 2; // between looks at what has ended, where cores are shared
+
+  // Interval at which queries that share cores are checked for completion.
+  private static final long TICK_MS = 2;
+
   private static final int LONGEST_HEAD = 1 << 14;
   private static final int LONGEST_BODY = 1 << 17;
   private static final String ROWS = "monday\t12\tnone\ntuesday\t7\tlate\n";
 
-  /** Hears what comes whole and how it ends, in order. */
+  /** Observes forwards, in the order of events. */
   interface Watcher {
+    /** A whole request has arrived; its work is in nanoseconds. */
     void arrived(String engine, String id, double work);
 
-    /** It ended, was given up or never ran. */
+    /** The query ended, was cancelled, or was rejected without running. */
     void over(String engine, String id, boolean mayHaveRun);
   }
 
-  /** One query that was taken up. */
+  /** A query that was admitted. */
   private final class Query {
     final String id;
     final double workMs;
@@ -59,7 +63,7 @@
 
     Query(String id) {
       this.id = id;
-      // Thousandths, so that what is told in text is what is counted.
+      // Whole microseconds, so that the text in the response equals the recorded work.
       workMs =
           (leastMs * 1000
                   + Math.floorMod(
@@ -77,14 +81,16 @@
   private final Map<String, Query> open = new HashMap<>();
   private final List<Query> all = new ArrayList<>();
   private final List<Socket> connections = new ArrayList<>();
-  private final EngineModel model; // null: each query works for itself
-  private final ToDoubleFunction<String> works; // nanoseconds of work by a query's id
+
+  // Null: queries do not share cores.
+  private final EngineModel model;
+
+  // Work by query id, in nanoseconds; null without a model.
+  private final ToDoubleFunction<String> works;
+
   private final Watcher watcher;
 
-  /**
-   * One whose queries share cores as the model says, which falls as it says, and which tells what
-   * it sees.
-   */
+  /** An engine whose queries share cores, and which crashes, by a model. */
   StandInEngine(
       String name,
       InetSocketAddress at,
@@ -103,7 +109,8 @@
   }
 
   /**
-   * An engine whose queries take a time between two bounds, without a model of its cores or memory.
+   * An engine without a model: each query takes {@code leastMs} and up to {@code spreadMs} more,
+   * whatever else runs.
    */
   public StandInEngine(String name, InetSocketAddress at, long leastMs, long spreadMs)
       throws IOException {
@@ -123,26 +130,25 @@
     every(UNASKED_MS, UNASKED_MS / 8, this::dropUnasked);
   }
 
-  /** Repeats a step until the clock is shut down; an exception in one ends the repetition. */
+  /** Repeats a step until shutdown; an exception in a step ends the repetition. */
   @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the end of a repeated step
   private void every(long firstMs, long everyMs, Runnable step) {
     clock.scheduleAtFixedRate(step, firstMs, everyMs, TimeUnit.MILLISECONDS);
   }
 
+  /** Creates a daemon thread; does not start it. */
   static Thread thread(Runnable what) {
     Thread thread = new Thread(what, "lab");
     thread.setDaemon(true);
     return thread;
   }
 
-  /** The engine's identity, as configurations name it. */
+  /** The id of the engine, as in configurations. */
   public String name() {
     return name;
   }
 
-  /**
-   * The address that it listens at, as host:port; the port is the real one where 0 was asked for.
-   */
+  /** The address that it listens at, as host:port, with the actual port if 0 was requested. */
   public String address() {
     return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
   }
@@ -158,7 +164,7 @@
         thread(() -> serve(one)).start();
       }
     } catch (IOException e) {
-      // closed
+      // The socket was closed.
     }
   }
 
@@ -172,7 +178,7 @@
         one.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
-      // the caller left, or spoke something else
+      // The client closed the connection or does not speak HTTP, or the engine crashed.
     } finally {
       synchronized (connections) {
         connections.remove(one);
@@ -180,7 +186,7 @@
     }
   }
 
-  /** The head of the next call, up to its blank line. */
+  /** Reads the head of the next HTTP request, up to its blank line. */
   static String head(DataInputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     int tail = 0;
@@ -202,7 +208,7 @@
         if (length >= 0 && length <= LONGEST_BODY) {
           return length;
         }
-        throw new IOException("a body of " + length);
+        throw new IOException("request body of " + length + " bytes");
       }
     }
     return 0;
@@ -216,6 +222,7 @@
         .orElse("");
   }
 
+  /** Formats an HTTP response; each of the header fields ends with CRLF. */
   static String say(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
@@ -269,7 +276,7 @@
     return "X-Load: busy_reqs:" + busy + ";inflight:" + busy + "\r\n";
   }
 
-  /** Takes it up; null: it is full. */
+  /** Starts a query; null if the engine is full. */
   private synchronized Query started(String id) throws InterruptedException {
     if (model != null) {
       return shared(id);
@@ -306,27 +313,29 @@
     }
   }
 
-  /** It stays down: its connections are reset, new ones refused. */
+  /** Crashes: closes the listener and all connections; the engine stays down. */
   private void fall() throws InterruptedException {
     try {
       close();
     } catch (IOException e) {
-      // it is down all the same
+      // It is down all the same.
     }
     throw new InterruptedException();
   }
 
-  /** Its process has died: what it had is gone. */
+  /** Ends all open queries as lost, as the death of the process does. */
   synchronized void lose() {
     for (Query query : List.copyOf(open.values())) {
       over(query, false);
     }
   }
 
+  /** Whether it has crashed by its model. */
   synchronized boolean fallen() {
     return model != null && model.crashed();
   }
 
+  /** Sets the factor by which all work takes longer; 1: normal speed. */
   synchronized void slow(double factor) {
     model.slowdown(System.nanoTime(), factor);
   }
@@ -345,7 +354,7 @@
     }
   }
 
-  /** The end of a query, or after a while the word that it runs on. */
+  /** Waits for the end of a query; responds 202 Accepted if it still runs after the long poll. */
   private synchronized String news(Query query) throws InterruptedException {
     long until = System.nanoTime() + HELD_OPEN_MS * 1_000_000;
     query.asked = System.nanoTime();
@@ -379,8 +388,8 @@
   }
 
   /**
-   * What it ran, as the rows of a statement: engine,task,work_ns,done; with a last row that says
-   * that it is whole.
+   * The queries that it ran, as rows of a statement (engine,task,work_ns,done); the last row marks
+   * the statement as complete.
    */
   public synchronized List<String> statement() {
     List<String> rows = new ArrayList<>();
@@ -391,7 +400,7 @@
     return rows;
   }
 
-  /** How many queries it was sent. */
+  /** Number of queries that it started. */
   public synchronized long runs() {
     return all.size();
   }
--- a/src/main/java/tansytrack/lab/StandIns.java
+++ b/src/main/java/tansytrack/lab/StandIns.java
@@ -8,16 +8,18 @@
 import tansytrack.wire.Json;
 import tansytrack.wire.ProtocolException;
 
-/**
- * Stand-ins for all that a configuration names, at the addresses that it gives, on loopback alone.
- */
+/** Fake engines and a fake command channel for a configuration, on loopback only. */
 public final class StandIns {
 
   private StandIns() {}
 
   /**
-   * Starts a stand-in for every engine of a configuration, and for its command channel, until
-   * ended.
+   * Starts a fake of every engine of a configuration and of its command channel, at the addresses in
+   * it. They run until the process ends.
+   *
+   * @param file the configuration file
+   * @param workMs minimum work of a query; up to the same again is added
+   * @param out stream for the addresses
    */
   public static void of(String file, int workMs, PrintStream out) throws IOException {
     try {
@@ -42,8 +44,8 @@
                   workMs);
           out.println(engine.name() + " at " + engine.address());
         }
-        // The numbers of the file's own events are taken; those who have them are told nothing
-        // more.
+        // Takes the number of an event in the file, so that managers that read the file get no
+        // event twice.
         channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
       }
       out.println("command channel at " + channel.address());
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -13,9 +13,9 @@
 import tansytrack.lab.simulation.FaultSchedule;
 
 /**
- * The streams from one manager to one engine, or to the list: each connection goes on to the other
- * side, and breaks as the schedule says. What it holds now is asked for again and again, so that a
- * trouble that begins finds streams that are open.
+ * Relays the TCP connections from one manager to one engine, or to the command channel, with faults
+ * by schedule. The active fault is looked up repeatedly, so that a fault also affects connections
+ * that are open when it begins.
  */
 final class StreamRelay implements AutoCloseable {
 
@@ -27,7 +27,10 @@
   private final InetSocketAddress at;
   private final List<Socket> open = new ArrayList<>();
   private ServerSocket listener;
-  private final Random chance; // its own lock keeps threads apart
+
+  // Used by several threads; Random is thread-safe.
+  private final Random chance;
+
   private volatile boolean over;
 
   StreamRelay(
@@ -49,6 +52,7 @@
     return made;
   }
 
+  /** The address that it listens at, as host:port. */
   String address() {
     return at.getAddress().getHostAddress() + ':' + at.getPort();
   }
@@ -62,7 +66,7 @@
                   StandInEngine.thread(() -> carry(one)).start();
                 }
               } catch (IOException e) {
-                // closed
+                // The listener was closed.
               }
             })
         .start();
@@ -73,7 +77,7 @@
     return holds != null && holds.kind() == kind;
   }
 
-  /** Closes and opens the listener, and resets what is open, as the schedule goes on. */
+  /** Resets connections and closes or reopens the listener while the schedule says so. */
   private void watch() {
     boolean refused = false;
     try {
@@ -130,7 +134,7 @@
       pump(client, server, true);
       back.join();
     } catch (IOException e) {
-      // refused beyond: the client's connection ends
+      // The target refused the connection; the client's connection is closed.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -165,7 +169,7 @@
         out.write(bytes, 0, count);
       }
     } catch (IOException e) {
-      // one side ended
+      // One side closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
--- a/src/main/java/tansytrack/lab/TextFile.java
+++ b/src/main/java/tansytrack/lab/TextFile.java
@@ -9,14 +9,12 @@
 import java.nio.file.Path;
 import tansytrack.settings.InvalidInputException;
 
-/**
- * What the lab's files and options have in common: how they are read, and how their faults are
- * said.
- */
+/** Reading and validation of the input files and options of lab commands. */
 final class TextFile {
 
   private TextFile() {}
 
+  /** Reads a whole file. */
   static String text(String file) {
     try {
       return Files.readString(Path.of(file), StandardCharsets.UTF_8);
@@ -25,7 +23,7 @@
     }
   }
 
-  /** Reads protobuf's text format. */
+  /** Parses protobuf text format into a builder; the file's name stands in error messages. */
   static <B extends Message.Builder> B parsed(String file, String text, B into) {
     try {
       TextFormat.merge(text, into);
@@ -35,6 +33,7 @@
     }
   }
 
+  /** Rejects a value outside of the bounds, naming the field, the value and what is allowed. */
   static void bounded(String file, String field, double value, double least, double most) {
     if (!(value >= least && value <= most)) {
       throw new InvalidInputException(
@@ -50,7 +49,7 @@
     }
   }
 
-  /** An address with a port; the lab reaches nothing but this machine. */
+  /** Parses a loopback address with a port; lab commands connect to this machine only. */
   static InetSocketAddress loopback(String field, String text) {
     int colon = text.lastIndexOf(':');
     try {
@@ -61,7 +60,7 @@
         return at;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      // said below
+      // Reported below.
     }
     throw new InvalidInputException(
         field + " '" + text + "'; allowed: a loopback address with a port, as in 127.0.0.1:6565");
--- a/src/main/java/tansytrack/lab/WorkerThreads.java
+++ b/src/main/java/tansytrack/lab/WorkerThreads.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import tansytrack.lab.scale.Workers;
 
-/** Workers that are threads. */
+/** Runs the tasks of a simulation on a pool of threads. */
 final class WorkerThreads implements Workers, AutoCloseable {
 
   private final ExecutorService threads;
@@ -28,7 +28,7 @@
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while managers were played", e);
+      throw new IllegalStateException("interrupted while managers were simulated", e);
     } catch (ExecutionException e) {
       throw new IllegalStateException("a manager failed", e.getCause());
     }
--- a/src/main/java/tansytrack/lab/load/Behaviour.java
+++ b/src/main/java/tansytrack/lab/load/Behaviour.java
@@ -3,15 +3,30 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What a client does about an answer that it does not want: how often it tries again, whether it
- * heeds the pause that it was told, and for how long it waits in all. Times in nanoseconds.
+ * How a client retries a rejected task.
+ *
+ * @param patience the client gives up this long after the intended time of sending, in nanoseconds
+ * @param mostRetries maximum number of retries of a task
+ * @param heeds whether the client waits at least for the retry-after time of the rejection
+ * @param firstPause delay before the first retry, in nanoseconds
+ * @param grows factor between one retry delay and the next
+ * @param jitter maximum random deviation of a retry delay, as a share of the delay
  */
 public record Behaviour(
     long patience, int mostRetries, boolean heeds, long firstPause, double grows, double jitter) {
 
   private static final String TOLD = "after=";
 
-  /** When to try again, from now; -1: it gives up. Tried: how often it has sent the task so far. */
+  /**
+   * The delay until the next attempt, in nanoseconds; -1: the client gives up. Only rejections are
+   * retried (SQLSTATE class 53 and 57P03), as the statement has not run then.
+   *
+   * @param code SQLSTATE of the answer
+   * @param text error text of the answer, which may hold a retry-after time
+   * @param tried number of attempts so far
+   * @param sinceIntended nanoseconds since the intended time of sending
+   * @param chance source of the jitter
+   */
   public long pause(
       String code, String text, int tried, long sinceIntended, UniformRandomProvider chance) {
     boolean harmless = code.startsWith("53") || code.equals("57P03");
@@ -24,7 +39,7 @@
     return sinceIntended + pause >= patience ? -1 : pause;
   }
 
-  /** The pause that a refusal names; 0: none. */
+  /** The retry-after time in the text of a rejection, in nanoseconds; 0: none. */
   static long told(String text) {
     int from = text.indexOf(TOLD);
     long ms = 0;
--- a/src/main/java/tansytrack/lab/load/Latencies.java
+++ b/src/main/java/tansytrack/lab/load/Latencies.java
@@ -5,34 +5,35 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latencies counted from the intended time, so that what was sent late because something stalled
- * counts as long; beside them the service time, from the actual sending. By grade, tenant and
- * second of the intended time; and the users' own measure: earnings in time over earnings asked
- * for, where a task's retries are part of its first try.
+ * Latency and earnings of a load, by query class, by tenant and by second of the intended time of
+ * sending. Latency is measured from the intended time, so that a task that was sent late because of
+ * a stall counts with its full delay; service time is measured from the actual sending. The share is
+ * the earnings of the tasks answered in time over the earnings of all tasks. The retries of a task
+ * count as part of the task.
  */
 public final class Latencies {
 
   private static final long LONGEST = 3600 * Shape.SECOND;
   private static final int DIGITS = 3;
 
-  /** One second of intended times. */
+  /** Latency and earnings of a group of tasks. */
   public static final class Window {
     private final Histogram latency = new Histogram(LONGEST, DIGITS);
     private double asked;
     private double earned;
     private long tasks;
 
-    /** The earned part of what was asked for, 1 where nothing was. */
+    /** Earnings of tasks answered in time over earnings of all tasks; 1 without tasks. */
     public double share() {
       return asked == 0 ? 1 : earned / asked;
     }
 
-    /** How many tasks it counts. */
+    /** Number of tasks. */
     public long tasks() {
       return tasks;
     }
 
-    /** Latency at a percentile, measured from the intended time of sending. */
+    /** Latency at a percentile, in nanoseconds from the intended time of sending. */
     public long latency(double percentile) {
       return latency.getValueAtPercentile(percentile);
     }
@@ -45,8 +46,13 @@
   private final Window all = new Window();
 
   /**
-   * A task's end: intended, sent and over in nanoseconds from the start; what it would have earned
-   * in time, and did earn.
+   * Records the end of a task.
+   *
+   * @param arrival the task
+   * @param sent time of the first attempt, in nanoseconds from the start of the load
+   * @param over time of the last answer, in nanoseconds from the start of the load
+   * @param worth what the task earns when it is answered in time
+   * @param earned what it earned
    */
   public void over(Arrival arrival, long sent, long over, double worth, double earned) {
     long took = Math.min(LONGEST, Math.max(0, over - arrival.at()));
@@ -66,37 +72,37 @@
     }
   }
 
-  /** Latency at a percentile over all tasks, measured from the intended time of sending. */
+  /** Latency of all tasks at a percentile, in nanoseconds from the intended time of sending. */
   public long latency(double percentile) {
     return latency.getValueAtPercentile(percentile);
   }
 
-  /** Time from the real sending to the answer at a percentile, over all tasks. */
+  /** Service time of all tasks at a percentile, in nanoseconds from the actual sending. */
   public long service(double percentile) {
     return service.getValueAtPercentile(percentile);
   }
 
-  /** How many tasks were counted in all. */
+  /** Number of tasks. */
   public long tasks() {
     return all.tasks;
   }
 
-  /** The earned part of all that was asked for. */
+  /** Earnings of tasks answered in time over earnings of all tasks; 1 without tasks. */
   public double share() {
     return all.share();
   }
 
-  /** Counts by group, in the order of their names. */
+  /** Totals by query class and by tenant, sorted by name. */
   public Map<String, Window> groups() {
     return groups;
   }
 
-  /** Counts by second of the intended sending. */
+  /** Totals by second of the intended time of sending. */
   public Map<Long, Window> seconds() {
     return seconds;
   }
 
-  /** The lowest share over so many seconds on end. */
+  /** The lowest share over any window of that many seconds. */
   public double worstShare(int length) {
     double worst = 1;
     for (long from : seconds.keySet()) {
--- a/src/main/java/tansytrack/lab/load/Mix.java
+++ b/src/main/java/tansytrack/lab/load/Mix.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What arrives: tenants and grades by weight, data sets by Zipf's law with a hot end that moves,
- * costs drawn lognormal, keys.
+ * Draws the tasks of a load: tenant and query class by weight, data set by Zipf's law with popular
+ * data sets that change over time, cost from a lognormal distribution, key uniformly.
  */
 public final class Mix {
 
@@ -13,21 +13,39 @@
   public record Weighted(String name, double weight) {}
 
   /**
-   * A grade: its weight, the median and spread (the deviation of the logarithm) of its cost, and
-   * how many keys; 0: none.
+   * The tasks of a query class.
+   *
+   * @param name name of the query class
+   * @param weight share of the tasks, relative to the other query classes
+   * @param medianMs median cost, in milliseconds
+   * @param spread standard deviation of the cost's logarithm
+   * @param memoryMb estimated memory of a task, in MB
+   * @param keys number of distinct keys; 0: tasks have no key
    */
   public record GradeLoad(
       String name, double weight, double medianMs, double spread, double memoryMb, int keys) {}
 
   private final List<Weighted> tenants;
   private final List<GradeLoad> grades;
-  private final double[] zipf; // summed up
-  private final long moves; // ns after which the hot end has moved by one set; 0: never
+
+  // Cumulative weights of the ranks.
+  private final double[] zipf;
+
+  // Time after which each rank moves on by one data set; 0: never.
+  private final long moves;
+
   private final double tenantWeight;
   private final double gradeWeight;
 
   /**
-   * The choice of tenants, query classes and data sets; the popular data sets move on after a time.
+   * Creates a mix.
+   *
+   * @param tenants tenants with their weights
+   * @param grades query classes with their weights and costs
+   * @param dataSets number of data sets
+   * @param exponent exponent of Zipf's law for the popularity of data sets
+   * @param moves time after which each popularity rank moves on by one data set, in nanoseconds; 0:
+   *     never
    */
   public Mix(
       List<Weighted> tenants, List<GradeLoad> grades, int dataSets, double exponent, long moves) {
@@ -48,13 +66,13 @@
         || !(tenantWeight > 0)
         || !(gradeWeight > 0)) {
       throw new IllegalArgumentException(
-          "a mix needs tenants, grades and data sets, with weights over 0");
+          "a mix needs tenants, query classes and data sets, with weights over 0");
     }
   }
 
   /**
-   * The next task; draws the same number of times whatever comes out, so that one change does not
-   * shift all the rest.
+   * Draws the next task. Takes the same number of random values for every task, so that a changed
+   * setting does not alter unrelated draws of later tasks.
    */
   public Arrival draw(long number, long at, UniformRandomProvider chance) {
     double ofTenant = chance.nextDouble() * tenantWeight;
--- a/src/main/java/tansytrack/lab/load/Punctuality.java
+++ b/src/main/java/tansytrack/lab/load/Punctuality.java
@@ -3,9 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Whether the generator itself kept its times. A run in which it did not says nothing of what it
- * was to measure, and is void: it is not smoothed, and its figures are not shown as if it were
- * whole.
+ * Delays of the load generator against its schedule. A run in which too many tasks were sent late
+ * does not measure the gateway: it is void, and its figures are not reported.
  */
 public final class Punctuality {
 
@@ -15,30 +14,35 @@
   private long over;
   private long unsent;
 
-  /** A send may be late by so much; that part of them may be later. */
+  /**
+   * Sets the limits.
+   *
+   * @param allowed delay from which a task counts as late, in nanoseconds
+   * @param part share of the tasks that may be late
+   */
   public Punctuality(long allowed, double part) {
     this.allowed = allowed;
     this.part = part;
   }
 
-  /** Counts a task that was sent, by how much later than intended it went out. */
+  /** Records the delay of a task: its intended and its actual time of sending, in nanoseconds. */
   public void sent(long intended, long at) {
     long by = Math.max(0, at - intended);
     late.recordValue(Math.min(by, late.getHighestTrackableValue()));
     over += by > allowed ? 1 : 0;
   }
 
-  /** It had no means to send it, as all connections that it may hold were in use. */
+  /** Counts a task that was not sent because all allowed connections were in use. */
   public void unsent() {
     unsent++;
   }
 
-  /** Whether the generator fell behind so far that the run's figures say nothing of the gateway. */
+  /** Whether a task was not sent, or more than the allowed share of the tasks was late. */
   public boolean isVoid() {
     return unsent > 0 || (late.getTotalCount() > 0 && over > part * late.getTotalCount());
   }
 
-  /** A summary for people, in one line. */
+  /** A one-line summary for the console. */
   public String said() {
     return late.getTotalCount()
         + " sent, "
--- a/src/main/java/tansytrack/lab/load/Schedule.java
+++ b/src/main/java/tansytrack/lab/load/Schedule.java
@@ -6,14 +6,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The arrivals of a load in the order of their intended times, made beforehand from shape, mix and
- * seed: nothing that happens while it is played changes it. Poisson arrivals at a rate that varies
- * come by thinning: candidates at the highest rate, of which each is kept with the part that the
- * rate then is of it. Even arrivals come as the summed-up rate passes each whole number.
+ * The arrivals of a load in the order of their intended times. They depend only on rate, mix and
+ * seed, and not on the answers. Poisson arrivals at a varying rate are drawn by thinning: candidates
+ * come at the maximum rate, and each is kept with the probability current rate / maximum rate. Even
+ * arrivals come whenever the integral of the rate passes a whole number.
  */
 public final class Schedule implements Iterator<Arrival> {
 
-  private static final long STEP = Shape.SECOND / 1000; // of the sum for even arrivals
+  // Step of the numeric integration for even arrivals.
+  private static final long STEP = Shape.SECOND / 1000;
 
   private final Shape shape;
   private final Mix mix;
@@ -27,7 +28,13 @@
   private Arrival next;
 
   /**
-   * A schedule of the given length; evenly spaced tasks, or Poisson arrivals drawn from the seed.
+   * Creates a schedule.
+   *
+   * @param shape arrival rate over time
+   * @param mix draws the tasks
+   * @param length length in nanoseconds
+   * @param even whether arrivals are evenly spaced; else they are a Poisson process
+   * @param seed seed of arrival times and tasks
    */
   public Schedule(Shape shape, Mix mix, long length, boolean even, long seed) {
     this.shape = shape;
@@ -50,7 +57,7 @@
         double now = at;
         at += STEP;
         if (owed >= 1) {
-          // Within the step, where the sum passed the whole number; what is over stays owed.
+          // The sum passed a whole number within this step; the remainder is kept.
           owed -= 1;
           next = mix.draw(++number, (long) now, kinds);
           at -= owed >= 1 ? STEP : 0;
--- a/src/main/java/tansytrack/lab/load/Shape.java
+++ b/src/main/java/tansytrack/lab/load/Shape.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * How many arrivals a second a load intends, over time; nanoseconds from its start. Shapes add and
- * multiply, so a day is made of parts. Pure: the same time, the same rate.
+ * The arrival rate of a load over time: a pure function of the nanoseconds since its start. Shapes
+ * can be added and multiplied, for instance to model a day.
  */
 public sealed interface Shape {
 
+  /** Nanoseconds in a second. */
   long SECOND = 1_000_000_000L;
 
   /** Arrivals a second at that time. */
   double rate(long at);
 
-  /** What the rate never passes. */
+  /** An upper bound of the rate, in arrivals a second. */
   double most();
 
-  /** Always the same. */
+  /** A constant rate. */
   record Constant(double perSecond) implements Shape {
     @Override
     public double rate(long at) {
@@ -29,7 +30,7 @@
     }
   }
 
-  /** Evenly from one rate to another between two times, and flat outside. */
+  /** A linear change from one rate to another between two times; constant before and after. */
   record Ramp(double from, double to, long begins, long ends) implements Shape {
     @Override
     public double rate(long at) {
@@ -46,7 +47,7 @@
     }
   }
 
-  /** One rate after the other, each for the same time; the last stays. */
+  /** Constant rates one after the other, each for the same time; the last one has no end. */
   record Steps(List<Double> rates, long each) implements Shape {
     @Override
     public double rate(long at) {
@@ -59,7 +60,7 @@
     }
   }
 
-  /** So much for a while at the start of each interval, nothing in the rest of it. */
+  /** A constant rate for a while at the start of each interval, and 0 in the rest of it. */
   record Bursts(double perSecond, long every, long lasts, long first) implements Shape {
     @Override
     public double rate(long at) {
@@ -72,7 +73,7 @@
     }
   }
 
-  /** A day's wave between two rates: lowest at its start, highest at the middle. */
+  /** A cosine wave between two rates: lowest at the start of each period, highest in its middle. */
   record Wave(double least, double most, long day) implements Shape {
     @Override
     public double rate(long at) {
@@ -82,9 +83,8 @@
   }
 
   /**
-   * A festival morning: calm, then people come ever faster up to the peak, and leave more slowly
-   * than they came. Between calm and peak it rises with the square of the part of the way and falls
-   * by halves.
+   * A surge: a constant base rate, a quadratic rise to the peak, then an exponential decay back to
+   * the base rate with the given half-life.
    */
   record Festival(double calm, double peak, long opens, long fullest, long halves)
       implements Shape {
@@ -106,7 +106,10 @@
     }
   }
 
-  /** On and off for times drawn beforehand with heavy tails; begins on. */
+  /**
+   * A rate that is switched off and on at the given times, in ascending order; on at the start. The
+   * caller draws the times, for instance from a heavy-tailed distribution.
+   */
   record OnOff(double perSecond, long[] switches) implements Shape {
     @Override
     public double rate(long at) {
@@ -121,7 +124,7 @@
     }
   }
 
-  /** All of them together. */
+  /** The sum of several shapes. */
   record Sum(List<Shape> parts) implements Shape {
     @Override
     public double rate(long at) {
@@ -134,7 +137,7 @@
     }
   }
 
-  /** One times the other. */
+  /** The product of two shapes. */
   record Product(Shape one, Shape other) implements Shape {
     @Override
     public double rate(long at) {
