--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -26,12 +26,12 @@
 import tansytrack.lab.simulation.MembershipModelChecker;
 import tansytrack.settings.InvalidInputException;
 
-/** The command group `lab`: stand-ins and experiments, all on loopback. */
+/** The command group {@code lab}: fake engines and experiments, all on loopback. */
 public final class LabCommands {
 
   private LabCommands() {}
 
-  /** The group. */
+  /** The command group. */
   public static final class All extends CommandGroup {
     @Argument(
         required = true,
@@ -52,8 +52,8 @@
 
     @Override
     public String description() {
-      return "lab: stand-ins and experiments on loopback. Commands: engines, run, load, fleet, scale,\n"
-          + "footprint, explore, ledger-bench.";
+      return "lab: fake engines and experiments on loopback. Commands: engines, run, load, fleet,\n"
+          + "scale, footprint, explore, ledger-bench.";
     }
 
     @Override
@@ -62,18 +62,18 @@
     }
   }
 
-  /** Plays a file with a seed and leaves results. */
+  /** A command that runs with a seed and writes results to a folder. */
   abstract static class Playing extends ErrorReportingCommand {
-    @Option(name = "--seed", metaVar = "N", usage = "of the first run")
+    @Option(name = "--seed", metaVar = "N", usage = "seed of the first run")
     private long seed = 1;
 
     @Option(
         name = "--out",
         metaVar = "FOLDER",
-        usage = "where results are left; absent: a new temporary folder")
+        usage = "folder for the results; absent: a new temporary folder")
     private String out;
 
-    /** Whether all that was claimed holds. */
+    /** Runs and writes the results; returns whether all claims hold. */
     abstract boolean played(long from, Path to) throws IOException, InterruptedException;
 
     @Override
@@ -90,20 +90,21 @@
     }
   }
 
-  /** Stand-ins for what a configuration names. */
+  /** Fakes of the engines and the command channel of a configuration. */
   public static final class Engines extends ErrorReportingCommand {
     @Argument(
         required = true,
         metaVar = "FILE",
-        usage = "the configuration whose engines and command channel are stood in for")
+        usage = "the configuration whose engines and command channel are faked")
     private String file;
 
-    @Option(name = "--work-ms", metaVar = "N", usage = "work on a task, in milliseconds")
+    @Option(name = "--work-ms", metaVar = "N", usage = "minimum work of a task, in milliseconds")
     private int work = 20;
 
     @Override
     public String description() {
-      return "lab engines: stand-ins for the engines and the command channel that a configuration names, until ended.";
+      return "lab engines: runs fakes of the engines and the command channel of a configuration,\n"
+          + "until the process ends.";
     }
 
     @Override
@@ -118,7 +119,7 @@
     }
   }
 
-  /** An experiment. */
+  /** Runs an experiment. */
   public static final class Run extends Playing {
     @Argument(
         required = true,
@@ -128,8 +129,8 @@
 
     @Override
     public String description() {
-      return "lab run: plays an experiment and judges its claims. Exit code 1: one is not held, or a run ended early; 2: the file\n"
-          + "cannot be used.";
+      return "lab run: runs an experiment and evaluates its claims.\n"
+          + "Exit code 1: a claim does not hold, or a run failed; 2: the file cannot be used.";
     }
 
     @Override
@@ -138,13 +139,13 @@
       try {
         return Laboratory.run(experiment, from, to, Decide::new, System.out);
       } catch (IOException e) {
-        System.err.println("tansytrack: the experiment ended early: " + e);
+        System.err.println("tansytrack: the experiment failed: " + e);
         return false;
       }
     }
   }
 
-  /** An open-loop load. */
+  /** Sends an open-loop load. */
   public static final class Load extends Playing {
     @Argument(
         required = true,
@@ -156,13 +157,14 @@
         name = "--to",
         metaVar = "ADDRESS",
         required = true,
-        usage = "a manager's listener, on loopback")
+        usage = "the client address of a manager, on loopback")
     private String to;
 
     @Override
     public String description() {
-      return "lab load: sends a load made beforehand, each task at its intended time, and counts latency from that time.\n"
-          + "Exit code 1: a claim is not held, or the generator fell behind and the run is void; 2: the file cannot be used.";
+      return "lab load: sends an open-loop load, each task at its intended time, and measures\n"
+          + "latency from that time. Exit code 1: a claim does not hold, or the generator fell\n"
+          + "behind and the run is void; 2: the file cannot be used.";
     }
 
     @Override
@@ -171,24 +173,25 @@
     }
   }
 
-  /** The membership's measurement. */
+  /** Measures the membership protocol. */
   public static final class Fleet extends Playing {
-    @Option(name = "--members", metaVar = "N,N", usage = "sizes to play")
+    @Option(name = "--members", metaVar = "N,N", usage = "numbers of members")
     private String members = "10,100,300";
 
-    @Option(name = "--loss", metaVar = "X,X", usage = "shares of letters lost")
+    @Option(name = "--loss", metaVar = "X,X", usage = "shares of messages lost")
     private String loss = "0,0.1,0.3";
 
     @Option(
         name = "--runs",
         metaVar = "N",
-        usage = "of each size and loss, each with the next seed")
+        usage = "runs of each size and loss, each with the next seed")
     private int runs = 5;
 
     @Override
     public String description() {
-      return "lab fleet: memberships in virtual time: how soon a killed member is known dead, how often the living are accused,\n"
-          + "bytes a second, how soon a place that was cut off comes together. Leaves a table and charts.";
+      return "lab fleet: measures the membership protocol in virtual time: detection time of a\n"
+          + "killed member, false accusations, bytes a second, time to heal after the partition of\n"
+          + "a zone. Writes a table and charts.";
     }
 
     @Override
@@ -197,57 +200,58 @@
     }
   }
 
-  /** What a manager's process costs. */
+  /** Measures the resources that a manager process uses. */
   public static final class Footprint extends ErrorReportingCommand {
-    @Option(name = "--managers", metaVar = "N", usage = "processes")
+    @Option(name = "--managers", metaVar = "N", usage = "number of processes")
     private int managers = 1;
 
-    @Option(name = "--engines", metaVar = "N", usage = "engines listed")
+    @Option(name = "--engines", metaVar = "N", usage = "number of listed engines")
     private int engines = 100;
 
     @Option(
         name = "--siblings",
         metaVar = "N",
-        usage = "managers that each process is told of; 0: as many as there are processes")
+        usage = "number of managers in the settings; 0: as many as there are processes")
     private int siblings;
 
     @Option(
         name = "--settle",
         metaVar = "SECONDS",
-        usage = "between the last start and the first reading")
+        usage = "time between the last start and the first measurement")
     private int settle = 4;
 
-    @Option(name = "--seconds", metaVar = "N", usage = "of each reading")
+    @Option(name = "--seconds", metaVar = "N", usage = "duration of each measurement")
     private int seconds = 5;
 
     @Option(
         name = "--rate",
         metaVar = "N",
-        usage = "statements a second to each manager in the reading under load; 0: none")
+        usage = "statements a second to each manager when measured under load; 0: no load")
     private int rate = 20;
 
-    @Option(name = "--jar", metaVar = "FILE", usage = "what runs; absent: this program")
+    @Option(name = "--jar", metaVar = "FILE", usage = "jar of the managers; absent: this program")
     private String jar;
 
     @Option(
         name = "--jvm",
         metaVar = "FLAGS",
-        usage = "flags of the java command; absent: those of the run line")
+        usage = "flags of the java command; absent: those of the deploy file")
     private String jvm = FootprintOptions.RUN_LINE_FLAGS;
 
     @Option(
         name = "--out",
         metaVar = "FOLDER",
-        usage = "where results are left; absent: a new temporary folder")
+        usage = "folder for the results; absent: a new temporary folder")
     private String out;
 
     @Override
     public String description() {
       return """
-          lab footprint: real managers before a stand-in channel with a long list: memory, processor
-          time at rest and under a light load, control bytes, start, how soon a change has reached
-          all. Leaves result.csv, a row a manager. Exit code 1: a change did not reach all; 2: cannot
-          be used, or a manager does not come up.""";
+          lab footprint: measures manager processes with a fake command channel and many
+          engines: memory, CPU time when idle and under a light load, control bytes, start-up
+          time, time until a change has reached all managers. Writes result.csv with a row for
+          each manager. Exit code 1: a change did not reach all; 2: an option cannot be used, or
+          a manager does not start.""";
     }
 
     @Override
@@ -266,45 +270,46 @@
     }
   }
 
-  /** Hollow managers at scale. */
+  /** Simulates hollow managers at scale. */
   public static final class Scale extends Playing {
-    @Option(name = "--managers", metaVar = "N", required = true, usage = "real decision modules")
+    @Option(name = "--managers", metaVar = "N", required = true, usage = "number of managers")
     private int managers;
 
-    @Option(name = "--engines", metaVar = "N", required = true, usage = "hollow engines")
+    @Option(name = "--engines", metaVar = "N", required = true, usage = "number of engines")
     private int engines;
 
-    @Option(name = "--zones", metaVar = "N", usage = "that both are spread over in turn")
+    @Option(name = "--zones", metaVar = "N", usage = "zones, to which both are assigned in turn")
     private int zones = 1;
 
-    @Option(name = "--seconds", metaVar = "N", usage = "in which statements come, virtual")
+    @Option(name = "--seconds", metaVar = "N", usage = "duration of the load, in virtual time")
     private int seconds = 20;
 
-    @Option(name = "--rate", metaVar = "X", usage = "statements a second to each manager, thinned")
+    @Option(name = "--rate", metaVar = "X", usage = "statements a second to each manager (thinned)")
     private double rate = 8;
 
-    @Option(name = "--schedule", metaVar = "NAME", usage = "the failures to play")
+    @Option(name = "--schedule", metaVar = "NAME", usage = "the failures to simulate")
     private String schedule = FailureSchedule.REST.text();
 
-    @Option(name = "--sizes", metaVar = "N", usage = "5 or more: a ladder of sizes with slopes")
+    @Option(name = "--sizes", metaVar = "N", usage = "number of sizes; 5 or more: with slopes")
     private int sizes = 1;
 
-    @Option(name = "--factor", metaVar = "N", usage = "between two sizes of the ladder")
+    @Option(name = "--factor", metaVar = "N", usage = "ratio of two successive sizes")
     private int factor = 2;
 
     @Option(
         name = "--threads",
         metaVar = "N",
-        usage = "to play on; the table does not depend on it")
+        usage = "number of threads; does not change the table")
     private int threads = 1;
 
-    @Option(name = "--grow", metaVar = "WHAT", usage = "along the ladder")
+    @Option(name = "--grow", metaVar = "WHAT", usage = "what grows from size to size")
     private ScaleTable.Grows grows = ScaleTable.Grows.BOTH;
 
     @Override
     public String description() {
-      return "lab scale: real decision modules of many managers before hollow engines, in one process on virtual time, without\n"
-          + "sockets and clients. Leaves a table, CSV and charts; the same seed, the same table. Schedules: "
+      return "lab scale: simulates many managers, with their real decision modules, and hollow\n"
+          + "engines in one process in virtual time, without sockets and clients. Writes a table,\n"
+          + "CSV files and charts; the same seed gives the same table. Schedules: "
           + FailureSchedule.names()
           + ".\nExit code 2: a size or option cannot be used.";
     }
@@ -320,18 +325,19 @@
     }
   }
 
-  /** The search through states. */
+  /** Checks the membership protocol by a search of its states. */
   public static final class Explore extends ErrorReportingCommand {
-    @Option(name = "--depth", metaVar = "N", usage = "choices in a row")
+    @Option(name = "--depth", metaVar = "N", usage = "maximum number of steps")
     private int depth = 9;
 
-    @Option(name = "--states", metaVar = "N", usage = "the most to look at")
+    @Option(name = "--states", metaVar = "N", usage = "maximum number of states")
     private int states = 100_000;
 
     @Override
     public String description() {
-      return "lab explore: three memberships, every order, loss and doubling of letters, a cut, a kill, a restart, breadth first.\n"
-          + "Exit code 1: from some state they do not come to agree.";
+      return "lab explore: checks the membership protocol of three members by breadth-first\n"
+          + "search: every order, loss and duplication of messages, a partition, a kill, a restart.\n"
+          + "Exit code 1: from some state the members do not reach agreement.";
     }
 
     @Override
@@ -342,33 +348,34 @@
           found.states()
               + " states, up to "
               + found.depth()
-              + " choices deep; "
+              + " steps deep; "
               + (found.counterexample() == null
-                  ? "from each they come to agree"
-                  : "no agreement behind choices " + found.counterexample()));
+                  ? "the members reach agreement from each"
+                  : "no agreement after steps " + found.counterexample()));
       return found.counterexample() == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 
-  /** The ledger's measurement. */
+  /** Benchmarks the ledger. */
   public static final class Bench extends ErrorReportingCommand {
     @Option(
         name = "--folder",
         metaVar = "FOLDER",
         required = true,
-        usage = "a new folder for its ledgers")
+        usage = "a new folder for the ledgers")
     private String folder;
 
-    @Option(name = "--entries", metaVar = "N", usage = "entries, as fast as the disk takes them")
+    @Option(name = "--entries", metaVar = "N", usage = "number of entries at full speed")
     private int entries = 200_000;
 
-    @Option(name = "--seconds", metaVar = "N", usage = "of each paced part")
+    @Option(name = "--seconds", metaVar = "N", usage = "duration of each part at a fixed rate")
     private int seconds = 5;
 
     @Override
     public String description() {
-      return "lab ledger-bench: the loop's cost of a ledger's entry, durable entries a second, waits for the commit, a start after\n"
-          + "a kill. The larger ledger stays in FOLDER/full, to measure `ledger export` on.";
+      return "lab ledger-bench: measures the loop time of a ledger entry, durable entries a\n"
+          + "second, waits for the commit, and the start after a kill. The larger ledger stays in\n"
+          + "FOLDER/full, for measurements of `ledger export`.";
     }
 
     @Override
--- a/src/main/java/tansytrack/lab/FleetTable.java
+++ b/src/main/java/tansytrack/lab/FleetTable.java
@@ -21,9 +21,9 @@
 import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
- * Measures the membership protocol in virtual time by number of members and datagram loss: detection
- * time, false accusations, bytes sent and time to heal after a partition. Writes a table and charts,
- * with the detection time that the SWIM paper expects for comparison.
+ * Measures the membership protocol in virtual time by number of members and datagram loss:
+ * detection time, false accusations, bytes sent and time to heal after a partition. Writes a table
+ * and charts, with the detection time that the SWIM paper expects for comparison.
  */
 public final class FleetTable {
 
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -39,7 +39,7 @@
     save(chart, folder.resolve("in-time.png"));
   }
 
-  /** Draws counts by size, both on logarithmic axes; counts that are 0 at some size are left out. */
+  /** Draws counts by size on logarithmic axes; counts that are 0 at some size are left out. */
   static void slopes(double[] sizes, Map<String, double[]> counts, Path folder) throws IOException {
     XYChart chart = chart("Counts by size", "size", "count");
     chart.getStyler().setXAxisLogarithmic(true);
--- a/src/test/java/tansytrack/lab/FleetLinksTest.java
+++ b/src/test/java/tansytrack/lab/FleetLinksTest.java
@@ -22,7 +22,7 @@
 import tansytrack.lab.simulation.MembershipSimulation.Observation;
 import tansytrack.settings.InvalidInputException;
 
-/** The experiment on a fleet of processes, as it stands in lab/, and what judges it. */
+/** The experiments on fleets of processes in lab/, and the metrics that they are judged by. */
 class FleetLinksTest {
 
   private static final long SECOND = 1_000_000_000L;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Traffic, cold engines, cut links, a silent place: the seven rules over all managers, by what
-   * stand-ins saw.
+   * Load, cold engines, cut links, stalled connections: checks the seven invariants over all
+   * managers, as clients, engines and command channels observe them.
    */
   @Test
   void sixProcessesServeByTheRulesWhileThingsBreak() throws Exception {
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Starts that are reset and come late all the same: behind the question for them, and behind the
-   * call that gives them up.
+   * Guards against two queries of a key at once: requests whose connection was reset arrive late
+   * all the same, after the poll for the query and after its cancellation.
    */
   @Test
   void startsThatComeLateBreakNoOrder() throws Exception {
@@ -81,7 +81,7 @@
     return new Observation((long) (at * SECOND), by, of, 1, standing);
   }
 
-  /** Each figure of the judge is shown to fire on a record that is wrong on purpose. */
+  /** Checks that each metric reports a violation in observations that are wrong on purpose. */
   @Test
   void theJudgeSeesWhatIsWrong() {
     List<String> two = List.of("a", "b");
--- a/src/test/java/tansytrack/lab/FleetShowTest.java
+++ b/src/test/java/tansytrack/lab/FleetShowTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * `fleet show`, SHOW FLEET and SHOW STATS of two managers that run as processes, and what is said
- * where they cannot.
+ * {@code fleet show}, SHOW FLEET and SHOW STATS of two manager processes, and the error messages
+ * where there is nothing to show.
  */
 class FleetShowTest {
 
--- a/src/test/java/tansytrack/lab/LedgerCrashTest.java
+++ b/src/test/java/tansytrack/lab/LedgerCrashTest.java
@@ -18,7 +18,7 @@
 import tansytrack.lab.proto.Claim;
 import tansytrack.settings.InvalidInputException;
 
-/** The experiment on crashes, as it stands in lab/, and the laboratory's own rules. */
+/** The experiment on crashes in lab/, the evaluation of claims, and the validation of files. */
 class LedgerCrashTest {
 
   @TempDir Path folder;
--- a/src/test/java/tansytrack/lab/OpenLoopTest.java
+++ b/src/test/java/tansytrack/lab/OpenLoopTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.settings.InvalidInputException;
 
-/** A load against a server whose delay is known, and which stalls. */
+/** The load generator against a server with a known delay, which can stall or reject tasks. */
 class OpenLoopTest {
 
   private static final int DELAY_MS = 150;
@@ -51,7 +51,7 @@
                   StandInEngine.thread(() -> serve(one)).start();
                 }
               } catch (IOException e) {
-                // over
+                // The socket was closed.
               }
             })
         .start();
@@ -98,7 +98,7 @@
         say(one, 'Z', new byte[] {'I'});
       }
     } catch (IOException | InterruptedException e) {
-      // the client left
+      // The client closed the connection.
     }
   }
 
@@ -134,7 +134,7 @@
     Map<String, Double> figures = play(LOAD);
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
     assertThat(figures.get("latency_ms.p99")).isGreaterThan(1200);
-    assertThat(figures.get("connections")).as("the sending goes on").isGreaterThan(40);
+    assertThat(figures.get("connections")).as("connections, as sending goes on").isGreaterThan(40);
     assertThat(figures.get("share")).isLessThan(0.95);
   }
 
@@ -145,7 +145,7 @@
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
     assertThat(asked.get()).isEqualTo(2 * figures.get("tasks").intValue());
     assertThat(figures.get("latency_ms.p50"))
-        .as("refused, told 100 ms, answered")
+        .as("rejected, retried after 100 ms, answered")
         .isBetween(250.0, 330.0);
   }
 
--- a/src/test/java/tansytrack/lab/load/LoadTest.java
+++ b/src/test/java/tansytrack/lab/load/LoadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Shapes, schedules, mixes, what counts as latency, and when a run is void. */
+/** Rates, schedules, mixes, latency statistics, void runs and retries. */
 class LoadTest {
 
   private static final long S = Shape.SECOND;
@@ -131,7 +131,7 @@
     Latencies all = new Latencies();
     for (int i = 0; i < 100; i++) {
       Arrival one = new Arrival(i, i * S / 10, "a", "query", 0, 1, 1, 0);
-      // From second 2 to 6 nothing could be sent: what was intended then goes out at 6.
+      // Nothing can be sent from second 2 to 6; the tasks of that time are sent at 6.
       long sent = one.at() >= 2 * S && one.at() < 6 * S ? 6 * S : one.at();
       boolean inTime = sent - one.at() < S;
       all.over(one, sent, sent + S / 100, 1, inTime ? 1 : 0);
