--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -74,15 +74,15 @@
     private String out;
 
     /** Runs and writes the results; returns whether all claims hold. */
-    abstract boolean played(long from, Path to) throws IOException, InterruptedException;
+    abstract boolean played(long firstSeed, Path folder) throws IOException, InterruptedException;
 
     @Override
     protected final int execute() throws IOException {
-      Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+      Path folder = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
       try {
-        boolean held = played(seed, to);
-        System.out.println("results in " + to);
-        return held ? 0 : EXIT_DIFFERENCE;
+        boolean claimsHold = played(seed, folder);
+        System.out.println("results in " + folder);
+        return claimsHold ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return EXIT_DIFFERENCE;
@@ -134,10 +134,10 @@
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException, InterruptedException {
+    boolean played(long firstSeed, Path folder) throws IOException, InterruptedException {
       Experiment experiment = Laboratory.read(file);
       try {
-        return Laboratory.run(experiment, from, to, Decide::new, System.out);
+        return Laboratory.run(experiment, firstSeed, folder, Decide::new, System.out);
       } catch (IOException e) {
         System.err.println("tansytrack: the experiment failed: " + e);
         return false;
@@ -168,8 +168,8 @@
     }
 
     @Override
-    boolean played(long from, Path out) throws IOException, InterruptedException {
-      return LoadCommand.run(file, to, from, out, System.out);
+    boolean played(long firstSeed, Path folder) throws IOException, InterruptedException {
+      return LoadCommand.run(file, to, firstSeed, folder, System.out);
     }
   }
 
@@ -190,13 +190,13 @@
     @Override
     public String description() {
       return "lab fleet: measures the membership protocol in virtual time: detection time of a\n"
-          + "killed member, false accusations, bytes a second, time to heal after the partition of\n"
-          + "a zone. Writes a table and charts.";
+          + "killed member, false accusations, bytes a second, time to heal after the partition\n"
+          + "of a zone. Writes a table and charts.";
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException {
-      return FleetTable.run(members, loss, runs, from, to, System.out);
+    boolean played(long firstSeed, Path folder) throws IOException {
+      return FleetTable.run(members, loss, runs, firstSeed, folder, System.out);
     }
   }
 
@@ -258,11 +258,11 @@
     protected int execute() throws IOException {
       FootprintOptions options =
           new FootprintOptions(managers, engines, siblings, settle, seconds, rate, jar, jvm);
-      Path to = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+      Path folder = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
       try {
-        boolean reached = FootprintTable.run(options, to, System.out);
-        System.out.println("results in " + to);
-        return reached ? 0 : EXIT_DIFFERENCE;
+        boolean allReached = FootprintTable.run(options, folder, System.out);
+        System.out.println("results in " + folder);
+        return allReached ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return EXIT_DIFFERENCE;
@@ -315,12 +315,12 @@
     }
 
     @Override
-    boolean played(long from, Path to) throws IOException {
+    boolean played(long firstSeed, Path folder) throws IOException {
       FailureSchedule failures = ScaleTable.schedule("--schedule", schedule);
-      ScalePlan plan = new ScalePlan(managers, engines, zones, seconds, rate, failures, from);
+      ScalePlan plan = new ScalePlan(managers, engines, zones, seconds, rate, failures, firstSeed);
       ScaleTable.checked(plan);
-      ScaleTable.Ladder ladder = new ScaleTable.Ladder(sizes, factor, grows);
-      ScaleTable.run(plan, ladder, Decide::new, threads, to, System.out, System.err);
+      ScaleTable.Ladder series = new ScaleTable.Ladder(sizes, factor, grows);
+      ScaleTable.run(plan, series, Decide::new, threads, folder, System.out, System.err);
       return true;
     }
   }
@@ -336,23 +336,23 @@
     @Override
     public String description() {
       return "lab explore: checks the membership protocol of three members by breadth-first\n"
-          + "search: every order, loss and duplication of messages, a partition, a kill, a restart.\n"
-          + "Exit code 1: from some state the members do not reach agreement.";
+          + "search: every order, loss and duplication of messages, a partition, a kill, a\n"
+          + "restart. Exit code 1: from some state the members do not reach agreement.";
     }
 
     @Override
     protected int execute() {
-      MembershipModelChecker.Result found =
-          new MembershipModelChecker((to, letter) -> letter).explore(depth, states);
+      MembershipModelChecker.Result result =
+          new MembershipModelChecker((to, message) -> message).explore(depth, states);
       System.out.println(
-          found.states()
+          result.states()
               + " states, up to "
-              + found.depth()
+              + result.depth()
               + " steps deep; "
-              + (found.counterexample() == null
+              + (result.counterexample() == null
                   ? "the members reach agreement from each"
-                  : "no agreement after steps " + found.counterexample()));
-      return found.counterexample() == null ? 0 : EXIT_DIFFERENCE;
+                  : "no agreement after steps " + result.counterexample()));
+      return result.counterexample() == null ? 0 : EXIT_DIFFERENCE;
     }
   }
 
--- a/src/main/java/tansytrack/lab/Claims.java
+++ b/src/main/java/tansytrack/lab/Claims.java
@@ -22,7 +22,7 @@
 
   /** Compares each claim with the figure that it names; a claim without a figure fails. */
   public static List<Judged> judge(List<Claim> claims, Map<String, Double> figures) {
-    List<Judged> judged = new ArrayList<>();
+    List<Judged> results = new ArrayList<>();
     for (Claim claim : claims) {
       Double figure = figures.get(claim.getFigure());
       boolean held =
@@ -39,14 +39,14 @@
             case AT_MOST -> "<= ";
             default -> ">= ";
           };
-      judged.add(
+      results.add(
           new Judged(
               claim.getFigure(),
               sign + shown(claim.getBound()),
               figure == null ? "not measured" : shown(figure),
               held));
     }
-    return judged;
+    return results;
   }
 
   /** Formats a figure: whole numbers without a fraction, others with three decimals. */
--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -46,13 +46,13 @@
     final DatagramChannel channel;
     final LinkModel link;
 
-    Leg(int at, int of, long seed) throws IOException {
-      this.at = at;
-      this.of = of;
+    Leg(int owner, int peer, long seed) throws IOException {
+      this.at = owner;
+      this.of = peer;
       link = new LinkModel(seed);
       channel = DatagramChannel.open();
       channel.configureBlocking(false);
-      channel.bind(new InetSocketAddress("127.21." + at + '.' + (of + 1), 0));
+      channel.bind(new InetSocketAddress("127.21." + owner + '.' + (peer + 1), 0));
       channel.register(selector, SelectionKey.OP_READ, this);
     }
   }
@@ -67,30 +67,30 @@
   DatagramRelays(
       FaultSchedule faults,
       List<String> names,
-      List<String> places,
+      List<String> zones,
       List<InetSocketAddress> managers,
       long seed)
       throws IOException {
     this.faults = faults;
     this.names = names;
-    this.places = places;
+    this.places = zones;
     this.managers = managers;
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     legs = new Leg[names.size()][names.size()];
-    for (int at = 0; at < names.size(); at++) {
-      for (int of = 0; of < names.size(); of++) {
-        legs[at][of] = at == of ? null : new Leg(at, of, chance.nextLong());
+    for (int owner = 0; owner < names.size(); owner++) {
+      for (int peer = 0; peer < names.size(); peer++) {
+        legs[owner][peer] = owner == peer ? null : new Leg(owner, peer, random.nextLong());
       }
     }
     start = System.nanoTime();
     StandInEngine.thread(this::run).start();
   }
 
-  /** The address that manager {@code at} uses for its peer {@code of}. */
-  String address(int at, int of) {
+  /** The address that manager {@code owner} uses for its peer {@code peer}. */
+  String address(int owner, int peer) {
     try {
-      InetSocketAddress where = (InetSocketAddress) legs[at][of].channel.getLocalAddress();
-      return where.getAddress().getHostAddress() + ':' + where.getPort();
+      InetSocketAddress address = (InetSocketAddress) legs[owner][peer].channel.getLocalAddress();
+      return address.getAddress().getHostAddress() + ':' + address.getPort();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -127,11 +127,11 @@
         ready.clear();
         long now = System.nanoTime();
         while (!late.isEmpty() && late.peek().at <= now) {
-          Late one = late.poll();
+          Late datagram = late.poll();
           // Sent from the receiver's socket for the sender, as the receiver knows the sender by
           // that address.
-          Leg out = legs[one.by.of][one.by.at];
-          out.channel.send(ByteBuffer.wrap(one.datagram), managers.get(one.by.of));
+          Leg socket = legs[datagram.by.of][datagram.by.at];
+          socket.channel.send(ByteBuffer.wrap(datagram.datagram), managers.get(datagram.by.of));
           forwarded++;
         }
       }
@@ -140,25 +140,25 @@
     }
   }
 
-  private void take(Leg leg, ByteBuffer buffer) throws IOException {
+  private void take(Leg socket, ByteBuffer buffer) throws IOException {
     buffer.clear();
-    while (leg.channel.receive(buffer) != null) {
+    while (socket.channel.receive(buffer) != null) {
       buffer.flip();
       byte[] datagram = new byte[buffer.remaining()];
       buffer.get(datagram);
       buffer.clear();
       long now = System.nanoTime();
       long[] copies =
-          leg.link.deliveryDelays(
+          socket.link.deliveryDelays(
               faults.linkConditions(
                   now - start,
-                  names.get(leg.at),
-                  places.get(leg.at),
-                  names.get(leg.of),
-                  places.get(leg.of)));
+                  names.get(socket.at),
+                  places.get(socket.at),
+                  names.get(socket.of),
+                  places.get(socket.of)));
       lost += copies.length == 0 ? 1 : 0;
-      for (long takes : copies) {
-        late.add(new Late(now + takes, order++, leg, datagram));
+      for (long delay : copies) {
+        late.add(new Late(now + delay, order++, socket, datagram));
       }
     }
   }
@@ -168,9 +168,9 @@
     over = true;
     selector.close();
     for (Leg[] row : legs) {
-      for (Leg leg : row) {
-        if (leg != null) {
-          leg.channel.close();
+      for (Leg socket : row) {
+        if (socket != null) {
+          socket.channel.close();
         }
       }
     }
--- a/src/main/java/tansytrack/lab/FleetRun.java
+++ b/src/main/java/tansytrack/lab/FleetRun.java
@@ -64,56 +64,56 @@
   }
 
   /** Throws an exception that names the first field that cannot be used. */
-  static void checked(String file, Experiment read) {
-    FleetPlan plan = read.getFleet();
+  static void checked(String file, Experiment experiment) {
+    FleetPlan plan = experiment.getFleet();
     TextFile.bounded(
-        file, "managers", read.getManagers(), 2, plan.getVirtualTime() ? 1000 : MOST_PROCESSES);
-    TextFile.bounded(file, "seconds", read.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
-    TextFile.bounded(file, "fleet.places", plan.getPlaces(), 1, read.getManagers());
+        file, "managers", experiment.getManagers(), 2, plan.getVirtualTime() ? 1000 : MOST_PROCESSES);
+    TextFile.bounded(file, "seconds", experiment.getSeconds(), 1, 3600);
+    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
+    TextFile.bounded(file, "fleet.places", plan.getPlaces(), 1, experiment.getManagers());
     TextFile.bounded(file, "fleet.probe_every_ms", plan.getProbeEveryMs(), 100, 10_000);
     weathered(file, "fleet.weather", plan.getWeather());
-    for (LinkTrouble one : plan.getLinksList()) {
-      weathered(file, "fleet.links.weather", one.getWeather());
-      ended(file, "fleet.links.from", one.getFrom(), read);
-      ended(file, "fleet.links.to", one.getTo(), read);
+    for (LinkTrouble fault : plan.getLinksList()) {
+      weathered(file, "fleet.links.weather", fault.getWeather());
+      ended(file, "fleet.links.from", fault.getFrom(), experiment);
+      ended(file, "fleet.links.to", fault.getTo(), experiment);
     }
-    checkProcesses(file, read);
+    checkProcesses(file, experiment);
     checkEngines(file, plan);
-    for (Version one : plan.getVersionsList()) {
-      ended(file, "fleet.versions.manager", one.getManager(), read);
-      if (!Files.isReadable(Path.of(one.getJar()))) {
+    for (Version version : plan.getVersionsList()) {
+      ended(file, "fleet.versions.manager", version.getManager(), experiment);
+      if (!Files.isReadable(Path.of(version.getJar()))) {
         throw new InvalidInputException(
-            file + ": fleet.versions.jar: '" + one.getJar() + "'; allowed: a jar that can be read");
+            file + ": fleet.versions.jar: '" + version.getJar() + "'; allowed: a jar that can be read");
       }
     }
-    for (StreamTrouble one : plan.getStreamsList()) {
-      TextFile.bounded(file, "fleet.streams.part", one.getPart(), 0, 1);
+    for (StreamTrouble fault : plan.getStreamsList()) {
+      TextFile.bounded(file, "fleet.streams.part", fault.getPart(), 0, 1);
     }
     if (plan.hasLoad()) {
       LoadFile.checked(file, plan.getLoad());
     }
-    if (read.getClaimsCount() == 0) {
+    if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
   }
 
-  private static void checkProcesses(String file, Experiment read) {
-    for (ProcessTrouble one : read.getFleet().getProcessesList()) {
-      if (!one.getManager().matches("m[0-9]{1,3}")
-          || number(one.getManager()) >= read.getManagers()) {
+  private static void checkProcesses(String file, Experiment experiment) {
+    for (ProcessTrouble fault : experiment.getFleet().getProcessesList()) {
+      if (!fault.getManager().matches("m[0-9]{1,3}")
+          || number(fault.getManager()) >= experiment.getManagers()) {
         throw new InvalidInputException(
             file
                 + ": fleet.processes.manager: '"
-                + one.getManager()
+                + fault.getManager()
                 + "'; allowed: m0 to m"
-                + (read.getManagers() - 1));
+                + (experiment.getManagers() - 1));
       }
       TextFile.bounded(
           file,
           "fleet.processes.for_ms",
-          one.getForMs(),
-          one.getKind() == ProcessTrouble.Kind.STOP ? 1 : 0,
+          fault.getForMs(),
+          fault.getKind() == ProcessTrouble.Kind.STOP ? 1 : 0,
           1e9);
     }
   }
@@ -125,12 +125,12 @@
       TextFile.bounded(
           file, "fleet.engine.most_queries", plan.getEngine().getMostQueries(), 1, 100_000);
     }
-    for (EngineTrouble one : plan.getEngineTroublesList()) {
-      if (!one.getEngine().matches("e[0-9]{1,2}") || number(one.getEngine()) >= plan.getEngines()) {
+    for (EngineTrouble fault : plan.getEngineTroublesList()) {
+      if (!fault.getEngine().matches("e[0-9]{1,2}") || number(fault.getEngine()) >= plan.getEngines()) {
         throw new InvalidInputException(
             file
                 + ": fleet.engine_troubles.engine: '"
-                + one.getEngine()
+                + fault.getEngine()
                 + "'; allowed: e0 to e"
                 + (plan.getEngines() - 1));
       }
@@ -141,12 +141,12 @@
     return Integer.parseInt(name.substring(1));
   }
 
-  private static void ended(String file, String field, String end, Experiment read) {
-    boolean manager = end.matches("m[0-9]{1,3}") && number(end) < read.getManagers();
-    boolean place =
+  private static void ended(String file, String field, String end, Experiment experiment) {
+    boolean manager = end.matches("m[0-9]{1,3}") && number(end) < experiment.getManagers();
+    boolean zone =
         end.matches("place-[0-9]{1,3}")
-            && Integer.parseInt(end.substring(6)) < read.getFleet().getPlaces();
-    if (!manager && !place && !end.equals("*")) {
+            && Integer.parseInt(end.substring(6)) < experiment.getFleet().getPlaces();
+    if (!manager && !zone && !end.equals("*")) {
       throw new InvalidInputException(
           file
               + ": "
@@ -167,36 +167,36 @@
 
   private static FaultSchedule faults(FleetPlan plan) {
     List<FaultSchedule.LinkFault> links = new ArrayList<>();
-    for (LinkTrouble one : plan.getLinksList()) {
+    for (LinkTrouble fault : plan.getLinksList()) {
       links.add(
           new FaultSchedule.LinkFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
-              new FaultSchedule.Endpoint(one.getFrom()),
-              new FaultSchedule.Endpoint(one.getTo()),
-              one.getBothWays(),
-              weather(one.getWeather())));
+              fault.getAtMs() * MS,
+              fault.getForMs() * MS,
+              new FaultSchedule.Endpoint(fault.getFrom()),
+              new FaultSchedule.Endpoint(fault.getTo()),
+              fault.getBothWays(),
+              weather(fault.getWeather())));
     }
     List<FaultSchedule.ProcessFault> processes = new ArrayList<>();
-    for (ProcessTrouble one : plan.getProcessesList()) {
+    for (ProcessTrouble fault : plan.getProcessesList()) {
       processes.add(
           new FaultSchedule.ProcessFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
-              one.getManager(),
-              FaultSchedule.ProcessFaultKind.valueOf(one.getKind().name())));
+              fault.getAtMs() * MS,
+              fault.getForMs() * MS,
+              fault.getManager(),
+              FaultSchedule.ProcessFaultKind.valueOf(fault.getKind().name())));
     }
     List<FaultSchedule.StreamFault> streams = new ArrayList<>();
-    for (StreamTrouble one : plan.getStreamsList()) {
+    for (StreamTrouble fault : plan.getStreamsList()) {
       streams.add(
           new FaultSchedule.StreamFault(
-              one.getAtMs() * MS,
-              one.getForMs() * MS,
-              new FaultSchedule.Endpoint(one.getFrom()),
-              new FaultSchedule.Endpoint(one.getTo()),
-              FaultSchedule.StreamFaultKind.valueOf(one.getKind().name()),
-              one.getDelayMs() * MS,
-              one.getPart()));
+              fault.getAtMs() * MS,
+              fault.getForMs() * MS,
+              new FaultSchedule.Endpoint(fault.getFrom()),
+              new FaultSchedule.Endpoint(fault.getTo()),
+              FaultSchedule.StreamFaultKind.valueOf(fault.getKind().name()),
+              fault.getDelayMs() * MS,
+              fault.getPart()));
     }
     return new FaultSchedule(weather(plan.getWeather()), links, processes, streams);
   }
@@ -217,17 +217,17 @@
 
   private Map<String, Double> virtual() {
     List<String> seeds = names.subList(0, Math.min(3, names.size()));
-    MembershipSimulation world =
+    MembershipSimulation simulation =
         new MembershipSimulation(
             MembershipConfig.defaults(seeds, experiment.getFleet().getProbeEveryMs() * MS, 16_384),
             seed);
     for (int i = 0; i < names.size(); i++) {
-      world.node(names.get(i), names.get(i), places.get(i));
+      simulation.node(names.get(i), names.get(i), places.get(i));
     }
-    names.forEach(world::start);
-    world.injectFaults(faults);
-    world.runUntil(experiment.getSeconds() * 1000L * MS);
-    return new MembershipMetrics(names, faults, world.observations(), world.now()).compute();
+    names.forEach(simulation::start);
+    simulation.injectFaults(faults);
+    simulation.runUntil(experiment.getSeconds() * 1000L * MS);
+    return new MembershipMetrics(names, faults, simulation.observations(), simulation.now()).compute();
   }
 
   private Map<String, Double> real() throws IOException, InterruptedException {
@@ -235,16 +235,16 @@
     launch();
     Instant start = Instant.now();
     relays.begin();
-    long from = System.nanoTime();
-    traffic.begin(managers.stream().map(one -> one.listen).toList(), from);
-    long end = playFaults(from);
-    Map<String, Double> served = traffic.figures(folder);
-    List<MembershipSimulation.Observation> seen = new ArrayList<>();
-    for (ManagerProcess one : managers) {
-      seen.addAll(seen(one, start));
+    long startNanos = System.nanoTime();
+    traffic.begin(managers.stream().map(manager -> manager.listen).toList(), startNanos);
+    long end = playFaults(startNanos);
+    Map<String, Double> trafficFigures = traffic.figures(folder);
+    List<MembershipSimulation.Observation> observations = new ArrayList<>();
+    for (ManagerProcess manager : managers) {
+      observations.addAll(seen(manager, start));
     }
-    Map<String, Double> figures = new MembershipMetrics(names, faults, seen, end).compute();
-    figures.putAll(served);
+    Map<String, Double> figures = new MembershipMetrics(names, faults, observations, end).compute();
+    figures.putAll(trafficFigures);
     figures.put("datagrams.forwarded", (double) relays.forwarded());
     figures.put("datagrams.lost", (double) relays.lost());
     return figures;
@@ -273,62 +273,62 @@
                   names.size(), places.get(i), experiment.getFleet().getEngine())));
       managers.get(i).version(jar(names.get(i)));
     }
-    for (ManagerProcess one : managers) {
-      one.launch();
+    for (ManagerProcess manager : managers) {
+      manager.launch();
     }
-    for (ManagerProcess one : managers) {
-      one.listens();
+    for (ManagerProcess manager : managers) {
+      manager.listens();
     }
   }
 
   /** Injects the process faults; returns the duration of the run, in nanoseconds. */
-  private long playFaults(long from) throws IOException, InterruptedException {
-    for (FaultSchedule.ProcessFault one : faults.processes()) {
-      Thread thread = StandInEngine.thread(() -> trouble(one, from));
+  private long playFaults(long startNanos) throws IOException, InterruptedException {
+    for (FaultSchedule.ProcessFault fault : faults.processes()) {
+      Thread thread = StandInEngine.thread(() -> trouble(fault, startNanos));
       threads.add(thread);
       thread.start();
     }
     Thread.sleep(experiment.getSeconds() * 1000L);
-    long lasted = System.nanoTime() - from;
-    for (Thread one : threads) {
-      one.join();
+    long durationNanos = System.nanoTime() - startNanos;
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure != null) {
       throw failure;
     }
-    return lasted;
+    return durationNanos;
   }
 
   /** The jar that a manager runs from; null: this program. */
   private String jar(String name) {
     String jar = null;
-    for (Version one : experiment.getFleet().getVersionsList()) {
-      jar = one.getManager().equals("*") || one.getManager().equals(name) ? one.getJar() : jar;
+    for (Version version : experiment.getFleet().getVersionsList()) {
+      jar = version.getManager().equals("*") || version.getManager().equals(name) ? version.getJar() : jar;
     }
     return jar;
   }
 
-  private String operator(int which, InetSocketAddress own) {
+  private String operator(int index, InetSocketAddress address) {
     FleetPlan plan = experiment.getFleet();
     StringBuilder text =
         new StringBuilder(
             "log { form: JSON_LINES }\nfleet {\n  place: \""
-                + places.get(which)
+                + places.get(index)
                 + "\"\n  address: \""
-                + own.getAddress().getHostAddress()
+                + address.getAddress().getHostAddress()
                 + ':'
-                + own.getPort()
+                + address.getPort()
                 + "\"\n  probe_every_ms: "
                 + plan.getProbeEveryMs()
                 + "\n  settle_s: "
                 + Math.max(1, plan.getSettleS())
                 + '\n');
     for (int i = 0; i < names.size(); i++) {
-      if (i != which) {
+      if (i != index) {
         text.append("  peers { name: \"")
             .append(names.get(i))
             .append("\" address: \"")
-            .append(relays.address(which, i))
+            .append(relays.address(index, i))
             .append("\" seed: ")
             .append(i < 3)
             .append(" }\n");
@@ -337,26 +337,26 @@
     return text.append("}\n").toString();
   }
 
-  private void trouble(FaultSchedule.ProcessFault what, long from) {
-    ManagerProcess of = managers.get(number(what.member()));
+  private void trouble(FaultSchedule.ProcessFault fault, long startNanos) {
+    ManagerProcess manager = managers.get(number(fault.member()));
     try {
-      FleetTraffic.sleepUntil(from + what.startNanos());
-      switch (what.kind()) {
+      FleetTraffic.sleepUntil(startNanos + fault.startNanos());
+      switch (fault.kind()) {
         case STOP -> {
-          of.signal("STOP");
-          FleetTraffic.sleepUntil(from + what.startNanos() + what.durationNanos());
-          of.signal("CONT");
+          manager.signal("STOP");
+          FleetTraffic.sleepUntil(startNanos + fault.startNanos() + fault.durationNanos());
+          manager.signal("CONT");
         }
         case KILL, END -> {
-          if (what.kind() == FaultSchedule.ProcessFaultKind.KILL) {
-            of.kill();
+          if (fault.kind() == FaultSchedule.ProcessFaultKind.KILL) {
+            manager.kill();
           } else {
-            of.stop();
+            manager.stop();
           }
-          if (what.durationNanos() > 0) {
-            FleetTraffic.sleepUntil(from + what.startNanos() + what.durationNanos());
-            of.launch();
-            traffic.restarted(of.name);
+          if (fault.durationNanos() > 0) {
+            FleetTraffic.sleepUntil(startNanos + fault.startNanos() + fault.durationNanos());
+            manager.launch();
+            traffic.restarted(manager.name);
           }
         }
         default -> throw new IllegalStateException();
@@ -372,32 +372,32 @@
    * The state changes of other members that a manager logged, in nanoseconds from the start of the
    * schedule; earlier ones have the time 0.
    */
-  private static List<MembershipSimulation.Observation> seen(ManagerProcess by, Instant start)
+  private static List<MembershipSimulation.Observation> seen(ManagerProcess manager, Instant start)
       throws IOException {
-    List<MembershipSimulation.Observation> all = new ArrayList<>();
-    for (String line : by.lines()) {
+    List<MembershipSimulation.Observation> observations = new ArrayList<>();
+    for (String line : manager.lines()) {
       if (line.contains("\"event\":\"fleet.member\"")) {
         try {
-          Map<String, Object> one =
+          Map<String, Object> event =
               Json.asObject(Json.parse(line.getBytes(StandardCharsets.UTF_8)), "a line");
           long at =
               java.time.Duration.between(
-                      start, Instant.parse(Json.asString(one.get("time"), "time")))
+                      start, Instant.parse(Json.asString(event.get("time"), "time")))
                   .toNanos();
-          all.add(
+          observations.add(
               new MembershipSimulation.Observation(
                   Math.max(0, at),
-                  by.name,
-                  Json.asString(one.get("member"), "member"),
+                  manager.name,
+                  Json.asString(event.get("member"), "member"),
                   0,
                   MemberStatus.valueOf(
-                      Json.asString(one.get("standing"), "standing").toUpperCase(Locale.ROOT))));
+                      Json.asString(event.get("standing"), "standing").toUpperCase(Locale.ROOT))));
         } catch (ProtocolException e) {
-          throw new IOException(by.name + " logged a line that cannot be read: " + line, e);
+          throw new IOException(manager.name + " logged a line that cannot be read: " + line, e);
         }
       }
     }
-    return all;
+    return observations;
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/FleetTable.java
+++ b/src/main/java/tansytrack/lab/FleetTable.java
@@ -85,91 +85,91 @@
   public static boolean run(
       String sizes, String losses, int runs, long seed, Path out, PrintStream to)
       throws IOException {
-    List<Row> rows = new ArrayList<>();
-    MembershipConfig rules = MembershipConfig.defaults(List.of("m0", "m1", "m2"));
-    String head =
+    List<Row> measurements = new ArrayList<>();
+    MembershipConfig config = MembershipConfig.defaults(List.of("m0", "m1", "m2"));
+    String header =
         "members,loss,first_suspicion_p50_ms,swim_expected_ms,known_dead_p50_ms,"
             + "known_dead_p99_ms,not_known,"
             + "suspected_an_hour,declared_dead_an_hour,bytes_a_second,letters_a_second,"
             + "healed_p50_ms,healed_max_ms,not_healed";
-    StringBuilder csv = new StringBuilder(head).append('\n');
-    to.println(head);
+    StringBuilder csv = new StringBuilder(header).append('\n');
+    to.println(header);
     for (String size : sizes.split(",")) {
-      for (String share : losses.split(",")) {
-        Row row = new Row(Integer.parseInt(size.strip()), Double.parseDouble(share.strip()));
+      for (String loss : losses.split(",")) {
+        Row measurement = new Row(Integer.parseInt(size.strip()), Double.parseDouble(loss.strip()));
         for (int i = 0; i < runs; i++) {
-          play(row, rules, seed + i);
+          play(measurement, config, seed + i);
         }
-        rows.add(row);
-        String line = line(row, rules);
+        measurements.add(measurement);
+        String line = line(measurement, config);
         csv.append(line).append('\n');
         to.println(line);
       }
     }
     Files.createDirectories(out);
     Files.writeString(out.resolve("result.csv"), csv);
-    detectionChart(rows, rules, out);
-    costChart(rows, out);
-    return rows.stream().allMatch(row -> row.unknown == 0 && row.unhealed == 0);
+    detectionChart(measurements, config, out);
+    costChart(measurements, out);
+    return measurements.stream().allMatch(measurement -> measurement.unknown == 0 && measurement.unhealed == 0);
   }
 
-  private static void play(Row row, MembershipConfig rules, long seed) {
-    LinkConditions weather = new LinkConditions(row.loss, 4, 0.01, 500_000L, 2 * MS);
-    MembershipSimulation world =
-        MembershipSimulation.startConverged(row.members, rules, seed, weather);
-    long from = world.now();
-    world
+  private static void play(Row measurement, MembershipConfig config, long seed) {
+    LinkConditions conditions = new LinkConditions(measurement.loss, 4, 0.01, 500_000L, 2 * MS);
+    MembershipSimulation simulation =
+        MembershipSimulation.startConverged(measurement.members, config, seed, conditions);
+    long startNanos = simulation.now();
+    simulation
         .nodes()
         .forEach(
             node -> {
               node.bytesSent = 0;
               node.messagesSent = 0;
             });
-    world.runUntil(from + CALM);
-    for (MembershipSimulation.Observation one : world.observations()) {
-      row.suspected += one.at() > from && one.status() == MemberStatus.SUSPECT ? 1 : 0;
-      row.declared += one.at() > from && one.status() == MemberStatus.DEAD ? 1 : 0;
+    simulation.runUntil(startNanos + CALM);
+    for (MembershipSimulation.Observation observation : simulation.observations()) {
+      measurement.suspected += observation.at() > startNanos && observation.status() == MemberStatus.SUSPECT ? 1 : 0;
+      measurement.declared += observation.at() > startNanos && observation.status() == MemberStatus.DEAD ? 1 : 0;
     }
     // Counts each accusation by each observer; the rates are per hour and divided by the members.
-    row.hours += CALM / 3600.0 / SECOND;
-    for (MembershipSimulation.Node node : world.nodes()) {
-      row.bytes += node.bytesSent / (CALM / (double) SECOND) / row.members;
-      row.letters += node.messagesSent / (CALM / (double) SECOND) / row.members;
+    measurement.hours += CALM / 3600.0 / SECOND;
+    for (MembershipSimulation.Node node : simulation.nodes()) {
+      measurement.bytes += node.bytesSent / (CALM / (double) SECOND) / measurement.members;
+      measurement.letters += node.messagesSent / (CALM / (double) SECOND) / measurement.members;
     }
-    killed(row, world);
-    cutOff(row, world);
+    killed(measurement, simulation);
+    cutOff(measurement, simulation);
   }
 
-  private static void killed(Row row, MembershipSimulation world) {
-    String name = "n" + (row.members - 1);
-    world.kill("m" + (row.members - 1));
-    long at = world.now();
-    world.runUntil(at + LOOK);
-    long first = Long.MAX_VALUE;
-    Set<String> know = new HashSet<>();
-    for (MembershipSimulation.Observation one : world.observations()) {
-      if (one.at() >= at && one.member().equals(name)) {
-        first = one.status() == MemberStatus.SUSPECT ? Math.min(first, one.at() - at) : first;
-        if (one.status() == MemberStatus.DEAD && know.add(one.observer())) {
-          row.known.recordValue((one.at() - at) / MS);
+  private static void killed(Row measurement, MembershipSimulation simulation) {
+    String name = "n" + (measurement.members - 1);
+    simulation.kill("m" + (measurement.members - 1));
+    long killedAt = simulation.now();
+    simulation.runUntil(killedAt + LOOK);
+    long firstSuspicion = Long.MAX_VALUE;
+    Set<String> observers = new HashSet<>();
+    for (MembershipSimulation.Observation observation : simulation.observations()) {
+      if (observation.at() >= killedAt && observation.member().equals(name)) {
+        firstSuspicion = observation.status() == MemberStatus.SUSPECT ? Math.min(firstSuspicion, observation.at() - killedAt) : firstSuspicion;
+        if (observation.status() == MemberStatus.DEAD && observers.add(observation.observer())) {
+          measurement.known.recordValue((observation.at() - killedAt) / MS);
         }
       }
     }
-    row.unknown += row.members - 1 - know.size();
-    row.first.recordValue(Math.min(first, LOOK) / MS);
+    measurement.unknown += measurement.members - 1 - observers.size();
+    measurement.first.recordValue(Math.min(firstSuspicion, LOOK) / MS);
   }
 
-  private static void cutOff(Row row, MembershipSimulation world) {
-    world.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
-    world.runUntil(world.now() + APART);
-    world.partition((a, b) -> false);
+  private static void cutOff(Row measurement, MembershipSimulation simulation) {
+    simulation.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
+    simulation.runUntil(simulation.now() + APART);
+    simulation.partition((a, b) -> false);
     // Loss by itself would disturb the agreement that is measured.
-    world.linkConditions(LinkConditions.GOOD);
-    long took = world.runUntilConverged(MOST_HEALING);
-    if (took < 0) {
-      row.unhealed++;
+    simulation.linkConditions(LinkConditions.GOOD);
+    long healingNanos = simulation.runUntilConverged(MOST_HEALING);
+    if (healingNanos < 0) {
+      measurement.unhealed++;
     } else {
-      row.healed.recordValue(took / MS);
+      measurement.healed.recordValue(healingNanos / MS);
     }
   }
 
@@ -177,32 +177,32 @@
    * Expected time to the first suspicion, in milliseconds. By the SWIM paper, it takes e / (e - 1)
    * probe intervals until some member probes the dead one; the probe then fails after another one.
    */
-  private static double swim(MembershipConfig rules) {
-    return (Math.E / (Math.E - 1) * rules.probeIntervalNanos() + rules.probeIntervalNanos()) / MS;
+  private static double swim(MembershipConfig config) {
+    return (Math.E / (Math.E - 1) * config.probeIntervalNanos() + config.probeIntervalNanos()) / MS;
   }
 
-  private static String line(Row row, MembershipConfig rules) {
-    double runs = row.hours * 3600 * SECOND / CALM;
+  private static String line(Row measurement, MembershipConfig config) {
+    double runs = measurement.hours * 3600 * SECOND / CALM;
     return String.format(
         Locale.ROOT,
         "%d,%s,%d,%.0f,%d,%d,%d,%.1f,%.1f,%.0f,%.1f,%d,%d,%d",
-        row.members,
-        row.loss,
-        row.first.getValueAtPercentile(50),
-        swim(rules),
-        row.known.getValueAtPercentile(50),
-        row.known.getValueAtPercentile(99),
-        row.unknown,
-        row.suspected / row.hours / row.members,
-        row.declared / row.hours / row.members,
-        row.bytes / runs,
-        row.letters / runs,
-        row.healed.getValueAtPercentile(50),
-        row.healed.getMaxValue(),
-        row.unhealed);
+        measurement.members,
+        measurement.loss,
+        measurement.first.getValueAtPercentile(50),
+        swim(config),
+        measurement.known.getValueAtPercentile(50),
+        measurement.known.getValueAtPercentile(99),
+        measurement.unknown,
+        measurement.suspected / measurement.hours / measurement.members,
+        measurement.declared / measurement.hours / measurement.members,
+        measurement.bytes / runs,
+        measurement.letters / runs,
+        measurement.healed.getValueAtPercentile(50),
+        measurement.healed.getMaxValue(),
+        measurement.unhealed);
   }
 
-  private static void detectionChart(List<Row> rows, MembershipConfig rules, Path out)
+  private static void detectionChart(List<Row> measurements, MembershipConfig config, Path out)
       throws IOException {
     XYChart chart =
         new XYChartBuilder()
@@ -214,30 +214,30 @@
             .build();
     chart.getStyler().setXAxisLogarithmic(true);
     chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNW);
-    double[] losses = rows.stream().mapToDouble(row -> row.loss).distinct().toArray();
+    double[] losses = measurements.stream().mapToDouble(measurement -> measurement.loss).distinct().toArray();
     for (double loss : losses) {
-      List<Row> one = rows.stream().filter(row -> row.loss == loss).toList();
-      double[] sizes = one.stream().mapToDouble(row -> row.members).toArray();
+      List<Row> series = measurements.stream().filter(measurement -> measurement.loss == loss).toList();
+      double[] sizes = series.stream().mapToDouble(measurement -> measurement.members).toArray();
       chart.addSeries(
           "first suspicion, loss " + loss,
           sizes,
-          one.stream().mapToDouble(row -> row.first.getValueAtPercentile(50)).toArray());
+          series.stream().mapToDouble(measurement -> measurement.first.getValueAtPercentile(50)).toArray());
       chart.addSeries(
           "known by all, p99, loss " + loss,
           sizes,
-          one.stream().mapToDouble(row -> row.known.getValueAtPercentile(99)).toArray());
+          series.stream().mapToDouble(measurement -> measurement.known.getValueAtPercentile(99)).toArray());
     }
-    double[] sizes = rows.stream().mapToDouble(row -> row.members).distinct().toArray();
+    double[] sizes = measurements.stream().mapToDouble(measurement -> measurement.members).distinct().toArray();
     double[] expected = new double[sizes.length];
-    Arrays.fill(expected, swim(rules));
+    Arrays.fill(expected, swim(config));
     chart.addSeries("first suspicion expected by SWIM", sizes, expected);
     BitmapEncoder.saveBitmap(
         chart, out.resolve("detection.png").toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 
-  private static void costChart(List<Row> rows, Path out) throws IOException {
-    double[] losses = rows.stream().mapToDouble(row -> row.loss).distinct().toArray();
-    XYChart cost =
+  private static void costChart(List<Row> measurements, Path out) throws IOException {
+    double[] losses = measurements.stream().mapToDouble(measurement -> measurement.loss).distinct().toArray();
+    XYChart chart =
         new XYChartBuilder()
             .width(900)
             .height(520)
@@ -245,17 +245,17 @@
             .xAxisTitle("members")
             .yAxisTitle("bytes a second")
             .build();
-    cost.getStyler().setXAxisLogarithmic(true);
+    chart.getStyler().setXAxisLogarithmic(true);
     for (double loss : losses) {
-      List<Row> one = rows.stream().filter(row -> row.loss == loss).toList();
-      cost.addSeries(
+      List<Row> series = measurements.stream().filter(measurement -> measurement.loss == loss).toList();
+      chart.addSeries(
           "loss " + loss,
-          one.stream().mapToDouble(row -> row.members).toArray(),
-          one.stream()
-              .mapToDouble(row -> row.bytes / (row.hours * 3600 * SECOND / CALM))
+          series.stream().mapToDouble(measurement -> measurement.members).toArray(),
+          series.stream()
+              .mapToDouble(measurement -> measurement.bytes / (measurement.hours * 3600 * SECOND / CALM))
               .toArray());
     }
     BitmapEncoder.saveBitmap(
-        cost, out.resolve("bytes.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        chart, out.resolve("bytes.png").toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 }
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -64,37 +64,37 @@
   private volatile Exception failure;
 
   FleetTraffic(
-      FleetPlan plan, FaultSchedule faults, List<String> managers, List<String> places, long seed)
+      FleetPlan plan, FaultSchedule faults, List<String> managers, List<String> zones, long seed)
       throws IOException {
     this.plan = plan;
     this.faults = faults;
     this.managers = managers;
-    this.places = places;
+    this.places = zones;
     this.seed = seed;
     for (int i = 0; i < plan.getEngines(); i++) {
       engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), longAgo()));
-      String[] at = engines.get(i).address().split(":");
-      engineAddresses.add(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+      String[] hostAndPort = engines.get(i).address().split(":");
+      engineAddresses.add(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
     }
-    for (int m = 0; m < managers.size(); m++) {
-      int by = m;
+    for (int manager = 0; manager < managers.size(); manager++) {
+      int managerIndex = manager;
       StandInChannel channel =
           new StandInChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       channels.add(channel);
       lists.add(
           new StreamRelay(
-              "127.0.0.1", address(channel.address()), () -> holds(by, "list", "list"), seed ^ m));
-      List<StreamRelay> own = new ArrayList<>();
+              "127.0.0.1", address(channel.address()), () -> holds(managerIndex, "list", "list"), seed ^ manager));
+      List<StreamRelay> relaysOfManager = new ArrayList<>();
       for (int i = 0; i < engines.size(); i++) {
-        int to = i;
-        own.add(
+        int engineIndex = i;
+        relaysOfManager.add(
             new StreamRelay(
-                "127.23." + m + '.' + (i + 1),
+                "127.23." + manager + '.' + (i + 1),
                 engineAddresses.get(i),
-                () -> holds(by, "e" + to, enginePlace(to)),
-                seed * 4096 + m * 64L + i));
+                () -> holds(managerIndex, "e" + engineIndex, enginePlace(engineIndex)),
+                seed * 4096 + manager * 64L + i));
       }
-      relays.add(own);
+      relays.add(relaysOfManager);
     }
     for (int i = 0; i < engines.size(); i++) {
       told(i, "ready");
@@ -116,12 +116,12 @@
     return "place-" + engine % plan.getPlaces();
   }
 
-  private FaultSchedule.StreamFault holds(int manager, String to, String place) {
+  private FaultSchedule.StreamFault holds(int manager, String target, String zone) {
     return faults.activeStreamFault(
-        System.nanoTime() - start, managers.get(manager), places.get(manager), to, place);
+        System.nanoTime() - start, managers.get(manager), places.get(manager), target, zone);
   }
 
-  private StandInEngine engine(int which, InetSocketAddress at, long startedAt) throws IOException {
+  private StandInEngine engine(int index, InetSocketAddress address, long startNanos) throws IOException {
     EngineForm form = plan.getEngine();
     EngineModel.Spec spec =
         new EngineModel.Spec(
@@ -132,9 +132,9 @@
             form.getMultiple(),
             form.getWindowMs() * MS);
     return new StandInEngine(
-        "e" + which,
-        at,
-        new EngineModel(spec, startedAt),
+        "e" + index,
+        address,
+        new EngineModel(spec, startNanos),
         id -> asked.containsKey(id) ? asked.get(id).costMs() * MS : MS,
         new StandInEngine.Watcher() {
           @Override
@@ -153,28 +153,28 @@
 
   /** Announces an engine to all managers, to each by the address of its own relay. */
   private synchronized void told(int engine, String phase) {
-    long since = startedAt.getOrDefault(engine, 0L);
-    long unix = since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / MS;
+    long startedNanos = startedAt.getOrDefault(engine, 0L);
+    long startedUnixMs = startedNanos == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - startedNanos) / MS;
     log.add(
         new InvariantChecker.EngineListed(
-            System.nanoTime(), "e" + engine, enginePlace(engine), phase.equals("ready"), since));
+            System.nanoTime(), "e" + engine, enginePlace(engine), phase.equals("ready"), startedNanos));
     revision++;
-    for (int m = 0; m < managers.size(); m++) {
+    for (int manager = 0; manager < managers.size(); manager++) {
       channels
-          .get(m)
+          .get(manager)
           .tell(
               "{\"revision\":"
                   + revision
                   + ",\"complete\":false,\"members\":[{\"id\":\"e"
                   + engine
                   + "\",\"host_port\":\""
-                  + relays.get(m).get(engine).address()
+                  + relays.get(manager).get(engine).address()
                   + "\",\"locality\":\""
                   + enginePlace(engine)
                   + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\""
                   + phase
                   + "\",\"size\":8,\"up_since_ms\":"
-                  + unix
+                  + startedUnixMs
                   + "}]}");
     }
   }
@@ -193,19 +193,19 @@
    * Starts the load and the engine faults.
    *
    * @param listeners the managers' client addresses
-   * @param from start of the fault schedule, by System.nanoTime()
+   * @param startNanos start of the fault schedule, by System.nanoTime()
    */
-  void begin(List<InetSocketAddress> listeners, long from) {
-    start = from;
-    for (int m = 0; plan.hasLoad() && m < managers.size(); m++) {
-      String name = managers.get(m);
+  void begin(List<InetSocketAddress> listeners, long startNanos) {
+    start = startNanos;
+    for (int manager = 0; plan.hasLoad() && manager < managers.size(); manager++) {
+      String name = managers.get(manager);
       LoadFile file = LoadFile.checked("fleet.load", plan.getLoad());
-      OpenLoop load = new OpenLoop(file, listeners.get(m), seed * 64 + m, watcher(name));
+      OpenLoop load = new OpenLoop(file, listeners.get(manager), seed * 64 + manager, watcher(name));
       loads.add(load);
       run(load::play);
     }
-    for (EngineTrouble one : plan.getEngineTroublesList()) {
-      run(() -> trouble(one, from));
+    for (EngineTrouble fault : plan.getEngineTroublesList()) {
+      run(() -> trouble(fault, startNanos));
     }
   }
 
@@ -213,8 +213,8 @@
   private OpenLoop.Watcher watcher(String name) {
     return new OpenLoop.Watcher() {
       @Override
-      public void asking(String id, Arrival one, long waitMs) {
-        asked.put(id, one);
+      public void asking(String id, Arrival arrival, long timeoutMs) {
+        asked.put(id, arrival);
         taker.put(id, name);
         long now = System.nanoTime();
         log.add(
@@ -222,11 +222,11 @@
                 now,
                 name,
                 id,
-                one.grade().equals("load")
+                arrival.grade().equals("load")
                     ? InvariantChecker.RetrySafety.NON_IDEMPOTENT
                     : InvariantChecker.RetrySafety.IDEMPOTENT,
-                one.key(),
-                now + waitMs * MS,
+                arrival.key(),
+                now + timeoutMs * MS,
                 Set.of()));
       }
 
@@ -258,17 +258,17 @@
    * Whether a manager was killed or stopped since that time. A manager that is stopped closes its
    * connections for some time, in which tasks may still be on their way to it.
    */
-  private boolean downSince(String name, long time) {
+  private boolean downSince(String manager, long time) {
     return faults.processes().stream()
         .anyMatch(
-            one ->
-                one.member().equals(name)
-                    && one.kind() != FaultSchedule.ProcessFaultKind.STOP
+            fault ->
+                fault.member().equals(manager)
+                    && fault.kind() != FaultSchedule.ProcessFaultKind.STOP
                     && start
-                            + one.startNanos()
-                            + (one.kind() == FaultSchedule.ProcessFaultKind.END ? ENDING : 0)
+                            + fault.startNanos()
+                            + (fault.kind() == FaultSchedule.ProcessFaultKind.END ? ENDING : 0)
                         >= time
-                    && start + one.startNanos() <= System.nanoTime());
+                    && start + fault.startNanos() <= System.nanoTime());
   }
 
   /** Logs that a manager was started again. */
@@ -280,12 +280,12 @@
     void run() throws Exception;
   }
 
-  private void run(Step what) {
+  private void run(Step step) {
     Thread thread =
         StandInEngine.thread(
             () -> {
               try {
-                what.run();
+                step.run();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               } catch (Exception e) {
@@ -296,42 +296,42 @@
     thread.start();
   }
 
-  private void trouble(EngineTrouble what, long from) throws IOException, InterruptedException {
-    int which = Integer.parseInt(what.getEngine().substring(1));
-    sleepUntil(from + what.getAtMs() * MS);
-    switch (what.getKind()) {
+  private void trouble(EngineTrouble fault, long startNanos) throws IOException, InterruptedException {
+    int index = Integer.parseInt(fault.getEngine().substring(1));
+    sleepUntil(startNanos + fault.getAtMs() * MS);
+    switch (fault.getKind()) {
       case RESTART -> {
-        StandInEngine old = swap(which, null);
-        old.close();
-        old.lose();
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
+        StandInEngine previous = swap(index, null);
+        previous.close();
+        previous.lose();
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
         synchronized (this) {
-          startedAt.put(which, System.nanoTime());
+          startedAt.put(index, System.nanoTime());
         }
-        falls += old.fallen() ? 1 : 0;
-        swap(which, engine(which, engineAddresses.get(which), startedAt.get(which)));
-        told(which, "ready");
+        falls += previous.fallen() ? 1 : 0;
+        swap(index, engine(index, engineAddresses.get(index), startedAt.get(index)));
+        told(index, "ready");
       }
       case SLOW -> {
-        engines.get(which).slow(what.getFactor());
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
-        engines.get(which).slow(1);
+        engines.get(index).slow(fault.getFactor());
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
+        engines.get(index).slow(1);
       }
       case DRAIN -> {
-        told(which, "draining");
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * MS);
-        told(which, "ready");
+        told(index, "draining");
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
+        told(index, "ready");
       }
       default -> throw new IllegalStateException();
     }
   }
 
-  private synchronized StandInEngine swap(int which, StandInEngine next) {
-    StandInEngine old = engines.get(which);
-    if (next != null) {
-      engines.set(which, next);
+  private synchronized StandInEngine swap(int index, StandInEngine replacement) {
+    StandInEngine previous = engines.get(index);
+    if (replacement != null) {
+      engines.set(index, replacement);
     }
-    return old;
+    return previous;
   }
 
   /** Sleeps until that time of System.nanoTime(). */
@@ -344,22 +344,22 @@
    * each invariant. Writes the logged events to a file.
    */
   Map<String, Double> figures(Path folder) throws InterruptedException, IOException {
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure != null) {
       throw new IOException("the traffic failed: " + failure, failure);
     }
     Map<String, Double> figures = new TreeMap<>();
     double tasks = 0;
-    double good = 0;
+    double answeredInTime = 0;
     for (OpenLoop load : loads) {
-      Map<String, Double> one = load.figures();
-      tasks += one.get("tasks");
-      good += one.get("tasks") * one.get("share");
+      Map<String, Double> loadFigures = load.figures();
+      tasks += loadFigures.get("tasks");
+      answeredInTime += loadFigures.get("tasks") * loadFigures.get("share");
     }
     EngineForm form = plan.getEngine();
-    InvariantChecker.Limits rules =
+    InvariantChecker.Limits limits =
         new InvariantChecker.Limits(
             500 * MS,
             60 * MS,
@@ -372,41 +372,41 @@
             0,
             0,
             0);
-    List<InvariantChecker.Event> all;
+    List<InvariantChecker.Event> sorted;
     synchronized (log) {
-      all = new ArrayList<>(log);
+      sorted = new ArrayList<>(log);
     }
-    all.sort(Comparator.comparingLong(InvariantChecker.Event::at));
+    sorted.sort(Comparator.comparingLong(InvariantChecker.Event::at));
     Files.write(
         folder.resolve("seen.log"),
-        all.stream().map(one -> (one.at() - start) / 1000 + " us " + one).toList());
-    InvariantChecker.violations(rules, all)
-        .forEach((rule, times) -> figures.put("broken." + rule, (double) times));
-    InvariantChecker.firstViolations(rules, all).forEach(System.err::println);
-    for (StandInEngine one : engines) {
-      falls += one.fallen() ? 1 : 0;
+        sorted.stream().map(event -> (event.at() - start) / 1000 + " us " + event).toList());
+    InvariantChecker.violations(limits, sorted)
+        .forEach((rule, count) -> figures.put("broken." + rule, (double) count));
+    InvariantChecker.firstViolations(limits, sorted).forEach(System.err::println);
+    for (StandInEngine engine : engines) {
+      falls += engine.fallen() ? 1 : 0;
     }
     figures.put("engines.fallen", (double) falls);
     figures.put("tasks", tasks);
-    figures.put("share_min", tasks == 0 ? 1 : good / tasks);
+    figures.put("share_min", tasks == 0 ? 1 : answeredInTime / tasks);
     return figures;
   }
 
   @Override
   public void close() throws IOException {
-    for (StandInEngine one : engines) {
-      one.close();
+    for (StandInEngine engine : engines) {
+      engine.close();
     }
-    for (List<StreamRelay> own : relays) {
-      for (StreamRelay one : own) {
-        one.close();
+    for (List<StreamRelay> relaysOfManager : relays) {
+      for (StreamRelay relay : relaysOfManager) {
+        relay.close();
       }
     }
-    for (StreamRelay one : lists) {
-      one.close();
+    for (StreamRelay relay : lists) {
+      relay.close();
     }
-    for (StandInChannel one : channels) {
-      one.close();
+    for (StandInChannel channel : channels) {
+      channel.close();
     }
   }
 }
--- a/src/main/java/tansytrack/lab/LabClient.java
+++ b/src/main/java/tansytrack/lab/LabClient.java
@@ -40,19 +40,19 @@
   private final DataInputStream in;
 
   /** Connects and completes the start-up of the protocol; the timeout holds for each read too. */
-  public LabClient(InetSocketAddress to, int patienceMs) throws IOException {
+  public LabClient(InetSocketAddress address, int timeoutMs) throws IOException {
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(patienceMs);
-    socket.connect(to, patienceMs);
+    socket.setSoTimeout(timeoutMs);
+    socket.connect(address, timeoutMs);
     in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-    byte[] who = "user\0app\0database\0bi\0\0".getBytes(StandardCharsets.US_ASCII);
+    byte[] parameters = "user\0app\0database\0bi\0\0".getBytes(StandardCharsets.US_ASCII);
     socket
         .getOutputStream()
         .write(
-            ByteBuffer.allocate(8 + who.length)
-                .putInt(8 + who.length)
+            ByteBuffer.allocate(8 + parameters.length)
+                .putInt(8 + parameters.length)
                 .putInt(3 << 16)
-                .put(who)
+                .put(parameters)
                 .array());
     answer();
   }
@@ -96,13 +96,13 @@
     }
   }
 
-  private static void names(ByteBuffer body, List<String> into) {
-    for (int left = body.getShort(); left > 0; left--) {
+  private static void names(ByteBuffer body, List<String> columns) {
+    for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int from = body.position();
       while (body.get() != 0) {
         // skip to the terminating zero
       }
-      into.add(text(body, from, body.position() - 1 - from));
+      columns.add(text(body, from, body.position() - 1 - from));
       body.position(body.position() + BEHIND_NAME);
     }
   }
@@ -113,7 +113,7 @@
 
   private static List<String> row(ByteBuffer body) {
     List<String> row = new ArrayList<>();
-    for (int left = body.getShort(); left > 0; left--) {
+    for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int length = body.getInt();
       row.add(length < 0 ? "" : text(body, body.position(), length));
       body.position(body.position() + Math.max(0, length));
--- a/src/main/java/tansytrack/lab/Laboratory.java
+++ b/src/main/java/tansytrack/lab/Laboratory.java
@@ -26,28 +26,28 @@
 
   /** Reads and validates an experiment file. */
   public static Experiment read(String file) {
-    Experiment read = TextFile.parsed(file, TextFile.text(file), Experiment.newBuilder()).build();
-    if (read.hasFleet()) {
-      FleetRun.checked(file, read);
-      return read;
+    Experiment experiment = TextFile.parsed(file, TextFile.text(file), Experiment.newBuilder()).build();
+    if (experiment.hasFleet()) {
+      FleetRun.checked(file, experiment);
+      return experiment;
     }
-    if (read.getScaleCount() > 0) {
-      ScaleExperiment.checked(file, read);
-      return read;
+    if (experiment.getScaleCount() > 0) {
+      ScaleExperiment.checked(file, experiment);
+      return experiment;
     }
-    TextFile.bounded(file, "managers", read.getManagers(), 1, 16);
-    TextFile.bounded(file, "engines", read.getEngines(), 1, 64);
-    TextFile.bounded(file, "clients", read.getClients(), 1, 256);
-    TextFile.bounded(file, "seconds", read.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
-    TextFile.bounded(file, "least_work_ms", read.getLeastWorkMs(), 0, 10000);
-    for (Fault fault : read.getFaultsList()) {
-      TextFile.bounded(file, "faults.manager", fault.getManager(), 0, read.getManagers() - 1);
+    TextFile.bounded(file, "managers", experiment.getManagers(), 1, 16);
+    TextFile.bounded(file, "engines", experiment.getEngines(), 1, 64);
+    TextFile.bounded(file, "clients", experiment.getClients(), 1, 256);
+    TextFile.bounded(file, "seconds", experiment.getSeconds(), 1, 3600);
+    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
+    TextFile.bounded(file, "least_work_ms", experiment.getLeastWorkMs(), 0, 10000);
+    for (Fault fault : experiment.getFaultsList()) {
+      TextFile.bounded(file, "faults.manager", fault.getManager(), 0, experiment.getManagers() - 1);
     }
-    if (read.getClaimsCount() == 0) {
+    if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
-    return read;
+    return experiment;
   }
 
   /**
@@ -58,16 +58,16 @@
    * @param seed seed of the first run; each further run has the next one
    * @param out folder for the results
    * @param factory creates the decision modules of scale experiments
-   * @param to stream for figures and claims
+   * @param console stream for figures and claims
    */
   public static boolean run(
-      Experiment experiment, long seed, Path out, ModuleFactory factory, PrintStream to)
+      Experiment experiment, long seed, Path out, ModuleFactory factory, PrintStream console)
       throws IOException, InterruptedException {
     Files.createDirectories(out);
-    List<Map<String, Double>> all = new ArrayList<>();
+    List<Map<String, Double>> figuresOfRuns = new ArrayList<>();
     for (int i = 0; i < experiment.getRuns(); i++) {
-      all.add(played(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
-      to.println(
+      figuresOfRuns.add(played(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
+      console.println(
           "run "
               + (i + 1)
               + " of "
@@ -75,29 +75,29 @@
               + ", seed "
               + (seed + i)
               + ": "
-              + all.get(i));
+              + figuresOfRuns.get(i));
     }
-    Map<String, Double> sums = new TreeMap<>();
-    all.forEach(
-        one ->
-            one.forEach(
+    Map<String, Double> total = new TreeMap<>();
+    figuresOfRuns.forEach(
+        figures ->
+            figures.forEach(
                 (name, figure) ->
-                    sums.merge(
+                    total.merge(
                         name,
                         figure,
                         name.endsWith(WORST)
                             ? Math::max
                             : name.endsWith(LEAST) ? Math::min : Double::sum)));
-    List<Claims.Judged> judged = Claims.judge(experiment.getClaimsList(), sums);
-    to.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
+    List<Claims.Judged> results = Claims.judge(experiment.getClaimsList(), total);
+    console.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
     boolean held = true;
-    for (Claims.Judged one : judged) {
-      to.printf(
+    for (Claims.Judged result : results) {
+      console.printf(
           "%-30s %-14s %-14s %s%n",
-          one.figure(), one.bound(), one.measured(), one.held() ? "yes" : "NO");
-      held &= one.held();
+          result.figure(), result.bound(), result.measured(), result.held() ? "yes" : "NO");
+      held &= result.held();
     }
-    kept(experiment, seed, out, all, judged);
+    kept(experiment, seed, out, figuresOfRuns, results);
     return held;
   }
 
@@ -121,16 +121,16 @@
       Experiment experiment,
       long seed,
       Path out,
-      List<Map<String, Double>> all,
-      List<Claims.Judged> judged)
+      List<Map<String, Double>> figuresOfRuns,
+      List<Claims.Judged> results)
       throws IOException {
     TreeSet<String> names = new TreeSet<>();
-    all.forEach(one -> names.addAll(one.keySet()));
+    figuresOfRuns.forEach(figures -> names.addAll(figures.keySet()));
     StringBuilder csv = new StringBuilder("seed,").append(String.join(",", names)).append('\n');
-    for (int i = 0; i < all.size(); i++) {
+    for (int i = 0; i < figuresOfRuns.size(); i++) {
       csv.append(seed + i);
       for (String name : names) {
-        csv.append(',').append(Claims.shown(all.get(i).getOrDefault(name, Double.NaN)));
+        csv.append(',').append(Claims.shown(figuresOfRuns.get(i).getOrDefault(name, Double.NaN)));
       }
       csv.append('\n');
     }
@@ -142,19 +142,19 @@
                 + ",\"seed\":"
                 + seed
                 + ",\"runs\":"
-                + all.size()
+                + figuresOfRuns.size()
                 + ",\"claims\":[");
-    for (int i = 0; i < judged.size(); i++) {
-      Claims.Judged one = judged.get(i);
+    for (int i = 0; i < results.size(); i++) {
+      Claims.Judged result = results.get(i);
       json.append(i > 0 ? "," : "")
           .append("{\"figure\":")
-          .append(JsonLinesWriter.quote(one.figure()))
+          .append(JsonLinesWriter.quote(result.figure()))
           .append(",\"bound\":\"")
-          .append(one.bound())
+          .append(result.bound())
           .append("\",\"measured\":\"")
-          .append(one.measured())
+          .append(result.measured())
           .append("\",\"held\":")
-          .append(one.held())
+          .append(result.held())
           .append('}');
     }
     Files.writeString(out.resolve("summary.json"), json.append("]}\n"));
--- a/src/main/java/tansytrack/lab/LedgerBench.java
+++ b/src/main/java/tansytrack/lab/LedgerBench.java
@@ -38,7 +38,7 @@
     this.out = out;
   }
 
-  private LedgerRecorder start(Path folder, String wait, int most) throws IOException {
+  private LedgerRecorder start(Path folder, String wait, int maxUnwritten) throws IOException {
     OperatorFile.LedgerSection section =
         OperatorFile.parse(
                 "bench",
@@ -49,10 +49,10 @@
                     + " forwards: "
                     + wait
                     + " most_unwritten: "
-                    + most
+                    + maxUnwritten
                     + " }")
             .ledger();
-    QueryClass grade =
+    QueryClass queryClass =
         new QueryClass(
             "g",
             QueryClass.RetrySafety.IDEMPOTENT,
@@ -70,58 +70,58 @@
             false,
             false);
     timers.now(System.nanoTime());
-    return LedgerRecorder.start(section, "bench", List.of(grade), timers, inbox::add);
+    return LedgerRecorder.start(section, "bench", List.of(queryClass), timers, inbox::add);
   }
 
   /** Runs what the event loop would run now: callbacks of the ledger and due timers. */
   private void notes() {
     timers.now(System.nanoTime());
-    for (Runnable one = inbox.poll(); one != null; one = inbox.poll()) {
-      one.run();
+    for (Runnable task = inbox.poll(); task != null; task = inbox.poll()) {
+      task.run();
     }
     timers.runDue();
   }
 
   /** Records a task with one forward; returns the time it took on the event loop, in ns. */
-  private long entry(LedgerRecorder to, Runnable say) {
+  private long entry(LedgerRecorder ledger, Runnable sendAnswer) {
     String id = String.format("%016x", ++tasks);
-    TaskRequest offer = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
+    TaskRequest task = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
     long now = timers.now();
-    long from = System.nanoTime();
-    to.taskAccepted(now, offer);
-    to.beforeForward(now, id, 0, "engine-a", 64, () -> {});
-    to.forwardEnded(now, id, 0, Outcome.OK, 5_000_000, 12, true);
-    to.beforeAnswer(now, id, TaskListener.TaskEnd.HANDLED, 400, say);
-    return System.nanoTime() - from;
+    long startNanos = System.nanoTime();
+    ledger.taskAccepted(now, task);
+    ledger.beforeForward(now, id, 0, "engine-a", 64, () -> {});
+    ledger.forwardEnded(now, id, 0, Outcome.OK, 5_000_000, 12, true);
+    ledger.beforeAnswer(now, id, TaskListener.TaskEnd.HANDLED, 400, sendAnswer);
+    return System.nanoTime() - startNanos;
   }
 
   /** Measures entries written as fast as the disk takes them, and the loop time of each. */
   public void throughput(Path folder, int entries) throws IOException {
-    LedgerRecorder to = start(folder, "AT_ONCE", 1 << 20);
-    Histogram cost = new Histogram(LONGEST, 3);
-    long from = System.nanoTime();
+    LedgerRecorder ledger = start(folder, "AT_ONCE", 1 << 20);
+    Histogram loopTime = new Histogram(LONGEST, 3);
+    long startNanos = System.nanoTime();
     for (int i = 0; i < entries; i++) {
-      long took = entry(to, () -> {});
+      long took = entry(ledger, () -> {});
       if (i >= WARM) {
-        cost.recordValue(took);
+        loopTime.recordValue(took);
       }
       if (i % 16 == 0) {
         notes();
-        while (to.unwritten() > 1 << 18) {
+        while (ledger.unwritten() > 1 << 18) {
           LockSupport.parkNanos(SECOND / 10000);
           notes();
         }
       }
     }
-    while (to.unwritten() > 0) {
+    while (ledger.unwritten() > 0) {
       LockSupport.parkNanos(SECOND / 10000);
       notes();
     }
-    double took = (System.nanoTime() - from) / 1e9;
-    to.close();
+    double took = (System.nanoTime() - startNanos) / 1e9;
+    ledger.close();
     out.printf(
         "durable entries a second: %.0f (%d entries, %.1f s)%n", entries / took, entries, took);
-    told("loop time of an entry, ns, at full speed", cost);
+    told("the loop's cost an entry, ns, as fast as the disk takes them", loopTime);
   }
 
   /**
@@ -129,45 +129,45 @@
    * commit.
    *
    * @param folder folder of the ledger
-   * @param aSecond entries a second
+   * @param perSecond entries a second
    * @param seconds duration
    * @param wait AT_ONCE or AFTER_COMMIT, as in the operator's file
    */
-  public void paced(Path folder, int aSecond, int seconds, String wait) throws IOException {
-    LedgerRecorder to = start(folder, wait, 1 << 14);
-    Histogram cost = new Histogram(LONGEST, 3);
-    Histogram waited = new Histogram(LONGEST, 3);
-    long from = System.nanoTime();
-    for (int i = 0; i < aSecond * seconds; i++) {
-      long due = from + i * SECOND / aSecond;
+  public void paced(Path folder, int perSecond, int seconds, String wait) throws IOException {
+    LedgerRecorder ledger = start(folder, wait, 1 << 14);
+    Histogram loopTime = new Histogram(LONGEST, 3);
+    Histogram waits = new Histogram(LONGEST, 3);
+    long startNanos = System.nanoTime();
+    for (int i = 0; i < perSecond * seconds; i++) {
+      long due = startNanos + i * SECOND / perSecond;
       while (System.nanoTime() < due) {
         notes();
         LockSupport.parkNanos(20_000);
       }
       notes();
       long asked = System.nanoTime();
-      long took = entry(to, () -> waited.recordValue(System.nanoTime() - asked));
-      if (i >= aSecond * seconds / 4) {
-        cost.recordValue(took);
+      long took = entry(ledger, () -> waits.recordValue(System.nanoTime() - asked));
+      if (i >= perSecond * seconds / 4) {
+        loopTime.recordValue(took);
       }
     }
-    while (to.unwritten() > 0) {
+    while (ledger.unwritten() > 0) {
       notes();
     }
-    to.close();
-    told("loop time of an entry, ns, at " + aSecond + " a second, " + wait, cost);
-    told("wait of an answer for its commit, ns, at " + aSecond + " a second, " + wait, waited);
+    ledger.close();
+    told("the loop's cost an entry, ns, at " + perSecond + " a second, " + wait, loopTime);
+    told("the answer's wait, ns, at " + perSecond + " a second, " + wait, waits);
   }
 
-  private void told(String what, Histogram of) {
+  private void told(String label, Histogram histogram) {
     out.printf(
         "%s: median %d, 99%% %d, 99.9%% %d, most %d (%d)%n",
-        what,
-        of.getValueAtPercentile(50),
-        of.getValueAtPercentile(99),
-        of.getValueAtPercentile(99.9),
-        of.getMaxValue(),
-        of.getTotalCount());
+        label,
+        histogram.getValueAtPercentile(50),
+        histogram.getValueAtPercentile(99),
+        histogram.getValueAtPercentile(99.9),
+        histogram.getMaxValue(),
+        histogram.getTotalCount());
   }
 
   /**
@@ -175,28 +175,28 @@
    * the files of an open ledger.
    */
   public void restart(Path folder, Path copy) throws IOException {
-    LedgerRecorder held = start(folder, "AT_ONCE", 1 << 14);
+    LedgerRecorder original = start(folder, "AT_ONCE", 1 << 14);
     for (int i = 0; i < 1000; i++) {
       String id = String.format("%016x", ++tasks);
-      held.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
-      held.beforeForward(timers.now(), id, 0, "engine-a", 64, () -> {});
+      original.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
+      original.beforeForward(timers.now(), id, 0, "engine-a", 64, () -> {});
     }
-    while (held.unwritten() > 0) {
+    while (original.unwritten() > 0) {
       notes();
     }
     Files.createDirectories(copy);
     try (Stream<Path> files = Files.list(folder)) {
-      for (Path one :
+      for (Path file :
           files
-              .filter(file -> file.getFileName().toString().startsWith("ledger.sqlite"))
+              .filter(each -> each.getFileName().toString().startsWith("ledger.sqlite"))
               .toList()) {
-        Files.copy(one, copy.resolve(one.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
       }
     }
-    held.close();
-    long from = System.nanoTime();
-    LedgerRecorder again = start(copy, "AT_ONCE", 1 << 14);
-    out.printf("start after a kill, 1000 tasks open: %.0f ms%n", (System.nanoTime() - from) / 1e6);
-    again.close();
+    original.close();
+    long startNanos = System.nanoTime();
+    LedgerRecorder restarted = start(copy, "AT_ONCE", 1 << 14);
+    out.printf("start after a kill, 1000 tasks open: %.0f ms%n", (System.nanoTime() - startNanos) / 1e6);
+    restarted.close();
   }
 }
--- a/src/main/java/tansytrack/lab/LedgerCheck.java
+++ b/src/main/java/tansytrack/lab/LedgerCheck.java
@@ -29,11 +29,11 @@
 
   /** Reads the exported batches as a consumer does; a batch must not change once it is there. */
   synchronized void look(List<ManagerProcess> managers) throws IOException {
-    for (ManagerProcess one : managers) {
-      for (Path file : batches(one.exports())) {
+    for (ManagerProcess manager : managers) {
+      for (Path file : batches(manager.exports())) {
         byte[] bytes = Files.readAllBytes(file);
-        byte[] before = seen.putIfAbsent(file.toString(), bytes);
-        if (before != null && !java.util.Arrays.equals(before, bytes)) {
+        byte[] previous = seen.putIfAbsent(file.toString(), bytes);
+        if (previous != null && !java.util.Arrays.equals(previous, bytes)) {
           changed++;
         }
       }
@@ -44,8 +44,8 @@
     if (!Files.isDirectory(folder)) {
       return List.of();
     }
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.filter(one -> one.toString().endsWith(".pb")).sorted().toList();
+    try (Stream<Path> files = Files.list(folder)) {
+      return files.filter(file -> file.toString().endsWith(".pb")).sorted().toList();
     }
   }
 
@@ -59,11 +59,11 @@
     MergedLedger exported =
         LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exports).toList());
     batches(managers, figures);
-    Reconciliation sides = new Reconciliation();
+    Reconciliation reconciliation = new Reconciliation();
     long unresolved = 0;
-    for (var said : ledgers.entries().values()) {
-      for (Entry entry : said) {
-        sides.add(entry);
+    for (var entries : ledgers.entries().values()) {
+      for (Entry entry : entries) {
+        reconciliation.add(entry);
         unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
       }
     }
@@ -72,64 +72,64 @@
           new java.io.ByteArrayInputStream(
               String.join("\n", engine.statement())
                   .getBytes(java.nio.charset.StandardCharsets.UTF_8))) {
-        LedgerFiles.readStatement(engine.name(), in, sides);
+        LedgerFiles.readStatement(engine.name(), in, reconciliation);
       }
     }
-    Map<String, Long> kinds = new TreeMap<>();
-    sides.findings().forEach(one -> kinds.merge(one.kind(), 1L, Long::sum));
+    Map<String, Long> findings = new TreeMap<>();
+    reconciliation.findings().forEach(finding -> findings.merge(finding.kind(), 1L, Long::sum));
     figures.put("entries", (double) ledgers.entries().size());
-    figures.put("entries.missing", (double) kinds.getOrDefault("at the engine only", 0L));
+    figures.put("entries.missing", (double) findings.getOrDefault("at the engine only", 0L));
     figures.put(
         "entries.twice",
-        (double) kinds.getOrDefault("in the ledger only", 0L) + ledgers.contradictions().size());
-    figures.put("entries.work_differs", (double) kinds.getOrDefault("work differs", 0L));
+        (double) findings.getOrDefault("in the ledger only", 0L) + ledgers.contradictions().size());
+    figures.put("entries.work_differs", (double) findings.getOrDefault("work differs", 0L));
     figures.put("entries.unresolved", (double) unresolved);
     figures.put(
-        "entries.resolved_by_engines", (double) kinds.getOrDefault("resolved by the engine", 0L));
-    long told = 0;
-    for (ManagerProcess one : managers) {
-      try (LedgerStore store = LedgerStore.openForCommand(one.ledger(), FaultInjector.NONE)) {
-        told += store.reportedRuns().size();
+        "entries.resolved_by_engines", (double) findings.getOrDefault("resolved by the engine", 0L));
+    long reportedRuns = 0;
+    for (ManagerProcess manager : managers) {
+      try (LedgerStore store = LedgerStore.openForCommand(manager.ledger(), FaultInjector.NONE)) {
+        reportedRuns += store.reportedRuns().size();
       }
     }
-    figures.put("entries.told_at_start", (double) told);
+    figures.put("entries.told_at_start", (double) reportedRuns);
     figures.put(
         "entries.holes",
         (double)
             ledgers.missingRanges().stream()
-                .mapToLong(hole -> hole.last() - hole.first() + 1)
+                .mapToLong(range -> range.last() - range.first() + 1)
                 .sum());
     figures.put("gaps", (double) ledgers.gaps().size());
     figures.put("export.differs", exported.equals(ledgers) ? 0.0 : 1.0);
-    figures.put("forwards.agreed", (double) sides.matchedForwards());
+    figures.put("forwards.agreed", (double) reconciliation.matchedForwards());
     figures.put("engines.runs", (double) engines.stream().mapToLong(StandInEngine::runs).sum());
     return figures;
   }
 
   private void batches(List<ManagerProcess> managers, Map<String, Double> figures)
       throws IOException {
-    long twice = changed;
+    long repeated = changed;
     long skipped = 0;
-    long all = 0;
-    for (ManagerProcess one : managers) {
+    long count = 0;
+    for (ManagerProcess manager : managers) {
       long number = 0;
       long position = 0;
-      for (Path file : batches(one.exports())) {
+      for (Path file : batches(manager.exports())) {
         BatchHead head;
         try (InputStream in = Files.newInputStream(file)) {
           head = BatchHead.parseDelimitedFrom(in);
         }
-        all++;
+        count++;
         skipped +=
             Math.max(0, head.getNumber() - number - 1)
                 + Math.max(0, head.getFirstPosition() - position - 1);
-        twice += head.getNumber() <= number || head.getFirstPosition() <= position ? 1 : 0;
+        repeated += head.getNumber() <= number || head.getFirstPosition() <= position ? 1 : 0;
         number = head.getNumber();
         position = head.getLastPosition();
       }
     }
-    figures.put("batches", (double) all);
-    figures.put("batches.twice", (double) twice);
+    figures.put("batches", (double) count);
+    figures.put("batches.twice", (double) repeated);
     figures.put("batches.skipped", (double) skipped);
   }
 }
--- a/src/main/java/tansytrack/lab/LedgerRun.java
+++ b/src/main/java/tansytrack/lab/LedgerRun.java
@@ -75,33 +75,33 @@
 
   /** Runs the experiment and returns its figures by name. */
   Map<String, Double> play() throws IOException, InterruptedException {
-    for (ManagerProcess one : managers) {
-      one.start();
+    for (ManagerProcess manager : managers) {
+      manager.start();
     }
     List<Thread> threads = new ArrayList<>();
     for (int m = 0; m < managers.size(); m++) {
-      ManagerProcess to = managers.get(m);
+      ManagerProcess manager = managers.get(m);
       for (int c = 0; c < experiment.getClients(); c++) {
-        SplittableRandom own = chance.split();
-        long ids = (long) (m + 1) << 40 | (long) (c + 1) << 24;
-        threads.add(StandInEngine.thread(() -> client(to, ids, own)));
+        SplittableRandom clientRandom = chance.split();
+        long firstId = (long) (m + 1) << 40 | (long) (c + 1) << 24;
+        threads.add(StandInEngine.thread(() -> client(manager, firstId, clientRandom)));
       }
       if (experiment.getExportEveryMs() > 0) {
-        threads.add(StandInEngine.thread(() -> exports(to)));
+        threads.add(StandInEngine.thread(() -> exports(manager)));
       }
     }
     long start = System.nanoTime();
     for (Fault fault : experiment.getFaultsList()) {
-      long at =
+      long delayMs =
           (long) fault.getAtMs()
               + (fault.getSpreadMs() > 0 ? chance.nextInt(fault.getSpreadMs()) : 0);
-      threads.add(StandInEngine.thread(() -> fault(fault, start + at * 1_000_000)));
+      threads.add(StandInEngine.thread(() -> fault(fault, start + delayMs * 1_000_000)));
     }
     threads.forEach(Thread::start);
     Thread.sleep(experiment.getSeconds() * 1000L);
     over = true;
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure != null) {
       throw failure;
@@ -119,39 +119,39 @@
 
   /** Stops every manager, then exports what is left of each ledger. */
   private void endManagers() throws IOException, InterruptedException {
-    for (ManagerProcess one : managers) {
-      if (!one.stop()) {
-        throw new IOException(one.name + " did not stop on SIGTERM");
+    for (ManagerProcess manager : managers) {
+      if (!manager.stop()) {
+        throw new IOException(manager.name + " did not stop on SIGTERM");
       }
     }
-    for (ManagerProcess one : managers) {
-      if (one.export().waitFor() != 0) {
-        throw new IOException("the last export of " + one.name + " failed; see export.log");
+    for (ManagerProcess manager : managers) {
+      if (manager.export().waitFor() != 0) {
+        throw new IOException("the last export of " + manager.name + " failed; see export.log");
       }
     }
   }
 
-  private void client(ManagerProcess to, long ids, SplittableRandom own) {
-    long number = ids;
+  private void client(ManagerProcess manager, long firstId, SplittableRandom random) {
+    long id = firstId;
     while (!over) {
-      try (LabClient client = new LabClient(to.listen, PATIENCE_MS)) {
+      try (LabClient client = new LabClient(manager.listen, PATIENCE_MS)) {
         while (!over) {
           asked.incrementAndGet();
-          String grade = own.nextInt(4) == 0 ? "load" : "query";
+          String queryClass = random.nextInt(4) == 0 ? "load" : "query";
           boolean answered = false;
           try {
             LabClient.Answer answer =
                 client.ask(
                     "/* class="
-                        + grade
+                        + queryClass
                         + ",id="
-                        + String.format("%016x", ++number)
+                        + String.format("%016x", ++id)
                         + ",wait="
                         + WAIT_MS
                         + ",tenant=t"
-                        + own.nextInt(3)
+                        + random.nextInt(3)
                         + ",mb=8,cost=10 */ SELECT day FROM sales_"
-                        + own.nextInt(20)
+                        + random.nextInt(20)
                         + ".orders");
             answered = true;
             (answer.handled() ? handled : refused).incrementAndGet();
@@ -173,11 +173,11 @@
     }
   }
 
-  private void exports(ManagerProcess of) {
+  private void exports(ManagerProcess manager) {
     while (!over) {
       pause(experiment.getExportEveryMs());
       try {
-        of.export().waitFor();
+        manager.export().waitFor();
         check.look(managers);
       } catch (IOException e) {
         failure = e;
@@ -187,23 +187,23 @@
     }
   }
 
-  private void fault(Fault fault, long at) {
-    pause(Math.max(0, (at - System.nanoTime()) / 1_000_000));
-    ManagerProcess of = managers.get(fault.getManager());
+  private void fault(Fault fault, long atNanos) {
+    pause(Math.max(0, (atNanos - System.nanoTime()) / 1_000_000));
+    ManagerProcess manager = managers.get(fault.getManager());
     try {
       if (fault.getKind() == Fault.Kind.KILL_MANAGER) {
         // Waits until an earlier kill of this manager has started it again.
-        synchronized (of) {
-          of.kill();
+        synchronized (manager) {
+          manager.kill();
           pause(fault.getForMs());
-          of.start();
+          manager.start();
         }
         synchronized (this) {
           managersKilled++;
         }
       } else {
-        Process export = of.export();
-        pause(fault.getForMs() + (fault.getSpreadMs() > 0 ? at / 1000 % fault.getSpreadMs() : 0));
+        Process export = manager.export();
+        pause(fault.getForMs() + (fault.getSpreadMs() > 0 ? atNanos / 1000 % fault.getSpreadMs() : 0));
         boolean running = export.isAlive();
         export.destroyForcibly().waitFor();
         synchronized (this) {
--- a/src/main/java/tansytrack/lab/LoadCommand.java
+++ b/src/main/java/tansytrack/lab/LoadCommand.java
@@ -16,23 +16,23 @@
   /**
    * Runs a load; returns whether the run is not void and every claim holds.
    *
-   * @param name the load file
-   * @param to address of the listener
+   * @param loadFile the load file
+   * @param address address of the listener
    * @param seed seed of the load
    * @param out folder for the results
-   * @param told stream for figures and claims
+   * @param console stream for figures and claims
    */
-  public static boolean run(String name, String to, long seed, Path out, PrintStream told)
+  public static boolean run(String loadFile, String address, long seed, Path out, PrintStream console)
       throws IOException, InterruptedException {
-    LoadFile file = LoadFile.read(name);
-    OpenLoop loop = new OpenLoop(file, TextFile.loopback("--to", to), seed);
-    loop.play();
-    Map<String, Double> figures = loop.figures();
+    LoadFile load = LoadFile.read(loadFile);
+    OpenLoop generator = new OpenLoop(load, TextFile.loopback("--to", address), seed);
+    generator.play();
+    Map<String, Double> figures = generator.figures();
     Files.createDirectories(out);
     StringBuilder csv = new StringBuilder("second,tasks,share,latency_ms_p50,latency_ms_p99\n");
-    for (Map.Entry<Long, Latencies.Window> one : loop.latencies().seconds().entrySet()) {
-      Latencies.Window window = one.getValue();
-      csv.append(one.getKey())
+    for (Map.Entry<Long, Latencies.Window> second : generator.latencies().seconds().entrySet()) {
+      Latencies.Window window = second.getValue();
+      csv.append(second.getKey())
           .append(',')
           .append(window.tasks())
           .append(',')
@@ -44,17 +44,17 @@
           .append('\n');
     }
     Files.writeString(out.resolve("seconds.csv"), csv);
-    told.println(loop.punctuality().said());
-    if (loop.punctuality().isVoid()) {
+    console.println(generator.punctuality().said());
+    if (generator.punctuality().isVoid()) {
       return false;
     }
-    figures.forEach((figure, value) -> told.printf("%-34s %s%n", figure, Claims.shown(value)));
-    List<Claims.Judged> judged = Claims.judge(file.load.getClaimsList(), figures);
-    judged.forEach(
-        one ->
-            told.printf(
+    figures.forEach((figure, value) -> console.printf("%-34s %s%n", figure, Claims.shown(value)));
+    List<Claims.Judged> results = Claims.judge(load.load.getClaimsList(), figures);
+    results.forEach(
+        result ->
+            console.printf(
                 "%-34s %-14s %-14s %s%n",
-                one.figure(), one.bound(), one.measured(), one.held() ? "held" : "NOT HELD"));
-    return judged.stream().allMatch(Claims.Judged::held);
+                result.figure(), result.bound(), result.measured(), result.held() ? "held" : "NOT HELD"));
+    return results.stream().allMatch(Claims.Judged::held);
   }
 }
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -54,29 +54,29 @@
     bounded("clients.most_retries", load.getClients().getMostRetries(), 0, 1000);
     bounded("late_ms", load.getLateMs(), 1, 10_000);
     bounded("late_part", load.getLatePart(), 0, 1);
-    for (LoadGrade grade : load.getGradesList()) {
-      bounded("grades." + grade.getName() + ".median_cost_ms", grade.getMedianCostMs(), 0.001, 1e9);
-      bounded("grades." + grade.getName() + ".spread", grade.getSpread(), 0, 5);
-      bounded("grades." + grade.getName() + ".wait_ms", grade.getWaitMs(), 1, 600_000);
+    for (LoadGrade queryClass : load.getGradesList()) {
+      bounded("grades." + queryClass.getName() + ".median_cost_ms", queryClass.getMedianCostMs(), 0.001, 1e9);
+      bounded("grades." + queryClass.getName() + ".spread", queryClass.getSpread(), 0, 5);
+      bounded("grades." + queryClass.getName() + ".wait_ms", queryClass.getWaitMs(), 1, 600_000);
       bounded(
-          "grades." + grade.getName() + ".promised_ms",
-          grade.getPromisedMs(),
+          "grades." + queryClass.getName() + ".promised_ms",
+          queryClass.getPromisedMs(),
           1,
-          grade.getWaitMs());
+          queryClass.getWaitMs());
     }
     bounded("sum: highest rate", shape().most(), 0, MOST_RATE);
   }
 
-  private void bounded(String field, double value, double least, double most) {
-    TextFile.bounded(file, field, value, least, most);
+  private void bounded(String field, double value, double min, double max) {
+    TextFile.bounded(file, field, value, min, max);
   }
 
   private Shape shape() {
-    Shape all = new Shape.Sum(load.getSumList().stream().map(this::part).toList());
-    for (Part one : load.getTimesList()) {
-      all = new Shape.Product(all, part(one));
+    Shape product = new Shape.Sum(load.getSumList().stream().map(this::part).toList());
+    for (Part factor : load.getTimesList()) {
+      product = new Shape.Product(product, part(factor));
     }
-    return all;
+    return product;
   }
 
   private Shape part(Part part) {
@@ -134,18 +134,18 @@
     Mix mix =
         new Mix(
             load.getTenantsList().stream()
-                .map(one -> new Mix.Weighted(one.getName(), one.getWeight()))
+                .map(item -> new Mix.Weighted(item.getName(), item.getWeight()))
                 .toList(),
             load.getGradesList().stream()
                 .map(
-                    one ->
+                    item ->
                         new Mix.GradeLoad(
-                            one.getName(),
-                            one.getWeight(),
-                            one.getMedianCostMs(),
-                            one.getSpread(),
-                            one.getMemoryMb(),
-                            one.getKeys()))
+                            item.getName(),
+                            item.getWeight(),
+                            item.getMedianCostMs(),
+                            item.getSpread(),
+                            item.getMemoryMb(),
+                            item.getKeys()))
                 .toList(),
             load.getDataSets(),
             load.getZipfExponent(),
@@ -156,16 +156,16 @@
   /** The query class of that name, which must exist. */
   LoadGrade grade(String name) {
     return load.getGradesList().stream()
-        .filter(one -> one.getName().equals(name))
+        .filter(item -> item.getName().equals(name))
         .findFirst()
         .orElseThrow();
   }
 
   /** How clients retry tasks of a query class. */
-  Behaviour behaviour(LoadGrade grade) {
+  Behaviour behaviour(LoadGrade queryClass) {
     Clients clients = load.getClients();
     return new Behaviour(
-        grade.getWaitMs() * MS,
+        queryClass.getWaitMs() * MS,
         clients.getMostRetries(),
         clients.getHeedsAfter(),
         Math.max(1, clients.getFirstPauseMs()) * MS,
--- a/src/main/java/tansytrack/lab/ManagerProcess.java
+++ b/src/main/java/tansytrack/lab/ManagerProcess.java
@@ -103,9 +103,9 @@
   }
 
   /** Settings of a manager in a zone, for that number of managers and engines of that form. */
-  static String settings(int siblings, String place, EngineForm engine) {
+  static String settings(int managerCount, String zone, EngineForm engine) {
     return SETTINGS
-        .replace("\"siblings\":1", "\"siblings\":" + siblings + ",\"zone\":\"" + place + '"')
+        .replace("\"siblings\":1", "\"siblings\":" + managerCount + ",\"zone\":\"" + zone + '"')
         .replace("\"cpu_of_kind\":[8]", "\"cpu_of_kind\":[" + engine.getCores() + ']')
         .replace("\"columns\":[\"busy_reqs\"]", "\"columns\":[\"busy_reqs\",\"cpu_share\"]")
         .replace("\"worth\":2", "\"worth\":2,\"serial_by_key\":true")
@@ -137,8 +137,8 @@
   }
 
   /** Sets the jar that later starts run from; null: this program. */
-  void version(String path) {
-    jar = path;
+  void version(String jar) {
+    this.jar = jar;
   }
 
   /** Starts this program with these arguments; its output is appended to a file in the folder. */
@@ -155,12 +155,12 @@
                 jar == null ? System.getProperty("java.class.path") : jar,
                 "tansytrack.Main"));
     command.addAll(List.of(arguments));
-    ProcessBuilder made =
+    ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(new File(folder.toFile(), log)));
-    made.environment().put("ROUTER_CONFIG", folder.resolve("config.json").toString());
-    return made.start();
+    builder.environment().put("ROUTER_CONFIG", folder.resolve("config.json").toString());
+    return builder.start();
   }
 
   /** Starts the manager and waits until it listens. */
@@ -180,9 +180,9 @@
   /** Waits until the manager listens. */
   void listens() throws IOException, InterruptedException {
     String log = "manager-" + starts + ".log";
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000;
     while (!Files.readString(folder.resolve(log), StandardCharsets.UTF_8).contains("listens at")) {
-      if (!process.isAlive() || System.nanoTime() > until) {
+      if (!process.isAlive() || System.nanoTime() > deadline) {
         throw new IOException(name + " does not start: " + Files.readString(folder.resolve(log)));
       }
       Thread.sleep(20);
@@ -195,18 +195,18 @@
   }
 
   /** Sends a signal by its name: STOP or CONT. */
-  void signal(String which) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", '-' + which, Long.toString(process.pid())).start().waitFor();
+  void signal(String signal) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", '-' + signal, Long.toString(process.pid())).start().waitFor();
   }
 
   /** The log lines of all starts. */
   List<String> lines() throws IOException {
-    List<String> all = new ArrayList<>();
+    List<String> lines = new ArrayList<>();
     for (int i = 1; i <= starts; i++) {
-      all.addAll(
+      lines.addAll(
           Files.readAllLines(folder.resolve("manager-" + i + ".log"), StandardCharsets.UTF_8));
     }
-    return all;
+    return lines;
   }
 
   /** Stops the manager (SIGTERM); false if it had to be killed. */
--- a/src/main/java/tansytrack/lab/OpenLoop.java
+++ b/src/main/java/tansytrack/lab/OpenLoop.java
@@ -36,7 +36,7 @@
     Watcher NONE =
         new Watcher() {
           @Override
-          public void asking(String id, Arrival one, long waitMs) {}
+          public void asking(String id, Arrival arrival, long timeoutMs) {}
 
           @Override
           public void answered(String id, LabClient.Answer answer) {}
@@ -46,7 +46,7 @@
         };
 
     /** An attempt is sent; the client waits that long for the answer. */
-    void asking(String id, Arrival one, long waitMs);
+    void asking(String id, Arrival arrival, long timeoutMs);
 
     /** The answer to an attempt has arrived. */
     void answered(String id, LabClient.Answer answer);
@@ -89,23 +89,23 @@
   /** Sends all tasks and waits until they have ended. */
   void play() throws InterruptedException {
     Schedule schedule = file.schedule(seed);
-    int warm = Math.min(file.load.getClients().getMostConnections(), 16);
-    for (int i = 0; i < warm; i++) {
+    int initialConnections = Math.min(file.load.getClients().getMostConnections(), 16);
+    for (int i = 0; i < initialConnections; i++) {
       free.add(sender());
     }
     start = System.nanoTime() + 100 * MS;
     while (schedule.hasNext()) {
-      Arrival next = schedule.next();
-      for (long left = start + next.at() - System.nanoTime();
-          left > 0;
-          left = start + next.at() - System.nanoTime()) {
-        LockSupport.parkNanos(left > 2 * MS ? left - MS : left / 2);
+      Arrival arrival = schedule.next();
+      for (long remaining = start + arrival.at() - System.nanoTime();
+          remaining > 0;
+          remaining = start + arrival.at() - System.nanoTime()) {
+        LockSupport.parkNanos(remaining > 2 * MS ? remaining - MS : remaining / 2);
       }
-      Sender by = taken();
-      if (by == null) {
+      Sender sender = taken();
+      if (sender == null) {
         punctuality.unsent();
       } else {
-        by.work.put(next);
+        sender.work.put(arrival);
       }
     }
     synchronized (this) {
@@ -113,23 +113,23 @@
         wait();
       }
     }
-    all.forEach(one -> one.thread.interrupt());
+    all.forEach(sender -> sender.thread.interrupt());
   }
 
   private synchronized Sender taken() {
-    Sender one = free.pollLast();
-    if (one == null && all.size() < file.load.getClients().getMostConnections()) {
-      one = sender();
+    Sender sender = free.pollLast();
+    if (sender == null && all.size() < file.load.getClients().getMostConnections()) {
+      sender = sender();
     }
-    waiting += one == null ? 0 : 1;
-    return one;
+    waiting += sender == null ? 0 : 1;
+    return sender;
   }
 
   private Sender sender() {
-    Sender one = new Sender(all.size());
-    all.add(one);
-    one.thread.start();
-    return one;
+    Sender sender = new Sender(all.size());
+    all.add(sender);
+    sender.thread.start();
+    return sender;
   }
 
   /** One connection and the thread that uses it. */
@@ -149,9 +149,9 @@
     private void run() {
       try {
         while (true) {
-          Arrival one = work.poll(1, TimeUnit.HOURS);
-          if (one != null) {
-            play(one);
+          Arrival arrival = work.poll(1, TimeUnit.HOURS);
+          if (arrival != null) {
+            play(arrival);
             synchronized (OpenLoop.this) {
               waiting--;
               free.add(this);
@@ -165,72 +165,72 @@
     }
 
     /** Sends a task and its retries, and records its end. */
-    private void play(Arrival one) throws InterruptedException {
-      LoadGrade grade = file.grade(one.grade());
-      Behaviour behaviour = file.behaviour(grade);
+    private void play(Arrival arrival) throws InterruptedException {
+      LoadGrade queryClass = file.grade(arrival.grade());
+      Behaviour behaviour = file.behaviour(queryClass);
       long sent = System.nanoTime() - start;
       synchronized (OpenLoop.this) {
-        punctuality.sent(one.at(), sent);
+        punctuality.sent(arrival.at(), sent);
       }
       String end = "gave up";
-      for (int tried = 1; ; tried++) {
-        long left = grade.getWaitMs() - (System.nanoTime() - start - one.at()) / MS;
-        LabClient.Answer answer = left <= 0 ? null : ask(one, left, tried);
+      for (int attempt = 1; ; attempt++) {
+        long remainingMs = queryClass.getWaitMs() - (System.nanoTime() - start - arrival.at()) / MS;
+        LabClient.Answer answer = remainingMs <= 0 ? null : ask(arrival, remainingMs, attempt);
         if (answer == null) {
-          end = left <= 0 ? "gave up" : "lost";
+          end = remainingMs <= 0 ? "gave up" : "lost";
           break;
         }
         end = answer.code();
-        long pause =
+        long delayNanos =
             answer.handled()
                 ? -1
                 : behaviour.pause(
                     answer.code(),
                     answer.text(),
-                    tried,
-                    System.nanoTime() - start - one.at(),
+                    attempt,
+                    System.nanoTime() - start - arrival.at(),
                     chance);
-        if (pause < 0) {
+        if (delayNanos < 0) {
           break;
         }
-        TimeUnit.NANOSECONDS.sleep(pause);
+        TimeUnit.NANOSECONDS.sleep(delayNanos);
       }
-      long over = System.nanoTime() - start;
-      double worth = grade.getEarnings() > 0 ? grade.getEarnings() : 1;
-      boolean good = end.equals("HANDLED") && over - one.at() <= grade.getPromisedMs() * MS;
+      long ended = System.nanoTime() - start;
+      double worth = queryClass.getEarnings() > 0 ? queryClass.getEarnings() : 1;
+      boolean inTime = end.equals("HANDLED") && ended - arrival.at() <= queryClass.getPromisedMs() * MS;
       synchronized (OpenLoop.this) {
-        latencies.over(one, sent, over, worth, good ? worth : 0);
+        latencies.over(arrival, sent, ended, worth, inTime ? worth : 0);
         ends.merge(end, 1L, Long::sum);
       }
     }
 
-    private LabClient.Answer ask(Arrival one, long waitMs, int tried) {
+    private LabClient.Answer ask(Arrival arrival, long timeoutMs, int attempt) {
       String id = String.format("%016x", seed << 48 ^ ++ids);
       try {
         if (client == null) {
           connectedAt = -1;
-          client = new LabClient(to, file.grade(one.grade()).getWaitMs() + SLACK_MS);
+          client = new LabClient(to, file.grade(arrival.grade()).getWaitMs() + SLACK_MS);
           connectedAt = System.nanoTime();
         }
-        watcher.asking(id, one, waitMs);
+        watcher.asking(id, arrival, timeoutMs);
         LabClient.Answer answer =
             client.ask(
                 "/* class="
-                    + one.grade()
+                    + arrival.grade()
                     + ",id="
                     + id
                     + ",wait="
-                    + waitMs
+                    + timeoutMs
                     + ",tenant="
-                    + one.tenant()
-                    + (tried > 1 ? ",retry=1" : "")
+                    + arrival.tenant()
+                    + (attempt > 1 ? ",retry=1" : "")
                     + ",cost="
-                    + String.format(java.util.Locale.ROOT, "%.3f", one.costMs())
+                    + String.format(java.util.Locale.ROOT, "%.3f", arrival.costMs())
                     + ",mb="
-                    + Math.round(one.memoryMb())
-                    + (one.key() == 0 ? "" : ",key=" + String.format("%016x", one.key()))
+                    + Math.round(arrival.memoryMb())
+                    + (arrival.key() == 0 ? "" : ",key=" + String.format("%016x", arrival.key()))
                     + " */ SELECT day FROM sales_"
-                    + one.dataSet()
+                    + arrival.dataSet()
                     + ".orders");
         watcher.answered(id, answer);
         return answer;
--- a/src/main/java/tansytrack/lab/ProgressLine.java
+++ b/src/main/java/tansytrack/lab/ProgressLine.java
@@ -14,18 +14,18 @@
   private final long from = System.nanoTime();
   private long said = from;
 
-  ProgressLine(String what, PrintStream to) {
-    this.what = what;
+  ProgressLine(String label, PrintStream to) {
+    this.what = label;
     this.to = to;
   }
 
   @Override
-  public void at(double part) {
+  public void at(double fraction) {
     long now = System.nanoTime();
-    if (now - said >= EVERY && part > 0 && part < 1) {
+    if (now - said >= EVERY && fraction > 0 && fraction < 1) {
       said = now;
-      double left = (now - from) / 1e9 * (1 - part) / part;
-      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", what, part * 100, left);
+      double remainingSeconds = (now - from) / 1e9 * (1 - fraction) / fraction;
+      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", what, fraction * 100, remainingSeconds);
     }
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -20,14 +20,14 @@
 
   /** Draws the work of each engine over the mean, sorted by work. */
   static void work(ScaleResult result, Path folder) throws IOException {
-    double[] work = result.engines().stream().mapToDouble(one -> one.work()).sorted().toArray();
+    double[] work = result.engines().stream().mapToDouble(engine -> engine.work()).sorted().toArray();
     double mean = IntStream.range(0, work.length).mapToDouble(i -> work[i]).average().orElse(1);
-    double[] over = new double[work.length];
+    double[] relative = new double[work.length];
     for (int i = 0; i < work.length; i++) {
-      over[i] = work[i] / Math.max(1, mean);
+      relative[i] = work[i] / Math.max(1, mean);
     }
     XYChart chart = chart("Work over the engines", "engines, least work first", "work over mean");
-    chart.addSeries("work", numbers(over.length), over).setMarker(SeriesMarkers.NONE);
+    chart.addSeries("work", numbers(relative.length), relative).setMarker(SeriesMarkers.NONE);
     save(chart, folder.resolve("work.png"));
   }
 
@@ -57,17 +57,17 @@
     return IntStream.range(0, count).asDoubleStream().toArray();
   }
 
-  private static XYChart chart(String title, String sizes, String figure) {
+  private static XYChart chart(String title, String xTitle, String yTitle) {
     return new XYChartBuilder()
         .width(WIDTH)
         .height(HEIGHT)
         .title(title)
-        .xAxisTitle(sizes)
-        .yAxisTitle(figure)
+        .xAxisTitle(xTitle)
+        .yAxisTitle(yTitle)
         .build();
   }
 
-  private static void save(XYChart chart, Path to) throws IOException {
-    BitmapEncoder.saveBitmap(chart, to.toString(), BitmapEncoder.BitmapFormat.PNG);
+  private static void save(XYChart chart, Path file) throws IOException {
+    BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -26,9 +26,9 @@
   }
 
   /** Throws an exception that names the first field that cannot be used. */
-  static void checked(String file, Experiment read) {
-    TextFile.bounded(file, "runs", read.getRuns(), 1, 1000);
-    for (ScalePart part : read.getScaleList()) {
+  static void checked(String file, Experiment experiment) {
+    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
+    for (ScalePart part : experiment.getScaleList()) {
       if (part.getName().isEmpty()) {
         throw new InvalidInputException(file + ": scale.name: ''; allowed: a name");
       }
@@ -40,7 +40,7 @@
       ScaleTable.schedule(file + ": scale.schedule", scheduleName(part));
       ScaleTable.checked(plan(part, 0));
     }
-    if (read.getClaimsCount() == 0) {
+    if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
   }
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -27,11 +27,11 @@
   /** Rejects a plan that needs more bytes than the limit or the maximum heap of this process. */
   static void checked(ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
     String sizes = plan.managers() + " managers x " + plan.engines() + " engines";
-    double least = MemoryNeed.of(plan, 0);
-    refused(sizes, 0, least, limit);
-    double pairs = PairSample.enginesPerManager(plan, factory);
-    double need = MemoryNeed.of(plan, pairs);
-    refused(sizes, pairs, need, limit);
+    double minimum = MemoryNeed.of(plan, 0);
+    refused(sizes, 0, minimum, limit);
+    double enginesPerManager = PairSample.enginesPerManager(plan, factory);
+    double need = MemoryNeed.of(plan, enginesPerManager);
+    refused(sizes, enginesPerManager, need, limit);
     if (need > processLimit) {
       throw new InvalidInputException(
           sizes
@@ -45,7 +45,7 @@
     }
   }
 
-  private static void refused(String sizes, double pairs, double need, double limit) {
+  private static void refused(String sizes, double enginesPerManager, double need, double limit) {
     if (need > limit) {
       throw new InvalidInputException(
           String.format(
@@ -54,7 +54,7 @@
                   + " %.0f bytes a pair); allowed: half of this machine's memory, %s MiB",
               sizes,
               mib(need),
-              pairs,
+              enginesPerManager,
               MemoryNeed.PAIR,
               mib(limit)));
     }
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -58,7 +58,7 @@
    * Simulates all sizes of a series.
    *
    * @param largest the plan of the largest size
-   * @param ladder the sizes
+   * @param series the sizes
    * @param factory creates the decision modules
    * @param threads number of threads; does not change the results
    * @param out folder for the results
@@ -67,7 +67,7 @@
    */
   public static void run(
       ScalePlan largest,
-      Ladder ladder,
+      Ladder series,
       ModuleFactory factory,
       int threads,
       Path out,
@@ -77,7 +77,7 @@
     bounded("--threads", threads, 1, MOST_THREADS);
     try (WorkerThreads workers = new WorkerThreads(threads)) {
       new ScaleTable(factory, threads == 1 ? Workers.ALONE : workers, to, progress)
-          .run(largest, ladder, out);
+          .run(largest, series, out);
     }
   }
 
@@ -100,16 +100,16 @@
     }
   }
 
-  private static void bounded(String option, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  private static void bounded(String option, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           option
               + " '"
               + Claims.shown(value)
               + "'; allowed: "
-              + Claims.shown(least)
+              + Claims.shown(min)
               + " to "
-              + Claims.shown(most));
+              + Claims.shown(max));
     }
   }
 
@@ -123,46 +123,46 @@
   }
 
   /** The plans of a series, the smallest first. */
-  static List<ScalePlan> rungs(ScalePlan largest, Ladder ladder) {
-    bounded("--sizes", ladder.sizes(), 1, 20);
-    if (ladder.sizes() > 1) {
-      bounded("--sizes", ladder.sizes(), Slope.LEAST_SIZES, 20);
-      bounded("--factor", ladder.factor(), 2, 100);
+  static List<ScalePlan> rungs(ScalePlan largest, Ladder series) {
+    bounded("--sizes", series.sizes(), 1, 20);
+    if (series.sizes() > 1) {
+      bounded("--sizes", series.sizes(), Slope.LEAST_SIZES, 20);
+      bounded("--factor", series.factor(), 2, 100);
     }
-    List<ScalePlan> rungs = new ArrayList<>();
-    for (int i = ladder.sizes() - 1; i >= 0; i--) {
-      double by = Math.pow(ladder.factor(), i);
-      double managers = ladder.grows() == Grows.ENGINES ? 1 : by;
-      double engines = ladder.grows() == Grows.MANAGERS ? 1 : by;
-      ScalePlan rung =
+    List<ScalePlan> plans = new ArrayList<>();
+    for (int i = series.sizes() - 1; i >= 0; i--) {
+      double divisor = Math.pow(series.factor(), i);
+      double managers = series.grows() == Grows.ENGINES ? 1 : divisor;
+      double engines = series.grows() == Grows.MANAGERS ? 1 : divisor;
+      ScalePlan plan =
           largest.sized(
               (int) Math.round(largest.managers() / managers),
               (int) Math.round(largest.engines() / engines));
-      checked(rung);
-      rungs.add(rung);
+      checked(plan);
+      plans.add(plan);
     }
-    return rungs;
+    return plans;
   }
 
   /** Simulates all sizes; nothing starts if one of them does not fit into memory. */
-  private void run(ScalePlan largest, Ladder ladder, Path out) throws IOException {
-    List<ScalePlan> rungs = rungs(largest, ladder);
-    for (ScalePlan rung : rungs) {
+  private void run(ScalePlan largest, Ladder series, Path out) throws IOException {
+    List<ScalePlan> plans = rungs(largest, series);
+    for (ScalePlan plan : plans) {
       double heap = (double) Runtime.getRuntime().maxMemory();
-      ScaleMemory.checked(rung, factory, ScaleMemory.limit(), heap);
+      ScaleMemory.checked(plan, factory, ScaleMemory.limit(), heap);
     }
     Files.createDirectories(out);
     List<ScaleResult> results = new ArrayList<>();
     List<Double> heaps = new ArrayList<>();
-    for (ScalePlan rung : rungs) {
-      Path folder = rungs.size() == 1 ? out : out.resolve(size(rung));
+    for (ScalePlan plan : plans) {
+      Path folder = plans.size() == 1 ? out : out.resolve(size(plan));
       Files.createDirectories(folder);
-      heaps.add(played(rung, folder, results));
+      heaps.add(played(plan, folder, results));
     }
     table(results);
     Files.writeString(out.resolve("result.csv"), csv(results));
-    if (rungs.size() > 1) {
-      slopes(results, heaps, ladder, out);
+    if (plans.size() > 1) {
+      slopes(results, heaps, series, out);
     }
   }
 
@@ -172,11 +172,11 @@
 
   /** Simulates one size; returns the heap that its managers hold at the end, in bytes. */
   private double played(ScalePlan plan, Path folder, List<ScaleResult> results) throws IOException {
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     ScaleWorld world = new ScaleWorld(plan, factory, workers);
     double before = usedHeap();
     world.play(new ProgressLine(size(plan), progress));
-    double took = (System.nanoTime() - from) / 1e9;
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
     double heap = usedHeap() - before;
     ScaleResult result = ScaleResult.of(world);
     results.add(result);
@@ -186,7 +186,7 @@
             Locale.ROOT,
             "%s: %.1f s of real time; heap %.0f MiB, %.0f bytes a manager, %.0f bytes a pair",
             size(plan),
-            took,
+            seconds,
             heap / MIB,
             heap / plan.managers(),
             heap / Math.max(1, pairs));
@@ -223,11 +223,11 @@
           ScalePlan.UTILISATION * 100);
     }
     to.printf("%-28s", "figure");
-    results.forEach(one -> to.printf("%16s", size(one.plan())));
+    results.forEach(result -> to.printf("%16s", size(result.plan())));
     to.println();
     for (String name : results.get(0).figures().keySet()) {
       to.printf("%-28s", name);
-      results.forEach(one -> to.printf("%16s", Claims.shown(one.figures().get(name))));
+      results.forEach(result -> to.printf("%16s", Claims.shown(result.figures().get(name))));
       to.println();
     }
   }
@@ -242,7 +242,7 @@
       csv.append(plan.zones()).append(',').append(plan.seconds()).append(',');
       csv.append(Claims.shown(plan.rate())).append(',').append(plan.schedule().text());
       csv.append(',').append(plan.seed());
-      result.figures().values().forEach(one -> csv.append(',').append(Claims.shown(one)));
+      result.figures().values().forEach(figure -> csv.append(',').append(Claims.shown(figure)));
       csv.append('\n');
     }
     return csv.toString();
@@ -250,19 +250,19 @@
 
   private static String engines(ScaleResult result) {
     StringBuilder csv = new StringBuilder("engine,zone,attempts,work_ns,known_by,used_by\n");
-    for (ScaleResult.EngineWork one : result.engines()) {
-      csv.append(one.id()).append(',').append(one.zone()).append(',').append(one.attempts());
-      csv.append(',').append(one.work()).append(',').append(one.knownBy());
-      csv.append(',').append(one.usedBy()).append('\n');
+    for (ScaleResult.EngineWork engine : result.engines()) {
+      csv.append(engine.id()).append(',').append(engine.zone()).append(',').append(engine.attempts());
+      csv.append(',').append(engine.work()).append(',').append(engine.knownBy());
+      csv.append(',').append(engine.usedBy()).append('\n');
     }
     return csv.toString();
   }
 
   private static String managers(ScaleResult result) {
     StringBuilder csv = new StringBuilder("manager,zone,known,used\n");
-    for (ScaleResult.ManagerPairs one : result.managers()) {
-      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.known());
-      csv.append(',').append(one.used()).append('\n');
+    for (ScaleResult.ManagerPairs manager : result.managers()) {
+      csv.append(manager.index()).append(',').append(manager.zone()).append(',').append(manager.known());
+      csv.append(',').append(manager.used()).append('\n');
     }
     return csv.toString();
   }
@@ -271,27 +271,29 @@
    * Fits a power law to each count over the smaller sizes and predicts the largest. Heap goes to a
    * file of its own, as it depends on the machine.
    */
-  private void slopes(List<ScaleResult> results, List<Double> heaps, Ladder ladder, Path out)
+  private void slopes(List<ScaleResult> results, List<Double> heaps, Ladder series, Path out)
       throws IOException {
     double[] sizes =
         results.stream()
             .mapToDouble(
-                one ->
-                    ladder.grows() == Grows.MANAGERS ? one.plan().managers() : one.plan().engines())
+                result ->
+                    series.grows() == Grows.MANAGERS
+                        ? result.plan().managers()
+                        : result.plan().engines())
             .toArray();
     Map<String, double[]> counts = new LinkedHashMap<>();
     for (String name : ScaleResult.COUNTS) {
       counts.put(name, results.stream().mapToDouble(one -> one.figures().get(name)).toArray());
     }
-    String head = "figure,exponent,predicted,measured,error,usable\n";
-    StringBuilder csv = new StringBuilder(head);
+    String header = "figure,exponent,predicted,measured,error,usable\n";
+    StringBuilder csv = new StringBuilder(header);
     to.printf(
         "%-28s%10s%16s%16s%10s  %s%n",
         "slope", "exponent", "predicted", "measured", "error", "usable");
     counts.forEach((name, figures) -> csv.append(slope(to, name, sizes, figures)));
     Files.writeString(out.resolve("slopes.csv"), csv);
     double[] heap = heaps.stream().mapToDouble(one -> one).toArray();
-    Files.writeString(out.resolve("slope-heap.csv"), head + slope(progress, HEAP, sizes, heap));
+    Files.writeString(out.resolve("slope-heap.csv"), header + slope(progress, HEAP, sizes, heap));
     ScaleCharts.slopes(sizes, counts, out);
   }
 
--- a/src/main/java/tansytrack/lab/StandInChannel.java
+++ b/src/main/java/tansytrack/lab/StandInChannel.java
@@ -22,9 +22,9 @@
   private final List<String> events = new ArrayList<>();
 
   /** Starts to listen at the address; each connection is served on its own thread. */
-  public StandInChannel(InetSocketAddress at) throws IOException {
+  public StandInChannel(InetSocketAddress address) throws IOException {
     socket.setReuseAddress(true);
-    socket.bind(at, 256);
+    socket.bind(address, 256);
     StandInEngine.thread(this::accept).start();
   }
 
@@ -53,11 +53,11 @@
   }
 
   private synchronized String next(int resume, long blockMs) throws InterruptedException {
-    long until = System.nanoTime() + Math.min(blockMs, LONGEST_BLOCK_MS) * 1_000_000;
-    for (long left = blockMs;
-        events.size() <= resume && left > 0;
-        left = (until - System.nanoTime()) / 1_000_000) {
-      wait(left);
+    long deadline = System.nanoTime() + Math.min(blockMs, LONGEST_BLOCK_MS) * 1_000_000;
+    for (long remainingMs = blockMs;
+        events.size() <= resume && remainingMs > 0;
+        remainingMs = (deadline - System.nanoTime()) / 1_000_000) {
+      wait(remainingMs);
     }
     return after(resume);
   }
@@ -65,27 +65,27 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        StandInEngine.thread(() -> serve(one)).start();
+        Socket connection = socket.accept();
+        StandInEngine.thread(() -> serve(connection)).start();
       }
     } catch (IOException e) {
       // The socket was closed.
     }
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
-        Matcher asked = ASKED.matcher(StandInEngine.head(in));
-        String answer =
-            asked.lookingAt()
+        Matcher request = ASKED.matcher(StandInEngine.head(in));
+        String response =
+            request.lookingAt()
                 ? StandInEngine.say(
                     "200 OK",
                     "",
-                    next(Integer.parseInt(asked.group(1)), Long.parseLong(asked.group(2))))
+                    next(Integer.parseInt(request.group(1)), Long.parseLong(request.group(2))))
                 : StandInEngine.say("404 Not Found", "", "");
-        one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
       // The manager closed the connection.
--- a/src/main/java/tansytrack/lab/StandInEngine.java
+++ b/src/main/java/tansytrack/lab/StandInEngine.java
@@ -93,52 +93,52 @@
   /** An engine whose queries share cores, and which crashes, by a model. */
   StandInEngine(
       String name,
-      InetSocketAddress at,
+      InetSocketAddress address,
       EngineModel model,
-      ToDoubleFunction<String> works,
-      Watcher watcher)
+      ToDoubleFunction<String> workNanos,
+      Watcher listener)
       throws IOException {
     this.name = name;
     leastMs = 0;
     spreadMs = 0;
     this.model = model;
-    this.works = works;
-    this.watcher = watcher;
-    open(at);
+    this.works = workNanos;
+    this.watcher = listener;
+    open(address);
     every(TICK_MS, TICK_MS, this::advance);
   }
 
   /**
-   * An engine without a model: each query takes {@code leastMs} and up to {@code spreadMs} more,
+   * An engine without a model: each query takes {@code minMs} and up to {@code spreadMs} more,
    * whatever else runs.
    */
-  public StandInEngine(String name, InetSocketAddress at, long leastMs, long spreadMs)
+  public StandInEngine(String name, InetSocketAddress address, long minMs, long spreadMs)
       throws IOException {
     this.name = name;
-    this.leastMs = leastMs;
+    this.leastMs = minMs;
     this.spreadMs = spreadMs;
     model = null;
     works = null;
     watcher = null;
-    open(at);
+    open(address);
   }
 
-  private void open(InetSocketAddress at) throws IOException {
+  private void open(InetSocketAddress address) throws IOException {
     socket.setReuseAddress(true);
-    socket.bind(at, 1024);
+    socket.bind(address, 1024);
     thread(this::accept).start();
     every(UNASKED_MS, UNASKED_MS / 8, this::dropUnasked);
   }
 
   /** Repeats a step until shutdown; an exception in a step ends the repetition. */
   @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the end of a repeated step
-  private void every(long firstMs, long everyMs, Runnable step) {
-    clock.scheduleAtFixedRate(step, firstMs, everyMs, TimeUnit.MILLISECONDS);
+  private void every(long firstMs, long intervalMs, Runnable step) {
+    clock.scheduleAtFixedRate(step, firstMs, intervalMs, TimeUnit.MILLISECONDS);
   }
 
   /** Creates a daemon thread; does not start it. */
-  static Thread thread(Runnable what) {
-    Thread thread = new Thread(what, "lab");
+  static Thread thread(Runnable task) {
+    Thread thread = new Thread(task, "lab");
     thread.setDaemon(true);
     return thread;
   }
@@ -156,32 +156,32 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        one.setTcpNoDelay(true);
+        Socket connection = socket.accept();
+        connection.setTcpNoDelay(true);
         synchronized (connections) {
-          connections.add(one);
+          connections.add(connection);
         }
-        thread(() -> serve(one)).start();
+        thread(() -> serve(connection)).start();
       }
     } catch (IOException e) {
       // The socket was closed.
     }
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
         String head = head(in);
         byte[] body = new byte[length(head)];
         in.readFully(body);
-        one.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
       // The client closed the connection or does not speak HTTP, or the engine crashed.
     } finally {
       synchronized (connections) {
-        connections.remove(one);
+        connections.remove(connection);
       }
     }
   }
@@ -235,9 +235,9 @@
   }
 
   private String answer(String head) throws InterruptedException {
-    String[] call = head.substring(0, head.indexOf("\r\n")).split(" ");
-    String path = call.length > 1 ? call[1] : "";
-    if (call[0].equals("POST") && path.equals("/o")) {
+    String[] request = head.substring(0, head.indexOf("\r\n")).split(" ");
+    String path = request.length > 1 ? request[1] : "";
+    if (request[0].equals("POST") && path.equals("/o")) {
       Query query = started(field(head, "x-req"));
       return query == null
           ? say("503 Service Unavailable", "X-Not-Run: 1\r\n" + load(), "")
@@ -250,7 +250,7 @@
     if (parts.length < 3 || !parts[1].equals("o")) {
       return say("404 Not Found", "", "");
     }
-    return switch (call[0]) {
+    return switch (request[0]) {
       case "GET" ->
           known(parts[2]) == null
               ? say("500 Internal Server Error", "", "")
@@ -268,7 +268,7 @@
   }
 
   private synchronized String load() {
-    long busy = open.values().stream().filter(one -> !one.over).count();
+    long busy = open.values().stream().filter(query -> !query.over).count();
     if (model != null) {
       return String.format(
           Locale.ROOT, "X-Load: busy_reqs:%d;cpu_share:%.2f\r\n", busy, model.utilization());
@@ -293,10 +293,10 @@
   private Query shared(String id) throws InterruptedException {
     double work = works.applyAsDouble(id);
     watcher.arrived(name, id, work);
-    EngineModel.Admission taken = model.start(System.nanoTime(), id, work, 1);
-    if (taken != EngineModel.Admission.STARTED) {
-      watcher.over(name, id, taken == EngineModel.Admission.DOWN);
-      if (taken == EngineModel.Admission.DOWN) {
+    EngineModel.Admission admission = model.start(System.nanoTime(), id, work, 1);
+    if (admission != EngineModel.Admission.STARTED) {
+      watcher.over(name, id, admission == EngineModel.Admission.DOWN);
+      if (admission == EngineModel.Admission.DOWN) {
         fall();
       }
       return null;
@@ -356,14 +356,14 @@
 
   /** Waits for the end of a query; responds 202 Accepted if it still runs after the long poll. */
   private synchronized String news(Query query) throws InterruptedException {
-    long until = System.nanoTime() + HELD_OPEN_MS * 1_000_000;
+    long deadline = System.nanoTime() + HELD_OPEN_MS * 1_000_000;
     query.asked = System.nanoTime();
     while (!query.over) {
-      long left = (until - System.nanoTime()) / 1_000_000;
-      if (left <= 0) {
+      long remainingMs = (deadline - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         return say("202 Accepted", "", "");
       }
-      wait(left);
+      wait(remainingMs);
     }
     query.asked = System.nanoTime();
     return query.done
@@ -410,8 +410,8 @@
     socket.close();
     clock.shutdownNow();
     synchronized (connections) {
-      for (Socket one : List.copyOf(connections)) {
-        one.close();
+      for (Socket connection : List.copyOf(connections)) {
+        connection.close();
       }
     }
   }
--- a/src/main/java/tansytrack/lab/StandIns.java
+++ b/src/main/java/tansytrack/lab/StandIns.java
@@ -23,23 +23,23 @@
    */
   public static void of(String file, int workMs, PrintStream out) throws IOException {
     try {
-      Map<String, Object> all =
+      Map<String, Object> configuration =
           Json.asObject(
               Json.parse(TextFile.text(file).getBytes(StandardCharsets.UTF_8)),
               "the configuration");
       StandInChannel channel =
           new StandInChannel(
-              TextFile.loopback("channel", Json.asString(all.get("channel"), "channel")));
+              TextFile.loopback("channel", Json.asString(configuration.get("channel"), "channel")));
       for (Object event :
-          Json.asList(Json.asObject(all.get("known"), "known").get("cmds"), "cmds")) {
+          Json.asList(Json.asObject(configuration.get("known"), "known").get("cmds"), "cmds")) {
         Map<String, Object> nodes =
             Json.asObject(Json.asObject(event, "an event").get("nodes"), "nodes");
         for (Object member : Json.asList(nodes.get("members"), "members")) {
-          Map<String, Object> one = Json.asObject(member, "a member");
+          Map<String, Object> fields = Json.asObject(member, "a member");
           StandInEngine engine =
               new StandInEngine(
-                  Json.asString(one.get("id"), "id"),
-                  TextFile.loopback("host_port", Json.asString(one.get("host_port"), "host_port")),
+                  Json.asString(fields.get("id"), "id"),
+                  TextFile.loopback("host_port", Json.asString(fields.get("host_port"), "host_port")),
                   workMs,
                   workMs);
           out.println(engine.name() + " at " + engine.address());
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -34,22 +34,22 @@
   private volatile boolean over;
 
   StreamRelay(
-      String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> now, long seed)
+      String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> activeFault, long seed)
       throws IOException {
     chance = new Random(seed);
     this.target = target;
-    this.now = now;
+    this.now = activeFault;
     listener = listener(new InetSocketAddress(host, 0));
     at = (InetSocketAddress) listener.getLocalSocketAddress();
     StandInEngine.thread(this::watch).start();
     accept(listener);
   }
 
-  private static ServerSocket listener(InetSocketAddress where) throws IOException {
-    ServerSocket made = new ServerSocket();
-    made.setReuseAddress(true);
-    made.bind(where, 256);
-    return made;
+  private static ServerSocket listener(InetSocketAddress address) throws IOException {
+    ServerSocket socket = new ServerSocket();
+    socket.setReuseAddress(true);
+    socket.bind(address, 256);
+    return socket;
   }
 
   /** The address that it listens at, as host:port. */
@@ -57,13 +57,13 @@
     return at.getAddress().getHostAddress() + ':' + at.getPort();
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket listener) {
     StandInEngine.thread(
             () -> {
               try {
                 while (true) {
-                  Socket one = from.accept();
-                  StandInEngine.thread(() -> carry(one)).start();
+                  Socket connection = listener.accept();
+                  StandInEngine.thread(() -> carry(connection)).start();
                 }
               } catch (IOException e) {
                 // The listener was closed.
@@ -73,8 +73,8 @@
   }
 
   private boolean is(FaultSchedule.StreamFaultKind kind) {
-    FaultSchedule.StreamFault holds = now.get();
-    return holds != null && holds.kind() == kind;
+    FaultSchedule.StreamFault fault = now.get();
+    return fault != null && fault.kind() == kind;
   }
 
   /** Resets connections and closes or reopens the listener while the schedule says so. */
@@ -107,10 +107,10 @@
 
   private void reset() {
     synchronized (open) {
-      for (Socket one : open) {
+      for (Socket socket : open) {
         try {
-          one.setSoLinger(true, 0);
-          one.close();
+          socket.setSoLinger(true, 0);
+          socket.close();
         } catch (IOException e) {
           // it is closed
         }
@@ -129,10 +129,10 @@
         open.add(client);
         open.add(server);
       }
-      Thread back = StandInEngine.thread(() -> pump(server, client, false));
-      back.start();
+      Thread responses = StandInEngine.thread(() -> pump(server, client, false));
+      responses.start();
       pump(client, server, true);
-      back.join();
+      responses.join();
     } catch (IOException e) {
       // The target refused the connection; the client's connection is closed.
     } catch (InterruptedException e) {
@@ -140,27 +140,27 @@
     }
   }
 
-  private void pump(Socket from, Socket to, boolean asks) {
+  private void pump(Socket from, Socket to, boolean isRequest) {
     byte[] bytes = new byte[MOST];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-        FaultSchedule.StreamFault holds = now.get();
-        if (holds != null && holds.kind() == FaultSchedule.StreamFaultKind.SLOW) {
-          Thread.sleep(holds.delayNanos() / 1_000_000);
+        FaultSchedule.StreamFault fault = now.get();
+        if (fault != null && fault.kind() == FaultSchedule.StreamFaultKind.SLOW) {
+          Thread.sleep(fault.delayNanos() / 1_000_000);
         }
         while (is(FaultSchedule.StreamFaultKind.SILENT) && !over) {
           Thread.sleep(LOOK_MS);
         }
-        if (asks
-            && holds != null
-            && holds.kind() == FaultSchedule.StreamFaultKind.FLAKY
-            && chance.nextDouble() < holds.share()) {
+        if (isRequest
+            && fault != null
+            && fault.kind() == FaultSchedule.StreamFaultKind.FLAKY
+            && chance.nextDouble() < fault.share()) {
           from.setSoLinger(true, 0);
           from.close();
           if (chance.nextBoolean()) {
-            Thread.sleep(chance.nextInt((int) (1 + holds.delayNanos() / 1_000_000)));
+            Thread.sleep(chance.nextInt((int) (1 + fault.delayNanos() / 1_000_000)));
             out.write(bytes, 0, count);
             Thread.sleep(LOOK_MS);
           }
@@ -178,12 +178,12 @@
     }
   }
 
-  private void close(Socket one) {
+  private void close(Socket socket) {
     synchronized (open) {
-      open.remove(one);
+      open.remove(socket);
     }
     try {
-      one.close();
+      socket.close();
     } catch (IOException e) {
       // it is closed
     }
@@ -196,8 +196,8 @@
       listener.close();
     }
     synchronized (open) {
-      for (Socket one : open) {
-        one.close();
+      for (Socket socket : open) {
+        socket.close();
       }
     }
   }
--- a/src/main/java/tansytrack/lab/TextFile.java
+++ b/src/main/java/tansytrack/lab/TextFile.java
@@ -24,18 +24,18 @@
   }
 
   /** Parses protobuf text format into a builder; the file's name stands in error messages. */
-  static <B extends Message.Builder> B parsed(String file, String text, B into) {
+  static <B extends Message.Builder> B parsed(String file, String text, B builder) {
     try {
-      TextFormat.merge(text, into);
-      return into;
+      TextFormat.merge(text, builder);
+      return builder;
     } catch (TextFormat.ParseException e) {
       throw new InvalidInputException(file + ':' + e.getMessage());
     }
   }
 
   /** Rejects a value outside of the bounds, naming the field, the value and what is allowed. */
-  static void bounded(String file, String field, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  static void bounded(String file, String field, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           file
               + ": "
@@ -43,9 +43,9 @@
               + ": '"
               + Claims.shown(value)
               + "'; allowed: "
-              + Claims.shown(least)
+              + Claims.shown(min)
               + " to "
-              + Claims.shown(most));
+              + Claims.shown(max));
     }
   }
 
@@ -53,11 +53,11 @@
   static InetSocketAddress loopback(String field, String text) {
     int colon = text.lastIndexOf(':');
     try {
-      InetSocketAddress at =
+      InetSocketAddress address =
           new InetSocketAddress(
               text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
-      if (!at.isUnresolved() && at.getAddress().isLoopbackAddress()) {
-        return at;
+      if (!address.isUnresolved() && address.getAddress().isLoopbackAddress()) {
+        return address;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
       // Reported below.
--- a/src/main/java/tansytrack/lab/WorkerThreads.java
+++ b/src/main/java/tansytrack/lab/WorkerThreads.java
@@ -20,11 +20,11 @@
 
   @Override
   public void run(List<Runnable> tasks) {
-    List<Callable<Object>> calls = new ArrayList<>();
-    tasks.forEach(one -> calls.add(Executors.callable(one)));
+    List<Callable<Object>> callables = new ArrayList<>();
+    tasks.forEach(task -> callables.add(Executors.callable(task)));
     try {
-      for (Future<Object> one : threads.invokeAll(calls)) {
-        one.get();
+      for (Future<Object> future : threads.invokeAll(callables)) {
+        future.get();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/tansytrack/lab/load/Behaviour.java
+++ b/src/main/java/tansytrack/lab/load/Behaviour.java
@@ -23,20 +23,20 @@
    *
    * @param code SQLSTATE of the answer
    * @param text error text of the answer, which may hold a retry-after time
-   * @param tried number of attempts so far
-   * @param sinceIntended nanoseconds since the intended time of sending
-   * @param chance source of the jitter
+   * @param attempts number of attempts so far
+   * @param elapsedNanos nanoseconds since the intended time of sending
+   * @param random source of the jitter
    */
   public long pause(
-      String code, String text, int tried, long sinceIntended, UniformRandomProvider chance) {
-    boolean harmless = code.startsWith("53") || code.equals("57P03");
-    if (!harmless || tried > mostRetries) {
+      String code, String text, int attempts, long elapsedNanos, UniformRandomProvider random) {
+    boolean rejected = code.startsWith("53") || code.equals("57P03");
+    if (!rejected || attempts > mostRetries) {
       return -1;
     }
-    double own =
-        firstPause * Math.pow(grows, tried - 1.0) * (1 + jitter * (2 * chance.nextDouble() - 1));
-    long pause = Math.max((long) own, heeds ? told(text) : 0);
-    return sinceIntended + pause >= patience ? -1 : pause;
+    double backoff =
+        firstPause * Math.pow(grows, attempts - 1.0) * (1 + jitter * (2 * random.nextDouble() - 1));
+    long delay = Math.max((long) backoff, heeds ? told(text) : 0);
+    return elapsedNanos + delay >= patience ? -1 : delay;
   }
 
   /** The retry-after time in the text of a rejection, in nanoseconds; 0: none. */
--- a/src/main/java/tansytrack/lab/load/Latencies.java
+++ b/src/main/java/tansytrack/lab/load/Latencies.java
@@ -50,14 +50,14 @@
    *
    * @param arrival the task
    * @param sent time of the first attempt, in nanoseconds from the start of the load
-   * @param over time of the last answer, in nanoseconds from the start of the load
-   * @param worth what the task earns when it is answered in time
+   * @param ended time of the last answer, in nanoseconds from the start of the load
+   * @param earnings what the task earns when it is answered in time
    * @param earned what it earned
    */
-  public void over(Arrival arrival, long sent, long over, double worth, double earned) {
-    long took = Math.min(LONGEST, Math.max(0, over - arrival.at()));
-    latency.recordValue(took);
-    service.recordValue(Math.min(LONGEST, Math.max(0, over - sent)));
+  public void over(Arrival arrival, long sent, long ended, double earnings, double earned) {
+    long latencyNanos = Math.min(LONGEST, Math.max(0, ended - arrival.at()));
+    latency.recordValue(latencyNanos);
+    service.recordValue(Math.min(LONGEST, Math.max(0, ended - sent)));
     for (Window window :
         new Window[] {
           all,
@@ -65,8 +65,8 @@
           groups.computeIfAbsent("tenant " + arrival.tenant(), name -> new Window()),
           seconds.computeIfAbsent(arrival.at() / Shape.SECOND, name -> new Window())
         }) {
-      window.latency.recordValue(took);
-      window.asked += worth;
+      window.latency.recordValue(latencyNanos);
+      window.asked += earnings;
       window.earned += earned;
       window.tasks++;
     }
@@ -103,14 +103,14 @@
   }
 
   /** The lowest share over any window of that many seconds. */
-  public double worstShare(int length) {
+  public double worstShare(int window) {
     double worst = 1;
     for (long from : seconds.keySet()) {
       double asked = 0;
       double earned = 0;
-      for (Window one : seconds.subMap(from, from + length).values()) {
-        asked += one.asked;
-        earned += one.earned;
+      for (Window second : seconds.subMap(from, from + window).values()) {
+        asked += second.asked;
+        earned += second.earned;
       }
       worst = asked > 0 ? Math.min(worst, earned / asked) : worst;
     }
--- a/src/main/java/tansytrack/lab/load/Mix.java
+++ b/src/main/java/tansytrack/lab/load/Mix.java
@@ -41,19 +41,19 @@
    * Creates a mix.
    *
    * @param tenants tenants with their weights
-   * @param grades query classes with their weights and costs
+   * @param queryClasses query classes with their weights and costs
    * @param dataSets number of data sets
    * @param exponent exponent of Zipf's law for the popularity of data sets
-   * @param moves time after which each popularity rank moves on by one data set, in nanoseconds; 0:
+   * @param hotShiftNanos time after which each popularity rank moves on by one data set, in nanoseconds; 0:
    *     never
    */
   public Mix(
-      List<Weighted> tenants, List<GradeLoad> grades, int dataSets, double exponent, long moves) {
+      List<Weighted> tenants, List<GradeLoad> queryClasses, int dataSets, double exponent, long hotShiftNanos) {
     this.tenants = List.copyOf(tenants);
-    this.grades = List.copyOf(grades);
-    this.moves = moves;
+    this.grades = List.copyOf(queryClasses);
+    this.moves = hotShiftNanos;
     tenantWeight = tenants.stream().mapToDouble(Weighted::weight).sum();
-    gradeWeight = grades.stream().mapToDouble(GradeLoad::weight).sum();
+    gradeWeight = queryClasses.stream().mapToDouble(GradeLoad::weight).sum();
     zipf = new double[dataSets];
     double sum = 0;
     for (int i = 0; i < dataSets; i++) {
@@ -61,7 +61,7 @@
       zipf[i] = sum;
     }
     if (tenants.isEmpty()
-        || grades.isEmpty()
+        || queryClasses.isEmpty()
         || dataSets < 1
         || !(tenantWeight > 0)
         || !(gradeWeight > 0)) {
@@ -74,41 +74,41 @@
    * Draws the next task. Takes the same number of random values for every task, so that a changed
    * setting does not alter unrelated draws of later tasks.
    */
-  public Arrival draw(long number, long at, UniformRandomProvider chance) {
-    double ofTenant = chance.nextDouble() * tenantWeight;
-    double ofGrade = chance.nextDouble() * gradeWeight;
-    double ofSet = chance.nextDouble() * zipf[zipf.length - 1];
+  public Arrival draw(long number, long timeNanos, UniformRandomProvider random) {
+    double tenantDraw = random.nextDouble() * tenantWeight;
+    double classDraw = random.nextDouble() * gradeWeight;
+    double dataSetDraw = random.nextDouble() * zipf[zipf.length - 1];
     double normal =
-        Math.sqrt(-2 * Math.log(1 - chance.nextDouble()))
-            * Math.cos(2 * Math.PI * chance.nextDouble());
-    long ofKey = chance.nextLong();
+        Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
+            * Math.cos(2 * Math.PI * random.nextDouble());
+    long keyDraw = random.nextLong();
     Weighted tenant = tenants.get(tenants.size() - 1);
-    for (Weighted one : tenants) {
-      ofTenant -= one.weight;
-      if (ofTenant < 0) {
-        tenant = one;
+    for (Weighted candidate : tenants) {
+      tenantDraw -= candidate.weight;
+      if (tenantDraw < 0) {
+        tenant = candidate;
         break;
       }
     }
-    GradeLoad grade = grades.get(grades.size() - 1);
-    for (GradeLoad one : grades) {
-      ofGrade -= one.weight;
-      if (ofGrade < 0) {
-        grade = one;
+    GradeLoad queryClass = grades.get(grades.size() - 1);
+    for (GradeLoad candidate : grades) {
+      classDraw -= candidate.weight;
+      if (classDraw < 0) {
+        queryClass = candidate;
         break;
       }
     }
-    int rank = java.util.Arrays.binarySearch(zipf, ofSet);
+    int rank = java.util.Arrays.binarySearch(zipf, dataSetDraw);
     rank = Math.min(zipf.length - 1, rank >= 0 ? rank + 1 : -rank - 1);
-    long shift = moves == 0 ? 0 : at / moves;
+    long shift = moves == 0 ? 0 : timeNanos / moves;
     return new Arrival(
         number,
-        at,
+        timeNanos,
         tenant.name,
-        grade.name,
+        queryClass.name,
         (int) Math.floorMod(rank + shift, (long) zipf.length),
-        grade.medianMs * Math.exp(grade.spread * normal),
-        grade.memoryMb,
-        grade.keys == 0 ? 0 : 1 + Math.floorMod(ofKey, (long) grade.keys));
+        queryClass.medianMs * Math.exp(queryClass.spread * normal),
+        queryClass.memoryMb,
+        queryClass.keys == 0 ? 0 : 1 + Math.floorMod(keyDraw, (long) queryClass.keys));
   }
 }
--- a/src/main/java/tansytrack/lab/load/Punctuality.java
+++ b/src/main/java/tansytrack/lab/load/Punctuality.java
@@ -17,19 +17,19 @@
   /**
    * Sets the limits.
    *
-   * @param allowed delay from which a task counts as late, in nanoseconds
-   * @param part share of the tasks that may be late
+   * @param allowedNanos delay from which a task counts as late, in nanoseconds
+   * @param allowedLateShare share of the tasks that may be late
    */
-  public Punctuality(long allowed, double part) {
-    this.allowed = allowed;
-    this.part = part;
+  public Punctuality(long allowedNanos, double allowedLateShare) {
+    this.allowed = allowedNanos;
+    this.part = allowedLateShare;
   }
 
   /** Records the delay of a task: its intended and its actual time of sending, in nanoseconds. */
-  public void sent(long intended, long at) {
-    long by = Math.max(0, at - intended);
-    late.recordValue(Math.min(by, late.getHighestTrackableValue()));
-    over += by > allowed ? 1 : 0;
+  public void sent(long intendedNanos, long sentNanos) {
+    long delay = Math.max(0, sentNanos - intendedNanos);
+    late.recordValue(Math.min(delay, late.getHighestTrackableValue()));
+    over += delay > allowed ? 1 : 0;
   }
 
   /** Counts a task that was not sent because all allowed connections were in use. */
--- a/src/main/java/tansytrack/lab/load/Schedule.java
+++ b/src/main/java/tansytrack/lab/load/Schedule.java
@@ -32,15 +32,15 @@
    *
    * @param shape arrival rate over time
    * @param mix draws the tasks
-   * @param length length in nanoseconds
-   * @param even whether arrivals are evenly spaced; else they are a Poisson process
+   * @param lengthNanos length in nanoseconds
+   * @param evenlySpaced whether arrivals are evenly spaced; else they are a Poisson process
    * @param seed seed of arrival times and tasks
    */
-  public Schedule(Shape shape, Mix mix, long length, boolean even, long seed) {
+  public Schedule(Shape shape, Mix mix, long lengthNanos, boolean evenlySpaced, long seed) {
     this.shape = shape;
     this.mix = mix;
-    this.length = length;
-    this.even = even;
+    this.length = lengthNanos;
+    this.even = evenlySpaced;
     times = RandomSource.XO_SHI_RO_256_PP.create(seed);
     kinds = RandomSource.XO_SHI_RO_256_PP.create(seed ^ 0x9E3779B97F4A7C15L);
     advance();
--- a/src/main/java/tansytrack/lab/load/Shape.java
+++ b/src/main/java/tansytrack/lab/load/Shape.java
@@ -34,11 +34,11 @@
   record Ramp(double from, double to, long begins, long ends) implements Shape {
     @Override
     public double rate(long at) {
-      double part =
+      double fraction =
           ends <= begins
               ? at < begins ? 0 : 1
               : Math.max(0, Math.min(1, (double) (at - begins) / (ends - begins)));
-      return from + (to - from) * part;
+      return from + (to - from) * fraction;
     }
 
     @Override
@@ -94,8 +94,8 @@
         return calm;
       }
       if (at < fullest) {
-        double part = (double) (at - opens) / (fullest - opens);
-        return calm + (peak - calm) * part * part;
+        double fraction = (double) (at - opens) / (fullest - opens);
+        return calm + (peak - calm) * fraction * fraction;
       }
       return calm + (peak - calm) * Math.pow(0.5, (double) (at - fullest) / halves);
     }
@@ -113,8 +113,8 @@
   record OnOff(double perSecond, long[] switches) implements Shape {
     @Override
     public double rate(long at) {
-      int place = java.util.Arrays.binarySearch(switches, at);
-      int passed = place >= 0 ? place + 1 : -place - 1;
+      int index = java.util.Arrays.binarySearch(switches, at);
+      int passed = index >= 0 ? index + 1 : -index - 1;
       return passed % 2 == 0 ? perSecond : 0;
     }
 
--- a/src/test/java/tansytrack/lab/FleetLinksTest.java
+++ b/src/test/java/tansytrack/lab/FleetLinksTest.java
@@ -30,15 +30,15 @@
   @TempDir Path folder;
 
   private String played(String file) throws Exception {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
         Laboratory.run(
             Laboratory.read(file),
             1,
             folder,
             Decide::new,
-            new PrintStream(told, true, StandardCharsets.UTF_8));
-    return held + "\n" + told.toString(StandardCharsets.UTF_8);
+            new PrintStream(output, true, StandardCharsets.UTF_8));
+    return held + "\n" + output.toString(StandardCharsets.UTF_8);
   }
 
   @Test
@@ -77,8 +77,8 @@
     assertThat(played(file.toString())).startsWith("true");
   }
 
-  private static Observation seen(double at, String by, String of, MemberStatus standing) {
-    return new Observation((long) (at * SECOND), by, of, 1, standing);
+  private static Observation seen(double at, String observer, String member, MemberStatus status) {
+    return new Observation((long) (at * SECOND), observer, member, 1, status);
   }
 
   /** Checks that each metric reports a violation in observations that are wrong on purpose. */
@@ -180,11 +180,11 @@
             + " engine: 'e1' } } | engine_troubles.engine: 'e1'",
         "managers: 3 seconds: 1 runs: 1 fleet { places: 1 probe_every_ms: 100 } | claims: missing"
       })
-  void aFleetThatCannotBeUsedIsSaid(String text, String said) throws Exception {
+  void aFleetThatCannotBeUsedIsSaid(String text, String message) throws Exception {
     Path file =
         Files.writeString(folder.resolve("x"), text.contains("fleet") ? text : text + " fleet { }");
     assertThatThrownBy(() -> Laboratory.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/FleetShowTest.java
+++ b/src/test/java/tansytrack/lab/FleetShowTest.java
@@ -36,21 +36,21 @@
   }
 
   private ManagerProcess manager(String name, String operator) throws IOException {
-    ManagerProcess made =
+    ManagerProcess manager =
         new ManagerProcess(name, folder.resolve(name), channel, "127.0.0.1", operator);
-    managers.add(made);
-    return made;
+    managers.add(manager);
+    return manager;
   }
 
-  private String fleet(int which) {
+  private String fleet(int index) {
     return "fleet { place: \"p"
-        + which
+        + index
         + "\" address: \"127.0.0.1:"
-        + ports[which]
+        + ports[index]
         + "\" probe_every_ms: 100\n peers { name: \"m"
-        + (1 - which)
+        + (1 - index)
         + "\" address: \"127.0.0.1:"
-        + ports[1 - which]
+        + ports[1 - index]
         + "\" } }";
   }
 
--- a/src/test/java/tansytrack/lab/LedgerCrashTest.java
+++ b/src/test/java/tansytrack/lab/LedgerCrashTest.java
@@ -25,15 +25,15 @@
 
   @Test
   void threeManagersKilledWithTasksOpenAndInExportsLoseAndRepeatNothing() throws Exception {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
         Laboratory.run(
             Laboratory.read("lab/ledger-crash.textproto"),
             1,
             folder,
             Decide::new,
-            new PrintStream(told, true, StandardCharsets.UTF_8));
-    assertThat(held).as(told.toString(StandardCharsets.UTF_8)).isTrue();
+            new PrintStream(output, true, StandardCharsets.UTF_8));
+    assertThat(held).as(output.toString(StandardCharsets.UTF_8)).isTrue();
     assertThat(folder.resolve("result.csv")).content().contains("entries.missing");
     assertThat(folder.resolve("summary.json"))
         .content()
@@ -70,10 +70,10 @@
         "mangers: 1 | :1:",
         "managers: 1 engines: 1 clients: 1 seconds: 1 runs: 1 | claims: missing"
       })
-  void anExperimentThatCannotBeUsedIsSaid(String text, String said) throws Exception {
+  void anExperimentThatCannotBeUsedIsSaid(String text, String message) throws Exception {
     Path file = Files.writeString(folder.resolve("x"), text);
     assertThatThrownBy(() -> Laboratory.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/OpenLoopTest.java
+++ b/src/test/java/tansytrack/lab/OpenLoopTest.java
@@ -67,35 +67,35 @@
                 .array());
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       in.skipNBytes(in.readInt() - 4);
-      say(one, 'Z', new byte[] {'I'});
+      say(connection, 'Z', new byte[] {'I'});
       while (true) {
         in.readByte();
         byte[] query = new byte[in.readInt() - 4];
         in.readFully(query);
-        boolean refused =
+        boolean rejected =
             refusesFirst
                 && !new String(query, java.nio.charset.StandardCharsets.UTF_8).contains("retry=1");
         asked.incrementAndGet();
         long now = System.nanoTime();
         Thread.sleep(
-            refused
+            rejected
                 ? 0
                 : DELAY_MS
                     + (now >= stallFrom && now < stallUntil ? (stallUntil - now) / 1_000_000 : 0));
-        if (refused) {
+        if (rejected) {
           say(
-              one,
+              connection,
               'E',
               "SERROR\0C53300\0Mno room, after=100\0\0"
                   .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         } else {
-          say(one, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+          say(connection, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         }
-        say(one, 'Z', new byte[] {'I'});
+        say(connection, 'Z', new byte[] {'I'});
       }
     } catch (IOException | InterruptedException e) {
       // The client closed the connection.
@@ -108,14 +108,14 @@
   }
 
   private Map<String, Double> play(String load) throws InterruptedException {
-    OpenLoop loop =
+    OpenLoop generator =
         new OpenLoop(
             LoadFile.of("f", load),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    loop.play();
-    assertThat(loop.punctuality().isVoid()).as(loop.punctuality().said()).isFalse();
-    return loop.figures();
+    generator.play();
+    assertThat(generator.punctuality().isVoid()).as(generator.punctuality().said()).isFalse();
+    return generator.figures();
   }
 
   @Test
@@ -151,14 +151,14 @@
 
   @Test
   void withoutConnectionsTheRunIsVoid() throws InterruptedException {
-    OpenLoop loop =
+    OpenLoop generator =
         new OpenLoop(
             LoadFile.of("f", LOAD.replace("most_connections: 200", "most_connections: 2")),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    loop.play();
-    assertThat(loop.punctuality().isVoid()).isTrue();
-    assertThat(loop.punctuality().said()).contains("void");
+    generator.play();
+    assertThat(generator.punctuality().isVoid()).isTrue();
+    assertThat(generator.punctuality().said()).contains("void");
   }
 
   @ParameterizedTest
@@ -175,10 +175,10 @@
         "seconds: 3 | secnds: 3 | f:1:",
         "promised_ms: 1000 | promised_ms: 9000 | promised_ms: '9000'; allowed: 1 to 5000"
       })
-  void aLoadThatCannotBeUsedIsSaid(String good, String bad, String said) {
+  void aLoadThatCannotBeUsedIsSaid(String good, String bad, String message) {
     assertThat(LoadFile.of("f", LOAD).load.getSeconds()).isEqualTo(3);
     assertThatThrownBy(() -> LoadFile.of("f", LOAD.replace(good, bad)))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/load/LoadTest.java
+++ b/src/test/java/tansytrack/lab/load/LoadTest.java
@@ -28,9 +28,9 @@
           10 * S);
 
   private static List<Arrival> all(Schedule schedule) {
-    List<Arrival> all = new ArrayList<>();
-    schedule.forEachRemaining(all::add);
-    return all;
+    List<Arrival> arrivals = new ArrayList<>();
+    schedule.forEachRemaining(arrivals::add);
+    return arrivals;
   }
 
   @Test
@@ -70,16 +70,16 @@
 
   @ParameterizedTest
   @CsvSource({"true, 1", "false, 140"})
-  void aScheduleBringsWhatItsShapeIntends(boolean even, int off) {
+  void aScheduleBringsWhatItsShapeIntends(boolean even, int tolerance) {
     Shape shape =
         new Shape.Sum(
             List.of(new Shape.Ramp(0, 200, 0, 60 * S), new Shape.Bursts(300, 20 * S, 2 * S, 0)));
-    List<Arrival> all = all(new Schedule(shape, MIX, 60 * S, even, 5));
-    assertThat(all.size()).isCloseTo(6000 + 1800, within(off * 2));
-    for (int i = 1; i < all.size(); i++) {
-      assertThat(all.get(i).at()).isGreaterThanOrEqualTo(all.get(i - 1).at()).isLessThan(60 * S);
+    List<Arrival> arrivals = all(new Schedule(shape, MIX, 60 * S, even, 5));
+    assertThat(arrivals.size()).isCloseTo(6000 + 1800, within(tolerance * 2));
+    for (int i = 1; i < arrivals.size(); i++) {
+      assertThat(arrivals.get(i).at()).isGreaterThanOrEqualTo(arrivals.get(i - 1).at()).isLessThan(60 * S);
     }
-    long inBursts = all.stream().filter(one -> one.at() % (20 * S) < 2 * S).count();
+    long inBursts = arrivals.stream().filter(one -> one.at() % (20 * S) < 2 * S).count();
     assertThat(inBursts).isCloseTo(1800 + 400, within(150L));
   }
 
@@ -96,28 +96,28 @@
   void aMixHasItsWeightsItsTailAndAHotEndThatMoves() {
     Map<String, Integer> counts = new HashMap<>();
     int[] sets = new int[100];
-    double logs = 0;
+    double logSum = 0;
     int queries = 0;
-    var chance = RandomSource.XO_SHI_RO_256_PP.create(3);
+    var random = RandomSource.XO_SHI_RO_256_PP.create(3);
     for (int i = 0; i < 20_000; i++) {
-      Arrival one = MIX.draw(i, 0, chance);
-      counts.merge(one.tenant(), 1, Integer::sum);
-      counts.merge(one.grade(), 1, Integer::sum);
-      sets[one.dataSet()]++;
-      assertThat(one.key())
-          .isBetween(one.grade().equals("load") ? 1L : 0L, one.grade().equals("load") ? 5L : 0L);
-      if (one.grade().equals("query")) {
-        logs += Math.log(one.costMs() / 20);
+      Arrival arrival = MIX.draw(i, 0, random);
+      counts.merge(arrival.tenant(), 1, Integer::sum);
+      counts.merge(arrival.grade(), 1, Integer::sum);
+      sets[arrival.dataSet()]++;
+      assertThat(arrival.key())
+          .isBetween(arrival.grade().equals("load") ? 1L : 0L, arrival.grade().equals("load") ? 5L : 0L);
+      if (arrival.grade().equals("query")) {
+        logSum += Math.log(arrival.costMs() / 20);
         queries++;
       }
     }
     assertThat(counts.get("a")).isCloseTo(15_000, within(300));
     assertThat(counts.get("load")).isCloseTo(2_000, within(200));
-    assertThat(logs / queries).isCloseTo(0, within(0.02));
+    assertThat(logSum / queries).isCloseTo(0, within(0.02));
     assertThat((double) sets[0] / sets[9]).isCloseTo(Math.pow(10, 1.1), within(3.0));
     int moved = 0;
     for (int i = 0; i < 2000; i++) {
-      moved += MIX.draw(i, 35 * S, chance).dataSet() == 3 ? 1 : 0;
+      moved += MIX.draw(i, 35 * S, random).dataSet() == 3 ? 1 : 0;
     }
     assertThat(moved)
         .as("the hottest set after 35 s")
@@ -128,35 +128,35 @@
 
   @Test
   void aStallShowsAsLongLatencyThoughServiceTimesStayShort() {
-    Latencies all = new Latencies();
+    Latencies statistics = new Latencies();
     for (int i = 0; i < 100; i++) {
-      Arrival one = new Arrival(i, i * S / 10, "a", "query", 0, 1, 1, 0);
+      Arrival arrival = new Arrival(i, i * S / 10, "a", "query", 0, 1, 1, 0);
       // Nothing can be sent from second 2 to 6; the tasks of that time are sent at 6.
-      long sent = one.at() >= 2 * S && one.at() < 6 * S ? 6 * S : one.at();
-      boolean inTime = sent - one.at() < S;
-      all.over(one, sent, sent + S / 100, 1, inTime ? 1 : 0);
+      long sent = arrival.at() >= 2 * S && arrival.at() < 6 * S ? 6 * S : arrival.at();
+      boolean inTime = sent - arrival.at() < S;
+      statistics.over(arrival, sent, sent + S / 100, 1, inTime ? 1 : 0);
     }
-    assertThat(all.service(100)).isCloseTo(S / 100, within(S / 1000));
-    assertThat(all.latency(100)).isCloseTo(4 * S + S / 100, within(S / 100));
-    assertThat(all.latency(50)).isCloseTo(S / 100, within(S / 1000));
-    assertThat(all.share()).isCloseTo(0.69, within(0.011));
-    assertThat(all.worstShare(3)).isLessThan(0.05);
-    assertThat(all.seconds().get(2L).latency(100)).isGreaterThan(3 * S);
-    assertThat(all.groups()).containsOnlyKeys("grade query", "tenant a");
+    assertThat(statistics.service(100)).isCloseTo(S / 100, within(S / 1000));
+    assertThat(statistics.latency(100)).isCloseTo(4 * S + S / 100, within(S / 100));
+    assertThat(statistics.latency(50)).isCloseTo(S / 100, within(S / 1000));
+    assertThat(statistics.share()).isCloseTo(0.69, within(0.011));
+    assertThat(statistics.worstShare(3)).isLessThan(0.05);
+    assertThat(statistics.seconds().get(2L).latency(100)).isGreaterThan(3 * S);
+    assertThat(statistics.groups()).containsOnlyKeys("grade query", "tenant a");
   }
 
   @ParameterizedTest
   @CsvSource({"0, 0, false", "1, 0, false", "2, 0, true", "0, 1, true"})
   void aGeneratorThatFallsBehindMakesTheRunVoid(int late, int unsent, boolean isVoid) {
-    Punctuality kept = new Punctuality(S / 100, 0.01);
+    Punctuality delays = new Punctuality(S / 100, 0.01);
     for (int i = 0; i < 100; i++) {
-      kept.sent(i * S, i * S + (i < late ? S / 10 : S / 1000));
+      delays.sent(i * S, i * S + (i < late ? S / 10 : S / 1000));
     }
     for (int i = 0; i < unsent; i++) {
-      kept.unsent();
+      delays.unsent();
     }
-    assertThat(kept.isVoid()).isEqualTo(isVoid);
-    assertThat(kept.said().contains("void")).isEqualTo(isVoid);
+    assertThat(delays.isVoid()).isEqualTo(isVoid);
+    assertThat(delays.said().contains("void")).isEqualTo(isVoid);
   }
 
   @ParameterizedTest
@@ -171,11 +171,11 @@
     "53300, 'after=99999999999', 1, 0, -1"
   })
   void aClientTriesAgainOnlyWhereThatIsHarmlessAndItStillWaits(
-      String code, String text, int tried, long sinceMs, long pauseMs) {
-    Behaviour client = new Behaviour(3 * S, 3, true, S / 10, 2, 0);
-    long pause =
-        client.pause(
-            code, text, tried, sinceMs * 1_000_000, RandomSource.XO_SHI_RO_256_PP.create(1));
-    assertThat(pause).isEqualTo(pauseMs < 0 ? -1 : pauseMs * 1_000_000);
+      String code, String text, int attempts, long elapsedMs, long expectedMs) {
+    Behaviour behaviour = new Behaviour(3 * S, 3, true, S / 10, 2, 0);
+    long delay =
+        behaviour.pause(
+            code, text, attempts, elapsedMs * 1_000_000, RandomSource.XO_SHI_RO_256_PP.create(1));
+    assertThat(delay).isEqualTo(expectedMs < 0 ? -1 : expectedMs * 1_000_000);
   }
 }
