--- a/src/main/java/tansytrack/FleetCommands.java
+++ b/src/main/java/tansytrack/FleetCommands.java
@@ -74,7 +74,7 @@
               new InetSocketAddress(
                   at.substring(0, colon), Integer.parseInt(at.substring(colon + 1))),
               TIMEOUT_MS)) {
-        answer = client.ask("SHOW FLEET");
+        answer = client.query("SHOW FLEET");
       } catch (IOException e) {
         throw new IOException(at + " cannot be asked: " + e.getMessage(), e);
       }
@@ -116,7 +116,7 @@
 
     private static String object(LabClient.Answer answer) {
       StringBuilder text = new StringBuilder("{\"members\":[");
-      for (int i = 0; i < answer.rows(); i++) {
+      for (int i = 0; i < answer.rowCount(); i++) {
         text.append(i > 0 ? "," : "").append('{');
         for (int j = 0; j < answer.columns().size(); j++) {
           String cell = answer.cells().get(i).get(j);
--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -12,12 +12,12 @@
 import tansytrack.command.Command;
 import tansytrack.command.CommandGroup;
 import tansytrack.command.ErrorReportingCommand;
-import tansytrack.lab.FleetTable;
-import tansytrack.lab.Laboratory;
-import tansytrack.lab.LedgerBench;
+import tansytrack.lab.ExperimentRunner;
+import tansytrack.lab.FakeDeployment;
+import tansytrack.lab.LedgerBenchmark;
 import tansytrack.lab.LoadCommand;
+import tansytrack.lab.MembershipTable;
 import tansytrack.lab.ScaleTable;
-import tansytrack.lab.StandIns;
 import tansytrack.lab.footprint.FootprintOptions;
 import tansytrack.lab.footprint.FootprintTable;
 import tansytrack.lab.proto.Experiment;
@@ -63,7 +63,7 @@
   }
 
   /** A command that runs with a seed and writes results to a folder. */
-  abstract static class Playing extends ErrorReportingCommand {
+  abstract static class SeededRun extends ErrorReportingCommand {
     @Option(name = "--seed", metaVar = "N", usage = "seed of the first run")
     private long seed = 1;
 
@@ -71,16 +71,20 @@
         name = "--out",
         metaVar = "FOLDER",
         usage = "folder for the results; absent: a new temporary folder")
-    private String out;
+    private String outputFolder;
 
     /** Runs and writes the results; returns whether all claims hold. */
-    abstract boolean played(long firstSeed, Path folder) throws IOException, InterruptedException;
+    abstract boolean runWithSeed(long firstSeed, Path folder)
+        throws IOException, InterruptedException;
 
     @Override
     protected final int execute() throws IOException {
-      Path folder = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+      Path folder =
+          outputFolder == null
+              ? Files.createTempDirectory("tansytrack-lab")
+              : Path.of(outputFolder);
       try {
-        boolean claimsHold = played(seed, folder);
+        boolean claimsHold = runWithSeed(seed, folder);
         System.out.println("results in " + folder);
         return claimsHold ? 0 : EXIT_DIFFERENCE;
       } catch (InterruptedException e) {
@@ -99,7 +103,7 @@
     private String file;
 
     @Option(name = "--work-ms", metaVar = "N", usage = "minimum work of a task, in milliseconds")
-    private int work = 20;
+    private int workMs = 20;
 
     @Override
     public String description() {
@@ -109,7 +113,7 @@
 
     @Override
     protected int execute() throws IOException {
-      StandIns.of(file, work, System.out);
+      FakeDeployment.start(file, workMs, System.out);
       try {
         Thread.sleep(Long.MAX_VALUE);
       } catch (InterruptedException e) {
@@ -120,7 +124,7 @@
   }
 
   /** Runs an experiment. */
-  public static final class Run extends Playing {
+  public static final class Run extends SeededRun {
     @Argument(
         required = true,
         metaVar = "FILE",
@@ -134,10 +138,10 @@
     }
 
     @Override
-    boolean played(long firstSeed, Path folder) throws IOException, InterruptedException {
-      Experiment experiment = Laboratory.read(file);
+    boolean runWithSeed(long firstSeed, Path folder) throws IOException, InterruptedException {
+      Experiment experiment = ExperimentRunner.read(file);
       try {
-        return Laboratory.run(experiment, firstSeed, folder, Decide::new, System.out);
+        return ExperimentRunner.run(experiment, firstSeed, folder, Decide::new, System.out);
       } catch (IOException e) {
         System.err.println("tansytrack: the experiment failed: " + e);
         return false;
@@ -146,7 +150,7 @@
   }
 
   /** Sends an open-loop load. */
-  public static final class Load extends Playing {
+  public static final class Load extends SeededRun {
     @Argument(
         required = true,
         metaVar = "FILE",
@@ -168,13 +172,13 @@
     }
 
     @Override
-    boolean played(long firstSeed, Path folder) throws IOException, InterruptedException {
+    boolean runWithSeed(long firstSeed, Path folder) throws IOException, InterruptedException {
       return LoadCommand.run(file, to, firstSeed, folder, System.out);
     }
   }
 
   /** Measures the membership protocol. */
-  public static final class Fleet extends Playing {
+  public static final class Fleet extends SeededRun {
     @Option(name = "--members", metaVar = "N,N", usage = "numbers of members")
     private String members = "10,100,300";
 
@@ -195,8 +199,8 @@
     }
 
     @Override
-    boolean played(long firstSeed, Path folder) throws IOException {
-      return FleetTable.run(members, loss, runs, firstSeed, folder, System.out);
+    boolean runWithSeed(long firstSeed, Path folder) throws IOException {
+      return MembershipTable.run(members, loss, runs, firstSeed, folder, System.out);
     }
   }
 
@@ -212,13 +216,13 @@
         name = "--siblings",
         metaVar = "N",
         usage = "number of managers in the settings; 0: as many as there are processes")
-    private int siblings;
+    private int managerCount;
 
     @Option(
         name = "--settle",
         metaVar = "SECONDS",
         usage = "time between the last start and the first measurement")
-    private int settle = 4;
+    private int settleSeconds = 4;
 
     @Option(name = "--seconds", metaVar = "N", usage = "duration of each measurement")
     private int seconds = 5;
@@ -242,7 +246,7 @@
         name = "--out",
         metaVar = "FOLDER",
         usage = "folder for the results; absent: a new temporary folder")
-    private String out;
+    private String outputFolder;
 
     @Override
     public String description() {
@@ -257,8 +261,12 @@
     @Override
     protected int execute() throws IOException {
       FootprintOptions options =
-          new FootprintOptions(managers, engines, siblings, settle, seconds, rate, jar, jvm);
-      Path folder = out == null ? Files.createTempDirectory("tansytrack-lab") : Path.of(out);
+          new FootprintOptions(
+              managers, engines, managerCount, settleSeconds, seconds, rate, jar, jvm);
+      Path folder =
+          outputFolder == null
+              ? Files.createTempDirectory("tansytrack-lab")
+              : Path.of(outputFolder);
       try {
         boolean allReached = FootprintTable.run(options, folder, System.out);
         System.out.println("results in " + folder);
@@ -271,7 +279,7 @@
   }
 
   /** Simulates hollow managers at scale. */
-  public static final class Scale extends Playing {
+  public static final class Scale extends SeededRun {
     @Option(name = "--managers", metaVar = "N", required = true, usage = "number of managers")
     private int managers;
 
@@ -303,7 +311,7 @@
     private int threads = 1;
 
     @Option(name = "--grow", metaVar = "WHAT", usage = "what grows from size to size")
-    private ScaleTable.Grows grows = ScaleTable.Grows.BOTH;
+    private ScaleTable.Dimension dimension = ScaleTable.Dimension.BOTH;
 
     @Override
     public String description() {
@@ -315,11 +323,11 @@
     }
 
     @Override
-    boolean played(long firstSeed, Path folder) throws IOException {
+    boolean runWithSeed(long firstSeed, Path folder) throws IOException {
       FailureSchedule failures = ScaleTable.schedule("--schedule", schedule);
       ScalePlan plan = new ScalePlan(managers, engines, zones, seconds, rate, failures, firstSeed);
-      ScaleTable.checked(plan);
-      ScaleTable.Ladder series = new ScaleTable.Ladder(sizes, factor, grows);
+      ScaleTable.validate(plan);
+      ScaleTable.SizeSeries series = new ScaleTable.SizeSeries(sizes, factor, dimension);
       ScaleTable.run(plan, series, Decide::new, threads, folder, System.out, System.err);
       return true;
     }
@@ -384,10 +392,10 @@
       if (Files.exists(to)) {
         throw new InvalidInputException("--folder '" + folder + "' exists; allowed: a new one");
       }
-      LedgerBench bench = new LedgerBench(System.out);
+      LedgerBenchmark bench = new LedgerBenchmark(System.out);
       bench.throughput(to.resolve("full"), entries);
       for (String wait : List.of("AT_ONCE", "AFTER_COMMIT")) {
-        bench.paced(to.resolve(wait), 500, seconds, wait);
+        bench.fixedRate(to.resolve(wait), 500, seconds, wait);
       }
       bench.restart(to.resolve("full"), to.resolve("copy"));
       return 0;
--- a/src/main/java/tansytrack/lab/Claims.java
+++ b/src/main/java/tansytrack/lab/ClaimEvaluator.java
@@ -6,7 +6,7 @@
 import tansytrack.lab.proto.Claim;
 
 /** Compares the claims of an experiment with the figures of its runs. */
-public final class Claims {
+public final class ClaimEvaluator {
 
   /**
    * A claim with its result.
@@ -16,13 +16,13 @@
    * @param measured the measured value, as text
    * @param held whether the claim holds; false if the figure was not measured
    */
-  public record Judged(String figure, String bound, String measured, boolean held) {}
+  public record ClaimResult(String figure, String bound, String measured, boolean held) {}
 
-  private Claims() {}
+  private ClaimEvaluator() {}
 
   /** Compares each claim with the figure that it names; a claim without a figure fails. */
-  public static List<Judged> judge(List<Claim> claims, Map<String, Double> figures) {
-    List<Judged> results = new ArrayList<>();
+  public static List<ClaimResult> evaluate(List<Claim> claims, Map<String, Double> figures) {
+    List<ClaimResult> results = new ArrayList<>();
     for (Claim claim : claims) {
       Double figure = figures.get(claim.getFigure());
       boolean held =
@@ -40,17 +40,17 @@
             default -> ">= ";
           };
       results.add(
-          new Judged(
+          new ClaimResult(
               claim.getFigure(),
-              sign + shown(claim.getBound()),
-              figure == null ? "not measured" : shown(figure),
+              sign + format(claim.getBound()),
+              figure == null ? "not measured" : format(figure),
               held));
     }
     return results;
   }
 
   /** Formats a figure: whole numbers without a fraction, others with three decimals. */
-  static String shown(double figure) {
+  static String format(double figure) {
     return figure == Math.rint(figure) && Math.abs(figure) < 1e15
         ? Long.toString((long) figure)
         : String.format(java.util.Locale.ROOT, "%.3f", figure);
--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -22,33 +22,33 @@
  */
 final class DatagramRelays implements AutoCloseable {
 
-  private static final int LONGEST = 2048;
+  private static final int MAX_DATAGRAM_BYTES = 2048;
 
   private final FaultSchedule faults;
   private final List<String> names;
-  private final List<String> places;
+  private final List<String> zones;
   private final List<InetSocketAddress> managers;
   private final Selector selector = Selector.open();
 
   // By the manager that uses the socket, then by the peer that it represents.
-  private final Leg[][] legs;
+  private final RelaySocket[][] sockets;
 
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
-  private long order;
-  private volatile long start;
-  private volatile boolean over;
+  private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
+  private long nextSequence;
+  private volatile long startNanos;
+  private volatile boolean closed;
   private long forwarded;
   private long lost;
 
-  private final class Leg {
-    final int at;
-    final int of;
+  private final class RelaySocket {
+    final int owner;
+    final int peer;
     final DatagramChannel channel;
     final LinkModel link;
 
-    Leg(int owner, int peer, long seed) throws IOException {
-      this.at = owner;
-      this.of = peer;
+    RelaySocket(int owner, int peer, long seed) throws IOException {
+      this.owner = owner;
+      this.peer = peer;
       link = new LinkModel(seed);
       channel = DatagramChannel.open();
       channel.configureBlocking(false);
@@ -57,10 +57,14 @@
     }
   }
 
-  private record Late(long at, long order, Leg by, byte[] datagram) implements Comparable<Late> {
+  private record DelayedDatagram(
+      long dueNanos, long sequence, RelaySocket receivedOn, byte[] datagram)
+      implements Comparable<DelayedDatagram> {
     @Override
-    public int compareTo(Late other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+    public int compareTo(DelayedDatagram other) {
+      return dueNanos != other.dueNanos
+          ? Long.compare(dueNanos, other.dueNanos)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -73,23 +77,25 @@
       throws IOException {
     this.faults = faults;
     this.names = names;
-    this.places = zones;
+    this.zones = zones;
     this.managers = managers;
     SplittableRandom random = new SplittableRandom(seed);
-    legs = new Leg[names.size()][names.size()];
+    sockets = new RelaySocket[names.size()][names.size()];
     for (int owner = 0; owner < names.size(); owner++) {
       for (int peer = 0; peer < names.size(); peer++) {
-        legs[owner][peer] = owner == peer ? null : new Leg(owner, peer, random.nextLong());
+        sockets[owner][peer] =
+            owner == peer ? null : new RelaySocket(owner, peer, random.nextLong());
       }
     }
-    start = System.nanoTime();
-    StandInEngine.thread(this::run).start();
+    startNanos = System.nanoTime();
+    FakeEngine.daemonThread(this::relayDatagrams).start();
   }
 
   /** The address that manager {@code owner} uses for its peer {@code peer}. */
   String address(int owner, int peer) {
     try {
-      InetSocketAddress address = (InetSocketAddress) legs[owner][peer].channel.getLocalAddress();
+      InetSocketAddress address =
+          (InetSocketAddress) sockets[owner][peer].channel.getLocalAddress();
       return address.getAddress().getHostAddress() + ':' + address.getPort();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -97,8 +103,8 @@
   }
 
   /** Starts the fault schedule: its times count from this call. */
-  void begin() {
-    start = System.nanoTime();
+  void startSchedule() {
+    startNanos = System.nanoTime();
   }
 
   /** Number of datagrams that were passed on. */
@@ -111,27 +117,30 @@
     return lost;
   }
 
-  private void run() {
-    ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+  private void relayDatagrams() {
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
     List<SelectionKey> ready = new ArrayList<>();
     try {
-      while (!over) {
+      while (!closed) {
         long wait =
-            late.isEmpty() ? 100 : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
+            delayed.isEmpty()
+                ? 100
+                : Math.max(1, (delayed.peek().dueNanos - System.nanoTime()) / 1_000_000);
         selector.select(Math.min(wait, 100));
         ready.addAll(selector.selectedKeys());
         selector.selectedKeys().clear();
         for (SelectionKey key : ready) {
-          take((Leg) key.attachment(), buffer);
+          receive((RelaySocket) key.attachment(), buffer);
         }
         ready.clear();
         long now = System.nanoTime();
-        while (!late.isEmpty() && late.peek().at <= now) {
-          Late datagram = late.poll();
+        while (!delayed.isEmpty() && delayed.peek().dueNanos <= now) {
+          DelayedDatagram datagram = delayed.poll();
           // Sent from the receiver's socket for the sender, as the receiver knows the sender by
           // that address.
-          Leg socket = legs[datagram.by.of][datagram.by.at];
-          socket.channel.send(ByteBuffer.wrap(datagram.datagram), managers.get(datagram.by.of));
+          RelaySocket socket = sockets[datagram.receivedOn.peer][datagram.receivedOn.owner];
+          socket.channel.send(
+              ByteBuffer.wrap(datagram.datagram), managers.get(datagram.receivedOn.peer));
           forwarded++;
         }
       }
@@ -140,7 +149,7 @@
     }
   }
 
-  private void take(Leg socket, ByteBuffer buffer) throws IOException {
+  private void receive(RelaySocket socket, ByteBuffer buffer) throws IOException {
     buffer.clear();
     while (socket.channel.receive(buffer) != null) {
       buffer.flip();
@@ -151,24 +160,24 @@
       long[] copies =
           socket.link.deliveryDelays(
               faults.linkConditions(
-                  now - start,
-                  names.get(socket.at),
-                  places.get(socket.at),
-                  names.get(socket.of),
-                  places.get(socket.of)));
+                  now - startNanos,
+                  names.get(socket.owner),
+                  zones.get(socket.owner),
+                  names.get(socket.peer),
+                  zones.get(socket.peer)));
       lost += copies.length == 0 ? 1 : 0;
       for (long delay : copies) {
-        late.add(new Late(now + delay, order++, socket, datagram));
+        delayed.add(new DelayedDatagram(now + delay, nextSequence++, socket, datagram));
       }
     }
   }
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     selector.close();
-    for (Leg[] row : legs) {
-      for (Leg socket : row) {
+    for (RelaySocket[] row : sockets) {
+      for (RelaySocket socket : row) {
         if (socket != null) {
           socket.channel.close();
         }
--- a/src/main/java/tansytrack/lab/Laboratory.java
+++ b/src/main/java/tansytrack/lab/ExperimentRunner.java
@@ -16,33 +16,35 @@
 import tansytrack.settings.InvalidInputException;
 
 /** Runs an experiment as often as its file says, and evaluates its claims over all runs. */
-public final class Laboratory {
+public final class ExperimentRunner {
 
   // Suffixes of figures for which the maximum or minimum of all runs counts; others are added up.
-  private static final String WORST = "_max";
-  private static final String LEAST = "_min";
+  private static final String MAX_SUFFIX = "_max";
+  private static final String MIN_SUFFIX = "_min";
 
-  private Laboratory() {}
+  private ExperimentRunner() {}
 
   /** Reads and validates an experiment file. */
   public static Experiment read(String file) {
-    Experiment experiment = TextFile.parsed(file, TextFile.text(file), Experiment.newBuilder()).build();
+    Experiment experiment =
+        LabInput.parse(file, LabInput.read(file), Experiment.newBuilder()).build();
     if (experiment.hasFleet()) {
-      FleetRun.checked(file, experiment);
+      FleetRun.validate(file, experiment);
       return experiment;
     }
     if (experiment.getScaleCount() > 0) {
-      ScaleExperiment.checked(file, experiment);
+      ScaleExperiment.validate(file, experiment);
       return experiment;
     }
-    TextFile.bounded(file, "managers", experiment.getManagers(), 1, 16);
-    TextFile.bounded(file, "engines", experiment.getEngines(), 1, 64);
-    TextFile.bounded(file, "clients", experiment.getClients(), 1, 256);
-    TextFile.bounded(file, "seconds", experiment.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
-    TextFile.bounded(file, "least_work_ms", experiment.getLeastWorkMs(), 0, 10000);
+    LabInput.requireRange(file, "managers", experiment.getManagers(), 1, 16);
+    LabInput.requireRange(file, "engines", experiment.getEngines(), 1, 64);
+    LabInput.requireRange(file, "clients", experiment.getClients(), 1, 256);
+    LabInput.requireRange(file, "seconds", experiment.getSeconds(), 1, 3600);
+    LabInput.requireRange(file, "runs", experiment.getRuns(), 1, 1000);
+    LabInput.requireRange(file, "least_work_ms", experiment.getLeastWorkMs(), 0, 10000);
     for (Fault fault : experiment.getFaultsList()) {
-      TextFile.bounded(file, "faults.manager", fault.getManager(), 0, experiment.getManagers() - 1);
+      LabInput.requireRange(
+          file, "faults.manager", fault.getManager(), 0, experiment.getManagers() - 1);
     }
     if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -66,7 +68,7 @@
     Files.createDirectories(out);
     List<Map<String, Double>> figuresOfRuns = new ArrayList<>();
     for (int i = 0; i < experiment.getRuns(); i++) {
-      figuresOfRuns.add(played(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
+      figuresOfRuns.add(runOnce(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
       console.println(
           "run "
               + (i + 1)
@@ -85,44 +87,45 @@
                     total.merge(
                         name,
                         figure,
-                        name.endsWith(WORST)
+                        name.endsWith(MAX_SUFFIX)
                             ? Math::max
-                            : name.endsWith(LEAST) ? Math::min : Double::sum)));
-    List<Claims.Judged> results = Claims.judge(experiment.getClaimsList(), total);
+                            : name.endsWith(MIN_SUFFIX) ? Math::min : Double::sum)));
+    List<ClaimEvaluator.ClaimResult> results =
+        ClaimEvaluator.evaluate(experiment.getClaimsList(), total);
     console.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
     boolean held = true;
-    for (Claims.Judged result : results) {
+    for (ClaimEvaluator.ClaimResult result : results) {
       console.printf(
           "%-30s %-14s %-14s %s%n",
           result.figure(), result.bound(), result.measured(), result.held() ? "yes" : "NO");
       held &= result.held();
     }
-    kept(experiment, seed, out, figuresOfRuns, results);
+    writeResults(experiment, seed, out, figuresOfRuns, results);
     return held;
   }
 
-  private static Map<String, Double> played(
+  private static Map<String, Double> runOnce(
       Experiment experiment, long seed, Path folder, ModuleFactory factory)
       throws IOException, InterruptedException {
     if (experiment.getScaleCount() > 0) {
-      return new ScaleExperiment(experiment, seed, factory).play();
+      return new ScaleExperiment(experiment, seed, factory).run();
     }
     if (experiment.hasFleet()) {
       try (FleetRun run = new FleetRun(experiment, seed, folder)) {
-        return run.play();
+        return run.run();
       }
     }
     try (LedgerRun run = new LedgerRun(experiment, seed, folder)) {
-      return run.play();
+      return run.run();
     }
   }
 
-  private static void kept(
+  private static void writeResults(
       Experiment experiment,
       long seed,
       Path out,
       List<Map<String, Double>> figuresOfRuns,
-      List<Claims.Judged> results)
+      List<ClaimEvaluator.ClaimResult> results)
       throws IOException {
     TreeSet<String> names = new TreeSet<>();
     figuresOfRuns.forEach(figures -> names.addAll(figures.keySet()));
@@ -130,7 +133,8 @@
     for (int i = 0; i < figuresOfRuns.size(); i++) {
       csv.append(seed + i);
       for (String name : names) {
-        csv.append(',').append(Claims.shown(figuresOfRuns.get(i).getOrDefault(name, Double.NaN)));
+        csv.append(',')
+            .append(ClaimEvaluator.format(figuresOfRuns.get(i).getOrDefault(name, Double.NaN)));
       }
       csv.append('\n');
     }
@@ -145,7 +149,7 @@
                 + figuresOfRuns.size()
                 + ",\"claims\":[");
     for (int i = 0; i < results.size(); i++) {
-      Claims.Judged result = results.get(i);
+      ClaimEvaluator.ClaimResult result = results.get(i);
       json.append(i > 0 ? "," : "")
           .append("{\"figure\":")
           .append(JsonLinesWriter.quote(result.figure()))
--- a/src/main/java/tansytrack/lab/FleetRun.java
+++ b/src/main/java/tansytrack/lab/FleetRun.java
@@ -37,15 +37,15 @@
  */
 final class FleetRun implements AutoCloseable {
 
-  private static final long MS = 1_000_000L;
-  private static final int MOST_PROCESSES = 200;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final int MAX_PROCESSES = 200;
 
   private final Experiment experiment;
   private final long seed;
   private final Path folder;
   private final FaultSchedule faults;
   private final List<String> names = new ArrayList<>();
-  private final List<String> places = new ArrayList<>();
+  private final List<String> zones = new ArrayList<>();
   private final List<ManagerProcess> managers = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private FleetTraffic traffic;
@@ -56,42 +56,49 @@
     this.experiment = experiment;
     this.seed = seed;
     this.folder = folder;
-    faults = faults(experiment.getFleet());
+    faults = faultSchedule(experiment.getFleet());
     for (int i = 0; i < experiment.getManagers(); i++) {
       names.add("m" + i);
-      places.add("place-" + i % Math.max(1, experiment.getFleet().getPlaces()));
+      zones.add("place-" + i % Math.max(1, experiment.getFleet().getPlaces()));
     }
   }
 
   /** Throws an exception that names the first field that cannot be used. */
-  static void checked(String file, Experiment experiment) {
+  static void validate(String file, Experiment experiment) {
     FleetPlan plan = experiment.getFleet();
-    TextFile.bounded(
-        file, "managers", experiment.getManagers(), 2, plan.getVirtualTime() ? 1000 : MOST_PROCESSES);
-    TextFile.bounded(file, "seconds", experiment.getSeconds(), 1, 3600);
-    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
-    TextFile.bounded(file, "fleet.places", plan.getPlaces(), 1, experiment.getManagers());
-    TextFile.bounded(file, "fleet.probe_every_ms", plan.getProbeEveryMs(), 100, 10_000);
-    weathered(file, "fleet.weather", plan.getWeather());
+    LabInput.requireRange(
+        file,
+        "managers",
+        experiment.getManagers(),
+        2,
+        plan.getVirtualTime() ? 1000 : MAX_PROCESSES);
+    LabInput.requireRange(file, "seconds", experiment.getSeconds(), 1, 3600);
+    LabInput.requireRange(file, "runs", experiment.getRuns(), 1, 1000);
+    LabInput.requireRange(file, "fleet.places", plan.getPlaces(), 1, experiment.getManagers());
+    LabInput.requireRange(file, "fleet.probe_every_ms", plan.getProbeEveryMs(), 100, 10_000);
+    validateLinkConditions(file, "fleet.weather", plan.getWeather());
     for (LinkTrouble fault : plan.getLinksList()) {
-      weathered(file, "fleet.links.weather", fault.getWeather());
-      ended(file, "fleet.links.from", fault.getFrom(), experiment);
-      ended(file, "fleet.links.to", fault.getTo(), experiment);
+      validateLinkConditions(file, "fleet.links.weather", fault.getWeather());
+      validateEndpoint(file, "fleet.links.from", fault.getFrom(), experiment);
+      validateEndpoint(file, "fleet.links.to", fault.getTo(), experiment);
     }
     checkProcesses(file, experiment);
     checkEngines(file, plan);
     for (Version version : plan.getVersionsList()) {
-      ended(file, "fleet.versions.manager", version.getManager(), experiment);
+      validateEndpoint(file, "fleet.versions.manager", version.getManager(), experiment);
       if (!Files.isReadable(Path.of(version.getJar()))) {
         throw new InvalidInputException(
-            file + ": fleet.versions.jar: '" + version.getJar() + "'; allowed: a jar that can be read");
+            file
+                + ": fleet.versions.jar: '"
+                + version.getJar()
+                + "'; allowed: a jar that can be read");
       }
     }
     for (StreamTrouble fault : plan.getStreamsList()) {
-      TextFile.bounded(file, "fleet.streams.part", fault.getPart(), 0, 1);
+      LabInput.requireRange(file, "fleet.streams.part", fault.getPart(), 0, 1);
     }
     if (plan.hasLoad()) {
-      LoadFile.checked(file, plan.getLoad());
+      LoadFile.validated(file, plan.getLoad());
     }
     if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -101,7 +108,7 @@
   private static void checkProcesses(String file, Experiment experiment) {
     for (ProcessTrouble fault : experiment.getFleet().getProcessesList()) {
       if (!fault.getManager().matches("m[0-9]{1,3}")
-          || number(fault.getManager()) >= experiment.getManagers()) {
+          || index(fault.getManager()) >= experiment.getManagers()) {
         throw new InvalidInputException(
             file
                 + ": fleet.processes.manager: '"
@@ -109,7 +116,7 @@
                 + "'; allowed: m0 to m"
                 + (experiment.getManagers() - 1));
       }
-      TextFile.bounded(
+      LabInput.requireRange(
           file,
           "fleet.processes.for_ms",
           fault.getForMs(),
@@ -119,14 +126,15 @@
   }
 
   private static void checkEngines(String file, FleetPlan plan) {
-    TextFile.bounded(file, "fleet.engines", plan.getEngines(), 0, 64);
+    LabInput.requireRange(file, "fleet.engines", plan.getEngines(), 0, 64);
     if (plan.getEngines() > 0) {
-      TextFile.bounded(file, "fleet.engine.cores", plan.getEngine().getCores(), 0.1, 1000);
-      TextFile.bounded(
+      LabInput.requireRange(file, "fleet.engine.cores", plan.getEngine().getCores(), 0.1, 1000);
+      LabInput.requireRange(
           file, "fleet.engine.most_queries", plan.getEngine().getMostQueries(), 1, 100_000);
     }
     for (EngineTrouble fault : plan.getEngineTroublesList()) {
-      if (!fault.getEngine().matches("e[0-9]{1,2}") || number(fault.getEngine()) >= plan.getEngines()) {
+      if (!fault.getEngine().matches("e[0-9]{1,2}")
+          || index(fault.getEngine()) >= plan.getEngines()) {
         throw new InvalidInputException(
             file
                 + ": fleet.engine_troubles.engine: '"
@@ -137,52 +145,48 @@
     }
   }
 
-  private static int number(String name) {
+  private static int index(String name) {
     return Integer.parseInt(name.substring(1));
   }
 
-  private static void ended(String file, String field, String end, Experiment experiment) {
-    boolean manager = end.matches("m[0-9]{1,3}") && number(end) < experiment.getManagers();
+  private static void validateEndpoint(
+      String file, String field, String end, Experiment experiment) {
+    boolean manager = end.matches("m[0-9]{1,3}") && index(end) < experiment.getManagers();
     boolean zone =
         end.matches("place-[0-9]{1,3}")
             && Integer.parseInt(end.substring(6)) < experiment.getFleet().getPlaces();
     if (!manager && !zone && !end.equals("*")) {
       throw new InvalidInputException(
-          file
-              + ": "
-              + field
-              + ": '"
-              + end
-              + "'; allowed: a manager (m0), a zone (place-0) or *");
+          file + ": " + field + ": '" + end + "'; allowed: a manager (m0), a zone (place-0) or *");
     }
   }
 
-  private static void weathered(String file, String field, LinkWeather weather) {
-    TextFile.bounded(file, field + ".loss", weather.getLoss(), 0, 1);
-    TextFile.bounded(file, field + ".doubled", weather.getDoubled(), 0, 1);
-    TextFile.bounded(file, field + ".burst", weather.getBurst(), 0, 1000);
-    TextFile.bounded(file, field + ".least_us", weather.getLeastUs(), 0, 10_000_000);
-    TextFile.bounded(file, field + ".spread_us", weather.getSpreadUs(), 0, 10_000_000);
+  private static void validateLinkConditions(String file, String field, LinkWeather weather) {
+    LabInput.requireRange(file, field + ".loss", weather.getLoss(), 0, 1);
+    LabInput.requireRange(file, field + ".doubled", weather.getDoubled(), 0, 1);
+    LabInput.requireRange(file, field + ".burst", weather.getBurst(), 0, 1000);
+    LabInput.requireRange(file, field + ".least_us", weather.getLeastUs(), 0, 10_000_000);
+    LabInput.requireRange(file, field + ".spread_us", weather.getSpreadUs(), 0, 10_000_000);
   }
 
-  private static FaultSchedule faults(FleetPlan plan) {
+  private static FaultSchedule faultSchedule(FleetPlan plan) {
     List<FaultSchedule.LinkFault> links = new ArrayList<>();
     for (LinkTrouble fault : plan.getLinksList()) {
       links.add(
           new FaultSchedule.LinkFault(
-              fault.getAtMs() * MS,
-              fault.getForMs() * MS,
+              fault.getAtMs() * NANOS_PER_MS,
+              fault.getForMs() * NANOS_PER_MS,
               new FaultSchedule.Endpoint(fault.getFrom()),
               new FaultSchedule.Endpoint(fault.getTo()),
               fault.getBothWays(),
-              weather(fault.getWeather())));
+              linkConditions(fault.getWeather())));
     }
     List<FaultSchedule.ProcessFault> processes = new ArrayList<>();
     for (ProcessTrouble fault : plan.getProcessesList()) {
       processes.add(
           new FaultSchedule.ProcessFault(
-              fault.getAtMs() * MS,
-              fault.getForMs() * MS,
+              fault.getAtMs() * NANOS_PER_MS,
+              fault.getForMs() * NANOS_PER_MS,
               fault.getManager(),
               FaultSchedule.ProcessFaultKind.valueOf(fault.getKind().name())));
     }
@@ -190,18 +194,18 @@
     for (StreamTrouble fault : plan.getStreamsList()) {
       streams.add(
           new FaultSchedule.StreamFault(
-              fault.getAtMs() * MS,
-              fault.getForMs() * MS,
+              fault.getAtMs() * NANOS_PER_MS,
+              fault.getForMs() * NANOS_PER_MS,
               new FaultSchedule.Endpoint(fault.getFrom()),
               new FaultSchedule.Endpoint(fault.getTo()),
               FaultSchedule.StreamFaultKind.valueOf(fault.getKind().name()),
-              fault.getDelayMs() * MS,
+              fault.getDelayMs() * NANOS_PER_MS,
               fault.getPart()));
     }
-    return new FaultSchedule(weather(plan.getWeather()), links, processes, streams);
+    return new FaultSchedule(linkConditions(plan.getWeather()), links, processes, streams);
   }
 
-  private static LinkConditions weather(LinkWeather from) {
+  private static LinkConditions linkConditions(LinkWeather from) {
     return new LinkConditions(
         from.getLoss(),
         from.getBurst(),
@@ -211,37 +215,39 @@
   }
 
   /** Runs the experiment and returns its figures by name. */
-  Map<String, Double> play() throws IOException, InterruptedException {
-    return experiment.getFleet().getVirtualTime() ? virtual() : real();
+  Map<String, Double> run() throws IOException, InterruptedException {
+    return experiment.getFleet().getVirtualTime() ? runSimulation() : runProcesses();
   }
 
-  private Map<String, Double> virtual() {
+  private Map<String, Double> runSimulation() {
     List<String> seeds = names.subList(0, Math.min(3, names.size()));
     MembershipSimulation simulation =
         new MembershipSimulation(
-            MembershipConfig.defaults(seeds, experiment.getFleet().getProbeEveryMs() * MS, 16_384),
+            MembershipConfig.defaults(
+                seeds, experiment.getFleet().getProbeEveryMs() * NANOS_PER_MS, 16_384),
             seed);
     for (int i = 0; i < names.size(); i++) {
-      simulation.node(names.get(i), names.get(i), places.get(i));
+      simulation.node(names.get(i), names.get(i), zones.get(i));
     }
     names.forEach(simulation::start);
     simulation.injectFaults(faults);
-    simulation.runUntil(experiment.getSeconds() * 1000L * MS);
-    return new MembershipMetrics(names, faults, simulation.observations(), simulation.now()).compute();
+    simulation.runUntil(experiment.getSeconds() * 1000L * NANOS_PER_MS);
+    return new MembershipMetrics(names, faults, simulation.observations(), simulation.now())
+        .compute();
   }
 
-  private Map<String, Double> real() throws IOException, InterruptedException {
-    traffic = new FleetTraffic(experiment.getFleet(), faults, names, places, seed);
-    launch();
+  private Map<String, Double> runProcesses() throws IOException, InterruptedException {
+    traffic = new FleetTraffic(experiment.getFleet(), faults, names, zones, seed);
+    startManagers();
     Instant start = Instant.now();
-    relays.begin();
+    relays.startSchedule();
     long startNanos = System.nanoTime();
-    traffic.begin(managers.stream().map(manager -> manager.listen).toList(), startNanos);
-    long end = playFaults(startNanos);
+    traffic.start(managers.stream().map(manager -> manager.listenAddress).toList(), startNanos);
+    long end = injectFaults(startNanos);
     Map<String, Double> trafficFigures = traffic.figures(folder);
     List<MembershipSimulation.Observation> observations = new ArrayList<>();
     for (ManagerProcess manager : managers) {
-      observations.addAll(seen(manager, start));
+      observations.addAll(observations(manager, start));
     }
     Map<String, Double> figures = new MembershipMetrics(names, faults, observations, end).compute();
     figures.putAll(trafficFigures);
@@ -251,7 +257,7 @@
   }
 
   /** Starts all managers, each behind its relays, and waits until they listen. */
-  private void launch() throws IOException, InterruptedException {
+  private void startManagers() throws IOException, InterruptedException {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int i = 0; i < names.size(); i++) {
       try (DatagramSocket free =
@@ -259,32 +265,32 @@
         addresses.add(new InetSocketAddress(free.getLocalAddress(), free.getLocalPort()));
       }
     }
-    relays = new DatagramRelays(faults, names, places, addresses, seed);
+    relays = new DatagramRelays(faults, names, zones, addresses, seed);
     for (int i = 0; i < names.size(); i++) {
       managers.add(
           new ManagerProcess(
               names.get(i),
               folder.resolve(names.get(i)),
-              traffic.channel(i),
-              traffic.known(i),
+              traffic.channelAddress(i),
+              traffic.knownEvents(i),
               "127.20.0." + (i + 1),
-              operator(i, addresses.get(i)),
+              operatorConfig(i, addresses.get(i)),
               ManagerProcess.settings(
-                  names.size(), places.get(i), experiment.getFleet().getEngine())));
-      managers.get(i).version(jar(names.get(i)));
+                  names.size(), zones.get(i), experiment.getFleet().getEngine())));
+      managers.get(i).useJar(jarFor(names.get(i)));
     }
     for (ManagerProcess manager : managers) {
       manager.launch();
     }
     for (ManagerProcess manager : managers) {
-      manager.listens();
+      manager.awaitListening();
     }
   }
 
   /** Injects the process faults; returns the duration of the run, in nanoseconds. */
-  private long playFaults(long startNanos) throws IOException, InterruptedException {
+  private long injectFaults(long startNanos) throws IOException, InterruptedException {
     for (FaultSchedule.ProcessFault fault : faults.processes()) {
-      Thread thread = StandInEngine.thread(() -> trouble(fault, startNanos));
+      Thread thread = FakeEngine.daemonThread(() -> inject(fault, startNanos));
       threads.add(thread);
       thread.start();
     }
@@ -300,20 +306,23 @@
   }
 
   /** The jar that a manager runs from; null: this program. */
-  private String jar(String name) {
+  private String jarFor(String name) {
     String jar = null;
     for (Version version : experiment.getFleet().getVersionsList()) {
-      jar = version.getManager().equals("*") || version.getManager().equals(name) ? version.getJar() : jar;
+      jar =
+          version.getManager().equals("*") || version.getManager().equals(name)
+              ? version.getJar()
+              : jar;
     }
     return jar;
   }
 
-  private String operator(int index, InetSocketAddress address) {
+  private String operatorConfig(int index, InetSocketAddress address) {
     FleetPlan plan = experiment.getFleet();
     StringBuilder text =
         new StringBuilder(
             "log { form: JSON_LINES }\nfleet {\n  place: \""
-                + places.get(index)
+                + zones.get(index)
                 + "\"\n  address: \""
                 + address.getAddress().getHostAddress()
                 + ':'
@@ -337,8 +346,8 @@
     return text.append("}\n").toString();
   }
 
-  private void trouble(FaultSchedule.ProcessFault fault, long startNanos) {
-    ManagerProcess manager = managers.get(number(fault.member()));
+  private void inject(FaultSchedule.ProcessFault fault, long startNanos) {
+    ManagerProcess manager = managers.get(index(fault.member()));
     try {
       FleetTraffic.sleepUntil(startNanos + fault.startNanos());
       switch (fault.kind()) {
@@ -356,7 +365,7 @@
           if (fault.durationNanos() > 0) {
             FleetTraffic.sleepUntil(startNanos + fault.startNanos() + fault.durationNanos());
             manager.launch();
-            traffic.restarted(manager.name);
+            traffic.managerRestarted(manager.name);
           }
         }
         default -> throw new IllegalStateException();
@@ -372,10 +381,10 @@
    * The state changes of other members that a manager logged, in nanoseconds from the start of the
    * schedule; earlier ones have the time 0.
    */
-  private static List<MembershipSimulation.Observation> seen(ManagerProcess manager, Instant start)
-      throws IOException {
+  private static List<MembershipSimulation.Observation> observations(
+      ManagerProcess manager, Instant start) throws IOException {
     List<MembershipSimulation.Observation> observations = new ArrayList<>();
-    for (String line : manager.lines()) {
+    for (String line : manager.logLines()) {
       if (line.contains("\"event\":\"fleet.member\"")) {
         try {
           Map<String, Object> event =
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -29,38 +29,39 @@
  */
 final class FleetTraffic implements AutoCloseable {
 
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   // Time that a manager may take from SIGTERM to its exit, in which it closes connections.
-  private static final long ENDING = 4000 * MS;
+  private static final long SHUTDOWN_NANOS = 4000 * NANOS_PER_MS;
 
   private final FleetPlan plan;
   private final FaultSchedule faults;
   private final List<String> managers;
-  private final List<String> places;
+  private final List<String> zones;
   private final long seed;
-  private final List<StandInEngine> engines = new ArrayList<>();
+  private final List<FakeEngine> engines = new ArrayList<>();
   private final List<InetSocketAddress> engineAddresses = new ArrayList<>();
-  private final List<StandInChannel> channels = new ArrayList<>();
-  private final List<StreamRelay> lists = new ArrayList<>();
+  private final List<FakeCommandChannel> channels = new ArrayList<>();
+  private final List<StreamRelay> channelRelays = new ArrayList<>();
 
   // By manager, then by engine.
-  private final List<List<StreamRelay>> relays = new ArrayList<>();
+  private final List<List<StreamRelay>> engineRelays = new ArrayList<>();
 
-  private final List<InvariantChecker.Event> log = Collections.synchronizedList(new ArrayList<>());
-  private final Map<String, Arrival> asked = new ConcurrentHashMap<>();
+  private final List<InvariantChecker.Event> events =
+      Collections.synchronizedList(new ArrayList<>());
+  private final Map<String, Arrival> arrivals = new ConcurrentHashMap<>();
 
   // The manager that each task was sent to.
-  private final Map<String, String> taker = new ConcurrentHashMap<>();
+  private final Map<String, String> managerOfTask = new ConcurrentHashMap<>();
 
   // Start time of each restarted engine, by System.nanoTime().
-  private final Map<Integer, Long> startedAt = new HashMap<>();
+  private final Map<Integer, Long> engineStartNanos = new HashMap<>();
 
-  private final List<OpenLoop> loads = new ArrayList<>();
+  private final List<OpenLoopGenerator> loads = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private int revision = 1;
-  private int falls;
-  private volatile long start = System.nanoTime();
+  private int crashes;
+  private volatile long startNanos = System.nanoTime();
   private volatile Exception failure;
 
   FleetTraffic(
@@ -69,21 +70,24 @@
     this.plan = plan;
     this.faults = faults;
     this.managers = managers;
-    this.places = zones;
+    this.zones = zones;
     this.seed = seed;
     for (int i = 0; i < plan.getEngines(); i++) {
-      engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), longAgo()));
+      engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), warmStartNanos()));
       String[] hostAndPort = engines.get(i).address().split(":");
       engineAddresses.add(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
     }
     for (int manager = 0; manager < managers.size(); manager++) {
       int managerIndex = manager;
-      StandInChannel channel =
-          new StandInChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      FakeCommandChannel channel =
+          new FakeCommandChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       channels.add(channel);
-      lists.add(
+      channelRelays.add(
           new StreamRelay(
-              "127.0.0.1", address(channel.address()), () -> holds(managerIndex, "list", "list"), seed ^ manager));
+              "127.0.0.1",
+              address(channel.address()),
+              () -> activeFault(managerIndex, "list", "list"),
+              seed ^ manager));
       List<StreamRelay> relaysOfManager = new ArrayList<>();
       for (int i = 0; i < engines.size(); i++) {
         int engineIndex = i;
@@ -91,19 +95,20 @@
             new StreamRelay(
                 "127.23." + manager + '.' + (i + 1),
                 engineAddresses.get(i),
-                () -> holds(managerIndex, "e" + engineIndex, enginePlace(engineIndex)),
+                () -> activeFault(managerIndex, "e" + engineIndex, engineZone(engineIndex)),
                 seed * 4096 + manager * 64L + i));
       }
-      relays.add(relaysOfManager);
+      engineRelays.add(relaysOfManager);
     }
     for (int i = 0; i < engines.size(); i++) {
-      told(i, "ready");
+      announce(i, "ready");
     }
   }
 
   /** A start time that lies far enough back for an engine to be warm. */
-  private long longAgo() {
-    return System.nanoTime() - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * MS;
+  private long warmStartNanos() {
+    return System.nanoTime()
+        - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * NANOS_PER_MS;
   }
 
   private static InetSocketAddress address(String text) {
@@ -112,65 +117,74 @@
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  private String enginePlace(int engine) {
+  private String engineZone(int engine) {
     return "place-" + engine % plan.getPlaces();
   }
 
-  private FaultSchedule.StreamFault holds(int manager, String target, String zone) {
+  private FaultSchedule.StreamFault activeFault(int manager, String target, String zone) {
     return faults.activeStreamFault(
-        System.nanoTime() - start, managers.get(manager), places.get(manager), target, zone);
+        System.nanoTime() - startNanos, managers.get(manager), zones.get(manager), target, zone);
   }
 
-  private StandInEngine engine(int index, InetSocketAddress address, long startNanos) throws IOException {
+  private FakeEngine engine(int index, InetSocketAddress address, long startNanos)
+      throws IOException {
     EngineForm form = plan.getEngine();
     EngineModel.Spec spec =
         new EngineModel.Spec(
             form.getCores(),
             form.getMostQueries(),
             form.getStartCapacity(),
-            form.getWarmAfterMs() * MS,
+            form.getWarmAfterMs() * NANOS_PER_MS,
             form.getMultiple(),
-            form.getWindowMs() * MS);
-    return new StandInEngine(
+            form.getWindowMs() * NANOS_PER_MS);
+    return new FakeEngine(
         "e" + index,
         address,
         new EngineModel(spec, startNanos),
-        id -> asked.containsKey(id) ? asked.get(id).costMs() * MS : MS,
-        new StandInEngine.Watcher() {
+        id -> arrivals.containsKey(id) ? arrivals.get(id).costMs() * NANOS_PER_MS : NANOS_PER_MS,
+        new FakeEngine.Listener() {
           @Override
-          public void arrived(String engine, String id, double work) {
-            log.add(
+          public void forwardArrived(String engine, String id, double work) {
+            events.add(
                 new InvariantChecker.ForwardArrived(
-                    System.nanoTime(), taker.getOrDefault(id, "?"), engine, id, work));
+                    System.nanoTime(), managerOfTask.getOrDefault(id, "?"), engine, id, work));
           }
 
           @Override
-          public void over(String engine, String id, boolean mayHaveRun) {
-            log.add(new InvariantChecker.ForwardEnded(System.nanoTime(), engine, id, mayHaveRun));
+          public void forwardEnded(String engine, String id, boolean mayHaveRun) {
+            events.add(
+                new InvariantChecker.ForwardEnded(System.nanoTime(), engine, id, mayHaveRun));
           }
         });
   }
 
   /** Announces an engine to all managers, to each by the address of its own relay. */
-  private synchronized void told(int engine, String phase) {
-    long startedNanos = startedAt.getOrDefault(engine, 0L);
-    long startedUnixMs = startedNanos == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - startedNanos) / MS;
-    log.add(
+  private synchronized void announce(int engine, String phase) {
+    long startedNanos = engineStartNanos.getOrDefault(engine, 0L);
+    long startedUnixMs =
+        startedNanos == 0
+            ? 0
+            : System.currentTimeMillis() - (System.nanoTime() - startedNanos) / NANOS_PER_MS;
+    events.add(
         new InvariantChecker.EngineListed(
-            System.nanoTime(), "e" + engine, enginePlace(engine), phase.equals("ready"), startedNanos));
+            System.nanoTime(),
+            "e" + engine,
+            engineZone(engine),
+            phase.equals("ready"),
+            startedNanos));
     revision++;
     for (int manager = 0; manager < managers.size(); manager++) {
       channels
           .get(manager)
-          .tell(
+          .publish(
               "{\"revision\":"
                   + revision
                   + ",\"complete\":false,\"members\":[{\"id\":\"e"
                   + engine
                   + "\",\"host_port\":\""
-                  + relays.get(manager).get(engine).address()
+                  + engineRelays.get(manager).get(engine).address()
                   + "\",\"locality\":\""
-                  + enginePlace(engine)
+                  + engineZone(engine)
                   + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\""
                   + phase
                   + "\",\"size\":8,\"up_since_ms\":"
@@ -180,13 +194,13 @@
   }
 
   /** The address of a manager's command channel. */
-  String channel(int manager) {
-    return lists.get(manager).address();
+  String channelAddress(int manager) {
+    return channelRelays.get(manager).address();
   }
 
   /** The events of a manager's command channel up to now, as JSON. */
-  String known(int manager) {
-    return channels.get(manager).known();
+  String knownEvents(int manager) {
+    return channels.get(manager).knownEvents();
   }
 
   /**
@@ -195,44 +209,45 @@
    * @param listeners the managers' client addresses
    * @param startNanos start of the fault schedule, by System.nanoTime()
    */
-  void begin(List<InetSocketAddress> listeners, long startNanos) {
-    start = startNanos;
+  void start(List<InetSocketAddress> listeners, long startNanos) {
+    this.startNanos = startNanos;
     for (int manager = 0; plan.hasLoad() && manager < managers.size(); manager++) {
       String name = managers.get(manager);
-      LoadFile file = LoadFile.checked("fleet.load", plan.getLoad());
-      OpenLoop load = new OpenLoop(file, listeners.get(manager), seed * 64 + manager, watcher(name));
+      LoadFile file = LoadFile.validated("fleet.load", plan.getLoad());
+      OpenLoopGenerator load =
+          new OpenLoopGenerator(file, listeners.get(manager), seed * 64 + manager, listener(name));
       loads.add(load);
-      run(load::play);
+      run(load::run);
     }
     for (EngineTrouble fault : plan.getEngineTroublesList()) {
-      run(() -> trouble(fault, startNanos));
+      run(() -> inject(fault, startNanos));
     }
   }
 
   /** Logs the tasks and answers of a manager's clients. */
-  private OpenLoop.Watcher watcher(String name) {
-    return new OpenLoop.Watcher() {
+  private OpenLoopGenerator.Listener listener(String name) {
+    return new OpenLoopGenerator.Listener() {
       @Override
-      public void asking(String id, Arrival arrival, long timeoutMs) {
-        asked.put(id, arrival);
-        taker.put(id, name);
+      public void taskSubmitted(String id, Arrival arrival, long timeoutMs) {
+        arrivals.put(id, arrival);
+        managerOfTask.put(id, name);
         long now = System.nanoTime();
-        log.add(
+        events.add(
             new InvariantChecker.TaskSubmitted(
                 now,
                 name,
                 id,
-                arrival.grade().equals("load")
+                arrival.queryClass().equals("load")
                     ? InvariantChecker.RetrySafety.NON_IDEMPOTENT
                     : InvariantChecker.RetrySafety.IDEMPOTENT,
                 arrival.key(),
-                now + timeoutMs * MS,
+                now + timeoutMs * NANOS_PER_MS,
                 Set.of()));
       }
 
       @Override
-      public void answered(String id, LabClient.Answer answer) {
-        log.add(
+      public void taskAnswered(String id, LabClient.Answer answer) {
+        events.add(
             new InvariantChecker.TaskAnswered(
                 System.nanoTime(),
                 id,
@@ -244,11 +259,11 @@
       }
 
       @Override
-      public void failed(String id, long connectedAt) {
+      public void taskFailed(String id, long connectedAt) {
         // A task is abandoned only if its manager went down; if the connection was never
         // established, the manager did not accept the task.
-        if (connectedAt >= 0 && downSince(name, connectedAt)) {
-          log.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
+        if (connectedAt >= 0 && wentDownSince(name, connectedAt)) {
+          events.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
         }
       }
     };
@@ -258,31 +273,33 @@
    * Whether a manager was killed or stopped since that time. A manager that is stopped closes its
    * connections for some time, in which tasks may still be on their way to it.
    */
-  private boolean downSince(String manager, long time) {
+  private boolean wentDownSince(String manager, long time) {
     return faults.processes().stream()
         .anyMatch(
             fault ->
                 fault.member().equals(manager)
                     && fault.kind() != FaultSchedule.ProcessFaultKind.STOP
-                    && start
+                    && startNanos
                             + fault.startNanos()
-                            + (fault.kind() == FaultSchedule.ProcessFaultKind.END ? ENDING : 0)
+                            + (fault.kind() == FaultSchedule.ProcessFaultKind.END
+                                ? SHUTDOWN_NANOS
+                                : 0)
                         >= time
-                    && start + fault.startNanos() <= System.nanoTime());
+                    && startNanos + fault.startNanos() <= System.nanoTime());
   }
 
   /** Logs that a manager was started again. */
-  void restarted(String name) {
-    log.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
+  void managerRestarted(String name) {
+    events.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
   }
 
-  private interface Step {
+  private interface ThrowingRunnable {
     void run() throws Exception;
   }
 
-  private void run(Step step) {
+  private void run(ThrowingRunnable step) {
     Thread thread =
-        StandInEngine.thread(
+        FakeEngine.daemonThread(
             () -> {
               try {
                 step.run();
@@ -296,38 +313,40 @@
     thread.start();
   }
 
-  private void trouble(EngineTrouble fault, long startNanos) throws IOException, InterruptedException {
+  private void inject(EngineTrouble fault, long startNanos)
+      throws IOException, InterruptedException {
     int index = Integer.parseInt(fault.getEngine().substring(1));
-    sleepUntil(startNanos + fault.getAtMs() * MS);
+    sleepUntil(startNanos + fault.getAtMs() * NANOS_PER_MS);
     switch (fault.getKind()) {
       case RESTART -> {
-        StandInEngine previous = swap(index, null);
+        FakeEngine previous = replaceEngine(index, null);
         previous.close();
-        previous.lose();
-        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
+        previous.loseQueries();
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
         synchronized (this) {
-          startedAt.put(index, System.nanoTime());
+          engineStartNanos.put(index, System.nanoTime());
         }
-        falls += previous.fallen() ? 1 : 0;
-        swap(index, engine(index, engineAddresses.get(index), startedAt.get(index)));
-        told(index, "ready");
+        crashes += previous.hasCrashed() ? 1 : 0;
+        replaceEngine(
+            index, engine(index, engineAddresses.get(index), engineStartNanos.get(index)));
+        announce(index, "ready");
       }
       case SLOW -> {
-        engines.get(index).slow(fault.getFactor());
-        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
-        engines.get(index).slow(1);
+        engines.get(index).slowDown(fault.getFactor());
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
+        engines.get(index).slowDown(1);
       }
       case DRAIN -> {
-        told(index, "draining");
-        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * MS);
-        told(index, "ready");
+        announce(index, "draining");
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
+        announce(index, "ready");
       }
       default -> throw new IllegalStateException();
     }
   }
 
-  private synchronized StandInEngine swap(int index, StandInEngine replacement) {
-    StandInEngine previous = engines.get(index);
+  private synchronized FakeEngine replaceEngine(int index, FakeEngine replacement) {
+    FakeEngine previous = engines.get(index);
     if (replacement != null) {
       engines.set(index, replacement);
     }
@@ -336,7 +355,7 @@
 
   /** Sleeps until that time of System.nanoTime(). */
   static void sleepUntil(long time) throws InterruptedException {
-    Thread.sleep(Math.max(0, (time - System.nanoTime()) / MS));
+    Thread.sleep(Math.max(0, (time - System.nanoTime()) / NANOS_PER_MS));
   }
 
   /**
@@ -353,7 +372,7 @@
     Map<String, Double> figures = new TreeMap<>();
     double tasks = 0;
     double answeredInTime = 0;
-    for (OpenLoop load : loads) {
+    for (OpenLoopGenerator load : loads) {
       Map<String, Double> loadFigures = load.figures();
       tasks += loadFigures.get("tasks");
       answeredInTime += loadFigures.get("tasks") * loadFigures.get("share");
@@ -361,32 +380,32 @@
     EngineForm form = plan.getEngine();
     InvariantChecker.Limits limits =
         new InvariantChecker.Limits(
-            500 * MS,
-            60 * MS,
-            1050 * MS,
+            500 * NANOS_PER_MS,
+            60 * NANOS_PER_MS,
+            1050 * NANOS_PER_MS,
             form.getCores(),
             form.getStartCapacity(),
-            form.getWarmAfterMs() * MS,
+            form.getWarmAfterMs() * NANOS_PER_MS,
             form.getMultiple(),
-            form.getWindowMs() * MS,
+            form.getWindowMs() * NANOS_PER_MS,
             0,
             0,
             0);
     List<InvariantChecker.Event> sorted;
-    synchronized (log) {
-      sorted = new ArrayList<>(log);
+    synchronized (events) {
+      sorted = new ArrayList<>(events);
     }
     sorted.sort(Comparator.comparingLong(InvariantChecker.Event::at));
     Files.write(
         folder.resolve("seen.log"),
-        sorted.stream().map(event -> (event.at() - start) / 1000 + " us " + event).toList());
+        sorted.stream().map(event -> (event.at() - startNanos) / 1000 + " us " + event).toList());
     InvariantChecker.violations(limits, sorted)
         .forEach((rule, count) -> figures.put("broken." + rule, (double) count));
     InvariantChecker.firstViolations(limits, sorted).forEach(System.err::println);
-    for (StandInEngine engine : engines) {
-      falls += engine.fallen() ? 1 : 0;
+    for (FakeEngine engine : engines) {
+      crashes += engine.hasCrashed() ? 1 : 0;
     }
-    figures.put("engines.fallen", (double) falls);
+    figures.put("engines.fallen", (double) crashes);
     figures.put("tasks", tasks);
     figures.put("share_min", tasks == 0 ? 1 : answeredInTime / tasks);
     return figures;
@@ -394,18 +413,18 @@
 
   @Override
   public void close() throws IOException {
-    for (StandInEngine engine : engines) {
+    for (FakeEngine engine : engines) {
       engine.close();
     }
-    for (List<StreamRelay> relaysOfManager : relays) {
+    for (List<StreamRelay> relaysOfManager : engineRelays) {
       for (StreamRelay relay : relaysOfManager) {
         relay.close();
       }
     }
-    for (StreamRelay relay : lists) {
+    for (StreamRelay relay : channelRelays) {
       relay.close();
     }
-    for (StandInChannel channel : channels) {
+    for (FakeCommandChannel channel : channels) {
       channel.close();
     }
   }
--- a/src/main/java/tansytrack/lab/LabClient.java
+++ b/src/main/java/tansytrack/lab/LabClient.java
@@ -23,7 +23,7 @@
    */
   public record Answer(String code, String text, List<String> columns, List<List<String>> cells) {
     /** Number of rows. */
-    public int rows() {
+    public int rowCount() {
       return cells.size();
     }
 
@@ -34,7 +34,7 @@
   }
 
   // Bytes that follow the name of a column in a RowDescription message.
-  private static final int BEHIND_NAME = 18;
+  private static final int COLUMN_ATTRIBUTES_BYTES = 18;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
@@ -54,11 +54,11 @@
                 .putInt(3 << 16)
                 .put(parameters)
                 .array());
-    answer();
+    readAnswer();
   }
 
   /** Sends one simple query and waits for its whole answer. */
-  public Answer ask(String statement) throws IOException {
+  public Answer query(String statement) throws IOException {
     byte[] text = (statement + '\0').getBytes(StandardCharsets.UTF_8);
     socket
         .getOutputStream()
@@ -68,11 +68,11 @@
                 .putInt(4 + text.length)
                 .put(text)
                 .array());
-    return answer();
+    return readAnswer();
   }
 
   /** Reads up to the next ReadyForQuery. */
-  private Answer answer() throws IOException {
+  private Answer readAnswer() throws IOException {
     String code = "HANDLED";
     String text = "";
     List<String> columns = new ArrayList<>();
@@ -87,35 +87,35 @@
           text = field.startsWith("M") ? field.substring(1) : text;
         }
       } else if (type == 'T') {
-        names(ByteBuffer.wrap(body), columns);
+        readColumnNames(ByteBuffer.wrap(body), columns);
       } else if (type == 'D') {
-        cells.add(row(ByteBuffer.wrap(body)));
+        cells.add(readRow(ByteBuffer.wrap(body)));
       } else if (type == 'Z') {
         return new Answer(code, text, columns, cells);
       }
     }
   }
 
-  private static void names(ByteBuffer body, List<String> columns) {
+  private static void readColumnNames(ByteBuffer body, List<String> columns) {
     for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int from = body.position();
       while (body.get() != 0) {
         // skip to the terminating zero
       }
-      columns.add(text(body, from, body.position() - 1 - from));
-      body.position(body.position() + BEHIND_NAME);
+      columns.add(decode(body, from, body.position() - 1 - from));
+      body.position(body.position() + COLUMN_ATTRIBUTES_BYTES);
     }
   }
 
-  private static String text(ByteBuffer body, int from, int length) {
+  private static String decode(ByteBuffer body, int from, int length) {
     return new String(body.array(), body.arrayOffset() + from, length, StandardCharsets.UTF_8);
   }
 
-  private static List<String> row(ByteBuffer body) {
+  private static List<String> readRow(ByteBuffer body) {
     List<String> row = new ArrayList<>();
     for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int length = body.getInt();
-      row.add(length < 0 ? "" : text(body, body.position(), length));
+      row.add(length < 0 ? "" : decode(body, body.position(), length));
       body.position(body.position() + Math.max(0, length));
     }
     return row;
--- a/src/main/java/tansytrack/lab/TextFile.java
+++ b/src/main/java/tansytrack/lab/LabInput.java
@@ -10,12 +10,12 @@
 import tansytrack.settings.InvalidInputException;
 
 /** Reading and validation of the input files and options of lab commands. */
-final class TextFile {
+final class LabInput {
 
-  private TextFile() {}
+  private LabInput() {}
 
   /** Reads a whole file. */
-  static String text(String file) {
+  static String read(String file) {
     try {
       return Files.readString(Path.of(file), StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -24,7 +24,7 @@
   }
 
   /** Parses protobuf text format into a builder; the file's name stands in error messages. */
-  static <B extends Message.Builder> B parsed(String file, String text, B builder) {
+  static <B extends Message.Builder> B parse(String file, String text, B builder) {
     try {
       TextFormat.merge(text, builder);
       return builder;
@@ -34,23 +34,23 @@
   }
 
   /** Rejects a value outside of the bounds, naming the field, the value and what is allowed. */
-  static void bounded(String file, String field, double value, double min, double max) {
+  static void requireRange(String file, String field, double value, double min, double max) {
     if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           file
               + ": "
               + field
               + ": '"
-              + Claims.shown(value)
+              + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + Claims.shown(min)
+              + ClaimEvaluator.format(min)
               + " to "
-              + Claims.shown(max));
+              + ClaimEvaluator.format(max));
     }
   }
 
   /** Parses a loopback address with a port; lab commands connect to this machine only. */
-  static InetSocketAddress loopback(String field, String text) {
+  static InetSocketAddress loopbackAddress(String field, String text) {
     int colon = text.lastIndexOf(':');
     try {
       InetSocketAddress address =
--- a/src/main/java/tansytrack/lab/LedgerCheck.java
+++ b/src/main/java/tansytrack/lab/LedgerAudit.java
@@ -19,22 +19,22 @@
 import tansytrack.ledger.proto.BatchHead;
 
 /**
- * Compares the ledgers and exports of a run with the engines' own records, and with the batches that
- * a consumer read during the run.
+ * Compares the ledgers and exports of a run with the engines' own records, and with the batches
+ * that a consumer read during the run.
  */
-final class LedgerCheck {
+final class LedgerAudit {
 
-  private final Map<String, byte[]> seen = new HashMap<>();
-  private long changed;
+  private final Map<String, byte[]> batchContents = new HashMap<>();
+  private long changedBatches;
 
   /** Reads the exported batches as a consumer does; a batch must not change once it is there. */
-  synchronized void look(List<ManagerProcess> managers) throws IOException {
+  synchronized void inspectBatches(List<ManagerProcess> managers) throws IOException {
     for (ManagerProcess manager : managers) {
-      for (Path file : batches(manager.exports())) {
+      for (Path file : batches(manager.exportFolder())) {
         byte[] bytes = Files.readAllBytes(file);
-        byte[] previous = seen.putIfAbsent(file.toString(), bytes);
+        byte[] previous = batchContents.putIfAbsent(file.toString(), bytes);
         if (previous != null && !java.util.Arrays.equals(previous, bytes)) {
-          changed++;
+          changedBatches++;
         }
       }
     }
@@ -50,14 +50,14 @@
   }
 
   /** Compares all records; returns the figures by name. */
-  Map<String, Double> figures(List<ManagerProcess> managers, List<StandInEngine> engines)
+  Map<String, Double> figures(List<ManagerProcess> managers, List<FakeEngine> engines)
       throws IOException {
-    look(managers);
+    inspectBatches(managers);
     Map<String, Double> figures = new TreeMap<>();
     MergedLedger ledgers =
-        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::ledger).toList());
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::ledgerFolder).toList());
     MergedLedger exported =
-        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exports).toList());
+        LedgerFiles.readMerged(managers.stream().map(ManagerProcess::exportFolder).toList());
     batches(managers, figures);
     Reconciliation reconciliation = new Reconciliation();
     long unresolved = 0;
@@ -67,7 +67,7 @@
         unresolved += entry.end() == TaskEnd.UNRESOLVED ? 1 : 0;
       }
     }
-    for (StandInEngine engine : engines) {
+    for (FakeEngine engine : engines) {
       try (InputStream in =
           new java.io.ByteArrayInputStream(
               String.join("\n", engine.statement())
@@ -85,10 +85,12 @@
     figures.put("entries.work_differs", (double) findings.getOrDefault("work differs", 0L));
     figures.put("entries.unresolved", (double) unresolved);
     figures.put(
-        "entries.resolved_by_engines", (double) findings.getOrDefault("resolved by the engine", 0L));
+        "entries.resolved_by_engines",
+        (double) findings.getOrDefault("resolved by the engine", 0L));
     long reportedRuns = 0;
     for (ManagerProcess manager : managers) {
-      try (LedgerStore store = LedgerStore.openForCommand(manager.ledger(), FaultInjector.NONE)) {
+      try (LedgerStore store =
+          LedgerStore.openForCommand(manager.ledgerFolder(), FaultInjector.NONE)) {
         reportedRuns += store.reportedRuns().size();
       }
     }
@@ -102,19 +104,19 @@
     figures.put("gaps", (double) ledgers.gaps().size());
     figures.put("export.differs", exported.equals(ledgers) ? 0.0 : 1.0);
     figures.put("forwards.agreed", (double) reconciliation.matchedForwards());
-    figures.put("engines.runs", (double) engines.stream().mapToLong(StandInEngine::runs).sum());
+    figures.put("engines.runs", (double) engines.stream().mapToLong(FakeEngine::queryCount).sum());
     return figures;
   }
 
   private void batches(List<ManagerProcess> managers, Map<String, Double> figures)
       throws IOException {
-    long repeated = changed;
+    long repeated = changedBatches;
     long skipped = 0;
     long count = 0;
     for (ManagerProcess manager : managers) {
       long number = 0;
       long position = 0;
-      for (Path file : batches(manager.exports())) {
+      for (Path file : batches(manager.exportFolder())) {
         BatchHead head;
         try (InputStream in = Files.newInputStream(file)) {
           head = BatchHead.parseDelimitedFrom(in);
--- a/src/main/java/tansytrack/lab/LedgerBench.java
+++ b/src/main/java/tansytrack/lab/LedgerBenchmark.java
@@ -19,22 +19,22 @@
 import tansytrack.state.Timers;
 
 /**
- * Benchmarks the ledger on this machine: time that an entry takes on the event loop, durable entries
- * a second, time that an answer waits for its commit, and start-up time after a kill.
+ * Benchmarks the ledger on this machine: time that an entry takes on the event loop, durable
+ * entries a second, time that an answer waits for its commit, and start-up time after a kill.
  */
-public final class LedgerBench {
+public final class LedgerBenchmark {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long LONGEST = 10 * SECOND;
-  private static final int WARM = 50_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final long MAX_RECORDED_NANOS = 10 * NANOS_PER_SECOND;
+  private static final int WARM_UP_ENTRIES = 50_000;
 
   private final Timers timers = new Timers();
   private final ConcurrentLinkedQueue<Runnable> inbox = new ConcurrentLinkedQueue<>();
   private final PrintStream out;
-  private long tasks;
+  private long lastTask;
 
   /** Creates a benchmark that prints its figures to the stream. */
-  public LedgerBench(PrintStream out) {
+  public LedgerBenchmark(PrintStream out) {
     this.out = out;
   }
 
@@ -58,9 +58,9 @@
             QueryClass.RetrySafety.IDEMPOTENT,
             QueryClass.DeduplicationScope.ALL,
             0,
-            SECOND,
+            NANOS_PER_SECOND,
             1,
-            SECOND,
+            NANOS_PER_SECOND,
             1,
             0,
             false,
@@ -74,7 +74,7 @@
   }
 
   /** Runs what the event loop would run now: callbacks of the ledger and due timers. */
-  private void notes() {
+  private void runLoop() {
     timers.now(System.nanoTime());
     for (Runnable task = inbox.poll(); task != null; task = inbox.poll()) {
       task.run();
@@ -83,9 +83,9 @@
   }
 
   /** Records a task with one forward; returns the time it took on the event loop, in ns. */
-  private long entry(LedgerRecorder ledger, Runnable sendAnswer) {
-    String id = String.format("%016x", ++tasks);
-    TaskRequest task = new TaskRequest(id, "g", "tenant" + tasks % 1000, null, 0, 0, 0, 0);
+  private long recordTask(LedgerRecorder ledger, Runnable sendAnswer) {
+    String id = String.format("%016x", ++lastTask);
+    TaskRequest task = new TaskRequest(id, "g", "tenant" + lastTask % 1000, null, 0, 0, 0, 0);
     long now = timers.now();
     long startNanos = System.nanoTime();
     ledger.taskAccepted(now, task);
@@ -98,30 +98,30 @@
   /** Measures entries written as fast as the disk takes them, and the loop time of each. */
   public void throughput(Path folder, int entries) throws IOException {
     LedgerRecorder ledger = start(folder, "AT_ONCE", 1 << 20);
-    Histogram loopTime = new Histogram(LONGEST, 3);
+    Histogram loopTime = new Histogram(MAX_RECORDED_NANOS, 3);
     long startNanos = System.nanoTime();
     for (int i = 0; i < entries; i++) {
-      long took = entry(ledger, () -> {});
-      if (i >= WARM) {
+      long took = recordTask(ledger, () -> {});
+      if (i >= WARM_UP_ENTRIES) {
         loopTime.recordValue(took);
       }
       if (i % 16 == 0) {
-        notes();
+        runLoop();
         while (ledger.unwritten() > 1 << 18) {
-          LockSupport.parkNanos(SECOND / 10000);
-          notes();
+          LockSupport.parkNanos(NANOS_PER_SECOND / 10000);
+          runLoop();
         }
       }
     }
     while (ledger.unwritten() > 0) {
-      LockSupport.parkNanos(SECOND / 10000);
-      notes();
+      LockSupport.parkNanos(NANOS_PER_SECOND / 10000);
+      runLoop();
     }
     double took = (System.nanoTime() - startNanos) / 1e9;
     ledger.close();
     out.printf(
         "durable entries a second: %.0f (%d entries, %.1f s)%n", entries / took, entries, took);
-    told("the loop's cost an entry, ns, as fast as the disk takes them", loopTime);
+    print("the loop's cost an entry, ns, as fast as the disk takes them", loopTime);
   }
 
   /**
@@ -133,33 +133,33 @@
    * @param seconds duration
    * @param wait AT_ONCE or AFTER_COMMIT, as in the operator's file
    */
-  public void paced(Path folder, int perSecond, int seconds, String wait) throws IOException {
+  public void fixedRate(Path folder, int perSecond, int seconds, String wait) throws IOException {
     LedgerRecorder ledger = start(folder, wait, 1 << 14);
-    Histogram loopTime = new Histogram(LONGEST, 3);
-    Histogram waits = new Histogram(LONGEST, 3);
+    Histogram loopTime = new Histogram(MAX_RECORDED_NANOS, 3);
+    Histogram waits = new Histogram(MAX_RECORDED_NANOS, 3);
     long startNanos = System.nanoTime();
     for (int i = 0; i < perSecond * seconds; i++) {
-      long due = startNanos + i * SECOND / perSecond;
+      long due = startNanos + i * NANOS_PER_SECOND / perSecond;
       while (System.nanoTime() < due) {
-        notes();
+        runLoop();
         LockSupport.parkNanos(20_000);
       }
-      notes();
+      runLoop();
       long asked = System.nanoTime();
-      long took = entry(ledger, () -> waits.recordValue(System.nanoTime() - asked));
+      long took = recordTask(ledger, () -> waits.recordValue(System.nanoTime() - asked));
       if (i >= perSecond * seconds / 4) {
         loopTime.recordValue(took);
       }
     }
     while (ledger.unwritten() > 0) {
-      notes();
+      runLoop();
     }
     ledger.close();
-    told("the loop's cost an entry, ns, at " + perSecond + " a second, " + wait, loopTime);
-    told("the answer's wait, ns, at " + perSecond + " a second, " + wait, waits);
+    print("the loop's cost an entry, ns, at " + perSecond + " a second, " + wait, loopTime);
+    print("the answer's wait, ns, at " + perSecond + " a second, " + wait, waits);
   }
 
-  private void told(String label, Histogram histogram) {
+  private void print(String label, Histogram histogram) {
     out.printf(
         "%s: median %d, 99%% %d, 99.9%% %d, most %d (%d)%n",
         label,
@@ -177,12 +177,12 @@
   public void restart(Path folder, Path copy) throws IOException {
     LedgerRecorder original = start(folder, "AT_ONCE", 1 << 14);
     for (int i = 0; i < 1000; i++) {
-      String id = String.format("%016x", ++tasks);
+      String id = String.format("%016x", ++lastTask);
       original.taskAccepted(timers.now(), new TaskRequest(id, "g", "a", null, 0, 0, 0, 0));
       original.beforeForward(timers.now(), id, 0, "engine-a", 64, () -> {});
     }
     while (original.unwritten() > 0) {
-      notes();
+      runLoop();
     }
     Files.createDirectories(copy);
     try (Stream<Path> files = Files.list(folder)) {
@@ -196,7 +196,8 @@
     original.close();
     long startNanos = System.nanoTime();
     LedgerRecorder restarted = start(copy, "AT_ONCE", 1 << 14);
-    out.printf("start after a kill, 1000 tasks open: %.0f ms%n", (System.nanoTime() - startNanos) / 1e6);
+    out.printf(
+        "start after a kill, 1000 tasks open: %.0f ms%n", (System.nanoTime() - startNanos) / 1e6);
     restarted.close();
   }
 }
--- a/src/main/java/tansytrack/lab/LedgerRun.java
+++ b/src/main/java/tansytrack/lab/LedgerRun.java
@@ -18,39 +18,38 @@
  */
 final class LedgerRun implements AutoCloseable {
 
-  private static final int PATIENCE_MS = 4000;
+  private static final int CLIENT_TIMEOUT_MS = 4000;
 
   // Delay of a client before it connects again to a manager that is down.
-  private static final int PAUSE_MS = 20;
+  private static final int RECONNECT_DELAY_MS = 20;
 
   // Time that a client allows for its task.
-  private static final int WAIT_MS = 2500;
+  private static final int TASK_TIMEOUT_MS = 2500;
 
   private final Experiment experiment;
-  private final SplittableRandom chance;
-  private final List<StandInEngine> engines = new ArrayList<>();
+  private final SplittableRandom random;
+  private final List<FakeEngine> engines = new ArrayList<>();
   private final List<ManagerProcess> managers = new ArrayList<>();
-  private final StandInChannel channel;
-  private final LedgerCheck check = new LedgerCheck();
-  private final AtomicLong asked = new AtomicLong();
+  private final FakeCommandChannel channel;
+  private final LedgerAudit audit = new LedgerAudit();
+  private final AtomicLong submitted = new AtomicLong();
   private final AtomicLong handled = new AtomicLong();
-  private final AtomicLong refused = new AtomicLong();
-  private final AtomicLong lost = new AtomicLong();
+  private final AtomicLong rejected = new AtomicLong();
+  private final AtomicLong unanswered = new AtomicLong();
   private long exportsKilled;
   private long managersKilled;
-  private volatile boolean over;
+  private volatile boolean stopping;
   private volatile IOException failure;
 
   LedgerRun(Experiment experiment, long seed, Path folder) throws IOException {
     this.experiment = experiment;
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    channel = new StandInChannel(any);
+    channel = new FakeCommandChannel(any);
     StringBuilder members = new StringBuilder();
     for (int i = 0; i < experiment.getEngines(); i++) {
-      StandInEngine engine =
-          new StandInEngine(
-              "e" + i, any, experiment.getLeastWorkMs(), experiment.getSpreadWorkMs());
+      FakeEngine engine =
+          new FakeEngine("e" + i, any, experiment.getLeastWorkMs(), experiment.getSpreadWorkMs());
       engines.add(engine);
       members
           .append(i > 0 ? "," : "")
@@ -61,7 +60,7 @@
           .append(
               "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\"ready\",\"size\":8,\"up_since_ms\":0}");
     }
-    channel.tell("{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}");
+    channel.publish("{\"revision\":1,\"complete\":true,\"members\":[" + members + "]}");
     for (int i = 0; i < experiment.getManagers(); i++) {
       managers.add(
           new ManagerProcess(
@@ -74,7 +73,7 @@
   }
 
   /** Runs the experiment and returns its figures by name. */
-  Map<String, Double> play() throws IOException, InterruptedException {
+  Map<String, Double> run() throws IOException, InterruptedException {
     for (ManagerProcess manager : managers) {
       manager.start();
     }
@@ -82,24 +81,24 @@
     for (int m = 0; m < managers.size(); m++) {
       ManagerProcess manager = managers.get(m);
       for (int c = 0; c < experiment.getClients(); c++) {
-        SplittableRandom clientRandom = chance.split();
+        SplittableRandom clientRandom = random.split();
         long firstId = (long) (m + 1) << 40 | (long) (c + 1) << 24;
-        threads.add(StandInEngine.thread(() -> client(manager, firstId, clientRandom)));
+        threads.add(FakeEngine.daemonThread(() -> runClient(manager, firstId, clientRandom)));
       }
       if (experiment.getExportEveryMs() > 0) {
-        threads.add(StandInEngine.thread(() -> exports(manager)));
+        threads.add(FakeEngine.daemonThread(() -> runExports(manager)));
       }
     }
     long start = System.nanoTime();
     for (Fault fault : experiment.getFaultsList()) {
       long delayMs =
           (long) fault.getAtMs()
-              + (fault.getSpreadMs() > 0 ? chance.nextInt(fault.getSpreadMs()) : 0);
-      threads.add(StandInEngine.thread(() -> fault(fault, start + delayMs * 1_000_000)));
+              + (fault.getSpreadMs() > 0 ? random.nextInt(fault.getSpreadMs()) : 0);
+      threads.add(FakeEngine.daemonThread(() -> inject(fault, start + delayMs * 1_000_000)));
     }
     threads.forEach(Thread::start);
     Thread.sleep(experiment.getSeconds() * 1000L);
-    over = true;
+    stopping = true;
     for (Thread thread : threads) {
       thread.join();
     }
@@ -107,11 +106,11 @@
       throw failure;
     }
     endManagers();
-    Map<String, Double> figures = check.figures(managers, engines);
-    figures.put("tasks.asked", (double) asked.get());
+    Map<String, Double> figures = audit.figures(managers, engines);
+    figures.put("tasks.asked", (double) submitted.get());
     figures.put("tasks.handled", (double) handled.get());
-    figures.put("tasks.refused", (double) refused.get());
-    figures.put("tasks.without_answer", (double) lost.get());
+    figures.put("tasks.refused", (double) rejected.get());
+    figures.put("tasks.without_answer", (double) unanswered.get());
     figures.put("exports.killed", (double) exportsKilled);
     figures.put("managers.killed", (double) managersKilled);
     return figures;
@@ -125,47 +124,47 @@
       }
     }
     for (ManagerProcess manager : managers) {
-      if (manager.export().waitFor() != 0) {
+      if (manager.startExport().waitFor() != 0) {
         throw new IOException("the last export of " + manager.name + " failed; see export.log");
       }
     }
   }
 
-  private void client(ManagerProcess manager, long firstId, SplittableRandom random) {
+  private void runClient(ManagerProcess manager, long firstId, SplittableRandom random) {
     long id = firstId;
-    while (!over) {
-      try (LabClient client = new LabClient(manager.listen, PATIENCE_MS)) {
-        while (!over) {
-          asked.incrementAndGet();
+    while (!stopping) {
+      try (LabClient client = new LabClient(manager.listenAddress, CLIENT_TIMEOUT_MS)) {
+        while (!stopping) {
+          submitted.incrementAndGet();
           String queryClass = random.nextInt(4) == 0 ? "load" : "query";
           boolean answered = false;
           try {
             LabClient.Answer answer =
-                client.ask(
+                client.query(
                     "/* class="
                         + queryClass
                         + ",id="
                         + String.format("%016x", ++id)
                         + ",wait="
-                        + WAIT_MS
+                        + TASK_TIMEOUT_MS
                         + ",tenant=t"
                         + random.nextInt(3)
                         + ",mb=8,cost=10 */ SELECT day FROM sales_"
                         + random.nextInt(20)
                         + ".orders");
             answered = true;
-            (answer.handled() ? handled : refused).incrementAndGet();
+            (answer.handled() ? handled : rejected).incrementAndGet();
           } finally {
-            lost.addAndGet(answered ? 0 : 1);
+            unanswered.addAndGet(answered ? 0 : 1);
           }
         }
       } catch (IOException e) {
-        pause(PAUSE_MS);
+        sleep(RECONNECT_DELAY_MS);
       }
     }
   }
 
-  private static void pause(long ms) {
+  private static void sleep(long ms) {
     try {
       Thread.sleep(ms);
     } catch (InterruptedException e) {
@@ -173,12 +172,12 @@
     }
   }
 
-  private void exports(ManagerProcess manager) {
-    while (!over) {
-      pause(experiment.getExportEveryMs());
+  private void runExports(ManagerProcess manager) {
+    while (!stopping) {
+      sleep(experiment.getExportEveryMs());
       try {
-        manager.export().waitFor();
-        check.look(managers);
+        manager.startExport().waitFor();
+        audit.inspectBatches(managers);
       } catch (IOException e) {
         failure = e;
       } catch (InterruptedException e) {
@@ -187,23 +186,25 @@
     }
   }
 
-  private void fault(Fault fault, long atNanos) {
-    pause(Math.max(0, (atNanos - System.nanoTime()) / 1_000_000));
+  private void inject(Fault fault, long atNanos) {
+    sleep(Math.max(0, (atNanos - System.nanoTime()) / 1_000_000));
     ManagerProcess manager = managers.get(fault.getManager());
     try {
       if (fault.getKind() == Fault.Kind.KILL_MANAGER) {
         // Waits until an earlier kill of this manager has started it again.
         synchronized (manager) {
           manager.kill();
-          pause(fault.getForMs());
+          sleep(fault.getForMs());
           manager.start();
         }
         synchronized (this) {
           managersKilled++;
         }
       } else {
-        Process export = manager.export();
-        pause(fault.getForMs() + (fault.getSpreadMs() > 0 ? atNanos / 1000 % fault.getSpreadMs() : 0));
+        Process export = manager.startExport();
+        sleep(
+            fault.getForMs()
+                + (fault.getSpreadMs() > 0 ? atNanos / 1000 % fault.getSpreadMs() : 0));
         boolean running = export.isAlive();
         export.destroyForcibly().waitFor();
         synchronized (this) {
@@ -220,7 +221,7 @@
   @Override
   public void close() throws IOException {
     managers.forEach(ManagerProcess::close);
-    for (StandInEngine engine : engines) {
+    for (FakeEngine engine : engines) {
       engine.close();
     }
     channel.close();
--- a/src/main/java/tansytrack/lab/LoadCommand.java
+++ b/src/main/java/tansytrack/lab/LoadCommand.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import tansytrack.lab.load.Latencies;
+import tansytrack.lab.load.LatencyStatistics;
 
 /** Runs a load file against a listener on loopback and evaluates its claims. */
 public final class LoadCommand {
@@ -22,39 +22,47 @@
    * @param out folder for the results
    * @param console stream for figures and claims
    */
-  public static boolean run(String loadFile, String address, long seed, Path out, PrintStream console)
+  public static boolean run(
+      String loadFile, String address, long seed, Path out, PrintStream console)
       throws IOException, InterruptedException {
     LoadFile load = LoadFile.read(loadFile);
-    OpenLoop generator = new OpenLoop(load, TextFile.loopback("--to", address), seed);
-    generator.play();
+    OpenLoopGenerator generator =
+        new OpenLoopGenerator(load, LabInput.loopbackAddress("--to", address), seed);
+    generator.run();
     Map<String, Double> figures = generator.figures();
     Files.createDirectories(out);
     StringBuilder csv = new StringBuilder("second,tasks,share,latency_ms_p50,latency_ms_p99\n");
-    for (Map.Entry<Long, Latencies.Window> second : generator.latencies().seconds().entrySet()) {
-      Latencies.Window window = second.getValue();
+    for (Map.Entry<Long, LatencyStatistics.Totals> second :
+        generator.latencies().seconds().entrySet()) {
+      LatencyStatistics.Totals window = second.getValue();
       csv.append(second.getKey())
           .append(',')
           .append(window.tasks())
           .append(',')
-          .append(Claims.shown(window.share()))
+          .append(ClaimEvaluator.format(window.share()))
           .append(',')
-          .append(Claims.shown(window.latency(50) / 1e6))
+          .append(ClaimEvaluator.format(window.latency(50) / 1e6))
           .append(',')
-          .append(Claims.shown(window.latency(99) / 1e6))
+          .append(ClaimEvaluator.format(window.latency(99) / 1e6))
           .append('\n');
     }
     Files.writeString(out.resolve("seconds.csv"), csv);
-    console.println(generator.punctuality().said());
-    if (generator.punctuality().isVoid()) {
+    console.println(generator.sendDelays().summary());
+    if (generator.sendDelays().isVoid()) {
       return false;
     }
-    figures.forEach((figure, value) -> console.printf("%-34s %s%n", figure, Claims.shown(value)));
-    List<Claims.Judged> results = Claims.judge(load.load.getClaimsList(), figures);
+    figures.forEach(
+        (figure, value) -> console.printf("%-34s %s%n", figure, ClaimEvaluator.format(value)));
+    List<ClaimEvaluator.ClaimResult> results =
+        ClaimEvaluator.evaluate(load.definition.getClaimsList(), figures);
     results.forEach(
         result ->
             console.printf(
                 "%-34s %-14s %-14s %s%n",
-                result.figure(), result.bound(), result.measured(), result.held() ? "held" : "NOT HELD"));
-    return results.stream().allMatch(Claims.Judged::held);
+                result.figure(),
+                result.bound(),
+                result.measured(),
+                result.held() ? "held" : "NOT HELD"));
+    return results.stream().allMatch(ClaimEvaluator.ClaimResult::held);
   }
 }
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -1,10 +1,10 @@
 package tansytrack.lab;
 
 import java.util.List;
-import tansytrack.lab.load.Behaviour;
-import tansytrack.lab.load.Mix;
-import tansytrack.lab.load.Schedule;
-import tansytrack.lab.load.Shape;
+import tansytrack.lab.load.ArrivalSchedule;
+import tansytrack.lab.load.RateShape;
+import tansytrack.lab.load.RetryBehaviour;
+import tansytrack.lab.load.TaskMix;
 import tansytrack.lab.proto.Clients;
 import tansytrack.lab.proto.Load;
 import tansytrack.lab.proto.LoadGrade;
@@ -14,112 +14,122 @@
 /** A validated load definition. */
 final class LoadFile {
 
-  private static final long MS = 1_000_000L;
-  private static final double MOST_RATE = 100_000;
+  private static final long NANOS_PER_MS = 1_000_000L;
+  private static final double MAX_RATE_PER_SECOND = 100_000;
 
-  final Load load;
+  final Load definition;
   private final String file;
 
   private LoadFile(String file, Load load) {
     this.file = file;
-    this.load = load;
+    this.definition = load;
   }
 
   /** Reads a file in protobuf text format. */
   static LoadFile read(String file) {
-    return of(file, TextFile.text(file));
+    return parse(file, LabInput.read(file));
   }
 
   /** Parses a text; the file's name stands in error messages. */
-  static LoadFile of(String file, String text) {
-    LoadFile read = new LoadFile(file, TextFile.parsed(file, text, Load.newBuilder()).build());
-    read.check();
+  static LoadFile parse(String file, String text) {
+    LoadFile read = new LoadFile(file, LabInput.parse(file, text, Load.newBuilder()).build());
+    read.validate();
     return read;
   }
 
   /** A load that is part of another file. */
-  static LoadFile checked(String file, Load load) {
+  static LoadFile validated(String file, Load load) {
     LoadFile read = new LoadFile(file, load);
-    read.check();
+    read.validate();
     return read;
   }
 
-  private void check() {
-    bounded("seconds", load.getSeconds(), 1, 86_400);
-    bounded("sum: number of parts", load.getSumCount(), 1, 100);
-    bounded("tenants: number", load.getTenantsCount(), 1, 100_000);
-    bounded("grades: number", load.getGradesCount(), 1, 100);
-    bounded("data_sets", load.getDataSets(), 1, 1_000_000);
-    bounded("clients.most_connections", load.getClients().getMostConnections(), 1, 4096);
-    bounded("clients.most_retries", load.getClients().getMostRetries(), 0, 1000);
-    bounded("late_ms", load.getLateMs(), 1, 10_000);
-    bounded("late_part", load.getLatePart(), 0, 1);
-    for (LoadGrade queryClass : load.getGradesList()) {
-      bounded("grades." + queryClass.getName() + ".median_cost_ms", queryClass.getMedianCostMs(), 0.001, 1e9);
-      bounded("grades." + queryClass.getName() + ".spread", queryClass.getSpread(), 0, 5);
-      bounded("grades." + queryClass.getName() + ".wait_ms", queryClass.getWaitMs(), 1, 600_000);
-      bounded(
+  private void validate() {
+    requireRange("seconds", definition.getSeconds(), 1, 86_400);
+    requireRange("sum: number of parts", definition.getSumCount(), 1, 100);
+    requireRange("tenants: number", definition.getTenantsCount(), 1, 100_000);
+    requireRange("grades: number", definition.getGradesCount(), 1, 100);
+    requireRange("data_sets", definition.getDataSets(), 1, 1_000_000);
+    requireRange("clients.most_connections", definition.getClients().getMostConnections(), 1, 4096);
+    requireRange("clients.most_retries", definition.getClients().getMostRetries(), 0, 1000);
+    requireRange("late_ms", definition.getLateMs(), 1, 10_000);
+    requireRange("late_part", definition.getLatePart(), 0, 1);
+    for (LoadGrade queryClass : definition.getGradesList()) {
+      requireRange(
+          "grades." + queryClass.getName() + ".median_cost_ms",
+          queryClass.getMedianCostMs(),
+          0.001,
+          1e9);
+      requireRange("grades." + queryClass.getName() + ".spread", queryClass.getSpread(), 0, 5);
+      requireRange(
+          "grades." + queryClass.getName() + ".wait_ms", queryClass.getWaitMs(), 1, 600_000);
+      requireRange(
           "grades." + queryClass.getName() + ".promised_ms",
           queryClass.getPromisedMs(),
           1,
           queryClass.getWaitMs());
     }
-    bounded("sum: highest rate", shape().most(), 0, MOST_RATE);
+    requireRange("sum: highest rate", shape().maxRate(), 0, MAX_RATE_PER_SECOND);
   }
 
-  private void bounded(String field, double value, double min, double max) {
-    TextFile.bounded(file, field, value, min, max);
+  private void requireRange(String field, double value, double min, double max) {
+    LabInput.requireRange(file, field, value, min, max);
   }
 
-  private Shape shape() {
-    Shape product = new Shape.Sum(load.getSumList().stream().map(this::part).toList());
-    for (Part factor : load.getTimesList()) {
-      product = new Shape.Product(product, part(factor));
+  private RateShape shape() {
+    RateShape product =
+        new RateShape.Sum(definition.getSumList().stream().map(this::part).toList());
+    for (Part factor : definition.getTimesList()) {
+      product = new RateShape.Product(product, part(factor));
     }
     return product;
   }
 
-  private Shape part(Part part) {
+  private RateShape part(Part part) {
     return switch (part.getShapeCase()) {
-      case CONSTANT -> new Shape.Constant(part.getConstant());
+      case CONSTANT -> new RateShape.Constant(part.getConstant());
       case RAMP ->
-          new Shape.Ramp(
+          new RateShape.Ramp(
               part.getRamp().getFrom(),
               part.getRamp().getTo(),
-              part.getRamp().getBeginsMs() * MS,
-              part.getRamp().getEndsMs() * MS);
+              part.getRamp().getBeginsMs() * NANOS_PER_MS,
+              part.getRamp().getEndsMs() * NANOS_PER_MS);
       case STEPS -> {
-        bounded("steps.rates: number", part.getSteps().getRatesCount(), 1, 10_000);
-        bounded("steps.each_ms", (double) part.getSteps().getEachMs(), 1, 86_400_000);
-        yield new Shape.Steps(
-            List.copyOf(part.getSteps().getRatesList()), part.getSteps().getEachMs() * MS);
+        requireRange("steps.rates: number", part.getSteps().getRatesCount(), 1, 10_000);
+        requireRange("steps.each_ms", (double) part.getSteps().getEachMs(), 1, 86_400_000);
+        yield new RateShape.Steps(
+            List.copyOf(part.getSteps().getRatesList()),
+            part.getSteps().getEachMs() * NANOS_PER_MS);
       }
       case BURSTS -> {
-        bounded("bursts.every_ms", (double) part.getBursts().getEveryMs(), 1, 86_400_000);
-        yield new Shape.Bursts(
+        requireRange("bursts.every_ms", (double) part.getBursts().getEveryMs(), 1, 86_400_000);
+        yield new RateShape.Bursts(
             part.getBursts().getRate(),
-            part.getBursts().getEveryMs() * MS,
-            part.getBursts().getLastsMs() * MS,
-            part.getBursts().getFirstMs() * MS);
+            part.getBursts().getEveryMs() * NANOS_PER_MS,
+            part.getBursts().getLastsMs() * NANOS_PER_MS,
+            part.getBursts().getFirstMs() * NANOS_PER_MS);
       }
       case WAVE -> {
-        bounded("wave.day_ms", (double) part.getWave().getDayMs(), 1, 86_400_000);
-        yield new Shape.Wave(
-            part.getWave().getLeast(), part.getWave().getMost(), part.getWave().getDayMs() * MS);
+        requireRange("wave.day_ms", (double) part.getWave().getDayMs(), 1, 86_400_000);
+        yield new RateShape.Wave(
+            part.getWave().getLeast(),
+            part.getWave().getMost(),
+            part.getWave().getDayMs() * NANOS_PER_MS);
       }
       case FESTIVAL -> {
-        bounded("festival.halves_ms", (double) part.getFestival().getHalvesMs(), 1, 86_400_000);
-        bounded(
+        requireRange(
+            "festival.halves_ms", (double) part.getFestival().getHalvesMs(), 1, 86_400_000);
+        requireRange(
             "festival.fullest_ms",
             (double) part.getFestival().getFullestMs(),
             (double) (part.getFestival().getOpensMs() + 1),
             86_400_000);
-        yield new Shape.Festival(
+        yield new RateShape.Festival(
             part.getFestival().getCalm(),
             part.getFestival().getPeak(),
-            part.getFestival().getOpensMs() * MS,
-            part.getFestival().getFullestMs() * MS,
-            part.getFestival().getHalvesMs() * MS);
+            part.getFestival().getOpensMs() * NANOS_PER_MS,
+            part.getFestival().getFullestMs() * NANOS_PER_MS,
+            part.getFestival().getHalvesMs() * NANOS_PER_MS);
       }
       default ->
           throw new InvalidInputException(
@@ -130,16 +140,16 @@
   }
 
   /** The arrivals of the load for a seed. */
-  Schedule schedule(long seed) {
-    Mix mix =
-        new Mix(
-            load.getTenantsList().stream()
-                .map(item -> new Mix.Weighted(item.getName(), item.getWeight()))
+  ArrivalSchedule schedule(long seed) {
+    TaskMix mix =
+        new TaskMix(
+            definition.getTenantsList().stream()
+                .map(item -> new TaskMix.Weighted(item.getName(), item.getWeight()))
                 .toList(),
-            load.getGradesList().stream()
+            definition.getGradesList().stream()
                 .map(
                     item ->
-                        new Mix.GradeLoad(
+                        new TaskMix.ClassLoad(
                             item.getName(),
                             item.getWeight(),
                             item.getMedianCostMs(),
@@ -147,28 +157,33 @@
                             item.getMemoryMb(),
                             item.getKeys()))
                 .toList(),
-            load.getDataSets(),
-            load.getZipfExponent(),
-            load.getHotMovesEveryMs() * MS);
-    return new Schedule(shape(), mix, load.getSeconds() * Shape.SECOND, load.getEven(), seed);
+            definition.getDataSets(),
+            definition.getZipfExponent(),
+            definition.getHotMovesEveryMs() * NANOS_PER_MS);
+    return new ArrivalSchedule(
+        shape(),
+        mix,
+        definition.getSeconds() * RateShape.NANOS_PER_SECOND,
+        definition.getEven(),
+        seed);
   }
 
   /** The query class of that name, which must exist. */
-  LoadGrade grade(String name) {
-    return load.getGradesList().stream()
+  LoadGrade queryClass(String name) {
+    return definition.getGradesList().stream()
         .filter(item -> item.getName().equals(name))
         .findFirst()
         .orElseThrow();
   }
 
   /** How clients retry tasks of a query class. */
-  Behaviour behaviour(LoadGrade queryClass) {
-    Clients clients = load.getClients();
-    return new Behaviour(
-        queryClass.getWaitMs() * MS,
+  RetryBehaviour retryBehaviour(LoadGrade queryClass) {
+    Clients clients = definition.getClients();
+    return new RetryBehaviour(
+        queryClass.getWaitMs() * NANOS_PER_MS,
         clients.getMostRetries(),
         clients.getHeedsAfter(),
-        Math.max(1, clients.getFirstPauseMs()) * MS,
+        Math.max(1, clients.getFirstPauseMs()) * NANOS_PER_MS,
         Math.max(1, clients.getPauseGrows()),
         clients.getPauseJitter());
   }
--- a/src/main/java/tansytrack/lab/ManagerProcess.java
+++ b/src/main/java/tansytrack/lab/ManagerProcess.java
@@ -16,7 +16,7 @@
 /** A manager as a process, with its files in a folder; it can be killed and started again. */
 final class ManagerProcess implements AutoCloseable {
 
-  private static final long PATIENCE_MS = 20_000;
+  private static final long START_STOP_TIMEOUT_MS = 20_000;
   private static final String SETTINGS =
       "{\"siblings\":1,\"skus\":[\"k\"],\"extra\":{\"cpu_of_kind\":[8],"
           + "\"memory_by_kind_mb\":[8192],"
@@ -37,13 +37,17 @@
 
   final String name;
   final Path folder;
-  final InetSocketAddress listen;
+  final InetSocketAddress listenAddress;
   private Process process;
   private String jar;
-  private int starts;
+  private int startCount;
 
   ManagerProcess(
-      String name, Path folder, StandInChannel channel, boolean forwardsWait, boolean answersWait)
+      String name,
+      Path folder,
+      FakeCommandChannel channel,
+      boolean forwardsWait,
+      boolean answersWait)
       throws IOException {
     this(
         name,
@@ -62,9 +66,9 @@
   }
 
   /** A manager with that text as its operator file, at a free port of that address. */
-  ManagerProcess(String name, Path folder, StandInChannel channel, String host, String operator)
+  ManagerProcess(String name, Path folder, FakeCommandChannel channel, String host, String operator)
       throws IOException {
-    this(name, folder, channel.address(), channel.known(), host, operator, SETTINGS);
+    this(name, folder, channel.address(), channel.knownEvents(), host, operator, SETTINGS);
   }
 
   /** A manager with its own settings and with the command channel at that address. */
@@ -80,7 +84,7 @@
     this.name = name;
     this.folder = Files.createDirectories(folder);
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(host))) {
-      listen = new InetSocketAddress(host, free.getLocalPort());
+      listenAddress = new InetSocketAddress(host, free.getLocalPort());
     }
     Files.writeString(
         folder.resolve("config.json"),
@@ -89,7 +93,7 @@
             + "\",\"listen\":\""
             + host
             + ':'
-            + listen.getPort()
+            + listenAddress.getPort()
             + "\",\"seed\":\""
             + Integer.toHexString(name.hashCode())
             + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"channel\":\""
@@ -124,11 +128,11 @@
                         + engine.getWindowMs()));
   }
 
-  Path ledger() {
+  Path ledgerFolder() {
     return folder.resolve("ledger");
   }
 
-  Path exports() {
+  Path exportFolder() {
     return folder.resolve("out");
   }
 
@@ -137,12 +141,12 @@
   }
 
   /** Sets the jar that later starts run from; null: this program. */
-  void version(String jar) {
+  void useJar(String jar) {
     this.jar = jar;
   }
 
   /** Starts this program with these arguments; its output is appended to a file in the folder. */
-  Process program(String log, String... arguments) throws IOException {
+  Process startProgram(String log, String... arguments) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -166,21 +170,21 @@
   /** Starts the manager and waits until it listens. */
   void start() throws IOException, InterruptedException {
     launch();
-    listens();
+    awaitListening();
   }
 
   /** Starts the manager without waiting. */
   void launch() throws IOException {
-    String log = "manager-" + ++starts + ".log";
+    String log = "manager-" + ++startCount + ".log";
     // An earlier run in the same folder may have left it.
     Files.deleteIfExists(folder.resolve(log));
-    process = program(log, "serve", "--operator", operatorFile().toString());
+    process = startProgram(log, "serve", "--operator", operatorFile().toString());
   }
 
   /** Waits until the manager listens. */
-  void listens() throws IOException, InterruptedException {
-    String log = "manager-" + starts + ".log";
-    long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000;
+  void awaitListening() throws IOException, InterruptedException {
+    String log = "manager-" + startCount + ".log";
+    long deadline = System.nanoTime() + START_STOP_TIMEOUT_MS * 1_000_000;
     while (!Files.readString(folder.resolve(log), StandardCharsets.UTF_8).contains("listens at")) {
       if (!process.isAlive() || System.nanoTime() > deadline) {
         throw new IOException(name + " does not start: " + Files.readString(folder.resolve(log)));
@@ -200,9 +204,9 @@
   }
 
   /** The log lines of all starts. */
-  List<String> lines() throws IOException {
+  List<String> logLines() throws IOException {
     List<String> lines = new ArrayList<>();
-    for (int i = 1; i <= starts; i++) {
+    for (int i = 1; i <= startCount; i++) {
       lines.addAll(
           Files.readAllLines(folder.resolve("manager-" + i + ".log"), StandardCharsets.UTF_8));
     }
@@ -212,7 +216,7 @@
   /** Stops the manager (SIGTERM); false if it had to be killed. */
   boolean stop() throws InterruptedException {
     process.destroy();
-    if (process.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+    if (process.waitFor(START_STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       return true;
     }
     kill();
@@ -220,15 +224,15 @@
   }
 
   /** Starts an export of the ledger. */
-  Process export() throws IOException {
-    return program(
+  Process startExport() throws IOException {
+    return startProgram(
         "export.log",
         "ledger",
         "export",
         "--ledger",
-        ledger().toString(),
+        ledgerFolder().toString(),
         "--to",
-        exports().toString());
+        exportFolder().toString());
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/ProgressLine.java
+++ b/src/main/java/tansytrack/lab/ProgressLine.java
@@ -7,25 +7,25 @@
 /** Prints the progress of a run and its estimated remaining time at intervals. */
 final class ProgressLine implements ScaleWorld.Progress {
 
-  private static final long EVERY = 5_000_000_000L;
+  private static final long INTERVAL_NANOS = 5_000_000_000L;
 
-  private final String what;
+  private final String label;
   private final PrintStream to;
-  private final long from = System.nanoTime();
-  private long said = from;
+  private final long startNanos = System.nanoTime();
+  private long lastPrintedNanos = startNanos;
 
   ProgressLine(String label, PrintStream to) {
-    this.what = label;
+    this.label = label;
     this.to = to;
   }
 
   @Override
   public void at(double fraction) {
     long now = System.nanoTime();
-    if (now - said >= EVERY && fraction > 0 && fraction < 1) {
-      said = now;
-      double remainingSeconds = (now - from) / 1e9 * (1 - fraction) / fraction;
-      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", what, fraction * 100, remainingSeconds);
+    if (now - lastPrintedNanos >= INTERVAL_NANOS && fraction > 0 && fraction < 1) {
+      lastPrintedNanos = now;
+      double remainingSeconds = (now - startNanos) / 1e9 * (1 - fraction) / fraction;
+      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", label, fraction * 100, remainingSeconds);
     }
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -20,14 +20,15 @@
 
   /** Draws the work of each engine over the mean, sorted by work. */
   static void work(ScaleResult result, Path folder) throws IOException {
-    double[] work = result.engines().stream().mapToDouble(engine -> engine.work()).sorted().toArray();
+    double[] work =
+        result.engines().stream().mapToDouble(engine -> engine.work()).sorted().toArray();
     double mean = IntStream.range(0, work.length).mapToDouble(i -> work[i]).average().orElse(1);
     double[] relative = new double[work.length];
     for (int i = 0; i < work.length; i++) {
       relative[i] = work[i] / Math.max(1, mean);
     }
     XYChart chart = chart("Work over the engines", "engines, least work first", "work over mean");
-    chart.addSeries("work", numbers(relative.length), relative).setMarker(SeriesMarkers.NONE);
+    chart.addSeries("work", indices(relative.length), relative).setMarker(SeriesMarkers.NONE);
     save(chart, folder.resolve("work.png"));
   }
 
@@ -35,7 +36,7 @@
   static void inTime(ScaleResult result, Path folder) throws IOException {
     double[] shares = result.inTimeShares();
     XYChart chart = chart("Answered in time", "second in which statements came", "share");
-    chart.addSeries("in time", numbers(shares.length), shares).setMarker(SeriesMarkers.NONE);
+    chart.addSeries("in time", indices(shares.length), shares).setMarker(SeriesMarkers.NONE);
     save(chart, folder.resolve("in-time.png"));
   }
 
@@ -53,7 +54,7 @@
     save(chart, folder.resolve("slopes.png"));
   }
 
-  private static double[] numbers(int count) {
+  private static double[] indices(int count) {
     return IntStream.range(0, count).asDoubleStream().toArray();
   }
 
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -26,19 +26,19 @@
   }
 
   /** Throws an exception that names the first field that cannot be used. */
-  static void checked(String file, Experiment experiment) {
-    TextFile.bounded(file, "runs", experiment.getRuns(), 1, 1000);
+  static void validate(String file, Experiment experiment) {
+    LabInput.requireRange(file, "runs", experiment.getRuns(), 1, 1000);
     for (ScalePart part : experiment.getScaleList()) {
       if (part.getName().isEmpty()) {
         throw new InvalidInputException(file + ": scale.name: ''; allowed: a name");
       }
-      TextFile.bounded(file, "scale.managers", part.getManagers(), 1, Integer.MAX_VALUE);
-      TextFile.bounded(file, "scale.engines", part.getEngines(), 1, Integer.MAX_VALUE);
-      TextFile.bounded(file, "scale.zones", part.getZones(), 1, part.getEngines());
-      TextFile.bounded(file, "scale.seconds", part.getSeconds(), 1, 3600);
-      TextFile.bounded(file, "scale.rate", part.getRate(), 0.01, 10_000);
+      LabInput.requireRange(file, "scale.managers", part.getManagers(), 1, Integer.MAX_VALUE);
+      LabInput.requireRange(file, "scale.engines", part.getEngines(), 1, Integer.MAX_VALUE);
+      LabInput.requireRange(file, "scale.zones", part.getZones(), 1, part.getEngines());
+      LabInput.requireRange(file, "scale.seconds", part.getSeconds(), 1, 3600);
+      LabInput.requireRange(file, "scale.rate", part.getRate(), 0.01, 10_000);
       ScaleTable.schedule(file + ": scale.schedule", scheduleName(part));
-      ScaleTable.checked(plan(part, 0));
+      ScaleTable.validate(plan(part, 0));
     }
     if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
@@ -61,12 +61,12 @@
   }
 
   /** Runs all parts and returns their figures, prefixed with the part's name. */
-  Map<String, Double> play() {
+  Map<String, Double> run() {
     for (ScalePart part : experiment.getScaleList()) {
-      ScaleMemory.checked(
+      ScaleMemory.requireMemory(
           plan(part, seed),
           factory,
-          ScaleMemory.limit(),
+          ScaleMemory.limitBytes(),
           (double) Runtime.getRuntime().maxMemory());
     }
     Map<String, Double> figures = new TreeMap<>();
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -12,40 +12,42 @@
 /** Rejects scale runs that would not fit into the memory of this machine or process. */
 final class ScaleMemory {
 
-  private static final double MIB = 1024.0 * 1024;
-  private static final double PART_OF_MACHINE = 0.5;
+  private static final double BYTES_PER_MIB = 1024.0 * 1024;
+  private static final double MACHINE_MEMORY_FRACTION = 0.5;
 
   private ScaleMemory() {}
 
   /** The memory that scale runs may use, in bytes: half of this machine's. */
-  static double limit() {
+  static double limitBytes() {
     OperatingSystemMXBean machine =
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    return machine.getTotalMemorySize() * PART_OF_MACHINE;
+    return machine.getTotalMemorySize() * MACHINE_MEMORY_FRACTION;
   }
 
   /** Rejects a plan that needs more bytes than the limit or the maximum heap of this process. */
-  static void checked(ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
+  static void requireMemory(
+      ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
     String sizes = plan.managers() + " managers x " + plan.engines() + " engines";
     double minimum = MemoryNeed.of(plan, 0);
-    refused(sizes, 0, minimum, limit);
+    rejectAbove(sizes, 0, minimum, limit);
     double enginesPerManager = PairSample.enginesPerManager(plan, factory);
     double need = MemoryNeed.of(plan, enginesPerManager);
-    refused(sizes, enginesPerManager, need, limit);
+    rejectAbove(sizes, enginesPerManager, need, limit);
     if (need > processLimit) {
       throw new InvalidInputException(
           sizes
               + ": need "
-              + mib(need)
+              + toMib(need)
               + " MiB of heap, this process may take "
-              + mib(processLimit)
+              + toMib(processLimit)
               + "; start it with java -Xmx"
-              + mib(need)
+              + toMib(need)
               + "m");
     }
   }
 
-  private static void refused(String sizes, double enginesPerManager, double need, double limit) {
+  private static void rejectAbove(
+      String sizes, double enginesPerManager, double need, double limit) {
     if (need > limit) {
       throw new InvalidInputException(
           String.format(
@@ -53,14 +55,14 @@
               "--managers, --engines: '%s' need %s MiB (%.0f engines held by a manager,"
                   + " %.0f bytes a pair); allowed: half of this machine's memory, %s MiB",
               sizes,
-              mib(need),
+              toMib(need),
               enginesPerManager,
               MemoryNeed.PAIR,
-              mib(limit)));
+              toMib(limit)));
     }
   }
 
-  private static String mib(double bytes) {
-    return Long.toString((long) Math.ceil(bytes / MIB));
+  private static String toMib(double bytes) {
+    return Long.toString((long) Math.ceil(bytes / BYTES_PER_MIB));
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -22,12 +22,12 @@
 /** Simulates hollow fleets of one size or several, and writes tables, CSV files and charts. */
 public final class ScaleTable {
 
-  private static final double MIB = 1024.0 * 1024;
-  private static final int MOST_THREADS = 64;
-  private static final String HEAP = "heap_bytes";
+  private static final double BYTES_PER_MIB = 1024.0 * 1024;
+  private static final int MAX_THREADS = 64;
+  private static final String HEAP_FIGURE = "heap_bytes";
 
   /** What grows from size to size; the constants are values of {@code --grow}. */
-  public enum Grows {
+  public enum Dimension {
     MANAGERS,
     ENGINES,
     BOTH
@@ -40,7 +40,7 @@
    * @param factor ratio of two successive sizes
    * @param grows what grows
    */
-  public record Ladder(int sizes, int factor, Grows grows) {}
+  public record SizeSeries(int sizes, int factor, Dimension dimension) {}
 
   private final ModuleFactory factory;
   private final Workers workers;
@@ -67,49 +67,49 @@
    */
   public static void run(
       ScalePlan largest,
-      Ladder series,
+      SizeSeries series,
       ModuleFactory factory,
       int threads,
       Path out,
       PrintStream to,
       PrintStream progress)
       throws IOException {
-    bounded("--threads", threads, 1, MOST_THREADS);
-    try (WorkerThreads workers = new WorkerThreads(threads)) {
+    requireRange("--threads", threads, 1, MAX_THREADS);
+    try (ThreadPoolWorkers workers = new ThreadPoolWorkers(threads)) {
       new ScaleTable(factory, threads == 1 ? Workers.ALONE : workers, to, progress)
           .run(largest, series, out);
     }
   }
 
   /** Rejects a plan that cannot be used, naming the option, its value and what is allowed. */
-  public static void checked(ScalePlan plan) {
-    bounded("--managers", plan.managers(), 1, Integer.MAX_VALUE);
-    bounded("--engines", plan.engines(), 1, Integer.MAX_VALUE);
-    bounded("--zones", plan.zones(), 1, plan.engines());
-    bounded("--seconds", plan.seconds(), 1, 3600);
-    bounded("--rate", plan.rate(), 0.01, 10_000);
+  public static void validate(ScalePlan plan) {
+    requireRange("--managers", plan.managers(), 1, Integer.MAX_VALUE);
+    requireRange("--engines", plan.engines(), 1, Integer.MAX_VALUE);
+    requireRange("--zones", plan.zones(), 1, plan.engines());
+    requireRange("--seconds", plan.seconds(), 1, 3600);
+    requireRange("--rate", plan.rate(), 0.01, 10_000);
     if (plan.meanCost() < ScalePlan.LEAST_COST) {
       throw new InvalidInputException(
           String.format(
               Locale.ROOT,
               "--rate '%s': statements of %d ns would fill the engines;"
                   + " allowed: at most %.1f at this size",
-              Claims.shown(plan.rate()),
+              ClaimEvaluator.format(plan.rate()),
               plan.meanCost(),
               plan.rate() * plan.meanCost() / ScalePlan.LEAST_COST));
     }
   }
 
-  private static void bounded(String option, double value, double min, double max) {
+  private static void requireRange(String option, double value, double min, double max) {
     if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           option
               + " '"
-              + Claims.shown(value)
+              + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + Claims.shown(min)
+              + ClaimEvaluator.format(min)
               + " to "
-              + Claims.shown(max));
+              + ClaimEvaluator.format(max));
     }
   }
 
@@ -123,61 +123,62 @@
   }
 
   /** The plans of a series, the smallest first. */
-  static List<ScalePlan> rungs(ScalePlan largest, Ladder series) {
-    bounded("--sizes", series.sizes(), 1, 20);
+  static List<ScalePlan> plans(ScalePlan largest, SizeSeries series) {
+    requireRange("--sizes", series.sizes(), 1, 20);
     if (series.sizes() > 1) {
-      bounded("--sizes", series.sizes(), Slope.LEAST_SIZES, 20);
-      bounded("--factor", series.factor(), 2, 100);
+      requireRange("--sizes", series.sizes(), Slope.LEAST_SIZES, 20);
+      requireRange("--factor", series.factor(), 2, 100);
     }
     List<ScalePlan> plans = new ArrayList<>();
     for (int i = series.sizes() - 1; i >= 0; i--) {
       double divisor = Math.pow(series.factor(), i);
-      double managers = series.grows() == Grows.ENGINES ? 1 : divisor;
-      double engines = series.grows() == Grows.MANAGERS ? 1 : divisor;
+      double managers = series.dimension() == Dimension.ENGINES ? 1 : divisor;
+      double engines = series.dimension() == Dimension.MANAGERS ? 1 : divisor;
       ScalePlan plan =
           largest.sized(
               (int) Math.round(largest.managers() / managers),
               (int) Math.round(largest.engines() / engines));
-      checked(plan);
+      validate(plan);
       plans.add(plan);
     }
     return plans;
   }
 
   /** Simulates all sizes; nothing starts if one of them does not fit into memory. */
-  private void run(ScalePlan largest, Ladder series, Path out) throws IOException {
-    List<ScalePlan> plans = rungs(largest, series);
+  private void run(ScalePlan largest, SizeSeries series, Path out) throws IOException {
+    List<ScalePlan> plans = plans(largest, series);
     for (ScalePlan plan : plans) {
       double heap = (double) Runtime.getRuntime().maxMemory();
-      ScaleMemory.checked(plan, factory, ScaleMemory.limit(), heap);
+      ScaleMemory.requireMemory(plan, factory, ScaleMemory.limitBytes(), heap);
     }
     Files.createDirectories(out);
     List<ScaleResult> results = new ArrayList<>();
     List<Double> heaps = new ArrayList<>();
     for (ScalePlan plan : plans) {
-      Path folder = plans.size() == 1 ? out : out.resolve(size(plan));
+      Path folder = plans.size() == 1 ? out : out.resolve(sizeLabel(plan));
       Files.createDirectories(folder);
-      heaps.add(played(plan, folder, results));
+      heaps.add(runSize(plan, folder, results));
     }
-    table(results);
-    Files.writeString(out.resolve("result.csv"), csv(results));
+    printTable(results);
+    Files.writeString(out.resolve("result.csv"), resultCsv(results));
     if (plans.size() > 1) {
-      slopes(results, heaps, series, out);
+      writeSlopes(results, heaps, series, out);
     }
   }
 
-  private static String size(ScalePlan plan) {
+  private static String sizeLabel(ScalePlan plan) {
     return plan.managers() + "x" + plan.engines();
   }
 
   /** Simulates one size; returns the heap that its managers hold at the end, in bytes. */
-  private double played(ScalePlan plan, Path folder, List<ScaleResult> results) throws IOException {
+  private double runSize(ScalePlan plan, Path folder, List<ScaleResult> results)
+      throws IOException {
     long startNanos = System.nanoTime();
     ScaleWorld world = new ScaleWorld(plan, factory, workers);
-    double before = usedHeap();
-    world.play(new ProgressLine(size(plan), progress));
+    double before = usedHeapBytes();
+    world.play(new ProgressLine(sizeLabel(plan), progress));
     double seconds = (System.nanoTime() - startNanos) / 1e9;
-    double heap = usedHeap() - before;
+    double heap = usedHeapBytes() - before;
     ScaleResult result = ScaleResult.of(world);
     results.add(result);
     double pairs = result.figures().get(ScaleResult.PAIRS_KNOWN);
@@ -185,54 +186,55 @@
         String.format(
             Locale.ROOT,
             "%s: %.1f s of real time; heap %.0f MiB, %.0f bytes a manager, %.0f bytes a pair",
-            size(plan),
+            sizeLabel(plan),
             seconds,
-            heap / MIB,
+            heap / BYTES_PER_MIB,
             heap / plan.managers(),
             heap / Math.max(1, pairs));
     progress.println(timing);
     Files.writeString(folder.resolve("timing.txt"), timing + "\n");
-    Files.writeString(folder.resolve("engines.csv"), engines(result));
-    Files.writeString(folder.resolve("managers.csv"), managers(result));
+    Files.writeString(folder.resolve("engines.csv"), enginesCsv(result));
+    Files.writeString(folder.resolve("managers.csv"), managersCsv(result));
     ScaleCharts.work(result, folder);
     ScaleCharts.inTime(result, folder);
     return heap;
   }
 
-  private static double usedHeap() {
+  private static double usedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  private void table(List<ScaleResult> results) {
+  private void printTable(List<ScaleResult> results) {
     for (ScaleResult result : results) {
       ScalePlan plan = result.plan();
       to.printf(
           Locale.ROOT,
           "%s, %d zones, schedule %s, seed %d, %d s; thinned: %s statements a second and manager,%n"
               + "%.1f ms of work each on average, %.0f an engine, %.0f%% of all cores%n",
-          size(plan),
+          sizeLabel(plan),
           plan.zones(),
           plan.schedule().text(),
           plan.seed(),
           plan.seconds(),
-          Claims.shown(plan.rate()),
+          ClaimEvaluator.format(plan.rate()),
           plan.meanCost() / 1e6,
           plan.statementsPerEngine(),
           ScalePlan.UTILISATION * 100);
     }
     to.printf("%-28s", "figure");
-    results.forEach(result -> to.printf("%16s", size(result.plan())));
+    results.forEach(result -> to.printf("%16s", sizeLabel(result.plan())));
     to.println();
     for (String name : results.get(0).figures().keySet()) {
       to.printf("%-28s", name);
-      results.forEach(result -> to.printf("%16s", Claims.shown(result.figures().get(name))));
+      results.forEach(
+          result -> to.printf("%16s", ClaimEvaluator.format(result.figures().get(name))));
       to.println();
     }
   }
 
-  private static String csv(List<ScaleResult> results) {
+  private static String resultCsv(List<ScaleResult> results) {
     String names = String.join(",", results.get(0).figures().keySet());
     StringBuilder csv =
         new StringBuilder("managers,engines,zones,seconds,rate,schedule,seed," + names + "\n");
@@ -240,28 +242,39 @@
       ScalePlan plan = result.plan();
       csv.append(plan.managers()).append(',').append(plan.engines()).append(',');
       csv.append(plan.zones()).append(',').append(plan.seconds()).append(',');
-      csv.append(Claims.shown(plan.rate())).append(',').append(plan.schedule().text());
+      csv.append(ClaimEvaluator.format(plan.rate())).append(',').append(plan.schedule().text());
       csv.append(',').append(plan.seed());
-      result.figures().values().forEach(figure -> csv.append(',').append(Claims.shown(figure)));
+      result
+          .figures()
+          .values()
+          .forEach(figure -> csv.append(',').append(ClaimEvaluator.format(figure)));
       csv.append('\n');
     }
     return csv.toString();
   }
 
-  private static String engines(ScaleResult result) {
+  private static String enginesCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("engine,zone,attempts,work_ns,known_by,used_by\n");
     for (ScaleResult.EngineWork engine : result.engines()) {
-      csv.append(engine.id()).append(',').append(engine.zone()).append(',').append(engine.attempts());
+      csv.append(engine.id())
+          .append(',')
+          .append(engine.zone())
+          .append(',')
+          .append(engine.attempts());
       csv.append(',').append(engine.work()).append(',').append(engine.knownBy());
       csv.append(',').append(engine.usedBy()).append('\n');
     }
     return csv.toString();
   }
 
-  private static String managers(ScaleResult result) {
+  private static String managersCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("manager,zone,known,used\n");
     for (ScaleResult.ManagerPairs manager : result.managers()) {
-      csv.append(manager.index()).append(',').append(manager.zone()).append(',').append(manager.known());
+      csv.append(manager.index())
+          .append(',')
+          .append(manager.zone())
+          .append(',')
+          .append(manager.known());
       csv.append(',').append(manager.used()).append('\n');
     }
     return csv.toString();
@@ -271,13 +284,14 @@
    * Fits a power law to each count over the smaller sizes and predicts the largest. Heap goes to a
    * file of its own, as it depends on the machine.
    */
-  private void slopes(List<ScaleResult> results, List<Double> heaps, Ladder series, Path out)
+  private void writeSlopes(
+      List<ScaleResult> results, List<Double> heaps, SizeSeries series, Path out)
       throws IOException {
     double[] sizes =
         results.stream()
             .mapToDouble(
                 result ->
-                    series.grows() == Grows.MANAGERS
+                    series.dimension() == Dimension.MANAGERS
                         ? result.plan().managers()
                         : result.plan().engines())
             .toArray();
@@ -290,14 +304,15 @@
     to.printf(
         "%-28s%10s%16s%16s%10s  %s%n",
         "slope", "exponent", "predicted", "measured", "error", "usable");
-    counts.forEach((name, figures) -> csv.append(slope(to, name, sizes, figures)));
+    counts.forEach((name, figures) -> csv.append(slopeLine(to, name, sizes, figures)));
     Files.writeString(out.resolve("slopes.csv"), csv);
     double[] heap = heaps.stream().mapToDouble(one -> one).toArray();
-    Files.writeString(out.resolve("slope-heap.csv"), header + slope(progress, HEAP, sizes, heap));
+    Files.writeString(
+        out.resolve("slope-heap.csv"), header + slopeLine(progress, HEAP_FIGURE, sizes, heap));
     ScaleCharts.slopes(sizes, counts, out);
   }
 
-  private static String slope(PrintStream to, String name, double[] sizes, double[] figures) {
+  private static String slopeLine(PrintStream to, String name, double[] sizes, double[] figures) {
     if (Arrays.stream(figures).anyMatch(one -> one <= 0)) {
       to.printf("%-28s%s%n", name, "  not over 0 at each size: no fit");
       return name + ",,,,,false\n";
@@ -308,8 +323,8 @@
         "%-28s%10.3f%16s%16s%9.1f%%  %s%n",
         name,
         slope.law().exponent(),
-        Claims.shown(slope.predicted()),
-        Claims.shown(slope.measured()),
+        ClaimEvaluator.format(slope.predicted()),
+        ClaimEvaluator.format(slope.measured()),
         slope.error() * 100,
         slope.usable() ? "yes" : "NO: over 15% off");
     return String.format(
@@ -317,8 +332,8 @@
         "%s,%.4f,%s,%s,%.4f,%s%n",
         name,
         slope.law().exponent(),
-        Claims.shown(slope.predicted()),
-        Claims.shown(slope.measured()),
+        ClaimEvaluator.format(slope.predicted()),
+        ClaimEvaluator.format(slope.measured()),
         slope.error(),
         slope.usable());
   }
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -19,29 +19,32 @@
  */
 final class StreamRelay implements AutoCloseable {
 
-  private static final int LOOK_MS = 5;
-  private static final int MOST = 8192;
+  private static final int FAULT_CHECK_MS = 5;
+  private static final int BUFFER_BYTES = 8192;
 
-  private final Supplier<FaultSchedule.StreamFault> now;
+  private final Supplier<FaultSchedule.StreamFault> activeFault;
   private final InetSocketAddress target;
-  private final InetSocketAddress at;
-  private final List<Socket> open = new ArrayList<>();
+  private final InetSocketAddress listenAddress;
+  private final List<Socket> openSockets = new ArrayList<>();
   private ServerSocket listener;
 
   // Used by several threads; Random is thread-safe.
-  private final Random chance;
+  private final Random random;
 
-  private volatile boolean over;
+  private volatile boolean closed;
 
   StreamRelay(
-      String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> activeFault, long seed)
+      String host,
+      InetSocketAddress target,
+      Supplier<FaultSchedule.StreamFault> activeFault,
+      long seed)
       throws IOException {
-    chance = new Random(seed);
+    random = new Random(seed);
     this.target = target;
-    this.now = activeFault;
+    this.activeFault = activeFault;
     listener = listener(new InetSocketAddress(host, 0));
-    at = (InetSocketAddress) listener.getLocalSocketAddress();
-    StandInEngine.thread(this::watch).start();
+    listenAddress = (InetSocketAddress) listener.getLocalSocketAddress();
+    FakeEngine.daemonThread(this::applyFaults).start();
     accept(listener);
   }
 
@@ -54,16 +57,16 @@
 
   /** The address that it listens at, as host:port. */
   String address() {
-    return at.getAddress().getHostAddress() + ':' + at.getPort();
+    return listenAddress.getAddress().getHostAddress() + ':' + listenAddress.getPort();
   }
 
   private void accept(ServerSocket listener) {
-    StandInEngine.thread(
+    FakeEngine.daemonThread(
             () -> {
               try {
                 while (true) {
                   Socket connection = listener.accept();
-                  StandInEngine.thread(() -> carry(connection)).start();
+                  FakeEngine.daemonThread(() -> relay(connection)).start();
                 }
               } catch (IOException e) {
                 // The listener was closed.
@@ -72,27 +75,28 @@
         .start();
   }
 
-  private boolean is(FaultSchedule.StreamFaultKind kind) {
-    FaultSchedule.StreamFault fault = now.get();
+  private boolean isActive(FaultSchedule.StreamFaultKind kind) {
+    FaultSchedule.StreamFault fault = activeFault.get();
     return fault != null && fault.kind() == kind;
   }
 
   /** Resets connections and closes or reopens the listener while the schedule says so. */
-  private void watch() {
+  private void applyFaults() {
     boolean refused = false;
     try {
-      while (!over) {
-        Thread.sleep(LOOK_MS);
-        if (is(FaultSchedule.StreamFaultKind.RESET) || is(FaultSchedule.StreamFaultKind.REFUSED)) {
-          reset();
+      while (!closed) {
+        Thread.sleep(FAULT_CHECK_MS);
+        if (isActive(FaultSchedule.StreamFaultKind.RESET)
+            || isActive(FaultSchedule.StreamFaultKind.REFUSED)) {
+          resetConnections();
         }
-        if (is(FaultSchedule.StreamFaultKind.REFUSED) != refused) {
+        if (isActive(FaultSchedule.StreamFaultKind.REFUSED) != refused) {
           refused = !refused;
           synchronized (this) {
             if (refused) {
               listener.close();
-            } else if (!over) {
-              listener = listener(at);
+            } else if (!closed) {
+              listener = listener(listenAddress);
               accept(listener);
             }
           }
@@ -101,13 +105,13 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException e) {
-      throw new IllegalStateException("a relay cannot listen again at " + at, e);
+      throw new IllegalStateException("a relay cannot listen again at " + listenAddress, e);
     }
   }
 
-  private void reset() {
-    synchronized (open) {
-      for (Socket socket : open) {
+  private void resetConnections() {
+    synchronized (openSockets) {
+      for (Socket socket : openSockets) {
         try {
           socket.setSoLinger(true, 0);
           socket.close();
@@ -115,23 +119,23 @@
           // it is closed
         }
       }
-      open.clear();
+      openSockets.clear();
     }
   }
 
-  private void carry(Socket client) {
+  private void relay(Socket client) {
     try (client;
         Socket server = new Socket()) {
       client.setTcpNoDelay(true);
       server.setTcpNoDelay(true);
       server.connect(target);
-      synchronized (open) {
-        open.add(client);
-        open.add(server);
+      synchronized (openSockets) {
+        openSockets.add(client);
+        openSockets.add(server);
       }
-      Thread responses = StandInEngine.thread(() -> pump(server, client, false));
+      Thread responses = FakeEngine.daemonThread(() -> copy(server, client, false));
       responses.start();
-      pump(client, server, true);
+      copy(client, server, true);
       responses.join();
     } catch (IOException e) {
       // The target refused the connection; the client's connection is closed.
@@ -140,29 +144,29 @@
     }
   }
 
-  private void pump(Socket from, Socket to, boolean isRequest) {
-    byte[] bytes = new byte[MOST];
+  private void copy(Socket from, Socket to, boolean isRequest) {
+    byte[] bytes = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-        FaultSchedule.StreamFault fault = now.get();
+        FaultSchedule.StreamFault fault = activeFault.get();
         if (fault != null && fault.kind() == FaultSchedule.StreamFaultKind.SLOW) {
           Thread.sleep(fault.delayNanos() / 1_000_000);
         }
-        while (is(FaultSchedule.StreamFaultKind.SILENT) && !over) {
-          Thread.sleep(LOOK_MS);
+        while (isActive(FaultSchedule.StreamFaultKind.SILENT) && !closed) {
+          Thread.sleep(FAULT_CHECK_MS);
         }
         if (isRequest
             && fault != null
             && fault.kind() == FaultSchedule.StreamFaultKind.FLAKY
-            && chance.nextDouble() < fault.share()) {
+            && random.nextDouble() < fault.share()) {
           from.setSoLinger(true, 0);
           from.close();
-          if (chance.nextBoolean()) {
-            Thread.sleep(chance.nextInt((int) (1 + fault.delayNanos() / 1_000_000)));
+          if (random.nextBoolean()) {
+            Thread.sleep(random.nextInt((int) (1 + fault.delayNanos() / 1_000_000)));
             out.write(bytes, 0, count);
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(FAULT_CHECK_MS);
           }
           return;
         }
@@ -179,8 +183,8 @@
   }
 
   private void close(Socket socket) {
-    synchronized (open) {
-      open.remove(socket);
+    synchronized (openSockets) {
+      openSockets.remove(socket);
     }
     try {
       socket.close();
@@ -191,12 +195,12 @@
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     synchronized (this) {
       listener.close();
     }
-    synchronized (open) {
-      for (Socket socket : open) {
+    synchronized (openSockets) {
+      for (Socket socket : openSockets) {
         socket.close();
       }
     }
--- a/src/main/java/tansytrack/lab/WorkerThreads.java
+++ b/src/main/java/tansytrack/lab/ThreadPoolWorkers.java
@@ -10,11 +10,11 @@
 import tansytrack.lab.scale.Workers;
 
 /** Runs the tasks of a simulation on a pool of threads. */
-final class WorkerThreads implements Workers, AutoCloseable {
+final class ThreadPoolWorkers implements Workers, AutoCloseable {
 
   private final ExecutorService threads;
 
-  WorkerThreads(int count) {
+  ThreadPoolWorkers(int count) {
     threads = Executors.newFixedThreadPool(count);
   }
 
--- a/src/main/java/tansytrack/lab/footprint/LightLoad.java
+++ b/src/main/java/tansytrack/lab/footprint/LightLoad.java
@@ -50,7 +50,7 @@
     try (LabClient client = new LabClient(to, PATIENCE_MS)) {
       for (long number = 0; System.nanoTime() < until; number++) {
         LockSupport.parkNanos(from + number * SECOND / rate - System.nanoTime());
-        boolean good = client.ask(statement(number)).handled();
+        boolean good = client.query(statement(number)).handled();
         (good ? handled : others).incrementAndGet();
       }
     } catch (IOException e) {
--- a/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
+++ b/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
@@ -95,7 +95,7 @@
   long awaitService(long until) throws IOException, InterruptedException {
     while (process.isAlive() && System.nanoTime() < until) {
       try (LabClient client = new LabClient(listen, PATIENCE_MS)) {
-        client.ask("");
+        client.query("");
         return System.nanoTime() - launchedAt;
       } catch (IOException e) {
         Thread.sleep(PAUSE_MS);
--- a/src/main/java/tansytrack/lab/load/Arrival.java
+++ b/src/main/java/tansytrack/lab/load/Arrival.java
@@ -14,9 +14,9 @@
  */
 public record Arrival(
     long number,
-    long at,
+    long atNanos,
     String tenant,
-    String grade,
+    String queryClass,
     int dataSet,
     double costMs,
     double memoryMb,
--- a/src/main/java/tansytrack/lab/load/Latencies.java
+++ b/src/main/java/tansytrack/lab/load/LatencyStatistics.java
@@ -7,25 +7,25 @@
 /**
  * Latency and earnings of a load, by query class, by tenant and by second of the intended time of
  * sending. Latency is measured from the intended time, so that a task that was sent late because of
- * a stall counts with its full delay; service time is measured from the actual sending. The share is
- * the earnings of the tasks answered in time over the earnings of all tasks. The retries of a task
- * count as part of the task.
+ * a stall counts with its full delay; service time is measured from the actual sending. The share
+ * is the earnings of the tasks answered in time over the earnings of all tasks. The retries of a
+ * task count as part of the task.
  */
-public final class Latencies {
+public final class LatencyStatistics {
 
-  private static final long LONGEST = 3600 * Shape.SECOND;
-  private static final int DIGITS = 3;
+  private static final long MAX_LATENCY_NANOS = 3600 * RateShape.NANOS_PER_SECOND;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   /** Latency and earnings of a group of tasks. */
-  public static final class Window {
-    private final Histogram latency = new Histogram(LONGEST, DIGITS);
-    private double asked;
+  public static final class Totals {
+    private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+    private double offered;
     private double earned;
     private long tasks;
 
     /** Earnings of tasks answered in time over earnings of all tasks; 1 without tasks. */
     public double share() {
-      return asked == 0 ? 1 : earned / asked;
+      return offered == 0 ? 1 : earned / offered;
     }
 
     /** Number of tasks. */
@@ -39,11 +39,11 @@
     }
   }
 
-  private final Histogram latency = new Histogram(LONGEST, DIGITS);
-  private final Histogram service = new Histogram(LONGEST, DIGITS);
-  private final Map<String, Window> groups = new TreeMap<>();
-  private final TreeMap<Long, Window> seconds = new TreeMap<>();
-  private final Window all = new Window();
+  private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+  private final Histogram service = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
+  private final Map<String, Totals> groups = new TreeMap<>();
+  private final TreeMap<Long, Totals> seconds = new TreeMap<>();
+  private final Totals all = new Totals();
 
   /**
    * Records the end of a task.
@@ -54,19 +54,20 @@
    * @param earnings what the task earns when it is answered in time
    * @param earned what it earned
    */
-  public void over(Arrival arrival, long sent, long ended, double earnings, double earned) {
-    long latencyNanos = Math.min(LONGEST, Math.max(0, ended - arrival.at()));
+  public void record(Arrival arrival, long sent, long ended, double earnings, double earned) {
+    long latencyNanos = Math.min(MAX_LATENCY_NANOS, Math.max(0, ended - arrival.atNanos()));
     latency.recordValue(latencyNanos);
-    service.recordValue(Math.min(LONGEST, Math.max(0, ended - sent)));
-    for (Window window :
-        new Window[] {
+    service.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, ended - sent)));
+    for (Totals window :
+        new Totals[] {
           all,
-          groups.computeIfAbsent("grade " + arrival.grade(), name -> new Window()),
-          groups.computeIfAbsent("tenant " + arrival.tenant(), name -> new Window()),
-          seconds.computeIfAbsent(arrival.at() / Shape.SECOND, name -> new Window())
+          groups.computeIfAbsent("grade " + arrival.queryClass(), name -> new Totals()),
+          groups.computeIfAbsent("tenant " + arrival.tenant(), name -> new Totals()),
+          seconds.computeIfAbsent(
+              arrival.atNanos() / RateShape.NANOS_PER_SECOND, name -> new Totals())
         }) {
       window.latency.recordValue(latencyNanos);
-      window.asked += earnings;
+      window.offered += earnings;
       window.earned += earned;
       window.tasks++;
     }
@@ -93,12 +94,12 @@
   }
 
   /** Totals by query class and by tenant, sorted by name. */
-  public Map<String, Window> groups() {
+  public Map<String, Totals> groups() {
     return groups;
   }
 
   /** Totals by second of the intended time of sending. */
-  public Map<Long, Window> seconds() {
+  public Map<Long, Totals> seconds() {
     return seconds;
   }
 
@@ -108,8 +109,8 @@
     for (long from : seconds.keySet()) {
       double asked = 0;
       double earned = 0;
-      for (Window second : seconds.subMap(from, from + window).values()) {
-        asked += second.asked;
+      for (Totals second : seconds.subMap(from, from + window).values()) {
+        asked += second.offered;
         earned += second.earned;
       }
       worst = asked > 0 ? Math.min(worst, earned / asked) : worst;
--- a/src/main/java/tansytrack/lab/load/Behaviour.java
+++ b/src/main/java/tansytrack/lab/load/RetryBehaviour.java
@@ -12,10 +12,15 @@
  * @param grows factor between one retry delay and the next
  * @param jitter maximum random deviation of a retry delay, as a share of the delay
  */
-public record Behaviour(
-    long patience, int mostRetries, boolean heeds, long firstPause, double grows, double jitter) {
+public record RetryBehaviour(
+    long timeoutNanos,
+    int maxRetries,
+    boolean honoursRetryAfter,
+    long firstDelayNanos,
+    double backoffFactor,
+    double jitter) {
 
-  private static final String TOLD = "after=";
+  private static final String RETRY_AFTER_PREFIX = "after=";
 
   /**
    * The delay until the next attempt, in nanoseconds; -1: the client gives up. Only rejections are
@@ -27,23 +32,25 @@
    * @param elapsedNanos nanoseconds since the intended time of sending
    * @param random source of the jitter
    */
-  public long pause(
+  public long retryDelayNanos(
       String code, String text, int attempts, long elapsedNanos, UniformRandomProvider random) {
     boolean rejected = code.startsWith("53") || code.equals("57P03");
-    if (!rejected || attempts > mostRetries) {
+    if (!rejected || attempts > maxRetries) {
       return -1;
     }
     double backoff =
-        firstPause * Math.pow(grows, attempts - 1.0) * (1 + jitter * (2 * random.nextDouble() - 1));
-    long delay = Math.max((long) backoff, heeds ? told(text) : 0);
-    return elapsedNanos + delay >= patience ? -1 : delay;
+        firstDelayNanos
+            * Math.pow(backoffFactor, attempts - 1.0)
+            * (1 + jitter * (2 * random.nextDouble() - 1));
+    long delay = Math.max((long) backoff, honoursRetryAfter ? retryAfterNanos(text) : 0);
+    return elapsedNanos + delay >= timeoutNanos ? -1 : delay;
   }
 
   /** The retry-after time in the text of a rejection, in nanoseconds; 0: none. */
-  static long told(String text) {
-    int from = text.indexOf(TOLD);
+  static long retryAfterNanos(String text) {
+    int from = text.indexOf(RETRY_AFTER_PREFIX);
     long ms = 0;
-    for (int i = from + TOLD.length();
+    for (int i = from + RETRY_AFTER_PREFIX.length();
         from >= 0 && i < text.length() && Character.isDigit(text.charAt(i)) && ms < 1_000_000;
         i++) {
       ms = ms * 10 + text.charAt(i) - '0';
--- a/src/main/java/tansytrack/lab/load/Punctuality.java
+++ b/src/main/java/tansytrack/lab/load/SendDelays.java
@@ -6,12 +6,12 @@
  * Delays of the load generator against its schedule. A run in which too many tasks were sent late
  * does not measure the gateway: it is void, and its figures are not reported.
  */
-public final class Punctuality {
+public final class SendDelays {
 
-  private final long allowed;
-  private final double part;
-  private final Histogram late = new Histogram(3600 * Shape.SECOND, 3);
-  private long over;
+  private final long allowedNanos;
+  private final double allowedLateShare;
+  private final Histogram delays = new Histogram(3600 * RateShape.NANOS_PER_SECOND, 3);
+  private long lateCount;
   private long unsent;
 
   /**
@@ -20,16 +20,16 @@
    * @param allowedNanos delay from which a task counts as late, in nanoseconds
    * @param allowedLateShare share of the tasks that may be late
    */
-  public Punctuality(long allowedNanos, double allowedLateShare) {
-    this.allowed = allowedNanos;
-    this.part = allowedLateShare;
+  public SendDelays(long allowedNanos, double allowedLateShare) {
+    this.allowedNanos = allowedNanos;
+    this.allowedLateShare = allowedLateShare;
   }
 
   /** Records the delay of a task: its intended and its actual time of sending, in nanoseconds. */
   public void sent(long intendedNanos, long sentNanos) {
     long delay = Math.max(0, sentNanos - intendedNanos);
-    late.recordValue(Math.min(delay, late.getHighestTrackableValue()));
-    over += delay > allowed ? 1 : 0;
+    delays.recordValue(Math.min(delay, delays.getHighestTrackableValue()));
+    lateCount += delay > allowedNanos ? 1 : 0;
   }
 
   /** Counts a task that was not sent because all allowed connections were in use. */
@@ -39,20 +39,21 @@
 
   /** Whether a task was not sent, or more than the allowed share of the tasks was late. */
   public boolean isVoid() {
-    return unsent > 0 || (late.getTotalCount() > 0 && over > part * late.getTotalCount());
+    return unsent > 0
+        || (delays.getTotalCount() > 0 && lateCount > allowedLateShare * delays.getTotalCount());
   }
 
   /** A one-line summary for the console. */
-  public String said() {
-    return late.getTotalCount()
+  public String summary() {
+    return delays.getTotalCount()
         + " sent, "
-        + over
+        + lateCount
         + " later than "
-        + allowed / 1_000_000
+        + allowedNanos / 1_000_000
         + " ms, 99% within "
-        + late.getValueAtPercentile(99) / 1000
+        + delays.getValueAtPercentile(99) / 1000
         + " us, most "
-        + late.getMaxValue() / 1000
+        + delays.getMaxValue() / 1000
         + " us, "
         + unsent
         + " not sent"
--- a/src/test/java/tansytrack/lab/FleetLinksTest.java
+++ b/src/test/java/tansytrack/lab/FleetLinksTest.java
@@ -25,15 +25,15 @@
 /** The experiments on fleets of processes in lab/, and the metrics that they are judged by. */
 class FleetLinksTest {
 
-  private static final long SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   @TempDir Path folder;
 
-  private String played(String file) throws Exception {
+  private String run(String file) throws Exception {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
-        Laboratory.run(
-            Laboratory.read(file),
+        ExperimentRunner.run(
+            ExperimentRunner.read(file),
             1,
             folder,
             Decide::new,
@@ -42,10 +42,8 @@
   }
 
   @Test
-  void nineProcessesInThreePlacesOverBadLinks() throws Exception {
-    assertThat(played("lab/fleet-links.textproto"))
-        .startsWith("true")
-        .contains("killed.known_ms_max");
+  void nineProcessesInThreeZonesOverLossyLinks() throws Exception {
+    assertThat(run("lab/fleet-links.textproto")).startsWith("true").contains("killed.known_ms_max");
   }
 
   /**
@@ -53,8 +51,8 @@
    * managers, as clients, engines and command channels observe them.
    */
   @Test
-  void sixProcessesServeByTheRulesWhileThingsBreak() throws Exception {
-    assertThat(played("lab/fleet-cold.textproto")).startsWith("true").contains("broken.cold");
+  void invariantsHoldUnderFaults() throws Exception {
+    assertThat(run("lab/fleet-cold.textproto")).startsWith("true").contains("broken.cold");
   }
 
   /**
@@ -62,28 +60,29 @@
    * all the same, after the poll for the query and after its cancellation.
    */
   @Test
-  void startsThatComeLateBreakNoOrder() throws Exception {
-    assertThat(played("lab/fleet-flaky.textproto")).startsWith("true").contains("broken.order");
+  void delayedRequestsKeepTheOrderByKey() throws Exception {
+    assertThat(run("lab/fleet-flaky.textproto")).startsWith("true").contains("broken.order");
   }
 
   @Test
-  void theSameScheduleHoldsInVirtualTime() throws Exception {
+  void claimsHoldInVirtualTime() throws Exception {
     Path file =
         Files.writeString(
             folder.resolve("virtual"),
             Files.readString(Path.of("lab/fleet-links.textproto"))
                 .replace("runs: 1", "runs: 20")
                 .replace("fleet {", "fleet {\n  virtual_time: true"));
-    assertThat(played(file.toString())).startsWith("true");
+    assertThat(run(file.toString())).startsWith("true");
   }
 
-  private static Observation seen(double at, String observer, String member, MemberStatus status) {
-    return new Observation((long) (at * SECOND), observer, member, 1, status);
+  private static Observation observation(
+      double at, String observer, String member, MemberStatus status) {
+    return new Observation((long) (at * NANOS_PER_SECOND), observer, member, 1, status);
   }
 
   /** Checks that each metric reports a violation in observations that are wrong on purpose. */
   @Test
-  void theJudgeSeesWhatIsWrong() {
+  void metricsDetectEachViolation() {
     List<String> two = List.of("a", "b");
     FaultSchedule kill =
         new FaultSchedule(
@@ -91,37 +90,40 @@
             List.of(),
             List.of(
                 new FaultSchedule.ProcessFault(
-                    5 * SECOND, 0, "b", FaultSchedule.ProcessFaultKind.KILL)));
+                    5 * NANOS_PER_SECOND, 0, "b", FaultSchedule.ProcessFaultKind.KILL)));
     FaultSchedule cut =
         new FaultSchedule(
             LinkConditions.GOOD,
             List.of(
                 new FaultSchedule.LinkFault(
-                    5 * SECOND,
-                    5 * SECOND,
+                    5 * NANOS_PER_SECOND,
+                    5 * NANOS_PER_SECOND,
                     new FaultSchedule.Endpoint("a"),
                     new FaultSchedule.Endpoint("b"),
                     true,
                     LinkConditions.GOOD.withLoss(1))),
             List.of());
     FaultSchedule none = new FaultSchedule(LinkConditions.GOOD, List.of(), List.of());
-    Observation ab = seen(1, "a", "b", MemberStatus.ALIVE);
-    Observation ba = seen(2, "b", "a", MemberStatus.ALIVE);
+    Observation ab = observation(1, "a", "b", MemberStatus.ALIVE);
+    Observation ba = observation(2, "b", "a", MemberStatus.ALIVE);
     Map<String, Double> fine =
         new MembershipMetrics(
-                two, kill, List.of(ab, ba, seen(7, "a", "b", MemberStatus.DEAD)), 20 * SECOND)
+                two,
+                kill,
+                List.of(ab, ba, observation(7, "a", "b", MemberStatus.DEAD)),
+                20 * NANOS_PER_SECOND)
             .compute();
     assertThat(fine)
         .containsEntry("joined_ms_max", 2000.0)
         .containsEntry("killed.known_ms_max", 2000.0)
         .containsEntry("living.dead_ms_max", 0.0);
     assertThat(
-            new MembershipMetrics(two, kill, List.of(ab, ba), 20 * SECOND)
+            new MembershipMetrics(two, kill, List.of(ab, ba), 20 * NANOS_PER_SECOND)
                 .compute()
                 .get("killed.known_ms_max"))
         .isGreaterThan(1e8);
     assertThat(
-            new MembershipMetrics(two, none, List.of(ab), 20 * SECOND)
+            new MembershipMetrics(two, none, List.of(ab), 20 * NANOS_PER_SECOND)
                 .compute()
                 .get("joined_ms_max"))
         .isGreaterThan(1e8);
@@ -132,9 +134,9 @@
                     List.of(
                         ab,
                         ba,
-                        seen(7, "a", "b", MemberStatus.DEAD),
-                        seen(9, "a", "b", MemberStatus.ALIVE)),
-                    20 * SECOND)
+                        observation(7, "a", "b", MemberStatus.DEAD),
+                        observation(9, "a", "b", MemberStatus.ALIVE)),
+                    20 * NANOS_PER_SECOND)
                 .compute())
         .containsEntry("living.dead_ms_max", 2000.0);
     assertThat(
@@ -144,15 +146,18 @@
                     List.of(
                         ab,
                         ba,
-                        seen(8, "a", "b", MemberStatus.DEAD),
-                        seen(13, "a", "b", MemberStatus.ALIVE)),
-                    40 * SECOND)
+                        observation(8, "a", "b", MemberStatus.DEAD),
+                        observation(13, "a", "b", MemberStatus.ALIVE)),
+                    40 * NANOS_PER_SECOND)
                 .compute())
         .containsEntry("living.dead_ms_max", 0.0)
         .containsEntry("healed_ms_max", 3000.0);
     assertThat(
             new MembershipMetrics(
-                    two, cut, List.of(ab, ba, seen(8, "a", "b", MemberStatus.DEAD)), 40 * SECOND)
+                    two,
+                    cut,
+                    List.of(ab, ba, observation(8, "a", "b", MemberStatus.DEAD)),
+                    40 * NANOS_PER_SECOND)
                 .compute())
         .satisfies(figures -> assertThat(figures.get("healed_ms_max")).isGreaterThan(1e8))
         .satisfies(figures -> assertThat(figures.get("living.dead_ms_max")).isGreaterThan(5000));
@@ -180,10 +185,10 @@
             + " engine: 'e1' } } | engine_troubles.engine: 'e1'",
         "managers: 3 seconds: 1 runs: 1 fleet { places: 1 probe_every_ms: 100 } | claims: missing"
       })
-  void aFleetThatCannotBeUsedIsSaid(String text, String message) throws Exception {
+  void rejectsInvalidFleetPlans(String text, String message) throws Exception {
     Path file =
         Files.writeString(folder.resolve("x"), text.contains("fleet") ? text : text + " fleet { }");
-    assertThatThrownBy(() -> Laboratory.read(file.toString()))
+    assertThatThrownBy(() -> ExperimentRunner.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(message);
   }
--- a/src/test/java/tansytrack/lab/FleetShowTest.java
+++ b/src/test/java/tansytrack/lab/FleetShowTest.java
@@ -22,12 +22,12 @@
 
   @TempDir Path folder;
   private final List<ManagerProcess> managers = new ArrayList<>();
-  private final StandInChannel channel;
+  private final FakeCommandChannel channel;
   private final int[] ports = new int[2];
 
   FleetShowTest() throws IOException {
-    channel = new StandInChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    channel.tell("{\"revision\":1,\"complete\":true,\"members\":[]}");
+    channel = new FakeCommandChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    channel.publish("{\"revision\":1,\"complete\":true,\"members\":[]}");
     for (int i = 0; i < 2; i++) {
       try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
         ports[i] = free.getLocalPort();
@@ -54,14 +54,14 @@
         + "\" } }";
   }
 
-  private String said(int code, String log, String... arguments)
+  private String outputOf(int code, String log, String... arguments)
       throws IOException, InterruptedException {
-    assertThat(managers.get(0).program(log, arguments).waitFor()).isEqualTo(code);
+    assertThat(managers.get(0).startProgram(log, arguments).waitFor()).isEqualTo(code);
     return Files.readString(managers.get(0).folder.resolve(log));
   }
 
-  private static String at(ManagerProcess manager) {
-    return "127.0.0.1:" + manager.listen.getPort();
+  private static String addressOf(ManagerProcess manager) {
+    return "127.0.0.1:" + manager.listenAddress.getPort();
   }
 
   @AfterEach
@@ -71,37 +71,38 @@
   }
 
   @Test
-  void twoManagersAreShownAsATableAndAsJson() throws Exception {
+  void showsTwoManagersAsTableAndJson() throws Exception {
     ManagerProcess first = manager("m0", fleet(0));
     ManagerProcess second = manager("m1", fleet(1));
     first.start();
     second.start();
     LabClient.Answer answer;
     do {
-      try (LabClient client = new LabClient(first.listen, 3000)) {
-        answer = client.ask("show fleet");
+      try (LabClient client = new LabClient(first.listenAddress, 3000)) {
+        answer = client.query("show fleet");
       }
-    } while (answer.rows() < 2 || !answer.cells().get(1).get(3).equals("SERVING"));
-    assertThat(said(0, "table", "fleet", "show", at(first)).lines())
+    } while (answer.rowCount() < 2 || !answer.cells().get(1).get(3).equals("SERVING"));
+    assertThat(outputOf(0, "table", "fleet", "show", addressOf(first)).lines())
         .hasSize(3)
         .anyMatch(line -> line.matches("m0 +p0 +ALIVE +SERVING .*"))
         .anyMatch(line -> line.matches("m1 +p1 +ALIVE +SERVING .*"));
-    assertThat(said(0, "json", "fleet", "show", at(first), "--json"))
+    assertThat(outputOf(0, "json", "fleet", "show", addressOf(first), "--json"))
         .startsWith("{\"members\":[{\"name\":\"m0\",\"place\":\"p0\"")
         .contains("\"standing\":\"ALIVE\"");
-    try (LabClient client = new LabClient(first.listen, 3000)) {
-      assertThat(client.ask("SHOW STATS").cells())
+    try (LabClient client = new LabClient(first.listenAddress, 3000)) {
+      assertThat(client.query("SHOW STATS").cells())
           .contains(List.of("fleet.there", "2"), List.of("fleet.reckoned", "2"));
     }
   }
 
   @Test
-  void whatCannotBeShownIsSaid() throws Exception {
+  void reportsWhatCannotBeShown() throws Exception {
     manager("m0", "log { }").start();
-    assertThat(said(1, "none", "fleet", "show", at(managers.get(0)))).contains("no fleet section");
-    assertThat(said(2, "word", "fleet", "show", "nowhere"))
+    assertThat(outputOf(1, "none", "fleet", "show", addressOf(managers.get(0))))
+        .contains("no fleet section");
+    assertThat(outputOf(2, "word", "fleet", "show", "nowhere"))
         .contains("'nowhere'; allowed: an address with a port");
-    assertThat(said(2, "gone", "fleet", "show", "127.0.0.1:9"))
+    assertThat(outputOf(2, "gone", "fleet", "show", "127.0.0.1:9"))
         .contains("127.0.0.1:9 cannot be asked");
     ManagerProcess own =
         manager(
@@ -111,7 +112,8 @@
                 + "\"\n peers { name: \"m2\" address: \"127.0.0.1:"
                 + ports[1]
                 + "\" } }");
-    assertThat(own.program("own", "serve", "--operator", own.operatorFile().toString()).waitFor())
+    assertThat(
+            own.startProgram("own", "serve", "--operator", own.operatorFile().toString()).waitFor())
         .isEqualTo(2);
     assertThat(own.folder.resolve("own")).content().contains("'m2' is this manager's own name");
   }
--- a/src/test/java/tansytrack/lab/LedgerCrashTest.java
+++ b/src/test/java/tansytrack/lab/LedgerCrashTest.java
@@ -24,11 +24,11 @@
   @TempDir Path folder;
 
   @Test
-  void threeManagersKilledWithTasksOpenAndInExportsLoseAndRepeatNothing() throws Exception {
+  void crashesLoseAndRepeatNoLedgerEntry() throws Exception {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
-        Laboratory.run(
-            Laboratory.read("lab/ledger-crash.textproto"),
+        ExperimentRunner.run(
+            ExperimentRunner.read("lab/ledger-crash.textproto"),
             1,
             folder,
             Decide::new,
@@ -51,11 +51,11 @@
     "AT_LEAST, 3, 2, false",
     "AT_MOST, 5, , false"
   })
-  void aClaimHoldsOnlyWhereItsFigureDoes(
+  void claimHoldsOnlyWithinItsBound(
       Claim.Relation relation, double bound, Double figure, boolean held) {
     Claim claim = Claim.newBuilder().setFigure("x").setRelation(relation).setBound(bound).build();
     assertThat(
-            Claims.judge(List.of(claim), figure == null ? Map.of() : Map.of("x", figure))
+            ClaimEvaluator.evaluate(List.of(claim), figure == null ? Map.of() : Map.of("x", figure))
                 .get(0)
                 .held())
         .isEqualTo(held);
@@ -70,9 +70,9 @@
         "mangers: 1 | :1:",
         "managers: 1 engines: 1 clients: 1 seconds: 1 runs: 1 | claims: missing"
       })
-  void anExperimentThatCannotBeUsedIsSaid(String text, String message) throws Exception {
+  void rejectsInvalidExperiments(String text, String message) throws Exception {
     Path file = Files.writeString(folder.resolve("x"), text);
-    assertThatThrownBy(() -> Laboratory.read(file.toString()))
+    assertThatThrownBy(() -> ExperimentRunner.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(message);
   }
--- a/src/test/java/tansytrack/lab/OpenLoopTest.java
+++ b/src/test/java/tansytrack/lab/OpenLoopTest.java
@@ -29,10 +29,10 @@
           + " first_pause_ms: 50 } late_ms: 200 late_part: 0.05";
 
   private final ServerSocket socket = open();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger received = new AtomicInteger();
   private volatile long stallFrom = Long.MAX_VALUE;
   private volatile long stallUntil;
-  private volatile boolean refusesFirst;
+  private volatile boolean rejectsFirstTry;
 
   private static ServerSocket open() {
     try {
@@ -43,12 +43,12 @@
   }
 
   OpenLoopTest() {
-    StandInEngine.thread(
+    FakeEngine.daemonThread(
             () -> {
               try {
                 while (true) {
                   Socket one = socket.accept();
-                  StandInEngine.thread(() -> serve(one)).start();
+                  FakeEngine.daemonThread(() -> serve(one)).start();
                 }
               } catch (IOException e) {
                 // The socket was closed.
@@ -57,7 +57,7 @@
         .start();
   }
 
-  private static void say(Socket to, char type, byte[] body) throws IOException {
+  private static void send(Socket to, char type, byte[] body) throws IOException {
     to.getOutputStream()
         .write(
             ByteBuffer.allocate(5 + body.length)
@@ -71,15 +71,15 @@
     try (connection) {
       DataInputStream in = new DataInputStream(connection.getInputStream());
       in.skipNBytes(in.readInt() - 4);
-      say(connection, 'Z', new byte[] {'I'});
+      send(connection, 'Z', new byte[] {'I'});
       while (true) {
         in.readByte();
         byte[] query = new byte[in.readInt() - 4];
         in.readFully(query);
         boolean rejected =
-            refusesFirst
+            rejectsFirstTry
                 && !new String(query, java.nio.charset.StandardCharsets.UTF_8).contains("retry=1");
-        asked.incrementAndGet();
+        received.incrementAndGet();
         long now = System.nanoTime();
         Thread.sleep(
             rejected
@@ -87,15 +87,15 @@
                 : DELAY_MS
                     + (now >= stallFrom && now < stallUntil ? (stallUntil - now) / 1_000_000 : 0));
         if (rejected) {
-          say(
+          send(
               connection,
               'E',
               "SERROR\0C53300\0Mno room, after=100\0\0"
                   .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         } else {
-          say(connection, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+          send(connection, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         }
-        say(connection, 'Z', new byte[] {'I'});
+        send(connection, 'Z', new byte[] {'I'});
       }
     } catch (IOException | InterruptedException e) {
       // The client closed the connection.
@@ -108,27 +108,27 @@
   }
 
   private Map<String, Double> play(String load) throws InterruptedException {
-    OpenLoop generator =
-        new OpenLoop(
-            LoadFile.of("f", load),
+    OpenLoopGenerator generator =
+        new OpenLoopGenerator(
+            LoadFile.parse("f", load),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    generator.play();
-    assertThat(generator.punctuality().isVoid()).as(generator.punctuality().said()).isFalse();
+    generator.run();
+    assertThat(generator.sendDelays().isVoid()).as(generator.sendDelays().summary()).isFalse();
     return generator.figures();
   }
 
   @Test
-  void aKnownDelayIsMeasured() throws InterruptedException {
+  void measuresAKnownDelay() throws InterruptedException {
     Map<String, Double> figures = play(LOAD);
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
-    assertThat(asked.get()).isEqualTo(figures.get("tasks").intValue());
+    assertThat(received.get()).isEqualTo(figures.get("tasks").intValue());
     assertThat(figures.get("latency_ms.p50")).isBetween(150.0, 200.0);
     assertThat(figures.get("share")).isEqualTo(1);
   }
 
   @Test
-  void aStallIsLongLatencyAndNotFewerTasks() throws InterruptedException {
+  void stallRaisesLatencyAndKeepsTheTaskCount() throws InterruptedException {
     stallFrom = System.nanoTime() + 600_000_000L;
     stallUntil = stallFrom + 1_500_000_000L;
     Map<String, Double> figures = play(LOAD);
@@ -139,26 +139,26 @@
   }
 
   @Test
-  void aRetryIsPartOfItsFirstTry() throws InterruptedException {
-    refusesFirst = true;
+  void retriesCountInTheLatencyOfTheTask() throws InterruptedException {
+    rejectsFirstTry = true;
     Map<String, Double> figures = play(LOAD);
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
-    assertThat(asked.get()).isEqualTo(2 * figures.get("tasks").intValue());
+    assertThat(received.get()).isEqualTo(2 * figures.get("tasks").intValue());
     assertThat(figures.get("latency_ms.p50"))
         .as("rejected, retried after 100 ms, answered")
         .isBetween(250.0, 330.0);
   }
 
   @Test
-  void withoutConnectionsTheRunIsVoid() throws InterruptedException {
-    OpenLoop generator =
-        new OpenLoop(
-            LoadFile.of("f", LOAD.replace("most_connections: 200", "most_connections: 2")),
+  void runIsVoidWithoutConnections() throws InterruptedException {
+    OpenLoopGenerator generator =
+        new OpenLoopGenerator(
+            LoadFile.parse("f", LOAD.replace("most_connections: 200", "most_connections: 2")),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    generator.play();
-    assertThat(generator.punctuality().isVoid()).isTrue();
-    assertThat(generator.punctuality().said()).contains("void");
+    generator.run();
+    assertThat(generator.sendDelays().isVoid()).isTrue();
+    assertThat(generator.sendDelays().summary()).contains("void");
   }
 
   @ParameterizedTest
@@ -175,9 +175,9 @@
         "seconds: 3 | secnds: 3 | f:1:",
         "promised_ms: 1000 | promised_ms: 9000 | promised_ms: '9000'; allowed: 1 to 5000"
       })
-  void aLoadThatCannotBeUsedIsSaid(String good, String bad, String message) {
-    assertThat(LoadFile.of("f", LOAD).load.getSeconds()).isEqualTo(3);
-    assertThatThrownBy(() -> LoadFile.of("f", LOAD.replace(good, bad)))
+  void rejectsInvalidLoads(String good, String bad, String message) {
+    assertThat(LoadFile.parse("f", LOAD).definition.getSeconds()).isEqualTo(3);
+    assertThatThrownBy(() -> LoadFile.parse("f", LOAD.replace(good, bad)))
         .isInstanceOf(InvalidInputException.class)
         .hasMessageContaining(message);
   }
--- a/src/test/java/tansytrack/lab/scale/ScaleTest.java
+++ b/src/test/java/tansytrack/lab/scale/ScaleTest.java
@@ -33,8 +33,8 @@
 /** Hollow managers: counts only, so that the verdict is the same every time. */
 class ScaleTest {
 
-  private static final ScaleTable.Ladder ONE_SIZE =
-      new ScaleTable.Ladder(1, 2, ScaleTable.Grows.BOTH);
+  private static final ScaleTable.SizeSeries ONE_SIZE =
+      new ScaleTable.SizeSeries(1, 2, ScaleTable.Dimension.BOTH);
 
   private static final PrintStream NOBODY = new PrintStream(OutputStream.nullOutputStream());
 
@@ -256,7 +256,7 @@
   @Test
   void ladderCountsPairsBySquare() throws IOException {
     ScalePlan largest = plan(32, 80, FailureSchedule.REST, 1);
-    ScaleTable.Ladder ladder = new ScaleTable.Ladder(5, 2, ScaleTable.Grows.BOTH);
+    ScaleTable.SizeSeries ladder = new ScaleTable.SizeSeries(5, 2, ScaleTable.Dimension.BOTH);
     ScaleTable.run(largest, ladder, Decide::new, 1, folder, NOBODY, NOBODY);
     assertThat(folder.resolve("slopes.csv"))
         .content()
--- a/src/test/java/tansytrack/service/LongEngineListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tansytrack.lab.StandInChannel;
+import tansytrack.lab.FakeCommandChannel;
 import tansytrack.lab.footprint.EngineList;
 import tansytrack.wire.ProtocolException;
 
@@ -32,12 +32,13 @@
   @Test
   void aListOfThousandsOfEnginesIsTakenFromTheChannel()
       throws IOException, InterruptedException, ProtocolException {
-    try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
-      channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
+    try (FakeCommandChannel channel =
+        new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
+      channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
-        channel.tell(LIST.whole());
+        channel.publish(LIST.whole());
         String stats = statsWith(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
         // The engine of the file has left the list, and is forgotten a little later.
@@ -56,12 +57,13 @@
   @Test
   void aLongListComesInOneGoThoughNothingElseHappens()
       throws IOException, InterruptedException, ProtocolException {
-    try (StandInChannel channel = new StandInChannel(new InetSocketAddress("127.0.0.1", 0))) {
-      channel.tell("{\"revision\":1,\"complete\":false,\"members\":[]}");
+    try (FakeCommandChannel channel =
+        new FakeCommandChannel(new InetSocketAddress("127.0.0.1", 0))) {
+      channel.publish("{\"revision\":1,\"complete\":false,\"members\":[]}");
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try {
-        channel.tell(LIST.whole());
+        channel.publish(LIST.whole());
         Thread.sleep(QUIET_MS);
         try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
           assertThat(client.ask("SHOW STATS"))
