--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -166,9 +166,10 @@
 
     @Override
     public String description() {
-      return "lab load: sends an open-loop load, each task at its intended time, and measures\n"
-          + "latency from that time. Exit code 1: a claim does not hold, or the generator fell\n"
-          + "behind and the run is void; 2: the file cannot be used.";
+      return """
+          lab load: sends an open-loop load, each task at its intended time, and measures
+          latency from that time. Exit code 1: a claim does not hold, or the generator fell
+          behind and the run is void; 2: the file cannot be used.""";
     }
 
     @Override
@@ -193,9 +194,10 @@
 
     @Override
     public String description() {
-      return "lab fleet: measures the membership protocol in virtual time: detection time of a\n"
-          + "killed member, false accusations, bytes a second, time to heal after the partition\n"
-          + "of a zone. Writes a table and charts.";
+      return """
+          lab fleet: measures the membership protocol in virtual time: detection time of a
+          killed member, false accusations, bytes a second, time to heal after the partition
+          of a zone. Writes a table and charts.""";
     }
 
     @Override
@@ -343,9 +345,10 @@
 
     @Override
     public String description() {
-      return "lab explore: checks the membership protocol of three members by breadth-first\n"
-          + "search: every order, loss and duplication of messages, a partition, a kill, a\n"
-          + "restart. Exit code 1: from some state the members do not reach agreement.";
+      return """
+          lab explore: checks the membership protocol of three members by breadth-first
+          search: every order, loss and duplication of messages, a partition, a kill, a
+          restart. Exit code 1: from some state the members do not reach agreement.""";
     }
 
     @Override
@@ -381,9 +384,10 @@
 
     @Override
     public String description() {
-      return "lab ledger-bench: measures the loop time of a ledger entry, durable entries a\n"
-          + "second, waits for the commit, and the start after a kill. The larger ledger stays in\n"
-          + "FOLDER/full, for measurements of `ledger export`.";
+      return """
+          lab ledger-bench: measures the loop time of a ledger entry, durable entries a
+          second, waits for the commit, and the start after a kill. The larger ledger stays in
+          FOLDER/full, for measurements of `ledger export`.""";
     }
 
     @Override
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -38,7 +38,7 @@
    *
    * @param sizes number of sizes; 1: only that of the plan
    * @param factor ratio of two successive sizes
-   * @param grows what grows
+   * @param dimension what grows
    */
   public record SizeSeries(int sizes, int factor, Dimension dimension) {}
 
--- a/src/main/java/tansytrack/lab/load/Arrival.java
+++ b/src/main/java/tansytrack/lab/load/Arrival.java
@@ -4,9 +4,9 @@
  * One task of a load.
  *
  * @param number counts the tasks of the load, from 1
- * @param at intended time of sending, in nanoseconds from the start of the load
+ * @param atNanos intended time of sending, in nanoseconds from the start of the load
  * @param tenant the tenant that sends it
- * @param grade the name of its query class
+ * @param queryClass the name of its query class
  * @param dataSet the data set that it reads
  * @param costMs estimated work, in milliseconds
  * @param memoryMb estimated memory, in MB
--- a/src/main/java/tansytrack/lab/load/RetryBehaviour.java
+++ b/src/main/java/tansytrack/lab/load/RetryBehaviour.java
@@ -5,11 +5,12 @@
 /**
  * How a client retries a rejected task.
  *
- * @param patience the client gives up this long after the intended time of sending, in nanoseconds
- * @param mostRetries maximum number of retries of a task
- * @param heeds whether the client waits at least for the retry-after time of the rejection
- * @param firstPause delay before the first retry, in nanoseconds
- * @param grows factor between one retry delay and the next
+ * @param timeoutNanos time from the intended sending after which the client gives up
+ * @param maxRetries maximum number of retries of a task
+ * @param honoursRetryAfter whether the client waits at least for the retry-after time of the
+ *     rejection
+ * @param firstDelayNanos delay before the first retry, in nanoseconds
+ * @param backoffFactor factor between one retry delay and the next
  * @param jitter maximum random deviation of a retry delay, as a share of the delay
  */
 public record RetryBehaviour(
