--- a/src/main/java/tansytrack/lab/DatagramRelays.java
+++ b/src/main/java/tansytrack/lab/DatagramRelays.java
@@ -15,9 +15,10 @@
 import tansytrack.lab.simulation.LinkModel;
 
 /**
- * Datagrams between managers, each way through a socket of its own: a manager knows each peer by
- * the relay's address for the two, and gets that peer's datagrams from there. What becomes of them
- * follows the schedule of faults and a seed.
+ * Relays the datagrams between managers, with one socket for each ordered pair of managers. A
+ * manager knows each peer by the address of such a socket: it sends to it, and receives that peer's
+ * datagrams from it. The fault schedule and a seed decide which datagrams are lost, delayed or
+ * duplicated.
  */
 final class DatagramRelays implements AutoCloseable {
 
@@ -28,7 +29,10 @@
   private final List<String> zones;
   private final List<InetSocketAddress> managers;
   private final Selector selector = Selector.open();
-  private final RelaySocket[][] sockets; // [whom it is known to][whom it stands for]
+
+  // By the manager that uses the socket, then by the peer that it represents.
+  private final RelaySocket[][] sockets;
+
   private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
   private long nextSequence;
   private volatile long startNanos;
@@ -42,13 +46,13 @@
     final DatagramChannel channel;
     final LinkModel link;
 
-    RelaySocket(int at, int of, long seed) throws IOException {
-      this.owner = at;
-      this.peer = of;
+    RelaySocket(int owner, int peer, long seed) throws IOException {
+      this.owner = owner;
+      this.peer = peer;
       link = new LinkModel(seed);
       channel = DatagramChannel.open();
       channel.configureBlocking(false);
-      channel.bind(new InetSocketAddress("127.21." + at + '.' + (of + 1), 0));
+      channel.bind(new InetSocketAddress("127.21." + owner + '.' + (peer + 1), 0));
       channel.register(selector, SelectionKey.OP_READ, this);
     }
   }
@@ -67,44 +71,48 @@
   DatagramRelays(
       FaultSchedule faults,
       List<String> names,
-      List<String> places,
+      List<String> zones,
       List<InetSocketAddress> managers,
       long seed)
       throws IOException {
     this.faults = faults;
     this.names = names;
-    this.zones = places;
+    this.zones = zones;
     this.managers = managers;
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     sockets = new RelaySocket[names.size()][names.size()];
-    for (int at = 0; at < names.size(); at++) {
-      for (int of = 0; of < names.size(); of++) {
-        sockets[at][of] = at == of ? null : new RelaySocket(at, of, chance.nextLong());
+    for (int owner = 0; owner < names.size(); owner++) {
+      for (int peer = 0; peer < names.size(); peer++) {
+        sockets[owner][peer] =
+            owner == peer ? null : new RelaySocket(owner, peer, random.nextLong());
       }
     }
     startNanos = System.nanoTime();
     FakeEngine.daemonThread(this::relayDatagrams).start();
   }
 
-  /** Where the one sends to reach the other. */
-  String address(int at, int of) {
+  /** The address that manager {@code owner} uses for its peer {@code peer}. */
+  String address(int owner, int peer) {
     try {
-      InetSocketAddress where = (InetSocketAddress) sockets[at][of].channel.getLocalAddress();
-      return where.getAddress().getHostAddress() + ':' + where.getPort();
+      InetSocketAddress address =
+          (InetSocketAddress) sockets[owner][peer].channel.getLocalAddress();
+      return address.getAddress().getHostAddress() + ':' + address.getPort();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** The schedule begins now. */
+  /** Starts the fault schedule: its times count from this call. */
   void startSchedule() {
     startNanos = System.nanoTime();
   }
 
+  /** Number of datagrams that were passed on. */
   long forwarded() {
     return forwarded;
   }
 
+  /** Number of datagrams that were dropped. */
   long lost() {
     return lost;
   }
@@ -127,38 +135,39 @@
         ready.clear();
         long now = System.nanoTime();
         while (!delayed.isEmpty() && delayed.peek().dueNanos <= now) {
-          DelayedDatagram one = delayed.poll();
-          // The other end's socket for the sender: its address is the one that the receiver knows
-          // the sender by.
-          RelaySocket out = sockets[one.receivedOn.peer][one.receivedOn.owner];
-          out.channel.send(ByteBuffer.wrap(one.datagram), managers.get(one.receivedOn.peer));
+          DelayedDatagram datagram = delayed.poll();
+          // Sent from the receiver's socket for the sender, as the receiver knows the sender by
+          // that address.
+          RelaySocket socket = sockets[datagram.receivedOn.peer][datagram.receivedOn.owner];
+          socket.channel.send(
+              ByteBuffer.wrap(datagram.datagram), managers.get(datagram.receivedOn.peer));
           forwarded++;
         }
       }
     } catch (IOException | ClosedSelectorException e) {
-      // closed, or a receiver that is not there
+      // The relay was closed, or the receiver does not exist.
     }
   }
 
-  private void receive(RelaySocket leg, ByteBuffer buffer) throws IOException {
+  private void receive(RelaySocket socket, ByteBuffer buffer) throws IOException {
     buffer.clear();
-    while (leg.channel.receive(buffer) != null) {
+    while (socket.channel.receive(buffer) != null) {
       buffer.flip();
       byte[] datagram = new byte[buffer.remaining()];
       buffer.get(datagram);
       buffer.clear();
       long now = System.nanoTime();
       long[] copies =
-          leg.link.deliveryDelays(
+          socket.link.deliveryDelays(
               faults.linkConditions(
                   now - startNanos,
-                  names.get(leg.owner),
-                  zones.get(leg.owner),
-                  names.get(leg.peer),
-                  zones.get(leg.peer)));
+                  names.get(socket.owner),
+                  zones.get(socket.owner),
+                  names.get(socket.peer),
+                  zones.get(socket.peer)));
       lost += copies.length == 0 ? 1 : 0;
-      for (long takes : copies) {
-        delayed.add(new DelayedDatagram(now + takes, nextSequence++, leg, datagram));
+      for (long delay : copies) {
+        delayed.add(new DelayedDatagram(now + delay, nextSequence++, socket, datagram));
       }
     }
   }
@@ -168,9 +177,9 @@
     closed = true;
     selector.close();
     for (RelaySocket[] row : sockets) {
-      for (RelaySocket leg : row) {
-        if (leg != null) {
-          leg.channel.close();
+      for (RelaySocket socket : row) {
+        if (socket != null) {
+          socket.channel.close();
         }
       }
     }
--- a/src/main/java/tansytrack/lab/ExperimentRunner.java
+++ b/src/main/java/tansytrack/lab/ExperimentRunner.java
@@ -15,57 +15,61 @@
 import tansytrack.log.JsonLinesWriter;
 import tansytrack.settings.InvalidInputException;
 
-/**
- * Runs an experiment: as many runs as its file says, a figure each, then its claims over all of
- * them.
- */
+/** Runs an experiment as often as its file says, and evaluates its claims over all runs. */
 public final class ExperimentRunner {
 
-  private static final String MAX_SUFFIX =
-      "_max"; // ends the names of figures of which the worst run counts
-
+  // Suffixes of figures for which the maximum or minimum of all runs counts; others are added up.
+  private static final String MAX_SUFFIX = "_max";
   private static final String MIN_SUFFIX = "_min";
 
   private ExperimentRunner() {}
 
-  /** Reads an experiment file and checks what holds for every kind of experiment. */
+  /** Reads and validates an experiment file. */
   public static Experiment read(String file) {
-    Experiment read = LabInput.parse(file, LabInput.read(file), Experiment.newBuilder()).build();
-    if (read.hasFleet()) {
-      FleetRun.validate(file, read);
-      return read;
+    Experiment experiment =
+        LabInput.parse(file, LabInput.read(file), Experiment.newBuilder()).build();
+    if (experiment.hasFleet()) {
+      FleetRun.validate(file, experiment);
+      return experiment;
     }
-    if (read.getScaleCount() > 0) {
-      ScaleExperiment.validate(file, read);
-      return read;
+    if (experiment.getScaleCount() > 0) {
+      ScaleExperiment.validate(file, experiment);
+      return experiment;
     }
-    LabInput.requireRange(file, "managers", read.getManagers(), 1, 16);
-    LabInput.requireRange(file, "engines", read.getEngines(), 1, 64);
-    LabInput.requireRange(file, "clients", read.getClients(), 1, 256);
-    LabInput.requireRange(file, "seconds", read.getSeconds(), 1, 3600);
-    LabInput.requireRange(file, "runs", read.getRuns(), 1, 1000);
-    LabInput.requireRange(file, "least_work_ms", read.getLeastWorkMs(), 0, 10000);
-    for (Fault fault : read.getFaultsList()) {
-      LabInput.requireRange(file, "faults.manager", fault.getManager(), 0, read.getManagers() - 1);
+    LabInput.requireRange(file, "managers", experiment.getManagers(), 1, 16);
+    LabInput.requireRange(file, "engines", experiment.getEngines(), 1, 64);
+    LabInput.requireRange(file, "clients", experiment.getClients(), 1, 256);
+    LabInput.requireRange(file, "seconds", experiment.getSeconds(), 1, 3600);
+    LabInput.requireRange(file, "runs", experiment.getRuns(), 1, 1000);
+    LabInput.requireRange(file, "least_work_ms", experiment.getLeastWorkMs(), 0, 10000);
+    for (Fault fault : experiment.getFaultsList()) {
+      LabInput.requireRange(
+          file, "faults.manager", fault.getManager(), 0, experiment.getManagers() - 1);
     }
-    if (read.getClaimsCount() == 0) {
+    if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
-    return read;
+    return experiment;
   }
 
   /**
-   * Plays all runs; true where every claim holds. Figures of several runs are their worst: the sum
-   * of what must not be. The factory makes the modules of scale runs.
+   * Runs an experiment; returns whether every claim holds. The claims apply to the figures of all
+   * runs together: maximum, minimum or sum, by the suffix of the figure's name.
+   *
+   * @param experiment the experiment
+   * @param seed seed of the first run; each further run has the next one
+   * @param out folder for the results
+   * @param factory creates the decision modules of scale experiments
+   * @param console stream for figures and claims
    */
   public static boolean run(
-      Experiment experiment, long seed, Path out, ModuleFactory factory, PrintStream to)
+      Experiment experiment, long seed, Path out, ModuleFactory factory, PrintStream console)
       throws IOException, InterruptedException {
     Files.createDirectories(out);
-    List<Map<String, Double>> all = new ArrayList<>();
+    List<Map<String, Double>> figuresOfRuns = new ArrayList<>();
     for (int i = 0; i < experiment.getRuns(); i++) {
-      all.add(runOnce(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
-      to.println(
+      figuresOfRuns.add(runOnce(experiment, seed + i, out.resolve("run-" + (seed + i)), factory));
+      console.println(
           "run "
               + (i + 1)
               + " of "
@@ -73,30 +77,30 @@
               + ", seed "
               + (seed + i)
               + ": "
-              + all.get(i));
+              + figuresOfRuns.get(i));
     }
-    Map<String, Double> sums = new TreeMap<>();
-    all.forEach(
-        one ->
-            one.forEach(
+    Map<String, Double> total = new TreeMap<>();
+    figuresOfRuns.forEach(
+        figures ->
+            figures.forEach(
                 (name, figure) ->
-                    sums.merge(
+                    total.merge(
                         name,
                         figure,
                         name.endsWith(MAX_SUFFIX)
                             ? Math::max
                             : name.endsWith(MIN_SUFFIX) ? Math::min : Double::sum)));
-    List<ClaimEvaluator.ClaimResult> judged =
-        ClaimEvaluator.evaluate(experiment.getClaimsList(), sums);
-    to.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
+    List<ClaimEvaluator.ClaimResult> results =
+        ClaimEvaluator.evaluate(experiment.getClaimsList(), total);
+    console.printf("%-30s %-14s %-14s %s%n", "claim", "bound", "measured", "held");
     boolean held = true;
-    for (ClaimEvaluator.ClaimResult one : judged) {
-      to.printf(
+    for (ClaimEvaluator.ClaimResult result : results) {
+      console.printf(
           "%-30s %-14s %-14s %s%n",
-          one.figure(), one.bound(), one.measured(), one.held() ? "yes" : "NO");
-      held &= one.held();
+          result.figure(), result.bound(), result.measured(), result.held() ? "yes" : "NO");
+      held &= result.held();
     }
-    writeResults(experiment, seed, out, all, judged);
+    writeResults(experiment, seed, out, figuresOfRuns, results);
     return held;
   }
 
@@ -120,16 +124,17 @@
       Experiment experiment,
       long seed,
       Path out,
-      List<Map<String, Double>> all,
-      List<ClaimEvaluator.ClaimResult> judged)
+      List<Map<String, Double>> figuresOfRuns,
+      List<ClaimEvaluator.ClaimResult> results)
       throws IOException {
     TreeSet<String> names = new TreeSet<>();
-    all.forEach(one -> names.addAll(one.keySet()));
+    figuresOfRuns.forEach(figures -> names.addAll(figures.keySet()));
     StringBuilder csv = new StringBuilder("seed,").append(String.join(",", names)).append('\n');
-    for (int i = 0; i < all.size(); i++) {
+    for (int i = 0; i < figuresOfRuns.size(); i++) {
       csv.append(seed + i);
       for (String name : names) {
-        csv.append(',').append(ClaimEvaluator.format(all.get(i).getOrDefault(name, Double.NaN)));
+        csv.append(',')
+            .append(ClaimEvaluator.format(figuresOfRuns.get(i).getOrDefault(name, Double.NaN)));
       }
       csv.append('\n');
     }
@@ -141,19 +146,19 @@
                 + ",\"seed\":"
                 + seed
                 + ",\"runs\":"
-                + all.size()
+                + figuresOfRuns.size()
                 + ",\"claims\":[");
-    for (int i = 0; i < judged.size(); i++) {
-      ClaimEvaluator.ClaimResult one = judged.get(i);
+    for (int i = 0; i < results.size(); i++) {
+      ClaimEvaluator.ClaimResult result = results.get(i);
       json.append(i > 0 ? "," : "")
           .append("{\"figure\":")
-          .append(JsonLinesWriter.quote(one.figure()))
+          .append(JsonLinesWriter.quote(result.figure()))
           .append(",\"bound\":\"")
-          .append(one.bound())
+          .append(result.bound())
           .append("\",\"measured\":\"")
-          .append(one.measured())
+          .append(result.measured())
           .append("\",\"held\":")
-          .append(one.held())
+          .append(result.held())
           .append('}');
     }
     Files.writeString(out.resolve("summary.json"), json.append("]}\n"));
--- a/src/main/java/tansytrack/lab/FakeCommandChannel.java
+++ b/src/main/java/tansytrack/lab/FakeCommandChannel.java
@@ -11,7 +11,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A command channel for the lab, on loopback: numbered events, asked for by long polls. */
+/** A fake command channel on loopback, which serves numbered events to long polls. */
 public final class FakeCommandChannel implements AutoCloseable {
 
   private static final Pattern POLL_REQUEST =
@@ -21,27 +21,25 @@
   private final ServerSocket socket = new ServerSocket();
   private final List<String> events = new ArrayList<>();
 
-  /** Listens at the address at once; calls are answered on threads of its own. */
-  public FakeCommandChannel(InetSocketAddress at) throws IOException {
+  /** Starts to listen at the address; each connection is served on its own thread. */
+  public FakeCommandChannel(InetSocketAddress address) throws IOException {
     socket.setReuseAddress(true);
-    socket.bind(at, 256);
+    socket.bind(address, 256);
     FakeEngine.daemonThread(this::accept).start();
   }
 
-  /**
-   * The address that it listens at, as host:port; the port is the real one where 0 was asked for.
-   */
+  /** The address that it listens at, as host:port, with the actual port if 0 was requested. */
   public String address() {
     return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
   }
 
-  /** The next event, as JSON without its number. */
+  /** Publishes an event, given as JSON without its number. */
   public synchronized void publish(String nodes) {
     events.add("{\"cursor\":" + (events.size() + 1) + ",\"nodes\":" + nodes + '}');
     notifyAll();
   }
 
-  /** All that was told up to now, in the form of `known`. */
+  /** All events up to now, in the form of the configuration's field {@code known}. */
   public synchronized String knownEvents() {
     return eventsAfter(0);
   }
@@ -55,11 +53,11 @@
   }
 
   private synchronized String awaitEvents(int resume, long blockMs) throws InterruptedException {
-    long until = System.nanoTime() + Math.min(blockMs, MAX_BLOCK_MS) * 1_000_000;
-    for (long left = blockMs;
-        events.size() <= resume && left > 0;
-        left = (until - System.nanoTime()) / 1_000_000) {
-      wait(left);
+    long deadline = System.nanoTime() + Math.min(blockMs, MAX_BLOCK_MS) * 1_000_000;
+    for (long remainingMs = blockMs;
+        events.size() <= resume && remainingMs > 0;
+        remainingMs = (deadline - System.nanoTime()) / 1_000_000) {
+      wait(remainingMs);
     }
     return eventsAfter(resume);
   }
@@ -67,30 +65,31 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        FakeEngine.daemonThread(() -> serve(one)).start();
+        Socket connection = socket.accept();
+        FakeEngine.daemonThread(() -> serve(connection)).start();
       }
     } catch (IOException e) {
-      // closed
+      // The socket was closed.
     }
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
-        Matcher asked = POLL_REQUEST.matcher(FakeEngine.readHead(in));
-        String answer =
-            asked.lookingAt()
+        Matcher request = POLL_REQUEST.matcher(FakeEngine.readHead(in));
+        String response =
+            request.lookingAt()
                 ? FakeEngine.response(
                     "200 OK",
                     "",
-                    awaitEvents(Integer.parseInt(asked.group(1)), Long.parseLong(asked.group(2))))
+                    awaitEvents(
+                        Integer.parseInt(request.group(1)), Long.parseLong(request.group(2))))
                 : FakeEngine.response("404 Not Found", "", "");
-        one.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
-      // the manager left
+      // The manager closed the connection.
     }
   }
 
--- a/src/main/java/tansytrack/lab/FakeEngine.java
+++ b/src/main/java/tansytrack/lab/FakeEngine.java
@@ -22,29 +22,32 @@
 import tansytrack.lab.simulation.EngineModel;
 
 /**
- * An engine for the lab, on loopback: takes statements over HTTP/1.1, works on each for a time that
- * follows from its id, and keeps its own count of what it ran. A query runs on until it ends, is
- * given up, or was not asked for in 2 s.
+ * A fake engine on loopback: accepts statements over HTTP/1.1, simulates work that depends on the
+ * id of the query, and records what it ran. A query runs until it is complete, is cancelled, or has
+ * not been polled for 2 s.
  */
 public final class FakeEngine implements AutoCloseable {
 
   private static final long LONG_POLL_MS = 250;
   private static final long POLL_TIMEOUT_MS = 2000;
-  private static final long MODEL_INTERVAL_MS =
-      2; // between looks at what has ended, where cores are shared
+
+  // Interval at which queries that share cores are checked for completion.
+  private static final long MODEL_INTERVAL_MS = 2;
+
   private static final int MAX_HEAD_BYTES = 1 << 14;
   private static final int MAX_BODY_BYTES = 1 << 17;
   private static final String RESULT_ROWS = "monday\t12\tnone\ntuesday\t7\tlate\n";
 
-  /** Hears what comes whole and how it ends, in order. */
+  /** Observes forwards, in the order of events. */
   interface Listener {
+    /** A whole request has arrived; its work is in nanoseconds. */
     void forwardArrived(String engine, String id, double work);
 
-    /** It ended, was given up or never ran. */
+    /** The query ended, was cancelled, or was rejected without running. */
     void forwardEnded(String engine, String id, boolean mayHaveRun);
   }
 
-  /** One query that was taken up. */
+  /** A query that was admitted. */
   private final class Query {
     final String id;
     final double workMs;
@@ -60,7 +63,7 @@
 
     Query(String id) {
       this.id = id;
-      // Thousandths, so that what is told in text is what is counted.
+      // Whole microseconds, so that the text in the response equals the recorded work.
       workMs =
           (minMs * 1000
                   + Math.floorMod(
@@ -78,72 +81,74 @@
   private final Map<String, Query> openQueries = new HashMap<>();
   private final List<Query> queries = new ArrayList<>();
   private final List<Socket> connections = new ArrayList<>();
-  private final EngineModel model; // null: each query works for itself
-  private final ToDoubleFunction<String> workNanos; // nanoseconds of work by a query's id
+
+  // Null: queries do not share cores.
+  private final EngineModel model;
+
+  // Work by query id, in nanoseconds; null without a model.
+  private final ToDoubleFunction<String> workNanos;
+
   private final Listener listener;
 
-  /**
-   * One whose queries share cores as the model says, which falls as it says, and which tells what
-   * it sees.
-   */
+  /** An engine whose queries share cores, and which crashes, by a model. */
   FakeEngine(
       String name,
-      InetSocketAddress at,
+      InetSocketAddress address,
       EngineModel model,
-      ToDoubleFunction<String> works,
-      Listener watcher)
+      ToDoubleFunction<String> workNanos,
+      Listener listener)
       throws IOException {
     this.name = name;
     minMs = 0;
     spreadMs = 0;
     this.model = model;
-    this.workNanos = works;
-    this.listener = watcher;
-    listen(at);
+    this.workNanos = workNanos;
+    this.listener = listener;
+    listen(address);
     scheduleRepeating(MODEL_INTERVAL_MS, MODEL_INTERVAL_MS, this::advance);
   }
 
   /**
-   * An engine whose queries take a time between two bounds, without a model of its cores or memory.
+   * An engine without a model: each query takes {@code minMs} and up to {@code spreadMs} more,
+   * whatever else runs.
    */
-  public FakeEngine(String name, InetSocketAddress at, long leastMs, long spreadMs)
+  public FakeEngine(String name, InetSocketAddress address, long minMs, long spreadMs)
       throws IOException {
     this.name = name;
-    this.minMs = leastMs;
+    this.minMs = minMs;
     this.spreadMs = spreadMs;
     model = null;
     workNanos = null;
     listener = null;
-    listen(at);
+    listen(address);
   }
 
-  private void listen(InetSocketAddress at) throws IOException {
+  private void listen(InetSocketAddress address) throws IOException {
     socket.setReuseAddress(true);
-    socket.bind(at, 1024);
+    socket.bind(address, 1024);
     daemonThread(this::accept).start();
     scheduleRepeating(POLL_TIMEOUT_MS, POLL_TIMEOUT_MS / 8, this::endUnpolled);
   }
 
-  /** Repeats a step until the clock is shut down; an exception in one ends the repetition. */
+  /** Repeats a step until shutdown; an exception in a step ends the repetition. */
   @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the end of a repeated step
-  private void scheduleRepeating(long firstMs, long everyMs, Runnable step) {
-    scheduler.scheduleAtFixedRate(step, firstMs, everyMs, TimeUnit.MILLISECONDS);
+  private void scheduleRepeating(long firstMs, long intervalMs, Runnable step) {
+    scheduler.scheduleAtFixedRate(step, firstMs, intervalMs, TimeUnit.MILLISECONDS);
   }
 
-  static Thread daemonThread(Runnable what) {
-    Thread thread = new Thread(what, "lab");
+  /** Creates a daemon thread; does not start it. */
+  static Thread daemonThread(Runnable task) {
+    Thread thread = new Thread(task, "lab");
     thread.setDaemon(true);
     return thread;
   }
 
-  /** The engine's identity, as configurations name it. */
+  /** The id of the engine, as in configurations. */
   public String name() {
     return name;
   }
 
-  /**
-   * The address that it listens at, as host:port; the port is the real one where 0 was asked for.
-   */
+  /** The address that it listens at, as host:port, with the actual port if 0 was requested. */
   public String address() {
     return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
   }
@@ -151,37 +156,37 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        one.setTcpNoDelay(true);
+        Socket connection = socket.accept();
+        connection.setTcpNoDelay(true);
         synchronized (connections) {
-          connections.add(one);
+          connections.add(connection);
         }
-        daemonThread(() -> serve(one)).start();
+        daemonThread(() -> serve(connection)).start();
       }
     } catch (IOException e) {
-      // closed
+      // The socket was closed.
     }
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
         String head = readHead(in);
         byte[] body = new byte[contentLength(head)];
         in.readFully(body);
-        one.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
+        connection.getOutputStream().write(answer(head).getBytes(StandardCharsets.UTF_8));
       }
     } catch (IOException | InterruptedException e) {
-      // the caller left, or spoke something else
+      // The client closed the connection or does not speak HTTP, or the engine crashed.
     } finally {
       synchronized (connections) {
-        connections.remove(one);
+        connections.remove(connection);
       }
     }
   }
 
-  /** The head of the next call, up to its blank line. */
+  /** Reads the head of the next HTTP request, up to its blank line. */
   static String readHead(DataInputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     int tail = 0;
@@ -203,7 +208,7 @@
         if (length >= 0 && length <= MAX_BODY_BYTES) {
           return length;
         }
-        throw new IOException("a body of " + length);
+        throw new IOException("request body of " + length + " bytes");
       }
     }
     return 0;
@@ -217,6 +222,7 @@
         .orElse("");
   }
 
+  /** Formats an HTTP response; each of the header fields ends with CRLF. */
   static String response(String status, String fields, String body) {
     return "HTTP/1.1 "
         + status
@@ -229,9 +235,9 @@
   }
 
   private String answer(String head) throws InterruptedException {
-    String[] call = head.substring(0, head.indexOf("\r\n")).split(" ");
-    String path = call.length > 1 ? call[1] : "";
-    if (call[0].equals("POST") && path.equals("/o")) {
+    String[] request = head.substring(0, head.indexOf("\r\n")).split(" ");
+    String path = request.length > 1 ? request[1] : "";
+    if (request[0].equals("POST") && path.equals("/o")) {
       Query query = admit(headerField(head, "x-req"));
       return query == null
           ? response("503 Service Unavailable", "X-Not-Run: 1\r\n" + loadReport(), "")
@@ -244,7 +250,7 @@
     if (parts.length < 3 || !parts[1].equals("o")) {
       return response("404 Not Found", "", "");
     }
-    return switch (call[0]) {
+    return switch (request[0]) {
       case "GET" ->
           openQuery(parts[2]) == null
               ? response("500 Internal Server Error", "", "")
@@ -262,7 +268,7 @@
   }
 
   private synchronized String loadReport() {
-    long busy = openQueries.values().stream().filter(one -> !one.ended).count();
+    long busy = openQueries.values().stream().filter(query -> !query.ended).count();
     if (model != null) {
       return String.format(
           Locale.ROOT, "X-Load: busy_reqs:%d;cpu_share:%.2f\r\n", busy, model.utilization());
@@ -270,7 +276,7 @@
     return "X-Load: busy_reqs:" + busy + ";inflight:" + busy + "\r\n";
   }
 
-  /** Takes it up; null: it is full. */
+  /** Starts a query; null if the engine is full. */
   private synchronized Query admit(String id) throws InterruptedException {
     if (model != null) {
       return admitByModel(id);
@@ -287,10 +293,10 @@
   private Query admitByModel(String id) throws InterruptedException {
     double work = workNanos.applyAsDouble(id);
     listener.forwardArrived(name, id, work);
-    EngineModel.Admission taken = model.start(System.nanoTime(), id, work, 1);
-    if (taken != EngineModel.Admission.STARTED) {
-      listener.forwardEnded(name, id, taken == EngineModel.Admission.DOWN);
-      if (taken == EngineModel.Admission.DOWN) {
+    EngineModel.Admission admission = model.start(System.nanoTime(), id, work, 1);
+    if (admission != EngineModel.Admission.STARTED) {
+      listener.forwardEnded(name, id, admission == EngineModel.Admission.DOWN);
+      if (admission == EngineModel.Admission.DOWN) {
         crash();
       }
       return null;
@@ -307,27 +313,29 @@
     }
   }
 
-  /** It stays down: its connections are reset, new ones refused. */
+  /** Crashes: closes the listener and all connections; the engine stays down. */
   private void crash() throws InterruptedException {
     try {
       close();
     } catch (IOException e) {
-      // it is down all the same
+      // It is down all the same.
     }
     throw new InterruptedException();
   }
 
-  /** Its process has died: what it had is gone. */
+  /** Ends all open queries as lost, as the death of the process does. */
   synchronized void loseQueries() {
     for (Query query : List.copyOf(openQueries.values())) {
       end(query, false);
     }
   }
 
+  /** Whether it has crashed by its model. */
   synchronized boolean hasCrashed() {
     return model != null && model.crashed();
   }
 
+  /** Sets the factor by which all work takes longer; 1: normal speed. */
   synchronized void slowDown(double factor) {
     model.slowdown(System.nanoTime(), factor);
   }
@@ -346,16 +354,16 @@
     }
   }
 
-  /** The end of a query, or after a while the word that it runs on. */
+  /** Waits for the end of a query; responds 202 Accepted if it still runs after the long poll. */
   private synchronized String awaitResult(Query query) throws InterruptedException {
-    long until = System.nanoTime() + LONG_POLL_MS * 1_000_000;
+    long deadline = System.nanoTime() + LONG_POLL_MS * 1_000_000;
     query.lastPollNanos = System.nanoTime();
     while (!query.ended) {
-      long left = (until - System.nanoTime()) / 1_000_000;
-      if (left <= 0) {
+      long remainingMs = (deadline - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         return response("202 Accepted", "", "");
       }
-      wait(left);
+      wait(remainingMs);
     }
     query.lastPollNanos = System.nanoTime();
     return query.completed
@@ -380,8 +388,8 @@
   }
 
   /**
-   * What it ran, as the rows of a statement: engine,task,work_ns,done; with a last row that says
-   * that it is whole.
+   * The queries that it ran, as rows of a statement (engine,task,work_ns,done); the last row marks
+   * the statement as complete.
    */
   public synchronized List<String> statement() {
     List<String> rows = new ArrayList<>();
@@ -393,7 +401,7 @@
     return rows;
   }
 
-  /** How many queries it was sent. */
+  /** Number of queries that it started. */
   public synchronized long queryCount() {
     return queries.size();
   }
@@ -403,8 +411,8 @@
     socket.close();
     scheduler.shutdownNow();
     synchronized (connections) {
-      for (Socket one : List.copyOf(connections)) {
-        one.close();
+      for (Socket connection : List.copyOf(connections)) {
+        connection.close();
       }
     }
   }
--- a/src/main/java/tansytrack/lab/FleetTraffic.java
+++ b/src/main/java/tansytrack/lab/FleetTraffic.java
@@ -23,13 +23,15 @@
 import tansytrack.lab.simulation.InvariantChecker;
 
 /**
- * What a fleet of processes serves: engines in places, a list for each manager, streams through
- * relays, an open-loop load on each manager. Keeps a log of all that clients, engines and the list
- * saw, for the checker of the rules.
+ * The surroundings of a fleet of manager processes: fake engines in zones, a command channel for
+ * each manager, relays for the connections, and an open-loop load on each manager. Logs what
+ * clients, engines and command channels observe, for the {@link InvariantChecker}.
  */
 final class FleetTraffic implements AutoCloseable {
 
   private static final long NANOS_PER_MS = 1_000_000L;
+
+  // Time that a manager may take from SIGTERM to its exit, in which it closes connections.
   private static final long SHUTDOWN_NANOS = 4000 * NANOS_PER_MS;
 
   private final FleetPlan plan;
@@ -41,14 +43,20 @@
   private final List<InetSocketAddress> engineAddresses = new ArrayList<>();
   private final List<FakeCommandChannel> channels = new ArrayList<>();
   private final List<StreamRelay> channelRelays = new ArrayList<>();
-  private final List<List<StreamRelay>> engineRelays = new ArrayList<>(); // by manager and engine
+
+  // By manager, then by engine.
+  private final List<List<StreamRelay>> engineRelays = new ArrayList<>();
+
   private final List<InvariantChecker.Event> events =
       Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Arrival> arrivals = new ConcurrentHashMap<>();
-  private final Map<String, String> managerOfTask =
-      new ConcurrentHashMap<>(); // the manager of a task
-  private final Map<Integer, Long> engineStartNanos =
-      new HashMap<>(); // of engines, ns on this machine's steady clock
+
+  // The manager that each task was sent to.
+  private final Map<String, String> managerOfTask = new ConcurrentHashMap<>();
+
+  // Start time of each restarted engine, by System.nanoTime().
+  private final Map<Integer, Long> engineStartNanos = new HashMap<>();
+
   private final List<OpenLoopGenerator> loads = new ArrayList<>();
   private final List<Thread> threads = new ArrayList<>();
   private int revision = 1;
@@ -57,20 +65,20 @@
   private volatile Exception failure;
 
   FleetTraffic(
-      FleetPlan plan, FaultSchedule faults, List<String> managers, List<String> places, long seed)
+      FleetPlan plan, FaultSchedule faults, List<String> managers, List<String> zones, long seed)
       throws IOException {
     this.plan = plan;
     this.faults = faults;
     this.managers = managers;
-    this.zones = places;
+    this.zones = zones;
     this.seed = seed;
     for (int i = 0; i < plan.getEngines(); i++) {
       engines.add(engine(i, new InetSocketAddress("127.22.0." + (i + 1), 0), warmStartNanos()));
-      String[] at = engines.get(i).address().split(":");
-      engineAddresses.add(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+      String[] hostAndPort = engines.get(i).address().split(":");
+      engineAddresses.add(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])));
     }
-    for (int m = 0; m < managers.size(); m++) {
-      int by = m;
+    for (int manager = 0; manager < managers.size(); manager++) {
+      int managerIndex = manager;
       FakeCommandChannel channel =
           new FakeCommandChannel(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       channels.add(channel);
@@ -78,25 +86,26 @@
           new StreamRelay(
               "127.0.0.1",
               address(channel.address()),
-              () -> activeFault(by, "list", "list"),
-              seed ^ m));
-      List<StreamRelay> own = new ArrayList<>();
+              () -> activeFault(managerIndex, "list", "list"),
+              seed ^ manager));
+      List<StreamRelay> relaysOfManager = new ArrayList<>();
       for (int i = 0; i < engines.size(); i++) {
-        int to = i;
-        own.add(
+        int engineIndex = i;
+        relaysOfManager.add(
             new StreamRelay(
-                "127.23." + m + '.' + (i + 1),
+                "127.23." + manager + '.' + (i + 1),
                 engineAddresses.get(i),
-                () -> activeFault(by, "e" + to, engineZone(to)),
-                seed * 4096 + m * 64L + i));
+                () -> activeFault(managerIndex, "e" + engineIndex, engineZone(engineIndex)),
+                seed * 4096 + manager * 64L + i));
       }
-      engineRelays.add(own);
+      engineRelays.add(relaysOfManager);
     }
     for (int i = 0; i < engines.size(); i++) {
       announce(i, "ready");
     }
   }
 
+  /** A start time that lies far enough back for an engine to be warm. */
   private long warmStartNanos() {
     return System.nanoTime()
         - 1000L * Math.max(1, plan.getEngine().getWarmAfterMs()) * NANOS_PER_MS;
@@ -112,12 +121,13 @@
     return "place-" + engine % plan.getPlaces();
   }
 
-  private FaultSchedule.StreamFault activeFault(int manager, String to, String place) {
+  private FaultSchedule.StreamFault activeFault(int manager, String target, String zone) {
     return faults.activeStreamFault(
-        System.nanoTime() - startNanos, managers.get(manager), zones.get(manager), to, place);
+        System.nanoTime() - startNanos, managers.get(manager), zones.get(manager), target, zone);
   }
 
-  private FakeEngine engine(int which, InetSocketAddress at, long startedAt) throws IOException {
+  private FakeEngine engine(int index, InetSocketAddress address, long startNanos)
+      throws IOException {
     EngineForm form = plan.getEngine();
     EngineModel.Spec spec =
         new EngineModel.Spec(
@@ -128,9 +138,9 @@
             form.getMultiple(),
             form.getWindowMs() * NANOS_PER_MS);
     return new FakeEngine(
-        "e" + which,
-        at,
-        new EngineModel(spec, startedAt),
+        "e" + index,
+        address,
+        new EngineModel(spec, startNanos),
         id -> arrivals.containsKey(id) ? arrivals.get(id).costMs() * NANOS_PER_MS : NANOS_PER_MS,
         new FakeEngine.Listener() {
           @Override
@@ -148,65 +158,78 @@
         });
   }
 
-  /** Tells all managers of an engine; each by the address of its own relay. */
+  /** Announces an engine to all managers, to each by the address of its own relay. */
   private synchronized void announce(int engine, String phase) {
-    long since = engineStartNanos.getOrDefault(engine, 0L);
-    long unix =
-        since == 0 ? 0 : System.currentTimeMillis() - (System.nanoTime() - since) / NANOS_PER_MS;
+    long startedNanos = engineStartNanos.getOrDefault(engine, 0L);
+    long startedUnixMs =
+        startedNanos == 0
+            ? 0
+            : System.currentTimeMillis() - (System.nanoTime() - startedNanos) / NANOS_PER_MS;
     events.add(
         new InvariantChecker.EngineListed(
-            System.nanoTime(), "e" + engine, engineZone(engine), phase.equals("ready"), since));
+            System.nanoTime(),
+            "e" + engine,
+            engineZone(engine),
+            phase.equals("ready"),
+            startedNanos));
     revision++;
-    for (int m = 0; m < managers.size(); m++) {
+    for (int manager = 0; manager < managers.size(); manager++) {
       channels
-          .get(m)
+          .get(manager)
           .publish(
               "{\"revision\":"
                   + revision
                   + ",\"complete\":false,\"members\":[{\"id\":\"e"
                   + engine
                   + "\",\"host_port\":\""
-                  + engineRelays.get(m).get(engine).address()
+                  + engineRelays.get(manager).get(engine).address()
                   + "\",\"locality\":\""
                   + engineZone(engine)
                   + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\""
                   + phase
                   + "\",\"size\":8,\"up_since_ms\":"
-                  + unix
+                  + startedUnixMs
                   + "}]}");
     }
   }
 
+  /** The address of a manager's command channel. */
   String channelAddress(int manager) {
     return channelRelays.get(manager).address();
   }
 
+  /** The events of a manager's command channel up to now, as JSON. */
   String knownEvents(int manager) {
     return channels.get(manager).knownEvents();
   }
 
-  /** The load and the troubles begin now. */
-  void start(List<InetSocketAddress> listeners, long from) {
-    startNanos = from;
-    for (int m = 0; plan.hasLoad() && m < managers.size(); m++) {
-      String name = managers.get(m);
+  /**
+   * Starts the load and the engine faults.
+   *
+   * @param listeners the managers' client addresses
+   * @param startNanos start of the fault schedule, by System.nanoTime()
+   */
+  void start(List<InetSocketAddress> listeners, long startNanos) {
+    this.startNanos = startNanos;
+    for (int manager = 0; plan.hasLoad() && manager < managers.size(); manager++) {
+      String name = managers.get(manager);
       LoadFile file = LoadFile.validated("fleet.load", plan.getLoad());
       OpenLoopGenerator load =
-          new OpenLoopGenerator(file, listeners.get(m), seed * 64 + m, listener(name));
+          new OpenLoopGenerator(file, listeners.get(manager), seed * 64 + manager, listener(name));
       loads.add(load);
       run(load::run);
     }
-    for (EngineTrouble one : plan.getEngineTroublesList()) {
-      run(() -> inject(one, from));
+    for (EngineTrouble fault : plan.getEngineTroublesList()) {
+      run(() -> inject(fault, startNanos));
     }
   }
 
-  /** Writes down what a manager's clients ask and hear. */
+  /** Logs the tasks and answers of a manager's clients. */
   private OpenLoopGenerator.Listener listener(String name) {
     return new OpenLoopGenerator.Listener() {
       @Override
-      public void taskSubmitted(String id, Arrival one, long waitMs) {
-        arrivals.put(id, one);
+      public void taskSubmitted(String id, Arrival arrival, long timeoutMs) {
+        arrivals.put(id, arrival);
         managerOfTask.put(id, name);
         long now = System.nanoTime();
         events.add(
@@ -214,11 +237,11 @@
                 now,
                 name,
                 id,
-                one.queryClass().equals("load")
+                arrival.queryClass().equals("load")
                     ? InvariantChecker.RetrySafety.NON_IDEMPOTENT
                     : InvariantChecker.RetrySafety.IDEMPOTENT,
-                one.key(),
-                now + waitMs * NANOS_PER_MS,
+                arrival.key(),
+                now + timeoutMs * NANOS_PER_MS,
                 Set.of()));
       }
 
@@ -237,8 +260,8 @@
 
       @Override
       public void taskFailed(String id, long connectedAt) {
-        // One that a manager was taken down under is lost with it; one that was never
-        // taken is owed nothing.
+        // A task is abandoned only if its manager went down; if the connection was never
+        // established, the manager did not accept the task.
         if (connectedAt >= 0 && wentDownSince(name, connectedAt)) {
           events.add(new InvariantChecker.TaskAbandoned(System.nanoTime(), id));
         }
@@ -247,25 +270,25 @@
   }
 
   /**
-   * Was that manager killed or ended since? One that ends closes connections for a while, which
-   * tasks may cross.
+   * Whether a manager was killed or stopped since that time. A manager that is stopped closes its
+   * connections for some time, in which tasks may still be on their way to it.
    */
-  private boolean wentDownSince(String name, long time) {
+  private boolean wentDownSince(String manager, long time) {
     return faults.processes().stream()
         .anyMatch(
-            one ->
-                one.member().equals(name)
-                    && one.kind() != FaultSchedule.ProcessFaultKind.STOP
+            fault ->
+                fault.member().equals(manager)
+                    && fault.kind() != FaultSchedule.ProcessFaultKind.STOP
                     && startNanos
-                            + one.startNanos()
-                            + (one.kind() == FaultSchedule.ProcessFaultKind.END
+                            + fault.startNanos()
+                            + (fault.kind() == FaultSchedule.ProcessFaultKind.END
                                 ? SHUTDOWN_NANOS
                                 : 0)
                         >= time
-                    && startNanos + one.startNanos() <= System.nanoTime());
+                    && startNanos + fault.startNanos() <= System.nanoTime());
   }
 
-  /** That manager has been started again. */
+  /** Logs that a manager was started again. */
   void managerRestarted(String name) {
     events.add(new InvariantChecker.ManagerRestarted(System.nanoTime(), name));
   }
@@ -274,12 +297,12 @@
     void run() throws Exception;
   }
 
-  private void run(ThrowingRunnable what) {
+  private void run(ThrowingRunnable step) {
     Thread thread =
         FakeEngine.daemonThread(
             () -> {
               try {
-                what.run();
+                step.run();
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               } catch (Exception e) {
@@ -290,70 +313,72 @@
     thread.start();
   }
 
-  private void inject(EngineTrouble what, long from) throws IOException, InterruptedException {
-    int which = Integer.parseInt(what.getEngine().substring(1));
-    sleepUntil(from + what.getAtMs() * NANOS_PER_MS);
-    switch (what.getKind()) {
+  private void inject(EngineTrouble fault, long startNanos)
+      throws IOException, InterruptedException {
+    int index = Integer.parseInt(fault.getEngine().substring(1));
+    sleepUntil(startNanos + fault.getAtMs() * NANOS_PER_MS);
+    switch (fault.getKind()) {
       case RESTART -> {
-        FakeEngine old = replaceEngine(which, null);
-        old.close();
-        old.loseQueries();
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
+        FakeEngine previous = replaceEngine(index, null);
+        previous.close();
+        previous.loseQueries();
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
         synchronized (this) {
-          engineStartNanos.put(which, System.nanoTime());
+          engineStartNanos.put(index, System.nanoTime());
         }
-        crashes += old.hasCrashed() ? 1 : 0;
+        crashes += previous.hasCrashed() ? 1 : 0;
         replaceEngine(
-            which, engine(which, engineAddresses.get(which), engineStartNanos.get(which)));
-        announce(which, "ready");
+            index, engine(index, engineAddresses.get(index), engineStartNanos.get(index)));
+        announce(index, "ready");
       }
       case SLOW -> {
-        engines.get(which).slowDown(what.getFactor());
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
-        engines.get(which).slowDown(1);
+        engines.get(index).slowDown(fault.getFactor());
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
+        engines.get(index).slowDown(1);
       }
       case DRAIN -> {
-        announce(which, "draining");
-        sleepUntil(from + (what.getAtMs() + what.getForMs()) * NANOS_PER_MS);
-        announce(which, "ready");
+        announce(index, "draining");
+        sleepUntil(startNanos + (fault.getAtMs() + fault.getForMs()) * NANOS_PER_MS);
+        announce(index, "ready");
       }
       default -> throw new IllegalStateException();
     }
   }
 
-  private synchronized FakeEngine replaceEngine(int which, FakeEngine next) {
-    FakeEngine old = engines.get(which);
-    if (next != null) {
-      engines.set(which, next);
+  private synchronized FakeEngine replaceEngine(int index, FakeEngine replacement) {
+    FakeEngine previous = engines.get(index);
+    if (replacement != null) {
+      engines.set(index, replacement);
     }
-    return old;
+    return previous;
   }
 
+  /** Sleeps until that time of System.nanoTime(). */
   static void sleepUntil(long time) throws InterruptedException {
     Thread.sleep(Math.max(0, (time - System.nanoTime()) / NANOS_PER_MS));
   }
 
   /**
-   * Waits for the load, and gives the figures of what was served and of the rules; what was seen is
-   * left in a file.
+   * Waits for the end of the load; returns the figures of the load and the number of violations of
+   * each invariant. Writes the logged events to a file.
    */
   Map<String, Double> figures(Path folder) throws InterruptedException, IOException {
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure != null) {
       throw new IOException("the traffic failed: " + failure, failure);
     }
     Map<String, Double> figures = new TreeMap<>();
     double tasks = 0;
-    double good = 0;
+    double answeredInTime = 0;
     for (OpenLoopGenerator load : loads) {
-      Map<String, Double> one = load.figures();
-      tasks += one.get("tasks");
-      good += one.get("tasks") * one.get("share");
+      Map<String, Double> loadFigures = load.figures();
+      tasks += loadFigures.get("tasks");
+      answeredInTime += loadFigures.get("tasks") * loadFigures.get("share");
     }
     EngineForm form = plan.getEngine();
-    InvariantChecker.Limits rules =
+    InvariantChecker.Limits limits =
         new InvariantChecker.Limits(
             500 * NANOS_PER_MS,
             60 * NANOS_PER_MS,
@@ -366,41 +391,41 @@
             0,
             0,
             0);
-    List<InvariantChecker.Event> all;
+    List<InvariantChecker.Event> sorted;
     synchronized (events) {
-      all = new ArrayList<>(events);
+      sorted = new ArrayList<>(events);
     }
-    all.sort(Comparator.comparingLong(InvariantChecker.Event::at));
+    sorted.sort(Comparator.comparingLong(InvariantChecker.Event::at));
     Files.write(
         folder.resolve("seen.log"),
-        all.stream().map(one -> (one.at() - startNanos) / 1000 + " us " + one).toList());
-    InvariantChecker.violations(rules, all)
-        .forEach((rule, times) -> figures.put("broken." + rule, (double) times));
-    InvariantChecker.firstViolations(rules, all).forEach(System.err::println);
-    for (FakeEngine one : engines) {
-      crashes += one.hasCrashed() ? 1 : 0;
+        sorted.stream().map(event -> (event.at() - startNanos) / 1000 + " us " + event).toList());
+    InvariantChecker.violations(limits, sorted)
+        .forEach((rule, count) -> figures.put("broken." + rule, (double) count));
+    InvariantChecker.firstViolations(limits, sorted).forEach(System.err::println);
+    for (FakeEngine engine : engines) {
+      crashes += engine.hasCrashed() ? 1 : 0;
     }
     figures.put("engines.fallen", (double) crashes);
     figures.put("tasks", tasks);
-    figures.put("share_min", tasks == 0 ? 1 : good / tasks);
+    figures.put("share_min", tasks == 0 ? 1 : answeredInTime / tasks);
     return figures;
   }
 
   @Override
   public void close() throws IOException {
-    for (FakeEngine one : engines) {
-      one.close();
+    for (FakeEngine engine : engines) {
+      engine.close();
     }
-    for (List<StreamRelay> own : engineRelays) {
-      for (StreamRelay one : own) {
-        one.close();
+    for (List<StreamRelay> relaysOfManager : engineRelays) {
+      for (StreamRelay relay : relaysOfManager) {
+        relay.close();
       }
     }
-    for (StreamRelay one : channelRelays) {
-      one.close();
+    for (StreamRelay relay : channelRelays) {
+      relay.close();
     }
-    for (FakeCommandChannel one : channels) {
-      one.close();
+    for (FakeCommandChannel channel : channels) {
+      channel.close();
     }
   }
 }
--- a/src/main/java/tansytrack/lab/LabClient.java
+++ b/src/main/java/tansytrack/lab/LabClient.java
@@ -10,15 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * A client for the lab: simple queries over the PostgreSQL protocol 3.0, one at a time on a
- * session.
- */
+/** A client for experiments: simple queries over the PostgreSQL protocol 3.0, one at a time. */
 public final class LabClient implements AutoCloseable {
 
-  /** What came back: HANDLED, or the SQLSTATE of the error with its text. */
+  /**
+   * The answer to a query.
+   *
+   * @param code HANDLED, or the SQLSTATE of the error
+   * @param text the error text; empty without an error
+   * @param columns names of the columns
+   * @param cells the rows, as text
+   */
   public record Answer(String code, String text, List<String> columns, List<List<String>> cells) {
-    /** How many rows came. */
+    /** Number of rows. */
     public int rowCount() {
       return cells.size();
     }
@@ -29,25 +33,26 @@
     }
   }
 
-  private static final int COLUMN_ATTRIBUTES_BYTES = 18; // bytes of a column's description
+  // Bytes that follow the name of a column in a RowDescription message.
+  private static final int COLUMN_ATTRIBUTES_BYTES = 18;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
 
-  /** Connects and goes through the start-up of the PostgreSQL protocol. */
-  public LabClient(InetSocketAddress to, int patienceMs) throws IOException {
+  /** Connects and completes the start-up of the protocol; the timeout holds for each read too. */
+  public LabClient(InetSocketAddress address, int timeoutMs) throws IOException {
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(patienceMs);
-    socket.connect(to, patienceMs);
+    socket.setSoTimeout(timeoutMs);
+    socket.connect(address, timeoutMs);
     in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-    byte[] who = "user\0app\0database\0bi\0\0".getBytes(StandardCharsets.US_ASCII);
+    byte[] parameters = "user\0app\0database\0bi\0\0".getBytes(StandardCharsets.US_ASCII);
     socket
         .getOutputStream()
         .write(
-            ByteBuffer.allocate(8 + who.length)
-                .putInt(8 + who.length)
+            ByteBuffer.allocate(8 + parameters.length)
+                .putInt(8 + parameters.length)
                 .putInt(3 << 16)
-                .put(who)
+                .put(parameters)
                 .array());
     readAnswer();
   }
@@ -91,13 +96,13 @@
     }
   }
 
-  private static void readColumnNames(ByteBuffer body, List<String> into) {
-    for (int left = body.getShort(); left > 0; left--) {
+  private static void readColumnNames(ByteBuffer body, List<String> columns) {
+    for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int from = body.position();
       while (body.get() != 0) {
-        // to its end
+        // skip to the terminating zero
       }
-      into.add(decode(body, from, body.position() - 1 - from));
+      columns.add(decode(body, from, body.position() - 1 - from));
       body.position(body.position() + COLUMN_ATTRIBUTES_BYTES);
     }
   }
@@ -108,7 +113,7 @@
 
   private static List<String> readRow(ByteBuffer body) {
     List<String> row = new ArrayList<>();
-    for (int left = body.getShort(); left > 0; left--) {
+    for (int remaining = body.getShort(); remaining > 0; remaining--) {
       int length = body.getInt();
       row.add(length < 0 ? "" : decode(body, body.position(), length));
       body.position(body.position() + Math.max(0, length));
--- a/src/main/java/tansytrack/lab/LabInput.java
+++ b/src/main/java/tansytrack/lab/LabInput.java
@@ -9,14 +9,12 @@
 import java.nio.file.Path;
 import tansytrack.settings.InvalidInputException;
 
-/**
- * What the lab's files and options have in common: how they are read, and how their faults are
- * said.
- */
+/** Reading and validation of the input files and options of lab commands. */
 final class LabInput {
 
   private LabInput() {}
 
+  /** Reads a whole file. */
   static String read(String file) {
     try {
       return Files.readString(Path.of(file), StandardCharsets.UTF_8);
@@ -25,18 +23,19 @@
     }
   }
 
-  /** Reads protobuf's text format. */
-  static <B extends Message.Builder> B parse(String file, String text, B into) {
+  /** Parses protobuf text format into a builder; the file's name stands in error messages. */
+  static <B extends Message.Builder> B parse(String file, String text, B builder) {
     try {
-      TextFormat.merge(text, into);
-      return into;
+      TextFormat.merge(text, builder);
+      return builder;
     } catch (TextFormat.ParseException e) {
       throw new InvalidInputException(file + ':' + e.getMessage());
     }
   }
 
-  static void requireRange(String file, String field, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  /** Rejects a value outside of the bounds, naming the field, the value and what is allowed. */
+  static void requireRange(String file, String field, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           file
               + ": "
@@ -44,24 +43,24 @@
               + ": '"
               + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + ClaimEvaluator.format(least)
+              + ClaimEvaluator.format(min)
               + " to "
-              + ClaimEvaluator.format(most));
+              + ClaimEvaluator.format(max));
     }
   }
 
-  /** An address with a port; the lab reaches nothing but this machine. */
+  /** Parses a loopback address with a port; lab commands connect to this machine only. */
   static InetSocketAddress loopbackAddress(String field, String text) {
     int colon = text.lastIndexOf(':');
     try {
-      InetSocketAddress at =
+      InetSocketAddress address =
           new InetSocketAddress(
               text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
-      if (!at.isUnresolved() && at.getAddress().isLoopbackAddress()) {
-        return at;
+      if (!address.isUnresolved() && address.getAddress().isLoopbackAddress()) {
+        return address;
       }
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      // said below
+      // Reported below.
     }
     throw new InvalidInputException(
         field + " '" + text + "'; allowed: a loopback address with a port, as in 127.0.0.1:6565");
--- a/src/main/java/tansytrack/lab/LedgerRun.java
+++ b/src/main/java/tansytrack/lab/LedgerRun.java
@@ -13,14 +13,18 @@
 import tansytrack.lab.proto.Fault;
 
 /**
- * One run of an experiment on real processes and loopback sockets: managers with ledgers, under
+ * One run of an experiment on ledgers: manager processes with ledgers on loopback sockets, under
  * load and faults.
  */
 final class LedgerRun implements AutoCloseable {
 
   private static final int CLIENT_TIMEOUT_MS = 4000;
-  private static final int RECONNECT_DELAY_MS = 20; // of a client whose manager is away
-  private static final int TASK_TIMEOUT_MS = 2500; // that a client gives its task
+
+  // Delay of a client before it connects again to a manager that is down.
+  private static final int RECONNECT_DELAY_MS = 20;
+
+  // Time that a client allows for its task.
+  private static final int TASK_TIMEOUT_MS = 2500;
 
   private final Experiment experiment;
   private final SplittableRandom random;
@@ -68,35 +72,35 @@
     }
   }
 
-  /** Plays it, and gives its figures. */
+  /** Runs the experiment and returns its figures by name. */
   Map<String, Double> run() throws IOException, InterruptedException {
-    for (ManagerProcess one : managers) {
-      one.start();
+    for (ManagerProcess manager : managers) {
+      manager.start();
     }
     List<Thread> threads = new ArrayList<>();
     for (int m = 0; m < managers.size(); m++) {
-      ManagerProcess to = managers.get(m);
+      ManagerProcess manager = managers.get(m);
       for (int c = 0; c < experiment.getClients(); c++) {
-        SplittableRandom own = random.split();
-        long ids = (long) (m + 1) << 40 | (long) (c + 1) << 24;
-        threads.add(FakeEngine.daemonThread(() -> runClient(to, ids, own)));
+        SplittableRandom clientRandom = random.split();
+        long firstId = (long) (m + 1) << 40 | (long) (c + 1) << 24;
+        threads.add(FakeEngine.daemonThread(() -> runClient(manager, firstId, clientRandom)));
       }
       if (experiment.getExportEveryMs() > 0) {
-        threads.add(FakeEngine.daemonThread(() -> runExports(to)));
+        threads.add(FakeEngine.daemonThread(() -> runExports(manager)));
       }
     }
     long start = System.nanoTime();
     for (Fault fault : experiment.getFaultsList()) {
-      long at =
+      long delayMs =
           (long) fault.getAtMs()
               + (fault.getSpreadMs() > 0 ? random.nextInt(fault.getSpreadMs()) : 0);
-      threads.add(FakeEngine.daemonThread(() -> inject(fault, start + at * 1_000_000)));
+      threads.add(FakeEngine.daemonThread(() -> inject(fault, start + delayMs * 1_000_000)));
     }
     threads.forEach(Thread::start);
     Thread.sleep(experiment.getSeconds() * 1000L);
     stopping = true;
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     if (failure != null) {
       throw failure;
@@ -112,41 +116,41 @@
     return figures;
   }
 
-  /** Ends every manager, then lets each export what is left. */
+  /** Stops every manager, then exports what is left of each ledger. */
   private void endManagers() throws IOException, InterruptedException {
-    for (ManagerProcess one : managers) {
-      if (!one.stop()) {
-        throw new IOException(one.name + " did not end when told to");
+    for (ManagerProcess manager : managers) {
+      if (!manager.stop()) {
+        throw new IOException(manager.name + " did not stop on SIGTERM");
       }
     }
-    for (ManagerProcess one : managers) {
-      if (one.startExport().waitFor() != 0) {
-        throw new IOException("the last export of " + one.name + " failed; see export.log");
+    for (ManagerProcess manager : managers) {
+      if (manager.startExport().waitFor() != 0) {
+        throw new IOException("the last export of " + manager.name + " failed; see export.log");
       }
     }
   }
 
-  private void runClient(ManagerProcess to, long ids, SplittableRandom own) {
-    long number = ids;
+  private void runClient(ManagerProcess manager, long firstId, SplittableRandom random) {
+    long id = firstId;
     while (!stopping) {
-      try (LabClient client = new LabClient(to.listenAddress, CLIENT_TIMEOUT_MS)) {
+      try (LabClient client = new LabClient(manager.listenAddress, CLIENT_TIMEOUT_MS)) {
         while (!stopping) {
           submitted.incrementAndGet();
-          String grade = own.nextInt(4) == 0 ? "load" : "query";
+          String queryClass = random.nextInt(4) == 0 ? "load" : "query";
           boolean answered = false;
           try {
             LabClient.Answer answer =
                 client.query(
                     "/* class="
-                        + grade
+                        + queryClass
                         + ",id="
-                        + String.format("%016x", ++number)
+                        + String.format("%016x", ++id)
                         + ",wait="
                         + TASK_TIMEOUT_MS
                         + ",tenant=t"
-                        + own.nextInt(3)
+                        + random.nextInt(3)
                         + ",mb=8,cost=10 */ SELECT day FROM sales_"
-                        + own.nextInt(20)
+                        + random.nextInt(20)
                         + ".orders");
             answered = true;
             (answer.handled() ? handled : rejected).incrementAndGet();
@@ -168,11 +172,11 @@
     }
   }
 
-  private void runExports(ManagerProcess of) {
+  private void runExports(ManagerProcess manager) {
     while (!stopping) {
       sleep(experiment.getExportEveryMs());
       try {
-        of.startExport().waitFor();
+        manager.startExport().waitFor();
         audit.inspectBatches(managers);
       } catch (IOException e) {
         failure = e;
@@ -182,22 +186,25 @@
     }
   }
 
-  private void inject(Fault fault, long at) {
-    sleep(Math.max(0, (at - System.nanoTime()) / 1_000_000));
-    ManagerProcess of = managers.get(fault.getManager());
+  private void inject(Fault fault, long atNanos) {
+    sleep(Math.max(0, (atNanos - System.nanoTime()) / 1_000_000));
+    ManagerProcess manager = managers.get(fault.getManager());
     try {
       if (fault.getKind() == Fault.Kind.KILL_MANAGER) {
-        synchronized (of) { // a kill waits until the start before it is over
-          of.kill();
+        // Waits until an earlier kill of this manager has started it again.
+        synchronized (manager) {
+          manager.kill();
           sleep(fault.getForMs());
-          of.start();
+          manager.start();
         }
         synchronized (this) {
           managersKilled++;
         }
       } else {
-        Process export = of.startExport();
-        sleep(fault.getForMs() + (fault.getSpreadMs() > 0 ? at / 1000 % fault.getSpreadMs() : 0));
+        Process export = manager.startExport();
+        sleep(
+            fault.getForMs()
+                + (fault.getSpreadMs() > 0 ? atNanos / 1000 % fault.getSpreadMs() : 0));
         boolean running = export.isAlive();
         export.destroyForcibly().waitFor();
         synchronized (this) {
--- a/src/main/java/tansytrack/lab/LoadCommand.java
+++ b/src/main/java/tansytrack/lab/LoadCommand.java
@@ -8,24 +8,34 @@
 import java.util.Map;
 import tansytrack.lab.load.LatencyStatistics;
 
-/** Plays a load file against a listener on loopback and judges its claims. */
+/** Runs a load file against a listener on loopback and evaluates its claims. */
 public final class LoadCommand {
 
   private LoadCommand() {}
 
-  /** True where the run is not void and every claim holds. */
-  public static boolean run(String name, String to, long seed, Path out, PrintStream told)
+  /**
+   * Runs a load; returns whether the run is not void and every claim holds.
+   *
+   * @param loadFile the load file
+   * @param address address of the listener
+   * @param seed seed of the load
+   * @param out folder for the results
+   * @param console stream for figures and claims
+   */
+  public static boolean run(
+      String loadFile, String address, long seed, Path out, PrintStream console)
       throws IOException, InterruptedException {
-    LoadFile file = LoadFile.read(name);
-    OpenLoopGenerator loop =
-        new OpenLoopGenerator(file, LabInput.loopbackAddress("--to", to), seed);
-    loop.run();
-    Map<String, Double> figures = loop.figures();
+    LoadFile load = LoadFile.read(loadFile);
+    OpenLoopGenerator generator =
+        new OpenLoopGenerator(load, LabInput.loopbackAddress("--to", address), seed);
+    generator.run();
+    Map<String, Double> figures = generator.figures();
     Files.createDirectories(out);
     StringBuilder csv = new StringBuilder("second,tasks,share,latency_ms_p50,latency_ms_p99\n");
-    for (Map.Entry<Long, LatencyStatistics.Totals> one : loop.latencies().seconds().entrySet()) {
-      LatencyStatistics.Totals window = one.getValue();
-      csv.append(one.getKey())
+    for (Map.Entry<Long, LatencyStatistics.Totals> second :
+        generator.latencies().seconds().entrySet()) {
+      LatencyStatistics.Totals window = second.getValue();
+      csv.append(second.getKey())
           .append(',')
           .append(window.tasks())
           .append(',')
@@ -37,19 +47,22 @@
           .append('\n');
     }
     Files.writeString(out.resolve("seconds.csv"), csv);
-    told.println(loop.sendDelays().summary());
-    if (loop.sendDelays().isVoid()) {
+    console.println(generator.sendDelays().summary());
+    if (generator.sendDelays().isVoid()) {
       return false;
     }
     figures.forEach(
-        (figure, value) -> told.printf("%-34s %s%n", figure, ClaimEvaluator.format(value)));
-    List<ClaimEvaluator.ClaimResult> judged =
-        ClaimEvaluator.evaluate(file.definition.getClaimsList(), figures);
-    judged.forEach(
-        one ->
-            told.printf(
+        (figure, value) -> console.printf("%-34s %s%n", figure, ClaimEvaluator.format(value)));
+    List<ClaimEvaluator.ClaimResult> results =
+        ClaimEvaluator.evaluate(load.definition.getClaimsList(), figures);
+    results.forEach(
+        result ->
+            console.printf(
                 "%-34s %-14s %-14s %s%n",
-                one.figure(), one.bound(), one.measured(), one.held() ? "held" : "NOT HELD"));
-    return judged.stream().allMatch(ClaimEvaluator.ClaimResult::held);
+                result.figure(),
+                result.bound(),
+                result.measured(),
+                result.held() ? "held" : "NOT HELD"));
+    return results.stream().allMatch(ClaimEvaluator.ClaimResult::held);
   }
 }
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -11,7 +11,7 @@
 import tansytrack.lab.proto.Part;
 import tansytrack.settings.InvalidInputException;
 
-/** A load as its file gives it, checked. */
+/** A validated load definition. */
 final class LoadFile {
 
   private static final long NANOS_PER_MS = 1_000_000L;
@@ -25,17 +25,19 @@
     this.definition = load;
   }
 
+  /** Reads a file in protobuf text format. */
   static LoadFile read(String file) {
     return parse(file, LabInput.read(file));
   }
 
+  /** Parses a text; the file's name stands in error messages. */
   static LoadFile parse(String file, String text) {
     LoadFile read = new LoadFile(file, LabInput.parse(file, text, Load.newBuilder()).build());
     read.validate();
     return read;
   }
 
-  /** A load that stands in another file. */
+  /** A load that is part of another file. */
   static LoadFile validated(String file, Load load) {
     LoadFile read = new LoadFile(file, load);
     read.validate();
@@ -52,30 +54,35 @@
     requireRange("clients.most_retries", definition.getClients().getMostRetries(), 0, 1000);
     requireRange("late_ms", definition.getLateMs(), 1, 10_000);
     requireRange("late_part", definition.getLatePart(), 0, 1);
-    for (LoadGrade grade : definition.getGradesList()) {
+    for (LoadGrade queryClass : definition.getGradesList()) {
       requireRange(
-          "grades." + grade.getName() + ".median_cost_ms", grade.getMedianCostMs(), 0.001, 1e9);
-      requireRange("grades." + grade.getName() + ".spread", grade.getSpread(), 0, 5);
-      requireRange("grades." + grade.getName() + ".wait_ms", grade.getWaitMs(), 1, 600_000);
+          "grades." + queryClass.getName() + ".median_cost_ms",
+          queryClass.getMedianCostMs(),
+          0.001,
+          1e9);
+      requireRange("grades." + queryClass.getName() + ".spread", queryClass.getSpread(), 0, 5);
       requireRange(
-          "grades." + grade.getName() + ".promised_ms",
-          grade.getPromisedMs(),
+          "grades." + queryClass.getName() + ".wait_ms", queryClass.getWaitMs(), 1, 600_000);
+      requireRange(
+          "grades." + queryClass.getName() + ".promised_ms",
+          queryClass.getPromisedMs(),
           1,
-          grade.getWaitMs());
+          queryClass.getWaitMs());
     }
     requireRange("sum: highest rate", shape().maxRate(), 0, MAX_RATE_PER_SECOND);
   }
 
-  private void requireRange(String field, double value, double least, double most) {
-    LabInput.requireRange(file, field, value, least, most);
+  private void requireRange(String field, double value, double min, double max) {
+    LabInput.requireRange(file, field, value, min, max);
   }
 
   private RateShape shape() {
-    RateShape all = new RateShape.Sum(definition.getSumList().stream().map(this::part).toList());
-    for (Part one : definition.getTimesList()) {
-      all = new RateShape.Product(all, part(one));
+    RateShape product =
+        new RateShape.Sum(definition.getSumList().stream().map(this::part).toList());
+    for (Part factor : definition.getTimesList()) {
+      product = new RateShape.Product(product, part(factor));
     }
-    return all;
+    return product;
   }
 
   private RateShape part(Part part) {
@@ -132,22 +139,23 @@
     };
   }
 
+  /** The arrivals of the load for a seed. */
   ArrivalSchedule schedule(long seed) {
     TaskMix mix =
         new TaskMix(
             definition.getTenantsList().stream()
-                .map(one -> new TaskMix.Weighted(one.getName(), one.getWeight()))
+                .map(item -> new TaskMix.Weighted(item.getName(), item.getWeight()))
                 .toList(),
             definition.getGradesList().stream()
                 .map(
-                    one ->
+                    item ->
                         new TaskMix.ClassLoad(
-                            one.getName(),
-                            one.getWeight(),
-                            one.getMedianCostMs(),
-                            one.getSpread(),
-                            one.getMemoryMb(),
-                            one.getKeys()))
+                            item.getName(),
+                            item.getWeight(),
+                            item.getMedianCostMs(),
+                            item.getSpread(),
+                            item.getMemoryMb(),
+                            item.getKeys()))
                 .toList(),
             definition.getDataSets(),
             definition.getZipfExponent(),
@@ -160,17 +168,19 @@
         seed);
   }
 
+  /** The query class of that name, which must exist. */
   LoadGrade queryClass(String name) {
     return definition.getGradesList().stream()
-        .filter(one -> one.getName().equals(name))
+        .filter(item -> item.getName().equals(name))
         .findFirst()
         .orElseThrow();
   }
 
-  RetryBehaviour retryBehaviour(LoadGrade grade) {
+  /** How clients retry tasks of a query class. */
+  RetryBehaviour retryBehaviour(LoadGrade queryClass) {
     Clients clients = definition.getClients();
     return new RetryBehaviour(
-        grade.getWaitMs() * NANOS_PER_MS,
+        queryClass.getWaitMs() * NANOS_PER_MS,
         clients.getMostRetries(),
         clients.getHeedsAfter(),
         Math.max(1, clients.getFirstPauseMs()) * NANOS_PER_MS,
--- a/src/main/java/tansytrack/lab/ManagerProcess.java
+++ b/src/main/java/tansytrack/lab/ManagerProcess.java
@@ -13,10 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import tansytrack.lab.proto.EngineForm;
 
-/**
- * A manager of this program in a process of its own, with its files in a folder of its own; it can
- * be killed and started again.
- */
+/** A manager as a process, with its files in a folder; it can be killed and started again. */
 final class ManagerProcess implements AutoCloseable {
 
   private static final long START_STOP_TIMEOUT_MS = 20_000;
@@ -68,13 +65,13 @@
             + "}\n");
   }
 
-  /** With that text as its operators' file, at a free port of that address. */
+  /** A manager with that text as its operator file, at a free port of that address. */
   ManagerProcess(String name, Path folder, FakeCommandChannel channel, String host, String operator)
       throws IOException {
     this(name, folder, channel.address(), channel.knownEvents(), host, operator, SETTINGS);
   }
 
-  /** With settings of its own, and the list at that address. */
+  /** A manager with its own settings and with the command channel at that address. */
   ManagerProcess(
       String name,
       Path folder,
@@ -109,10 +106,10 @@
     Files.writeString(operatorFile(), operator);
   }
 
-  /** Settings for one of so many managers, in a place; engines of that form. */
-  static String settings(int siblings, String place, EngineForm engine) {
+  /** Settings of a manager in a zone, for that number of managers and engines of that form. */
+  static String settings(int managerCount, String zone, EngineForm engine) {
     return SETTINGS
-        .replace("\"siblings\":1", "\"siblings\":" + siblings + ",\"zone\":\"" + place + '"')
+        .replace("\"siblings\":1", "\"siblings\":" + managerCount + ",\"zone\":\"" + zone + '"')
         .replace("\"cpu_of_kind\":[8]", "\"cpu_of_kind\":[" + engine.getCores() + ']')
         .replace("\"columns\":[\"busy_reqs\"]", "\"columns\":[\"busy_reqs\",\"cpu_share\"]")
         .replace("\"worth\":2", "\"worth\":2,\"serial_by_key\":true")
@@ -143,12 +140,12 @@
     return folder.resolve("operator.textproto");
   }
 
-  /** From now on it runs from that jar; null: this program. */
-  void useJar(String path) {
-    jar = path;
+  /** Sets the jar that later starts run from; null: this program. */
+  void useJar(String jar) {
+    this.jar = jar;
   }
 
-  /** This program with these arguments, its output in a file. */
+  /** Starts this program with these arguments; its output is appended to a file in the folder. */
   Process startProgram(String log, String... arguments) throws IOException {
     List<String> command =
         new ArrayList<>(
@@ -162,60 +159,61 @@
                 jar == null ? System.getProperty("java.class.path") : jar,
                 "tansytrack.Main"));
     command.addAll(List.of(arguments));
-    ProcessBuilder made =
+    ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(new File(folder.toFile(), log)));
-    made.environment().put("ROUTER_CONFIG", folder.resolve("config.json").toString());
-    return made.start();
+    builder.environment().put("ROUTER_CONFIG", folder.resolve("config.json").toString());
+    return builder.start();
   }
 
-  /** Starts it and waits until it listens. */
+  /** Starts the manager and waits until it listens. */
   void start() throws IOException, InterruptedException {
     launch();
     awaitListening();
   }
 
-  /** Starts it. */
+  /** Starts the manager without waiting. */
   void launch() throws IOException {
     String log = "manager-" + ++startCount + ".log";
-    Files.deleteIfExists(folder.resolve(log)); // of an earlier run in the same folder
+    // An earlier run in the same folder may have left it.
+    Files.deleteIfExists(folder.resolve(log));
     process = startProgram(log, "serve", "--operator", operatorFile().toString());
   }
 
-  /** Waits until it listens. */
+  /** Waits until the manager listens. */
   void awaitListening() throws IOException, InterruptedException {
     String log = "manager-" + startCount + ".log";
-    long until = System.nanoTime() + START_STOP_TIMEOUT_MS * 1_000_000;
+    long deadline = System.nanoTime() + START_STOP_TIMEOUT_MS * 1_000_000;
     while (!Files.readString(folder.resolve(log), StandardCharsets.UTF_8).contains("listens at")) {
-      if (!process.isAlive() || System.nanoTime() > until) {
-        throw new IOException(name + " does not come up: " + Files.readString(folder.resolve(log)));
+      if (!process.isAlive() || System.nanoTime() > deadline) {
+        throw new IOException(name + " does not start: " + Files.readString(folder.resolve(log)));
       }
       Thread.sleep(20);
     }
   }
 
-  /** SIGKILL. */
+  /** Kills the manager (SIGKILL). */
   void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  /** SIGSTOP or SIGCONT, by name. */
-  void signal(String which) throws IOException, InterruptedException {
-    new ProcessBuilder("kill", '-' + which, Long.toString(process.pid())).start().waitFor();
+  /** Sends a signal by its name: STOP or CONT. */
+  void signal(String signal) throws IOException, InterruptedException {
+    new ProcessBuilder("kill", '-' + signal, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** What it logged in all its starts. */
+  /** The log lines of all starts. */
   List<String> logLines() throws IOException {
-    List<String> all = new ArrayList<>();
+    List<String> lines = new ArrayList<>();
     for (int i = 1; i <= startCount; i++) {
-      all.addAll(
+      lines.addAll(
           Files.readAllLines(folder.resolve("manager-" + i + ".log"), StandardCharsets.UTF_8));
     }
-    return all;
+    return lines;
   }
 
-  /** SIGTERM; false where it had to be killed. */
+  /** Stops the manager (SIGTERM); false if it had to be killed. */
   boolean stop() throws InterruptedException {
     process.destroy();
     if (process.waitFor(START_STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
@@ -225,6 +223,7 @@
     return false;
   }
 
+  /** Starts an export of the ledger. */
   Process startExport() throws IOException {
     return startProgram(
         "export.log",
--- a/src/main/java/tansytrack/lab/MembershipTable.java
+++ b/src/main/java/tansytrack/lab/MembershipTable.java
@@ -21,18 +21,25 @@
 import tansytrack.lab.simulation.MembershipSimulation;
 
 /**
- * What a membership is worth at a size and a loss, in virtual time; as a table and charts, beside
- * what SWIM's authors expect.
+ * Measures the membership protocol in virtual time by number of members and datagram loss:
+ * detection time, false accusations, bytes sent and time to heal after a partition. Writes a table
+ * and charts, with the detection time that the SWIM paper expects for comparison.
  */
 public final class MembershipTable {
 
   private static final long NANOS_PER_MS = 1_000_000L;
   private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
-  private static final long STEADY_STATE_NANOS =
-      120 * NANOS_PER_SECOND; // in which the living are accused or not
-  private static final long DETECTION_NANOS =
-      60 * NANOS_PER_SECOND; // for the killed one to be known dead
-  private static final long PARTITION_NANOS = 60 * NANOS_PER_SECOND; // a place is cut off
+
+  // Time without faults but datagram loss, in which suspicions and declarations are false.
+  private static final long STEADY_STATE_NANOS = 120 * NANOS_PER_SECOND;
+
+  // Time in which a killed member must be declared dead.
+  private static final long DETECTION_NANOS = 60 * NANOS_PER_SECOND;
+
+  // Duration of the partition of one zone.
+  private static final long PARTITION_NANOS = 60 * NANOS_PER_SECOND;
+
+  // Time in which the members must agree again after the partition.
   private static final long MAX_HEALING_NANOS = 120 * NANOS_PER_SECOND;
 
   private MembershipTable() {}
@@ -40,9 +47,16 @@
   private static final class Measurement {
     final int members;
     final double loss;
-    final Histogram firstSuspicionMs = new Histogram(3); // ms until any suspects the killed one
-    final Histogram knownDeadMs = new Histogram(3); // ms until each holds it to be dead
-    final Histogram healedMs = new Histogram(3); // ms until all agree behind a cut
+
+    // Time until the first member suspects the killed one.
+    final Histogram firstSuspicionMs = new Histogram(3);
+
+    // Time until a member declares the killed one dead, of each member.
+    final Histogram knownDeadMs = new Histogram(3);
+
+    // Time until all members agree again after the partition.
+    final Histogram healedMs = new Histogram(3);
+
     int undetected;
     int unhealed;
     double suspicions;
@@ -58,190 +72,216 @@
   }
 
   /**
-   * Plays all sizes and losses; true: each killed member was known dead by all, and each cut
-   * healed.
+   * Measures all combinations of size and loss; returns whether all members detected each killed
+   * member and healed after each partition.
+   *
+   * @param sizes numbers of members, separated by commas
+   * @param losses shares of datagrams lost, separated by commas
+   * @param runs number of runs of each combination
+   * @param seed seed of the first run; each further run has the next one
+   * @param out folder for table and charts
+   * @param to stream for the table
    */
   public static boolean run(
       String sizes, String losses, int runs, long seed, Path out, PrintStream to)
       throws IOException {
-    List<Measurement> rows = new ArrayList<>();
-    MembershipConfig rules = MembershipConfig.defaults(List.of("m0", "m1", "m2"));
-    String head =
+    List<Measurement> measurements = new ArrayList<>();
+    MembershipConfig config = MembershipConfig.defaults(List.of("m0", "m1", "m2"));
+    String header =
         "members,loss,first_suspicion_p50_ms,swim_expected_ms,known_dead_p50_ms,"
             + "known_dead_p99_ms,not_known,"
             + "suspected_an_hour,declared_dead_an_hour,bytes_a_second,letters_a_second,"
             + "healed_p50_ms,healed_max_ms,not_healed";
-    StringBuilder csv = new StringBuilder(head).append('\n');
-    to.println(head);
+    StringBuilder csv = new StringBuilder(header).append('\n');
+    to.println(header);
     for (String size : sizes.split(",")) {
-      for (String share : losses.split(",")) {
-        Measurement row =
-            new Measurement(Integer.parseInt(size.strip()), Double.parseDouble(share.strip()));
+      for (String loss : losses.split(",")) {
+        Measurement measurement =
+            new Measurement(Integer.parseInt(size.strip()), Double.parseDouble(loss.strip()));
         for (int i = 0; i < runs; i++) {
-          measure(row, rules, seed + i);
+          measure(measurement, config, seed + i);
         }
-        rows.add(row);
-        String line = csvLine(row, rules);
+        measurements.add(measurement);
+        String line = csvLine(measurement, config);
         csv.append(line).append('\n');
         to.println(line);
       }
     }
     Files.createDirectories(out);
     Files.writeString(out.resolve("result.csv"), csv);
-    detectionChart(rows, rules, out);
-    costChart(rows, out);
-    return rows.stream().allMatch(row -> row.undetected == 0 && row.unhealed == 0);
+    detectionChart(measurements, config, out);
+    costChart(measurements, out);
+    return measurements.stream()
+        .allMatch(measurement -> measurement.undetected == 0 && measurement.unhealed == 0);
   }
 
-  private static void measure(Measurement row, MembershipConfig rules, long seed) {
-    LinkConditions weather = new LinkConditions(row.loss, 4, 0.01, 500_000L, 2 * NANOS_PER_MS);
-    MembershipSimulation world =
-        MembershipSimulation.startConverged(row.members, rules, seed, weather);
-    long from = world.now();
-    world
+  private static void measure(Measurement measurement, MembershipConfig config, long seed) {
+    LinkConditions conditions =
+        new LinkConditions(measurement.loss, 4, 0.01, 500_000L, 2 * NANOS_PER_MS);
+    MembershipSimulation simulation =
+        MembershipSimulation.startConverged(measurement.members, config, seed, conditions);
+    long startNanos = simulation.now();
+    simulation
         .nodes()
         .forEach(
             node -> {
               node.bytesSent = 0;
               node.messagesSent = 0;
             });
-    world.runUntil(from + STEADY_STATE_NANOS);
-    for (MembershipSimulation.Observation one : world.observations()) {
-      row.suspicions += one.at() > from && one.status() == MemberStatus.SUSPECT ? 1 : 0;
-      row.deathDeclarations += one.at() > from && one.status() == MemberStatus.DEAD ? 1 : 0;
+    simulation.runUntil(startNanos + STEADY_STATE_NANOS);
+    for (MembershipSimulation.Observation observation : simulation.observations()) {
+      measurement.suspicions +=
+          observation.at() > startNanos && observation.status() == MemberStatus.SUSPECT ? 1 : 0;
+      measurement.deathDeclarations +=
+          observation.at() > startNanos && observation.status() == MemberStatus.DEAD ? 1 : 0;
     }
-    // Each member's word on each other counts once: accusations an hour of the fleet, by anyone.
-    row.hours += STEADY_STATE_NANOS / 3600.0 / NANOS_PER_SECOND;
-    for (MembershipSimulation.Node node : world.nodes()) {
-      row.bytesPerSecondSum +=
-          node.bytesSent / (STEADY_STATE_NANOS / (double) NANOS_PER_SECOND) / row.members;
-      row.messagesPerSecondSum +=
-          node.messagesSent / (STEADY_STATE_NANOS / (double) NANOS_PER_SECOND) / row.members;
+    // Counts each accusation by each observer; the rates are per hour and divided by the members.
+    measurement.hours += STEADY_STATE_NANOS / 3600.0 / NANOS_PER_SECOND;
+    for (MembershipSimulation.Node node : simulation.nodes()) {
+      measurement.bytesPerSecondSum +=
+          node.bytesSent / (STEADY_STATE_NANOS / (double) NANOS_PER_SECOND) / measurement.members;
+      measurement.messagesPerSecondSum +=
+          node.messagesSent
+              / (STEADY_STATE_NANOS / (double) NANOS_PER_SECOND)
+              / measurement.members;
     }
-    measureDetection(row, world);
-    measureHealing(row, world);
+    measureDetection(measurement, simulation);
+    measureHealing(measurement, simulation);
   }
 
-  private static void measureDetection(Measurement row, MembershipSimulation world) {
-    String name = "n" + (row.members - 1);
-    world.kill("m" + (row.members - 1));
-    long at = world.now();
-    world.runUntil(at + DETECTION_NANOS);
-    long first = Long.MAX_VALUE;
-    Set<String> know = new HashSet<>();
-    for (MembershipSimulation.Observation one : world.observations()) {
-      if (one.at() >= at && one.member().equals(name)) {
-        first = one.status() == MemberStatus.SUSPECT ? Math.min(first, one.at() - at) : first;
-        if (one.status() == MemberStatus.DEAD && know.add(one.observer())) {
-          row.knownDeadMs.recordValue((one.at() - at) / NANOS_PER_MS);
+  private static void measureDetection(Measurement measurement, MembershipSimulation simulation) {
+    String name = "n" + (measurement.members - 1);
+    simulation.kill("m" + (measurement.members - 1));
+    long killedAt = simulation.now();
+    simulation.runUntil(killedAt + DETECTION_NANOS);
+    long firstSuspicion = Long.MAX_VALUE;
+    Set<String> observers = new HashSet<>();
+    for (MembershipSimulation.Observation observation : simulation.observations()) {
+      if (observation.at() >= killedAt && observation.member().equals(name)) {
+        firstSuspicion =
+            observation.status() == MemberStatus.SUSPECT
+                ? Math.min(firstSuspicion, observation.at() - killedAt)
+                : firstSuspicion;
+        if (observation.status() == MemberStatus.DEAD && observers.add(observation.observer())) {
+          measurement.knownDeadMs.recordValue((observation.at() - killedAt) / NANOS_PER_MS);
         }
       }
     }
-    row.undetected += row.members - 1 - know.size();
-    row.firstSuspicionMs.recordValue(Math.min(first, DETECTION_NANOS) / NANOS_PER_MS);
+    measurement.undetected += measurement.members - 1 - observers.size();
+    measurement.firstSuspicionMs.recordValue(
+        Math.min(firstSuspicion, DETECTION_NANOS) / NANOS_PER_MS);
   }
 
-  private static void measureHealing(Measurement row, MembershipSimulation world) {
-    world.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
-    world.runUntil(world.now() + PARTITION_NANOS);
-    world.partition((a, b) -> false);
-    world.linkConditions(
-        LinkConditions.GOOD); // agreement is asked for, which loss disturbs by itself
-    long took = world.runUntilConverged(MAX_HEALING_NANOS);
-    if (took < 0) {
-      row.unhealed++;
+  private static void measureHealing(Measurement measurement, MembershipSimulation simulation) {
+    simulation.partition((a, b) -> a.zone().equals("place-0") != b.zone().equals("place-0"));
+    simulation.runUntil(simulation.now() + PARTITION_NANOS);
+    simulation.partition((a, b) -> false);
+    // Loss by itself would disturb the agreement that is measured.
+    simulation.linkConditions(LinkConditions.GOOD);
+    long healingNanos = simulation.runUntilConverged(MAX_HEALING_NANOS);
+    if (healingNanos < 0) {
+      measurement.unhealed++;
     } else {
-      row.healedMs.recordValue(took / NANOS_PER_MS);
+      measurement.healedMs.recordValue(healingNanos / NANOS_PER_MS);
     }
   }
 
   /**
-   * Expected until the first of the others probes a dead member, by the paper: e / (e - 1) periods;
-   * then its probe must fail.
+   * Expected time to the first suspicion, in milliseconds. By the SWIM paper, it takes e / (e - 1)
+   * probe intervals until some member probes the dead one; the probe then fails after another one.
    */
-  private static double expectedSuspicionMs(MembershipConfig rules) {
-    return (Math.E / (Math.E - 1) * rules.probeIntervalNanos() + rules.probeIntervalNanos())
+  private static double expectedSuspicionMs(MembershipConfig config) {
+    return (Math.E / (Math.E - 1) * config.probeIntervalNanos() + config.probeIntervalNanos())
         / NANOS_PER_MS;
   }
 
-  private static String csvLine(Measurement row, MembershipConfig rules) {
-    double runs = row.hours * 3600 * NANOS_PER_SECOND / STEADY_STATE_NANOS;
+  private static String csvLine(Measurement measurement, MembershipConfig config) {
+    double runs = measurement.hours * 3600 * NANOS_PER_SECOND / STEADY_STATE_NANOS;
     return String.format(
         Locale.ROOT,
         "%d,%s,%d,%.0f,%d,%d,%d,%.1f,%.1f,%.0f,%.1f,%d,%d,%d",
-        row.members,
-        row.loss,
-        row.firstSuspicionMs.getValueAtPercentile(50),
-        expectedSuspicionMs(rules),
-        row.knownDeadMs.getValueAtPercentile(50),
-        row.knownDeadMs.getValueAtPercentile(99),
-        row.undetected,
-        row.suspicions / row.hours / row.members,
-        row.deathDeclarations / row.hours / row.members,
-        row.bytesPerSecondSum / runs,
-        row.messagesPerSecondSum / runs,
-        row.healedMs.getValueAtPercentile(50),
-        row.healedMs.getMaxValue(),
-        row.unhealed);
+        measurement.members,
+        measurement.loss,
+        measurement.firstSuspicionMs.getValueAtPercentile(50),
+        expectedSuspicionMs(config),
+        measurement.knownDeadMs.getValueAtPercentile(50),
+        measurement.knownDeadMs.getValueAtPercentile(99),
+        measurement.undetected,
+        measurement.suspicions / measurement.hours / measurement.members,
+        measurement.deathDeclarations / measurement.hours / measurement.members,
+        measurement.bytesPerSecondSum / runs,
+        measurement.messagesPerSecondSum / runs,
+        measurement.healedMs.getValueAtPercentile(50),
+        measurement.healedMs.getMaxValue(),
+        measurement.unhealed);
   }
 
-  private static void detectionChart(List<Measurement> rows, MembershipConfig rules, Path out)
-      throws IOException {
+  private static void detectionChart(
+      List<Measurement> measurements, MembershipConfig config, Path out) throws IOException {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
             .height(520)
-            .title("A killed member, until it is known dead")
+            .title("Detection time of a killed member")
             .xAxisTitle("members")
             .yAxisTitle("ms")
             .build();
     chart.getStyler().setXAxisLogarithmic(true);
     chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNW);
-    double[] losses = rows.stream().mapToDouble(row -> row.loss).distinct().toArray();
+    double[] losses =
+        measurements.stream().mapToDouble(measurement -> measurement.loss).distinct().toArray();
     for (double loss : losses) {
-      List<Measurement> one = rows.stream().filter(row -> row.loss == loss).toList();
-      double[] sizes = one.stream().mapToDouble(row -> row.members).toArray();
+      List<Measurement> series =
+          measurements.stream().filter(measurement -> measurement.loss == loss).toList();
+      double[] sizes = series.stream().mapToDouble(measurement -> measurement.members).toArray();
       chart.addSeries(
           "first suspicion, loss " + loss,
           sizes,
-          one.stream().mapToDouble(row -> row.firstSuspicionMs.getValueAtPercentile(50)).toArray());
+          series.stream()
+              .mapToDouble(measurement -> measurement.firstSuspicionMs.getValueAtPercentile(50))
+              .toArray());
       chart.addSeries(
           "known by all, p99, loss " + loss,
           sizes,
-          one.stream().mapToDouble(row -> row.knownDeadMs.getValueAtPercentile(99)).toArray());
+          series.stream()
+              .mapToDouble(measurement -> measurement.knownDeadMs.getValueAtPercentile(99))
+              .toArray());
     }
-    double[] sizes = rows.stream().mapToDouble(row -> row.members).distinct().toArray();
+    double[] sizes =
+        measurements.stream().mapToDouble(measurement -> measurement.members).distinct().toArray();
     double[] expected = new double[sizes.length];
-    Arrays.fill(expected, expectedSuspicionMs(rules));
+    Arrays.fill(expected, expectedSuspicionMs(config));
     chart.addSeries("first suspicion expected by SWIM", sizes, expected);
     BitmapEncoder.saveBitmap(
         chart, out.resolve("detection.png").toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 
-  private static void costChart(List<Measurement> rows, Path out) throws IOException {
-    double[] losses = rows.stream().mapToDouble(row -> row.loss).distinct().toArray();
-    XYChart cost =
+  private static void costChart(List<Measurement> measurements, Path out) throws IOException {
+    double[] losses =
+        measurements.stream().mapToDouble(measurement -> measurement.loss).distinct().toArray();
+    XYChart chart =
         new XYChartBuilder()
             .width(900)
             .height(520)
-            .title("Sent by a member")
+            .title("Bytes sent by a member")
             .xAxisTitle("members")
             .yAxisTitle("bytes a second")
             .build();
-    cost.getStyler().setXAxisLogarithmic(true);
+    chart.getStyler().setXAxisLogarithmic(true);
     for (double loss : losses) {
-      List<Measurement> one = rows.stream().filter(row -> row.loss == loss).toList();
-      cost.addSeries(
+      List<Measurement> series =
+          measurements.stream().filter(measurement -> measurement.loss == loss).toList();
+      chart.addSeries(
           "loss " + loss,
-          one.stream().mapToDouble(row -> row.members).toArray(),
-          one.stream()
+          series.stream().mapToDouble(measurement -> measurement.members).toArray(),
+          series.stream()
               .mapToDouble(
-                  row ->
-                      row.bytesPerSecondSum
-                          / (row.hours * 3600 * NANOS_PER_SECOND / STEADY_STATE_NANOS))
+                  measurement ->
+                      measurement.bytesPerSecondSum
+                          / (measurement.hours * 3600 * NANOS_PER_SECOND / STEADY_STATE_NANOS))
               .toArray());
     }
     BitmapEncoder.saveBitmap(
-        cost, out.resolve("bytes.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        chart, out.resolve("bytes.png").toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 }
--- a/src/main/java/tansytrack/lab/OpenLoopGenerator.java
+++ b/src/main/java/tansytrack/lab/OpenLoopGenerator.java
@@ -20,22 +20,23 @@
 import tansytrack.lab.proto.LoadGrade;
 
 /**
- * Plays a load on sockets: each arrival is handed to a free connection at its intended time, or to
- * a new one, whatever has become of those before it. What no connection is left for makes the run
- * void.
+ * An open-loop load generator: sends each task at its intended time on an idle or new connection,
+ * whether or not earlier tasks have been answered. The run is void if no connection is left for a
+ * task.
  */
 final class OpenLoopGenerator {
 
   private static final long NANOS_PER_MS = 1_000_000L;
-  private static final int SOCKET_TIMEOUT_SLACK_MS =
-      2000; // over a client's patience, before a connection is given up
 
-  /** Hears of each try, on the connection's thread; a try without an answer has none. */
+  // Time beyond a client's timeout after which its connection is closed.
+  private static final int SOCKET_TIMEOUT_SLACK_MS = 2000;
+
+  /** Observes each attempt, on the thread of its connection. */
   interface Listener {
     Listener NONE =
         new Listener() {
           @Override
-          public void taskSubmitted(String id, Arrival one, long waitMs) {}
+          public void taskSubmitted(String id, Arrival arrival, long timeoutMs) {}
 
           @Override
           public void taskAnswered(String id, LabClient.Answer answer) {}
@@ -44,12 +45,17 @@
           public void taskFailed(String id, long connectedAt) {}
         };
 
-    void taskSubmitted(String id, Arrival one, long waitMs);
+    /** An attempt is sent; the client waits that long for the answer. */
+    void taskSubmitted(String id, Arrival arrival, long timeoutMs);
 
+    /** The answer to an attempt has arrived. */
     void taskAnswered(String id, LabClient.Answer answer);
 
     /**
-     * The connection that came up then broke; -1: it did not come up, and the task was never taken.
+     * The connection failed before the answer arrived.
+     *
+     * @param connectedAt when it was established, by System.nanoTime(); -1: it was not, and the
+     *     task was not sent
      */
     void taskFailed(String id, long connectedAt);
   }
@@ -64,7 +70,9 @@
   private final List<Sender> senders = new ArrayList<>();
   private final Map<String, Long> endCounts = new TreeMap<>();
   private long startNanos;
-  private int inFlight; // tasks on their way
+
+  // Tasks that were sent and have not ended.
+  private int inFlight;
 
   OpenLoopGenerator(LoadFile file, InetSocketAddress to, long seed) {
     this(file, to, seed, Listener.NONE);
@@ -79,26 +87,27 @@
         new SendDelays(file.definition.getLateMs() * NANOS_PER_MS, file.definition.getLatePart());
   }
 
-  /** Plays all of it and waits for what is on its way. */
+  /** Sends all tasks and waits until they have ended. */
   void run() throws InterruptedException {
     ArrivalSchedule schedule = file.schedule(seed);
-    int warm = Math.min(file.definition.getClients().getMostConnections(), 16);
-    for (int i = 0; i < warm; i++) {
+    int initialConnections = Math.min(file.definition.getClients().getMostConnections(), 16);
+    for (int i = 0; i < initialConnections; i++) {
       idleSenders.add(newSender());
     }
     startNanos = System.nanoTime() + 100 * NANOS_PER_MS;
     while (schedule.hasNext()) {
-      Arrival next = schedule.next();
-      for (long left = startNanos + next.atNanos() - System.nanoTime();
-          left > 0;
-          left = startNanos + next.atNanos() - System.nanoTime()) {
-        LockSupport.parkNanos(left > 2 * NANOS_PER_MS ? left - NANOS_PER_MS : left / 2);
+      Arrival arrival = schedule.next();
+      for (long remaining = startNanos + arrival.atNanos() - System.nanoTime();
+          remaining > 0;
+          remaining = startNanos + arrival.atNanos() - System.nanoTime()) {
+        LockSupport.parkNanos(
+            remaining > 2 * NANOS_PER_MS ? remaining - NANOS_PER_MS : remaining / 2);
       }
-      Sender by = acquireSender();
-      if (by == null) {
+      Sender sender = acquireSender();
+      if (sender == null) {
         sendDelays.unsent();
       } else {
-        by.handoff.put(next);
+        sender.handoff.put(arrival);
       }
     }
     synchronized (this) {
@@ -106,23 +115,23 @@
         wait();
       }
     }
-    senders.forEach(one -> one.thread.interrupt());
+    senders.forEach(sender -> sender.thread.interrupt());
   }
 
   private synchronized Sender acquireSender() {
-    Sender one = idleSenders.pollLast();
-    if (one == null && senders.size() < file.definition.getClients().getMostConnections()) {
-      one = newSender();
+    Sender sender = idleSenders.pollLast();
+    if (sender == null && senders.size() < file.definition.getClients().getMostConnections()) {
+      sender = newSender();
     }
-    inFlight += one == null ? 0 : 1;
-    return one;
+    inFlight += sender == null ? 0 : 1;
+    return sender;
   }
 
   private Sender newSender() {
-    Sender one = new Sender(senders.size());
-    senders.add(one);
-    one.thread.start();
-    return one;
+    Sender sender = new Sender(senders.size());
+    senders.add(sender);
+    sender.thread.start();
+    return sender;
   }
 
   /** One connection and the thread that uses it. */
@@ -142,9 +151,9 @@
     private void sendArrivals() {
       try {
         while (true) {
-          Arrival one = handoff.poll(1, TimeUnit.HOURS);
-          if (one != null) {
-            runTask(one);
+          Arrival arrival = handoff.poll(1, TimeUnit.HOURS);
+          if (arrival != null) {
+            runTask(arrival);
             synchronized (OpenLoopGenerator.this) {
               inFlight--;
               idleSenders.add(this);
@@ -157,77 +166,79 @@
       }
     }
 
-    /** One task with its retries, which are part of it. */
-    private void runTask(Arrival one) throws InterruptedException {
-      LoadGrade grade = file.queryClass(one.queryClass());
-      RetryBehaviour behaviour = file.retryBehaviour(grade);
+    /** Sends a task and its retries, and records its end. */
+    private void runTask(Arrival arrival) throws InterruptedException {
+      LoadGrade queryClass = file.queryClass(arrival.queryClass());
+      RetryBehaviour behaviour = file.retryBehaviour(queryClass);
       long sent = System.nanoTime() - startNanos;
       synchronized (OpenLoopGenerator.this) {
-        sendDelays.sent(one.atNanos(), sent);
+        sendDelays.sent(arrival.atNanos(), sent);
       }
       String end = "gave up";
-      for (int tried = 1; ; tried++) {
-        long left =
-            grade.getWaitMs() - (System.nanoTime() - startNanos - one.atNanos()) / NANOS_PER_MS;
-        LabClient.Answer answer = left <= 0 ? null : attempt(one, left, tried);
+      for (int attempt = 1; ; attempt++) {
+        long remainingMs =
+            queryClass.getWaitMs()
+                - (System.nanoTime() - startNanos - arrival.atNanos()) / NANOS_PER_MS;
+        LabClient.Answer answer = remainingMs <= 0 ? null : attempt(arrival, remainingMs, attempt);
         if (answer == null) {
-          end = left <= 0 ? "gave up" : "lost";
+          end = remainingMs <= 0 ? "gave up" : "lost";
           break;
         }
         end = answer.code();
-        long pause =
+        long delayNanos =
             answer.handled()
                 ? -1
                 : behaviour.retryDelayNanos(
                     answer.code(),
                     answer.text(),
-                    tried,
-                    System.nanoTime() - startNanos - one.atNanos(),
+                    attempt,
+                    System.nanoTime() - startNanos - arrival.atNanos(),
                     random);
-        if (pause < 0) {
+        if (delayNanos < 0) {
           break;
         }
-        TimeUnit.NANOSECONDS.sleep(pause);
+        TimeUnit.NANOSECONDS.sleep(delayNanos);
       }
-      long over = System.nanoTime() - startNanos;
-      double worth = grade.getEarnings() > 0 ? grade.getEarnings() : 1;
-      boolean good =
-          end.equals("HANDLED") && over - one.atNanos() <= grade.getPromisedMs() * NANOS_PER_MS;
+      long ended = System.nanoTime() - startNanos;
+      double worth = queryClass.getEarnings() > 0 ? queryClass.getEarnings() : 1;
+      boolean inTime =
+          end.equals("HANDLED")
+              && ended - arrival.atNanos() <= queryClass.getPromisedMs() * NANOS_PER_MS;
       synchronized (OpenLoopGenerator.this) {
-        latencies.record(one, sent, over, worth, good ? worth : 0);
+        latencies.record(arrival, sent, ended, worth, inTime ? worth : 0);
         endCounts.merge(end, 1L, Long::sum);
       }
     }
 
-    private LabClient.Answer attempt(Arrival one, long waitMs, int tried) {
+    private LabClient.Answer attempt(Arrival arrival, long timeoutMs, int attempt) {
       String id = String.format("%016x", seed << 48 ^ ++lastId);
       try {
         if (client == null) {
           connectedAtNanos = -1;
           client =
               new LabClient(
-                  to, file.queryClass(one.queryClass()).getWaitMs() + SOCKET_TIMEOUT_SLACK_MS);
+                  to, file.queryClass(arrival.queryClass()).getWaitMs() + SOCKET_TIMEOUT_SLACK_MS);
           connectedAtNanos = System.nanoTime();
         }
-        listener.taskSubmitted(id, one, waitMs);
+        listener.taskSubmitted(id, arrival, timeoutMs);
         LabClient.Answer answer =
             client.query(
                 "/* class="
-                    + one.queryClass()
+                    + arrival.queryClass()
                     + ",id="
                     + id
                     + ",wait="
-                    + waitMs
+                    + timeoutMs
                     + ",tenant="
-                    + one.tenant()
-                    + (tried > 1 ? ",retry=1" : "")
+                    + arrival.tenant()
+                    + (attempt > 1 ? ",retry=1" : "")
                     + ",cost="
-                    + String.format(java.util.Locale.ROOT, "%.3f", one.costMs())
+                    + String.format(java.util.Locale.ROOT, "%.3f", arrival.costMs())
                     + ",mb="
-                    + Math.round(one.memoryMb())
-                    + (one.key() == 0 ? "" : ",key=" + String.format("%016x", one.key()))
+                    + Math.round(arrival.memoryMb())
+                    + (arrival.key() == 0 ? "" : ",key=" + String.format("%016x", arrival.key()))
                     + " */ SELECT day FROM sales_"
-                    + one.dataSet()
+                    + arrival.dataSet()
                     + ".orders");
         listener.taskAnswered(id, answer);
         return answer;
@@ -244,7 +255,7 @@
           client.close();
         }
       } catch (IOException e) {
-        // it is given up
+        // The connection is not used any more.
       }
       client = null;
     }
@@ -258,7 +269,7 @@
     return sendDelays;
   }
 
-  /** Figures by name; latencies in milliseconds from the intended time. */
+  /** The figures by name; latencies in milliseconds from the intended time of sending. */
   synchronized Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
     figures.put("tasks", (double) latencies.tasks());
--- a/src/main/java/tansytrack/lab/ProgressLine.java
+++ b/src/main/java/tansytrack/lab/ProgressLine.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import tansytrack.lab.scale.ScaleSimulation;
 
-/** Says now and then how far a run is, and how long it will still take. */
+/** Prints the progress of a run and its estimated remaining time at intervals. */
 final class ProgressLine implements ScaleSimulation.ProgressListener {
 
   private static final long INTERVAL_NANOS = 5_000_000_000L;
@@ -14,18 +14,18 @@
   private final long startNanos = System.nanoTime();
   private long lastPrintedNanos = startNanos;
 
-  ProgressLine(String what, PrintStream to) {
-    this.label = what;
+  ProgressLine(String label, PrintStream to) {
+    this.label = label;
     this.to = to;
   }
 
   @Override
-  public void onProgress(double part) {
+  public void onProgress(double fraction) {
     long now = System.nanoTime();
-    if (now - lastPrintedNanos >= INTERVAL_NANOS && part > 0 && part < 1) {
+    if (now - lastPrintedNanos >= INTERVAL_NANOS && fraction > 0 && fraction < 1) {
       lastPrintedNanos = now;
-      double left = (now - startNanos) / 1e9 * (1 - part) / part;
-      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", label, part * 100, left);
+      double remainingSeconds = (now - startNanos) / 1e9 * (1 - fraction) / fraction;
+      to.printf(Locale.ROOT, "%s: %.0f%%, %.0f s left%n", label, fraction * 100, remainingSeconds);
     }
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -18,21 +18,21 @@
 
   private ScaleCharts() {}
 
-  /** The work of each engine over the mean, in order. */
+  /** Draws the work of each engine over the mean, sorted by work. */
   static void work(ScaleResult result, Path folder) throws IOException {
     double[] work =
-        result.engines().stream().mapToDouble(one -> one.workNanos()).sorted().toArray();
+        result.engines().stream().mapToDouble(engine -> engine.workNanos()).sorted().toArray();
     double mean = IntStream.range(0, work.length).mapToDouble(i -> work[i]).average().orElse(1);
-    double[] over = new double[work.length];
+    double[] relative = new double[work.length];
     for (int i = 0; i < work.length; i++) {
-      over[i] = work[i] / Math.max(1, mean);
+      relative[i] = work[i] / Math.max(1, mean);
     }
     XYChart chart = chart("Work over the engines", "engines, least work first", "work over mean");
-    chart.addSeries("work", indices(over.length), over).setMarker(SeriesMarkers.NONE);
+    chart.addSeries("work", indices(relative.length), relative).setMarker(SeriesMarkers.NONE);
     save(chart, folder.resolve("work.png"));
   }
 
-  /** The share answered in time, by second. */
+  /** Draws the share of statements answered in time, by second of arrival. */
   static void inTime(ScaleResult result, Path folder) throws IOException {
     double[] shares = result.inTimeShares();
     XYChart chart = chart("Answered in time", "second in which statements came", "share");
@@ -40,7 +40,7 @@
     save(chart, folder.resolve("in-time.png"));
   }
 
-  /** Counts by size, both logarithmic. */
+  /** Draws counts by size on logarithmic axes; counts that are 0 at some size are left out. */
   static void slopes(double[] sizes, Map<String, double[]> counts, Path folder) throws IOException {
     XYChart chart = chart("Counts by size", "size", "count");
     chart.getStyler().setXAxisLogarithmic(true);
@@ -58,17 +58,17 @@
     return IntStream.range(0, count).asDoubleStream().toArray();
   }
 
-  private static XYChart chart(String title, String sizes, String figure) {
+  private static XYChart chart(String title, String xTitle, String yTitle) {
     return new XYChartBuilder()
         .width(WIDTH)
         .height(HEIGHT)
         .title(title)
-        .xAxisTitle(sizes)
-        .yAxisTitle(figure)
+        .xAxisTitle(xTitle)
+        .yAxisTitle(yTitle)
         .build();
   }
 
-  private static void save(XYChart chart, Path to) throws IOException {
-    BitmapEncoder.saveBitmap(chart, to.toString(), BitmapEncoder.BitmapFormat.PNG);
+  private static void save(XYChart chart, Path file) throws IOException {
+    BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
   }
 }
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -12,7 +12,7 @@
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
-/** One run of an experiment on hollow managers: its parts one after the other. */
+/** One run of an experiment on hollow managers; its parts run one after the other. */
 final class ScaleExperiment {
 
   private final Experiment experiment;
@@ -25,10 +25,10 @@
     this.factory = factory;
   }
 
-  /** Says what in the file cannot be used. */
-  static void validate(String file, Experiment read) {
-    LabInput.requireRange(file, "runs", read.getRuns(), 1, 1000);
-    for (ScalePart part : read.getScaleList()) {
+  /** Throws an exception that names the first field that cannot be used. */
+  static void validate(String file, Experiment experiment) {
+    LabInput.requireRange(file, "runs", experiment.getRuns(), 1, 1000);
+    for (ScalePart part : experiment.getScaleList()) {
       if (part.getName().isEmpty()) {
         throw new InvalidInputException(file + ": scale.name: ''; allowed: a name");
       }
@@ -40,7 +40,7 @@
       ScaleTable.schedule(file + ": scale.schedule", scheduleName(part));
       ScaleTable.validate(plan(part, 0));
     }
-    if (read.getClaimsCount() == 0) {
+    if (experiment.getClaimsCount() == 0) {
       throw new InvalidInputException(file + ": claims: missing; allowed: one and more");
     }
   }
@@ -62,7 +62,7 @@
         seed);
   }
 
-  /** Plays its parts, and gives their figures. */
+  /** Runs all parts and returns their figures, prefixed with the part's name. */
   Map<String, Double> run() {
     for (ScalePart part : experiment.getScaleList()) {
       ScaleMemory.requireMemory(
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -9,7 +9,7 @@
 import tansytrack.lab.scale.SubsetSize;
 import tansytrack.settings.InvalidInputException;
 
-/** Refuses scale runs that this machine or this process cannot hold, before they start. */
+/** Rejects scale runs that would not fit into the memory of this machine or process. */
 final class ScaleMemory {
 
   private static final double BYTES_PER_MIB = 1024.0 * 1024;
@@ -17,22 +17,22 @@
 
   private ScaleMemory() {}
 
-  /** Half of the machine's memory, in bytes. */
+  /** The memory that scale runs may use, in bytes: half of this machine's. */
   static double limitBytes() {
     OperatingSystemMXBean machine =
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     return machine.getTotalMemorySize() * MACHINE_MEMORY_FRACTION;
   }
 
-  /** Refuses a plan that needs more than that many bytes, or than this process may take. */
+  /** Rejects a plan that needs more bytes than the limit or the maximum heap of this process. */
   static void requireMemory(
       ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
     String sizes = plan.managers() + " managers x " + plan.engines() + " engines";
-    double least = MemoryEstimate.bytes(plan, 0);
-    rejectAbove(sizes, 0, least, limit);
-    double pairs = SubsetSize.enginesPerManager(plan, factory);
-    double need = MemoryEstimate.bytes(plan, pairs);
-    rejectAbove(sizes, pairs, need, limit);
+    double minimum = MemoryEstimate.bytes(plan, 0);
+    rejectAbove(sizes, 0, minimum, limit);
+    double enginesPerManager = SubsetSize.enginesPerManager(plan, factory);
+    double need = MemoryEstimate.bytes(plan, enginesPerManager);
+    rejectAbove(sizes, enginesPerManager, need, limit);
     if (need > processLimit) {
       throw new InvalidInputException(
           sizes
@@ -46,7 +46,8 @@
     }
   }
 
-  private static void rejectAbove(String sizes, double pairs, double need, double limit) {
+  private static void rejectAbove(
+      String sizes, double enginesPerManager, double need, double limit) {
     if (need > limit) {
       throw new InvalidInputException(
           String.format(
@@ -55,7 +56,7 @@
                   + " %.0f bytes a pair); allowed: half of this machine's memory, %s MiB",
               sizes,
               toMib(need),
-              pairs,
+              enginesPerManager,
               MemoryEstimate.BYTES_PER_PAIR,
               toMib(limit)));
     }
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -19,14 +19,14 @@
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
-/** Plays hollow fleets at one size or several, and leaves tables, CSV and charts. */
+/** Simulates hollow fleets of one size or several, and writes tables, CSV files and charts. */
 public final class ScaleTable {
 
   private static final double BYTES_PER_MIB = 1024.0 * 1024;
   private static final int MAX_THREADS = 64;
   private static final String HEAP_FIGURE = "heap_bytes";
 
-  /** What grows from size to size. */
+  /** What grows from size to size; the constants are values of {@code --grow}. */
   public enum Dimension {
     MANAGERS,
     ENGINES,
@@ -34,11 +34,11 @@
   }
 
   /**
-   * A ladder of sizes up to the plan's own.
+   * A geometric series of sizes, up to the size of the plan.
    *
-   * @param sizes how many; 1: only its own
-   * @param factor between two
-   * @param grows what differs
+   * @param sizes number of sizes; 1: only that of the plan
+   * @param factor ratio of two successive sizes
+   * @param dimension what grows
    */
   public record SizeSeries(int sizes, int factor, Dimension dimension) {}
 
@@ -54,10 +54,20 @@
     this.progress = progress;
   }
 
-  /** Plays all sizes of a ladder on so many threads, the progress told apart from the table. */
+  /**
+   * Simulates all sizes of a series.
+   *
+   * @param largest the plan of the largest size
+   * @param series the sizes
+   * @param factory creates the decision modules
+   * @param threads number of threads; does not change the results
+   * @param out folder for the results
+   * @param to stream for the table
+   * @param progress stream for progress and timing
+   */
   public static void run(
       ScalePlan largest,
-      SizeSeries ladder,
+      SizeSeries series,
       ModuleFactory factory,
       int threads,
       Path out,
@@ -67,11 +77,11 @@
     requireRange("--threads", threads, 1, MAX_THREADS);
     try (ThreadPoolWorkers workers = new ThreadPoolWorkers(threads)) {
       new ScaleTable(factory, threads == 1 ? Workers.SEQUENTIAL : workers, to, progress)
-          .run(largest, ladder, out);
+          .run(largest, series, out);
     }
   }
 
-  /** Names the option that cannot be used, its value and what is allowed. */
+  /** Rejects a plan that cannot be used, naming the option, its value and what is allowed. */
   public static void validate(ScalePlan plan) {
     requireRange("--managers", plan.managers(), 1, Integer.MAX_VALUE);
     requireRange("--engines", plan.engines(), 1, Integer.MAX_VALUE);
@@ -90,20 +100,20 @@
     }
   }
 
-  private static void requireRange(String option, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  private static void requireRange(String option, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new InvalidInputException(
           option
               + " '"
               + ClaimEvaluator.format(value)
               + "'; allowed: "
-              + ClaimEvaluator.format(least)
+              + ClaimEvaluator.format(min)
               + " to "
-              + ClaimEvaluator.format(most));
+              + ClaimEvaluator.format(max));
     }
   }
 
-  /** The schedule of that name. */
+  /** The failure schedule of that name; the option stands in the error message. */
   public static FailureSchedule schedule(String option, String name) {
     return FailureSchedule.fromName(name)
         .orElseThrow(
@@ -112,47 +122,47 @@
                     option + " '" + name + "'; allowed: " + FailureSchedule.names()));
   }
 
-  /** The plans of a ladder, the smallest first. */
-  static List<ScalePlan> plans(ScalePlan largest, SizeSeries ladder) {
-    requireRange("--sizes", ladder.sizes(), 1, 20);
-    if (ladder.sizes() > 1) {
-      requireRange("--sizes", ladder.sizes(), Slope.MIN_SIZES, 20);
-      requireRange("--factor", ladder.factor(), 2, 100);
+  /** The plans of a series, the smallest first. */
+  static List<ScalePlan> plans(ScalePlan largest, SizeSeries series) {
+    requireRange("--sizes", series.sizes(), 1, 20);
+    if (series.sizes() > 1) {
+      requireRange("--sizes", series.sizes(), Slope.MIN_SIZES, 20);
+      requireRange("--factor", series.factor(), 2, 100);
     }
-    List<ScalePlan> rungs = new ArrayList<>();
-    for (int i = ladder.sizes() - 1; i >= 0; i--) {
-      double by = Math.pow(ladder.factor(), i);
-      double managers = ladder.dimension() == Dimension.ENGINES ? 1 : by;
-      double engines = ladder.dimension() == Dimension.MANAGERS ? 1 : by;
-      ScalePlan rung =
+    List<ScalePlan> plans = new ArrayList<>();
+    for (int i = series.sizes() - 1; i >= 0; i--) {
+      double divisor = Math.pow(series.factor(), i);
+      double managers = series.dimension() == Dimension.ENGINES ? 1 : divisor;
+      double engines = series.dimension() == Dimension.MANAGERS ? 1 : divisor;
+      ScalePlan plan =
           largest.withSize(
               (int) Math.round(largest.managers() / managers),
               (int) Math.round(largest.engines() / engines));
-      validate(rung);
-      rungs.add(rung);
+      validate(plan);
+      plans.add(plan);
     }
-    return rungs;
+    return plans;
   }
 
-  /** Plays all sizes; nothing starts where one of them cannot be held. */
-  private void run(ScalePlan largest, SizeSeries ladder, Path out) throws IOException {
-    List<ScalePlan> rungs = plans(largest, ladder);
-    for (ScalePlan rung : rungs) {
+  /** Simulates all sizes; nothing starts if one of them does not fit into memory. */
+  private void run(ScalePlan largest, SizeSeries series, Path out) throws IOException {
+    List<ScalePlan> plans = plans(largest, series);
+    for (ScalePlan plan : plans) {
       double heap = (double) Runtime.getRuntime().maxMemory();
-      ScaleMemory.requireMemory(rung, factory, ScaleMemory.limitBytes(), heap);
+      ScaleMemory.requireMemory(plan, factory, ScaleMemory.limitBytes(), heap);
     }
     Files.createDirectories(out);
     List<ScaleResult> results = new ArrayList<>();
     List<Double> heaps = new ArrayList<>();
-    for (ScalePlan rung : rungs) {
-      Path folder = rungs.size() == 1 ? out : out.resolve(sizeLabel(rung));
+    for (ScalePlan plan : plans) {
+      Path folder = plans.size() == 1 ? out : out.resolve(sizeLabel(plan));
       Files.createDirectories(folder);
-      heaps.add(runSize(rung, folder, results));
+      heaps.add(runSize(plan, folder, results));
     }
     printTable(results);
     Files.writeString(out.resolve("result.csv"), resultCsv(results));
-    if (rungs.size() > 1) {
-      writeSlopes(results, heaps, ladder, out);
+    if (plans.size() > 1) {
+      writeSlopes(results, heaps, series, out);
     }
   }
 
@@ -160,14 +170,14 @@
     return plan.managers() + "x" + plan.engines();
   }
 
-  /** The heap that the managers hold behind it, in bytes. */
+  /** Simulates one size; returns the heap that its managers hold at the end, in bytes. */
   private double runSize(ScalePlan plan, Path folder, List<ScaleResult> results)
       throws IOException {
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     ScaleSimulation world = new ScaleSimulation(plan, factory, workers);
     double before = usedHeapBytes();
     world.run(new ProgressLine(sizeLabel(plan), progress));
-    double took = (System.nanoTime() - from) / 1e9;
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
     double heap = usedHeapBytes() - before;
     ScaleResult result = ScaleResult.of(world);
     results.add(result);
@@ -177,7 +187,7 @@
             Locale.ROOT,
             "%s: %.1f s of real time; heap %.0f MiB, %.0f bytes a manager, %.0f bytes a pair",
             sizeLabel(plan),
-            took,
+            seconds,
             heap / BYTES_PER_MIB,
             heap / plan.managers(),
             heap / Math.max(1, pairs));
@@ -214,11 +224,12 @@
           ScalePlan.TARGET_UTILIZATION * 100);
     }
     to.printf("%-28s", "figure");
-    results.forEach(one -> to.printf("%16s", sizeLabel(one.plan())));
+    results.forEach(result -> to.printf("%16s", sizeLabel(result.plan())));
     to.println();
     for (String name : results.get(0).figures().keySet()) {
       to.printf("%-28s", name);
-      results.forEach(one -> to.printf("%16s", ClaimEvaluator.format(one.figures().get(name))));
+      results.forEach(
+          result -> to.printf("%16s", ClaimEvaluator.format(result.figures().get(name))));
       to.println();
     }
   }
@@ -235,7 +246,10 @@
           .append(',')
           .append(plan.schedule().scheduleName());
       csv.append(',').append(plan.seed());
-      result.figures().values().forEach(one -> csv.append(',').append(ClaimEvaluator.format(one)));
+      result
+          .figures()
+          .values()
+          .forEach(figure -> csv.append(',').append(ClaimEvaluator.format(figure)));
       csv.append('\n');
     }
     return csv.toString();
@@ -243,41 +257,52 @@
 
   private static String enginesCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("engine,zone,attempts,work_ns,known_by,used_by\n");
-    for (ScaleResult.EngineWork one : result.engines()) {
-      csv.append(one.id()).append(',').append(one.zone()).append(',').append(one.attempts());
-      csv.append(',').append(one.workNanos()).append(',').append(one.knownByManagers());
-      csv.append(',').append(one.usedByManagers()).append('\n');
+    for (ScaleResult.EngineWork engine : result.engines()) {
+      csv.append(engine.id())
+          .append(',')
+          .append(engine.zone())
+          .append(',')
+          .append(engine.attempts());
+      csv.append(',').append(engine.workNanos()).append(',').append(engine.knownByManagers());
+      csv.append(',').append(engine.usedByManagers()).append('\n');
     }
     return csv.toString();
   }
 
   private static String managersCsv(ScaleResult result) {
     StringBuilder csv = new StringBuilder("manager,zone,known,used\n");
-    for (ScaleResult.ManagerPairs one : result.managers()) {
-      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.knownEngines());
-      csv.append(',').append(one.usedEngines()).append('\n');
+    for (ScaleResult.ManagerPairs manager : result.managers()) {
+      csv.append(manager.index())
+          .append(',')
+          .append(manager.zone())
+          .append(',')
+          .append(manager.knownEngines());
+      csv.append(',').append(manager.usedEngines()).append('\n');
     }
     return csv.toString();
   }
 
-  /** Counts by size, with the largest predicted from the others; heap apart, as it is no count. */
+  /**
+   * Fits a power law to each count over the smaller sizes and predicts the largest. Heap goes to a
+   * file of its own, as it depends on the machine.
+   */
   private void writeSlopes(
-      List<ScaleResult> results, List<Double> heaps, SizeSeries ladder, Path out)
+      List<ScaleResult> results, List<Double> heaps, SizeSeries series, Path out)
       throws IOException {
     double[] sizes =
         results.stream()
             .mapToDouble(
-                one ->
-                    ladder.dimension() == Dimension.MANAGERS
-                        ? one.plan().managers()
-                        : one.plan().engines())
+                result ->
+                    series.dimension() == Dimension.MANAGERS
+                        ? result.plan().managers()
+                        : result.plan().engines())
             .toArray();
     Map<String, double[]> counts = new LinkedHashMap<>();
     for (String name : ScaleResult.FITTED_FIGURES) {
       counts.put(name, results.stream().mapToDouble(one -> one.figures().get(name)).toArray());
     }
-    String head = "figure,exponent,predicted,measured,error,usable\n";
-    StringBuilder csv = new StringBuilder(head);
+    String header = "figure,exponent,predicted,measured,error,usable\n";
+    StringBuilder csv = new StringBuilder(header);
     to.printf(
         "%-28s%10s%16s%16s%10s  %s%n",
         "slope", "exponent", "predicted", "measured", "error", "usable");
@@ -285,7 +310,7 @@
     Files.writeString(out.resolve("slopes.csv"), csv);
     double[] heap = heaps.stream().mapToDouble(one -> one).toArray();
     Files.writeString(
-        out.resolve("slope-heap.csv"), head + slopeLine(progress, HEAP_FIGURE, sizes, heap));
+        out.resolve("slope-heap.csv"), header + slopeLine(progress, HEAP_FIGURE, sizes, heap));
     ScaleCharts.slopes(sizes, counts, out);
   }
 
--- a/src/main/java/tansytrack/lab/StreamRelay.java
+++ b/src/main/java/tansytrack/lab/StreamRelay.java
@@ -13,9 +13,9 @@
 import tansytrack.lab.simulation.FaultSchedule;
 
 /**
- * The streams from one manager to one engine, or to the list: each connection goes on to the other
- * side, and breaks as the schedule says. What it holds now is asked for again and again, so that a
- * trouble that begins finds streams that are open.
+ * Relays the TCP connections from one manager to one engine, or to the command channel, with faults
+ * by schedule. The active fault is looked up repeatedly, so that a fault also affects connections
+ * that are open when it begins.
  */
 final class StreamRelay implements AutoCloseable {
 
@@ -27,53 +27,60 @@
   private final InetSocketAddress listenAddress;
   private final List<Socket> openSockets = new ArrayList<>();
   private ServerSocket listener;
-  private final Random random; // its own lock keeps threads apart
+
+  // Used by several threads; Random is thread-safe.
+  private final Random random;
+
   private volatile boolean closed;
 
   StreamRelay(
-      String host, InetSocketAddress target, Supplier<FaultSchedule.StreamFault> now, long seed)
+      String host,
+      InetSocketAddress target,
+      Supplier<FaultSchedule.StreamFault> activeFault,
+      long seed)
       throws IOException {
     random = new Random(seed);
     this.target = target;
-    this.activeFault = now;
+    this.activeFault = activeFault;
     listener = listener(new InetSocketAddress(host, 0));
     listenAddress = (InetSocketAddress) listener.getLocalSocketAddress();
     FakeEngine.daemonThread(this::applyFaults).start();
     accept(listener);
   }
 
-  private static ServerSocket listener(InetSocketAddress where) throws IOException {
-    ServerSocket made = new ServerSocket();
-    made.setReuseAddress(true);
-    made.bind(where, 256);
-    return made;
+  private static ServerSocket listener(InetSocketAddress address) throws IOException {
+    ServerSocket socket = new ServerSocket();
+    socket.setReuseAddress(true);
+    socket.bind(address, 256);
+    return socket;
   }
 
+  /** The address that it listens at, as host:port. */
   String address() {
     return listenAddress.getAddress().getHostAddress() + ':' + listenAddress.getPort();
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket listener) {
     FakeEngine.daemonThread(
             () -> {
               try {
                 while (true) {
-                  Socket one = from.accept();
-                  FakeEngine.daemonThread(() -> relay(one)).start();
+                  Socket connection = listener.accept();
+                  FakeEngine.daemonThread(() -> relay(connection)).start();
                 }
               } catch (IOException e) {
-                // closed
+                // The listener was closed.
               }
             })
         .start();
   }
 
   private boolean isActive(FaultSchedule.StreamFaultKind kind) {
-    FaultSchedule.StreamFault holds = activeFault.get();
-    return holds != null && holds.kind() == kind;
+    FaultSchedule.StreamFault fault = activeFault.get();
+    return fault != null && fault.kind() == kind;
   }
 
-  /** Closes and opens the listener, and resets what is open, as the schedule goes on. */
+  /** Resets connections and closes or reopens the listener while the schedule says so. */
   private void applyFaults() {
     boolean refused = false;
     try {
@@ -104,10 +111,10 @@
 
   private void resetConnections() {
     synchronized (openSockets) {
-      for (Socket one : openSockets) {
+      for (Socket socket : openSockets) {
         try {
-          one.setSoLinger(true, 0);
-          one.close();
+          socket.setSoLinger(true, 0);
+          socket.close();
         } catch (IOException e) {
           // it is closed
         }
@@ -126,38 +133,38 @@
         openSockets.add(client);
         openSockets.add(server);
       }
-      Thread back = FakeEngine.daemonThread(() -> copy(server, client, false));
-      back.start();
+      Thread responses = FakeEngine.daemonThread(() -> copy(server, client, false));
+      responses.start();
       copy(client, server, true);
-      back.join();
+      responses.join();
     } catch (IOException e) {
-      // refused beyond: the client's connection ends
+      // The target refused the connection; the client's connection is closed.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void copy(Socket from, Socket to, boolean asks) {
+  private void copy(Socket from, Socket to, boolean isRequest) {
     byte[] bytes = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-        FaultSchedule.StreamFault holds = activeFault.get();
-        if (holds != null && holds.kind() == FaultSchedule.StreamFaultKind.SLOW) {
-          Thread.sleep(holds.delayNanos() / 1_000_000);
+        FaultSchedule.StreamFault fault = activeFault.get();
+        if (fault != null && fault.kind() == FaultSchedule.StreamFaultKind.SLOW) {
+          Thread.sleep(fault.delayNanos() / 1_000_000);
         }
         while (isActive(FaultSchedule.StreamFaultKind.SILENT) && !closed) {
           Thread.sleep(FAULT_CHECK_MS);
         }
-        if (asks
-            && holds != null
-            && holds.kind() == FaultSchedule.StreamFaultKind.FLAKY
-            && random.nextDouble() < holds.share()) {
+        if (isRequest
+            && fault != null
+            && fault.kind() == FaultSchedule.StreamFaultKind.FLAKY
+            && random.nextDouble() < fault.share()) {
           from.setSoLinger(true, 0);
           from.close();
           if (random.nextBoolean()) {
-            Thread.sleep(random.nextInt((int) (1 + holds.delayNanos() / 1_000_000)));
+            Thread.sleep(random.nextInt((int) (1 + fault.delayNanos() / 1_000_000)));
             out.write(bytes, 0, count);
             Thread.sleep(FAULT_CHECK_MS);
           }
@@ -166,7 +173,7 @@
         out.write(bytes, 0, count);
       }
     } catch (IOException e) {
-      // one side ended
+      // One side closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
@@ -175,12 +182,12 @@
     }
   }
 
-  private void close(Socket one) {
+  private void close(Socket socket) {
     synchronized (openSockets) {
-      openSockets.remove(one);
+      openSockets.remove(socket);
     }
     try {
-      one.close();
+      socket.close();
     } catch (IOException e) {
       // it is closed
     }
@@ -193,8 +200,8 @@
       listener.close();
     }
     synchronized (openSockets) {
-      for (Socket one : openSockets) {
-        one.close();
+      for (Socket socket : openSockets) {
+        socket.close();
       }
     }
   }
--- a/src/main/java/tansytrack/lab/ThreadPoolWorkers.java
+++ b/src/main/java/tansytrack/lab/ThreadPoolWorkers.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Future;
 import tansytrack.lab.scale.Workers;
 
-/** Workers that are threads. */
+/** Runs the tasks of a simulation on a pool of threads. */
 final class ThreadPoolWorkers implements Workers, AutoCloseable {
 
   private final ExecutorService threads;
@@ -20,15 +20,15 @@
 
   @Override
   public void run(List<Runnable> tasks) {
-    List<Callable<Object>> calls = new ArrayList<>();
-    tasks.forEach(one -> calls.add(Executors.callable(one)));
+    List<Callable<Object>> callables = new ArrayList<>();
+    tasks.forEach(task -> callables.add(Executors.callable(task)));
     try {
-      for (Future<Object> one : threads.invokeAll(calls)) {
-        one.get();
+      for (Future<Object> future : threads.invokeAll(callables)) {
+        future.get();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while managers were played", e);
+      throw new IllegalStateException("interrupted while managers were simulated", e);
     } catch (ExecutionException e) {
       throw new IllegalStateException("a manager failed", e.getCause());
     }
--- a/src/main/java/tansytrack/lab/load/LatencyStatistics.java
+++ b/src/main/java/tansytrack/lab/load/LatencyStatistics.java
@@ -5,34 +5,35 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Latencies counted from the intended time, so that what was sent late because something stalled
- * counts as long; beside them the service time, from the actual sending. By grade, tenant and
- * second of the intended time; and the users' own measure: earnings in time over earnings asked
- * for, where a task's retries are part of its first try.
+ * Latency and earnings of a load, by query class, by tenant and by second of the intended time of
+ * sending. Latency is measured from the intended time, so that a task that was sent late because of
+ * a stall counts with its full delay; service time is measured from the actual sending. The share
+ * is the earnings of the tasks answered in time over the earnings of all tasks. The retries of a
+ * task count as part of the task.
  */
 public final class LatencyStatistics {
 
   private static final long MAX_LATENCY_NANOS = 3600 * RateShape.NANOS_PER_SECOND;
   private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** One second of intended times. */
+  /** Latency and earnings of a group of tasks. */
   public static final class Totals {
     private final Histogram latency = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
     private double offered;
     private double earned;
     private long tasks;
 
-    /** The earned part of what was asked for, 1 where nothing was. */
+    /** Earnings of tasks answered in time over earnings of all tasks; 1 without tasks. */
     public double share() {
       return offered == 0 ? 1 : earned / offered;
     }
 
-    /** How many tasks it counts. */
+    /** Number of tasks. */
     public long tasks() {
       return tasks;
     }
 
-    /** Latency at a percentile, measured from the intended time of sending. */
+    /** Latency at a percentile, in nanoseconds from the intended time of sending. */
     public long latency(double percentile) {
       return latency.getValueAtPercentile(percentile);
     }
@@ -45,13 +46,18 @@
   private final Totals all = new Totals();
 
   /**
-   * A task's end: intended, sent and over in nanoseconds from the start; what it would have earned
-   * in time, and did earn.
+   * Records the end of a task.
+   *
+   * @param arrival the task
+   * @param sent time of the first attempt, in nanoseconds from the start of the load
+   * @param ended time of the last answer, in nanoseconds from the start of the load
+   * @param earnings what the task earns when it is answered in time
+   * @param earned what it earned
    */
-  public void record(Arrival arrival, long sent, long over, double worth, double earned) {
-    long took = Math.min(MAX_LATENCY_NANOS, Math.max(0, over - arrival.atNanos()));
-    latency.recordValue(took);
-    service.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, over - sent)));
+  public void record(Arrival arrival, long sent, long ended, double earnings, double earned) {
+    long latencyNanos = Math.min(MAX_LATENCY_NANOS, Math.max(0, ended - arrival.atNanos()));
+    latency.recordValue(latencyNanos);
+    service.recordValue(Math.min(MAX_LATENCY_NANOS, Math.max(0, ended - sent)));
     for (Totals window :
         new Totals[] {
           all,
@@ -60,52 +66,52 @@
           seconds.computeIfAbsent(
               arrival.atNanos() / RateShape.NANOS_PER_SECOND, name -> new Totals())
         }) {
-      window.latency.recordValue(took);
-      window.offered += worth;
+      window.latency.recordValue(latencyNanos);
+      window.offered += earnings;
       window.earned += earned;
       window.tasks++;
     }
   }
 
-  /** Latency at a percentile over all tasks, measured from the intended time of sending. */
+  /** Latency of all tasks at a percentile, in nanoseconds from the intended time of sending. */
   public long latency(double percentile) {
     return latency.getValueAtPercentile(percentile);
   }
 
-  /** Time from the real sending to the answer at a percentile, over all tasks. */
+  /** Service time of all tasks at a percentile, in nanoseconds from the actual sending. */
   public long service(double percentile) {
     return service.getValueAtPercentile(percentile);
   }
 
-  /** How many tasks were counted in all. */
+  /** Number of tasks. */
   public long tasks() {
     return all.tasks;
   }
 
-  /** The earned part of all that was asked for. */
+  /** Earnings of tasks answered in time over earnings of all tasks; 1 without tasks. */
   public double share() {
     return all.share();
   }
 
-  /** Counts by group, in the order of their names. */
+  /** Totals by query class and by tenant, sorted by name. */
   public Map<String, Totals> groups() {
     return groups;
   }
 
-  /** Counts by second of the intended sending. */
+  /** Totals by second of the intended time of sending. */
   public Map<Long, Totals> seconds() {
     return seconds;
   }
 
-  /** The lowest share over so many seconds on end. */
-  public double worstShare(int length) {
+  /** The lowest share over any window of that many seconds. */
+  public double worstShare(int window) {
     double worst = 1;
     for (long from : seconds.keySet()) {
       double asked = 0;
       double earned = 0;
-      for (Totals one : seconds.subMap(from, from + length).values()) {
-        asked += one.offered;
-        earned += one.earned;
+      for (Totals second : seconds.subMap(from, from + window).values()) {
+        asked += second.offered;
+        earned += second.earned;
       }
       worst = asked > 0 ? Math.min(worst, earned / asked) : worst;
     }
--- a/src/main/java/tansytrack/lab/load/RateShape.java
+++ b/src/main/java/tansytrack/lab/load/RateShape.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * How many arrivals a second a load intends, over time; nanoseconds from its start. Shapes add and
- * multiply, so a day is made of parts. Pure: the same time, the same rate.
+ * The arrival rate of a load over time: a pure function of the nanoseconds since its start. Shapes
+ * can be added and multiplied, for instance to model a day.
  */
 public sealed interface RateShape {
 
+  /** Nanoseconds in a second. */
   long NANOS_PER_SECOND = 1_000_000_000L;
 
   /** Arrivals a second at that time. */
   double rate(long at);
 
-  /** What the rate never passes. */
+  /** An upper bound of the rate, in arrivals a second. */
   double maxRate();
 
-  /** Always the same. */
+  /** A constant rate. */
   record Constant(double perSecond) implements RateShape {
     @Override
     public double rate(long at) {
@@ -29,15 +30,15 @@
     }
   }
 
-  /** Evenly from one rate to another between two times, and flat outside. */
+  /** A linear change from one rate to another between two times; constant before and after. */
   record Ramp(double from, double to, long beginNanos, long endNanos) implements RateShape {
     @Override
     public double rate(long at) {
-      double part =
+      double fraction =
           endNanos <= beginNanos
               ? at < beginNanos ? 0 : 1
               : Math.max(0, Math.min(1, (double) (at - beginNanos) / (endNanos - beginNanos)));
-      return from + (to - from) * part;
+      return from + (to - from) * fraction;
     }
 
     @Override
@@ -46,7 +47,7 @@
     }
   }
 
-  /** One rate after the other, each for the same time; the last stays. */
+  /** Constant rates one after the other, each for the same time; the last one has no end. */
   record Steps(List<Double> rates, long stepNanos) implements RateShape {
     @Override
     public double rate(long at) {
@@ -59,7 +60,7 @@
     }
   }
 
-  /** So much for a while at the start of each interval, nothing in the rest of it. */
+  /** A constant rate for a while at the start of each interval, and 0 in the rest of it. */
   record Bursts(double perSecond, long intervalNanos, long durationNanos, long firstNanos)
       implements RateShape {
     @Override
@@ -75,7 +76,7 @@
     }
   }
 
-  /** A day's wave between two rates: lowest at its start, highest at the middle. */
+  /** A cosine wave between two rates: lowest at the start of each period, highest in its middle. */
   record Wave(double minRate, double maxRate, long periodNanos) implements RateShape {
     @Override
     public double rate(long at) {
@@ -87,9 +88,8 @@
   }
 
   /**
-   * A festival morning: calm, then people come ever faster up to the peak, and leave more slowly
-   * than they came. Between calm and peak it rises with the square of the part of the way and falls
-   * by halves.
+   * A surge: a constant base rate, a quadratic rise to the peak, then an exponential decay back to
+   * the base rate with the given half-life.
    */
   record Festival(double calm, double peak, long openNanos, long peakNanos, long halfLifeNanos)
       implements RateShape {
@@ -99,8 +99,8 @@
         return calm;
       }
       if (at < peakNanos) {
-        double part = (double) (at - openNanos) / (peakNanos - openNanos);
-        return calm + (peak - calm) * part * part;
+        double fraction = (double) (at - openNanos) / (peakNanos - openNanos);
+        return calm + (peak - calm) * fraction * fraction;
       }
       return calm + (peak - calm) * Math.pow(0.5, (double) (at - peakNanos) / halfLifeNanos);
     }
@@ -111,12 +111,15 @@
     }
   }
 
-  /** On and off for times drawn beforehand with heavy tails; begins on. */
+  /**
+   * A rate that is switched off and on at the given times, in ascending order; on at the start. The
+   * caller draws the times, for instance from a heavy-tailed distribution.
+   */
   record OnOff(double perSecond, long[] switchNanos) implements RateShape {
     @Override
     public double rate(long at) {
-      int place = java.util.Arrays.binarySearch(switchNanos, at);
-      int passed = place >= 0 ? place + 1 : -place - 1;
+      int index = java.util.Arrays.binarySearch(switchNanos, at);
+      int passed = index >= 0 ? index + 1 : -index - 1;
       return passed % 2 == 0 ? perSecond : 0;
     }
 
@@ -126,7 +129,7 @@
     }
   }
 
-  /** All of them together. */
+  /** The sum of several shapes. */
   record Sum(List<RateShape> parts) implements RateShape {
     @Override
     public double rate(long at) {
@@ -139,7 +142,7 @@
     }
   }
 
-  /** One times the other. */
+  /** The product of two shapes. */
   record Product(RateShape one, RateShape other) implements RateShape {
     @Override
     public double rate(long at) {
--- a/src/main/java/tansytrack/lab/load/SendDelays.java
+++ b/src/main/java/tansytrack/lab/load/SendDelays.java
@@ -3,9 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Whether the generator itself kept its times. A run in which it did not says nothing of what it
- * was to measure, and is void: it is not smoothed, and its figures are not shown as if it were
- * whole.
+ * Delays of the load generator against its schedule. A run in which too many tasks were sent late
+ * does not measure the gateway: it is void, and its figures are not reported.
  */
 public final class SendDelays {
 
@@ -15,31 +14,36 @@
   private long lateCount;
   private long unsent;
 
-  /** A send may be late by so much; that part of them may be later. */
-  public SendDelays(long allowed, double part) {
-    this.allowedNanos = allowed;
-    this.allowedLateShare = part;
+  /**
+   * Sets the limits.
+   *
+   * @param allowedNanos delay from which a task counts as late, in nanoseconds
+   * @param allowedLateShare share of the tasks that may be late
+   */
+  public SendDelays(long allowedNanos, double allowedLateShare) {
+    this.allowedNanos = allowedNanos;
+    this.allowedLateShare = allowedLateShare;
   }
 
-  /** Counts a task that was sent, by how much later than intended it went out. */
-  public void sent(long intended, long at) {
-    long by = Math.max(0, at - intended);
-    delays.recordValue(Math.min(by, delays.getHighestTrackableValue()));
-    lateCount += by > allowedNanos ? 1 : 0;
+  /** Records the delay of a task: its intended and its actual time of sending, in nanoseconds. */
+  public void sent(long intendedNanos, long sentNanos) {
+    long delay = Math.max(0, sentNanos - intendedNanos);
+    delays.recordValue(Math.min(delay, delays.getHighestTrackableValue()));
+    lateCount += delay > allowedNanos ? 1 : 0;
   }
 
-  /** It had no means to send it, as all connections that it may hold were in use. */
+  /** Counts a task that was not sent because all allowed connections were in use. */
   public void unsent() {
     unsent++;
   }
 
-  /** Whether the generator fell behind so far that the run's figures say nothing of the gateway. */
+  /** Whether a task was not sent, or more than the allowed share of the tasks was late. */
   public boolean isVoid() {
     return unsent > 0
         || (delays.getTotalCount() > 0 && lateCount > allowedLateShare * delays.getTotalCount());
   }
 
-  /** A summary for people, in one line. */
+  /** A one-line summary for the console. */
   public String summary() {
     return delays.getTotalCount()
         + " sent, "
--- a/src/main/java/tansytrack/lab/load/TaskMix.java
+++ b/src/main/java/tansytrack/lab/load/TaskMix.java
@@ -4,8 +4,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What arrives: tenants and grades by weight, data sets by Zipf's law with a hot end that moves,
- * costs drawn lognormal, keys.
+ * Draws the tasks of a load: tenant and query class by weight, data set by Zipf's law with popular
+ * data sets that change over time, cost from a lognormal distribution, key uniformly.
  */
 public final class TaskMix {
 
@@ -13,29 +13,51 @@
   public record Weighted(String name, double weight) {}
 
   /**
-   * A grade: its weight, the median and spread (the deviation of the logarithm) of its cost, and
-   * how many keys; 0: none.
+   * The tasks of a query class.
+   *
+   * @param name name of the query class
+   * @param weight share of the tasks, relative to the other query classes
+   * @param medianMs median cost, in milliseconds
+   * @param spread standard deviation of the cost's logarithm
+   * @param memoryMb estimated memory of a task, in MB
+   * @param keys number of distinct keys; 0: tasks have no key
    */
   public record ClassLoad(
       String name, double weight, double medianMs, double spread, double memoryMb, int keys) {}
 
   private final List<Weighted> tenants;
   private final List<ClassLoad> queryClasses;
-  private final double[] zipfCumulative; // summed up
-  private final long hotShiftNanos; // ns after which the hot end has moved by one set; 0: never
+
+  // Cumulative weights of the ranks.
+  private final double[] zipfCumulative;
+
+  // Time after which each rank moves on by one data set; 0: never.
+  private final long hotShiftNanos;
+
   private final double tenantWeight;
   private final double classWeight;
 
   /**
-   * The choice of tenants, query classes and data sets; the popular data sets move on after a time.
+   * Creates a mix.
+   *
+   * @param tenants tenants with their weights
+   * @param queryClasses query classes with their weights and costs
+   * @param dataSets number of data sets
+   * @param exponent exponent of Zipf's law for the popularity of data sets
+   * @param hotShiftNanos time after which each popularity rank moves on by one data set, in
+   *     nanoseconds; 0: never
    */
   public TaskMix(
-      List<Weighted> tenants, List<ClassLoad> grades, int dataSets, double exponent, long moves) {
+      List<Weighted> tenants,
+      List<ClassLoad> queryClasses,
+      int dataSets,
+      double exponent,
+      long hotShiftNanos) {
     this.tenants = List.copyOf(tenants);
-    this.queryClasses = List.copyOf(grades);
-    this.hotShiftNanos = moves;
+    this.queryClasses = List.copyOf(queryClasses);
+    this.hotShiftNanos = hotShiftNanos;
     tenantWeight = tenants.stream().mapToDouble(Weighted::weight).sum();
-    classWeight = grades.stream().mapToDouble(ClassLoad::weight).sum();
+    classWeight = queryClasses.stream().mapToDouble(ClassLoad::weight).sum();
     zipfCumulative = new double[dataSets];
     double sum = 0;
     for (int i = 0; i < dataSets; i++) {
@@ -43,54 +65,54 @@
       zipfCumulative[i] = sum;
     }
     if (tenants.isEmpty()
-        || grades.isEmpty()
+        || queryClasses.isEmpty()
         || dataSets < 1
         || !(tenantWeight > 0)
         || !(classWeight > 0)) {
       throw new IllegalArgumentException(
-          "a mix needs tenants, grades and data sets, with weights over 0");
+          "a mix needs tenants, query classes and data sets, with weights over 0");
     }
   }
 
   /**
-   * The next task; draws the same number of times whatever comes out, so that one change does not
-   * shift all the rest.
+   * Draws the next task. Takes the same number of random values for every task, so that a changed
+   * setting does not alter unrelated draws of later tasks.
    */
-  public Arrival draw(long number, long at, UniformRandomProvider chance) {
-    double ofTenant = chance.nextDouble() * tenantWeight;
-    double ofGrade = chance.nextDouble() * classWeight;
-    double ofSet = chance.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
+  public Arrival draw(long number, long timeNanos, UniformRandomProvider random) {
+    double tenantDraw = random.nextDouble() * tenantWeight;
+    double classDraw = random.nextDouble() * classWeight;
+    double dataSetDraw = random.nextDouble() * zipfCumulative[zipfCumulative.length - 1];
     double normal =
-        Math.sqrt(-2 * Math.log(1 - chance.nextDouble()))
-            * Math.cos(2 * Math.PI * chance.nextDouble());
-    long ofKey = chance.nextLong();
+        Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
+            * Math.cos(2 * Math.PI * random.nextDouble());
+    long keyDraw = random.nextLong();
     Weighted tenant = tenants.get(tenants.size() - 1);
-    for (Weighted one : tenants) {
-      ofTenant -= one.weight;
-      if (ofTenant < 0) {
-        tenant = one;
+    for (Weighted candidate : tenants) {
+      tenantDraw -= candidate.weight;
+      if (tenantDraw < 0) {
+        tenant = candidate;
         break;
       }
     }
-    ClassLoad grade = queryClasses.get(queryClasses.size() - 1);
-    for (ClassLoad one : queryClasses) {
-      ofGrade -= one.weight;
-      if (ofGrade < 0) {
-        grade = one;
+    ClassLoad queryClass = queryClasses.get(queryClasses.size() - 1);
+    for (ClassLoad candidate : queryClasses) {
+      classDraw -= candidate.weight;
+      if (classDraw < 0) {
+        queryClass = candidate;
         break;
       }
     }
-    int rank = java.util.Arrays.binarySearch(zipfCumulative, ofSet);
+    int rank = java.util.Arrays.binarySearch(zipfCumulative, dataSetDraw);
     rank = Math.min(zipfCumulative.length - 1, rank >= 0 ? rank + 1 : -rank - 1);
-    long shift = hotShiftNanos == 0 ? 0 : at / hotShiftNanos;
+    long shift = hotShiftNanos == 0 ? 0 : timeNanos / hotShiftNanos;
     return new Arrival(
         number,
-        at,
+        timeNanos,
         tenant.name,
-        grade.name,
+        queryClass.name,
         (int) Math.floorMod(rank + shift, (long) zipfCumulative.length),
-        grade.medianMs * Math.exp(grade.spread * normal),
-        grade.memoryMb,
-        grade.keys == 0 ? 0 : 1 + Math.floorMod(ofKey, (long) grade.keys));
+        queryClass.medianMs * Math.exp(queryClass.spread * normal),
+        queryClass.memoryMb,
+        queryClass.keys == 0 ? 0 : 1 + Math.floorMod(keyDraw, (long) queryClass.keys));
   }
 }
--- a/src/test/java/tansytrack/lab/FleetLinksTest.java
+++ b/src/test/java/tansytrack/lab/FleetLinksTest.java
@@ -22,7 +22,7 @@
 import tansytrack.lab.simulation.MembershipSimulation.Observation;
 import tansytrack.settings.InvalidInputException;
 
-/** The experiment on a fleet of processes, as it stands in lab/, and what judges it. */
+/** The experiments on fleets of processes in lab/, and the metrics that they are judged by. */
 class FleetLinksTest {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -30,15 +30,15 @@
   @TempDir Path folder;
 
   private String run(String file) throws Exception {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
         ExperimentRunner.run(
             ExperimentRunner.read(file),
             1,
             folder,
             Decide::new,
-            new PrintStream(told, true, StandardCharsets.UTF_8));
-    return held + "\n" + told.toString(StandardCharsets.UTF_8);
+            new PrintStream(output, true, StandardCharsets.UTF_8));
+    return held + "\n" + output.toString(StandardCharsets.UTF_8);
   }
 
   @Test
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Traffic, cold engines, cut links, a silent place: the seven rules over all managers, by what
-   * stand-ins saw.
+   * Load, cold engines, cut links, stalled connections: checks the seven invariants over all
+   * managers, as clients, engines and command channels observe them.
    */
   @Test
   void invariantsHoldUnderFaults() throws Exception {
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Starts that are reset and come late all the same: behind the question for them, and behind the
-   * call that gives them up.
+   * Guards against two queries of a key at once: requests whose connection was reset arrive late
+   * all the same, after the poll for the query and after its cancellation.
    */
   @Test
   void delayedRequestsKeepTheOrderByKey() throws Exception {
@@ -75,11 +75,12 @@
     assertThat(run(file.toString())).startsWith("true");
   }
 
-  private static Observation observation(double at, String by, String of, MemberStatus standing) {
-    return new Observation((long) (at * NANOS_PER_SECOND), by, of, 1, standing);
+  private static Observation observation(
+      double at, String observer, String member, MemberStatus status) {
+    return new Observation((long) (at * NANOS_PER_SECOND), observer, member, 1, status);
   }
 
-  /** Each figure of the judge is shown to fire on a record that is wrong on purpose. */
+  /** Checks that each metric reports a violation in observations that are wrong on purpose. */
   @Test
   void metricsDetectEachViolation() {
     List<String> two = List.of("a", "b");
@@ -184,11 +185,11 @@
             + " engine: 'e1' } } | engine_troubles.engine: 'e1'",
         "managers: 3 seconds: 1 runs: 1 fleet { places: 1 probe_every_ms: 100 } | claims: missing"
       })
-  void rejectsInvalidFleetPlans(String text, String said) throws Exception {
+  void rejectsInvalidFleetPlans(String text, String message) throws Exception {
     Path file =
         Files.writeString(folder.resolve("x"), text.contains("fleet") ? text : text + " fleet { }");
     assertThatThrownBy(() -> ExperimentRunner.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/LedgerCrashTest.java
+++ b/src/test/java/tansytrack/lab/LedgerCrashTest.java
@@ -18,22 +18,22 @@
 import tansytrack.lab.proto.Claim;
 import tansytrack.settings.InvalidInputException;
 
-/** The experiment on crashes, as it stands in lab/, and the laboratory's own rules. */
+/** The experiment on crashes in lab/, the evaluation of claims, and the validation of files. */
 class LedgerCrashTest {
 
   @TempDir Path folder;
 
   @Test
   void crashesLoseAndRepeatNoLedgerEntry() throws Exception {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     boolean held =
         ExperimentRunner.run(
             ExperimentRunner.read("lab/ledger-crash.textproto"),
             1,
             folder,
             Decide::new,
-            new PrintStream(told, true, StandardCharsets.UTF_8));
-    assertThat(held).as(told.toString(StandardCharsets.UTF_8)).isTrue();
+            new PrintStream(output, true, StandardCharsets.UTF_8));
+    assertThat(held).as(output.toString(StandardCharsets.UTF_8)).isTrue();
     assertThat(folder.resolve("result.csv")).content().contains("entries.missing");
     assertThat(folder.resolve("summary.json"))
         .content()
@@ -70,10 +70,10 @@
         "mangers: 1 | :1:",
         "managers: 1 engines: 1 clients: 1 seconds: 1 runs: 1 | claims: missing"
       })
-  void rejectsInvalidExperiments(String text, String said) throws Exception {
+  void rejectsInvalidExperiments(String text, String message) throws Exception {
     Path file = Files.writeString(folder.resolve("x"), text);
     assertThatThrownBy(() -> ExperimentRunner.read(file.toString()))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/OpenLoopTest.java
+++ b/src/test/java/tansytrack/lab/OpenLoopTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.settings.InvalidInputException;
 
-/** A load against a server whose delay is known, and which stalls. */
+/** The load generator against a server with a known delay, which can stall or reject tasks. */
 class OpenLoopTest {
 
   private static final int DELAY_MS = 150;
@@ -51,7 +51,7 @@
                   FakeEngine.daemonThread(() -> serve(one)).start();
                 }
               } catch (IOException e) {
-                // over
+                // The socket was closed.
               }
             })
         .start();
@@ -67,38 +67,38 @@
                 .array());
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       in.skipNBytes(in.readInt() - 4);
-      send(one, 'Z', new byte[] {'I'});
+      send(connection, 'Z', new byte[] {'I'});
       while (true) {
         in.readByte();
         byte[] query = new byte[in.readInt() - 4];
         in.readFully(query);
-        boolean refused =
+        boolean rejected =
             rejectsFirstTry
                 && !new String(query, java.nio.charset.StandardCharsets.UTF_8).contains("retry=1");
         received.incrementAndGet();
         long now = System.nanoTime();
         Thread.sleep(
-            refused
+            rejected
                 ? 0
                 : DELAY_MS
                     + (now >= stallFrom && now < stallUntil ? (stallUntil - now) / 1_000_000 : 0));
-        if (refused) {
+        if (rejected) {
           send(
-              one,
+              connection,
               'E',
               "SERROR\0C53300\0Mno room, after=100\0\0"
                   .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         } else {
-          send(one, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+          send(connection, 'C', "SELECT 0\0".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         }
-        send(one, 'Z', new byte[] {'I'});
+        send(connection, 'Z', new byte[] {'I'});
       }
     } catch (IOException | InterruptedException e) {
-      // the client left
+      // The client closed the connection.
     }
   }
 
@@ -108,14 +108,14 @@
   }
 
   private Map<String, Double> play(String load) throws InterruptedException {
-    OpenLoopGenerator loop =
+    OpenLoopGenerator generator =
         new OpenLoopGenerator(
             LoadFile.parse("f", load),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    loop.run();
-    assertThat(loop.sendDelays().isVoid()).as(loop.sendDelays().summary()).isFalse();
-    return loop.figures();
+    generator.run();
+    assertThat(generator.sendDelays().isVoid()).as(generator.sendDelays().summary()).isFalse();
+    return generator.figures();
   }
 
   @Test
@@ -134,7 +134,7 @@
     Map<String, Double> figures = play(LOAD);
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
     assertThat(figures.get("latency_ms.p99")).isGreaterThan(1200);
-    assertThat(figures.get("connections")).as("the sending goes on").isGreaterThan(40);
+    assertThat(figures.get("connections")).as("connections, as sending goes on").isGreaterThan(40);
     assertThat(figures.get("share")).isLessThan(0.95);
   }
 
@@ -145,20 +145,20 @@
     assertThat(figures.get("tasks")).isBetween(118.0, 120.0);
     assertThat(received.get()).isEqualTo(2 * figures.get("tasks").intValue());
     assertThat(figures.get("latency_ms.p50"))
-        .as("refused, told 100 ms, answered")
+        .as("rejected, retried after 100 ms, answered")
         .isBetween(250.0, 330.0);
   }
 
   @Test
   void runIsVoidWithoutConnections() throws InterruptedException {
-    OpenLoopGenerator loop =
+    OpenLoopGenerator generator =
         new OpenLoopGenerator(
             LoadFile.parse("f", LOAD.replace("most_connections: 200", "most_connections: 2")),
             new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort()),
             3);
-    loop.run();
-    assertThat(loop.sendDelays().isVoid()).isTrue();
-    assertThat(loop.sendDelays().summary()).contains("void");
+    generator.run();
+    assertThat(generator.sendDelays().isVoid()).isTrue();
+    assertThat(generator.sendDelays().summary()).contains("void");
   }
 
   @ParameterizedTest
@@ -175,10 +175,10 @@
         "seconds: 3 | secnds: 3 | f:1:",
         "promised_ms: 1000 | promised_ms: 9000 | promised_ms: '9000'; allowed: 1 to 5000"
       })
-  void rejectsInvalidLoads(String good, String bad, String said) {
+  void rejectsInvalidLoads(String good, String bad, String message) {
     assertThat(LoadFile.parse("f", LOAD).definition.getSeconds()).isEqualTo(3);
     assertThatThrownBy(() -> LoadFile.parse("f", LOAD.replace(good, bad)))
         .isInstanceOf(InvalidInputException.class)
-        .hasMessageContaining(said);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/tansytrack/lab/load/LoadTest.java
+++ b/src/test/java/tansytrack/lab/load/LoadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Shapes, schedules, mixes, what counts as latency, and when a run is void. */
+/** Rates, schedules, mixes, latency statistics, void runs and retries. */
 class LoadTest {
 
   private static final long NANOS_PER_SECOND = RateShape.NANOS_PER_SECOND;
@@ -28,9 +28,9 @@
           10 * NANOS_PER_SECOND);
 
   private static List<Arrival> arrivalsOf(ArrivalSchedule schedule) {
-    List<Arrival> all = new ArrayList<>();
-    schedule.forEachRemaining(all::add);
-    return all;
+    List<Arrival> arrivals = new ArrayList<>();
+    schedule.forEachRemaining(arrivals::add);
+    return arrivals;
   }
 
   @Test
@@ -86,21 +86,22 @@
 
   @ParameterizedTest
   @CsvSource({"true, 1", "false, 140"})
-  void scheduleFollowsItsRate(boolean even, int off) {
+  void scheduleFollowsItsRate(boolean even, int tolerance) {
     RateShape shape =
         new RateShape.Sum(
             List.of(
                 new RateShape.Ramp(0, 200, 0, 60 * NANOS_PER_SECOND),
                 new RateShape.Bursts(300, 20 * NANOS_PER_SECOND, 2 * NANOS_PER_SECOND, 0)));
-    List<Arrival> all = arrivalsOf(new ArrivalSchedule(shape, MIX, 60 * NANOS_PER_SECOND, even, 5));
-    assertThat(all.size()).isCloseTo(6000 + 1800, within(off * 2));
-    for (int i = 1; i < all.size(); i++) {
-      assertThat(all.get(i).atNanos())
-          .isGreaterThanOrEqualTo(all.get(i - 1).atNanos())
+    List<Arrival> arrivals =
+        arrivalsOf(new ArrivalSchedule(shape, MIX, 60 * NANOS_PER_SECOND, even, 5));
+    assertThat(arrivals.size()).isCloseTo(6000 + 1800, within(tolerance * 2));
+    for (int i = 1; i < arrivals.size(); i++) {
+      assertThat(arrivals.get(i).atNanos())
+          .isGreaterThanOrEqualTo(arrivals.get(i - 1).atNanos())
           .isLessThan(60 * NANOS_PER_SECOND);
     }
     long inBursts =
-        all.stream()
+        arrivals.stream()
             .filter(one -> one.atNanos() % (20 * NANOS_PER_SECOND) < 2 * NANOS_PER_SECOND)
             .count();
     assertThat(inBursts).isCloseTo(1800 + 400, within(150L));
@@ -122,29 +123,30 @@
   void mixFollowsWeightsZipfAndHotShift() {
     Map<String, Integer> counts = new HashMap<>();
     int[] sets = new int[100];
-    double logs = 0;
+    double logSum = 0;
     int queries = 0;
-    var chance = RandomSource.XO_SHI_RO_256_PP.create(3);
+    var random = RandomSource.XO_SHI_RO_256_PP.create(3);
     for (int i = 0; i < 20_000; i++) {
-      Arrival one = MIX.draw(i, 0, chance);
-      counts.merge(one.tenant(), 1, Integer::sum);
-      counts.merge(one.queryClass(), 1, Integer::sum);
-      sets[one.dataSet()]++;
-      assertThat(one.key())
+      Arrival arrival = MIX.draw(i, 0, random);
+      counts.merge(arrival.tenant(), 1, Integer::sum);
+      counts.merge(arrival.queryClass(), 1, Integer::sum);
+      sets[arrival.dataSet()]++;
+      assertThat(arrival.key())
           .isBetween(
-              one.queryClass().equals("load") ? 1L : 0L, one.queryClass().equals("load") ? 5L : 0L);
-      if (one.queryClass().equals("query")) {
-        logs += Math.log(one.costMs() / 20);
+              arrival.queryClass().equals("load") ? 1L : 0L,
+              arrival.queryClass().equals("load") ? 5L : 0L);
+      if (arrival.queryClass().equals("query")) {
+        logSum += Math.log(arrival.costMs() / 20);
         queries++;
       }
     }
     assertThat(counts.get("a")).isCloseTo(15_000, within(300));
     assertThat(counts.get("load")).isCloseTo(2_000, within(200));
-    assertThat(logs / queries).isCloseTo(0, within(0.02));
+    assertThat(logSum / queries).isCloseTo(0, within(0.02));
     assertThat((double) sets[0] / sets[9]).isCloseTo(Math.pow(10, 1.1), within(3.0));
     int moved = 0;
     for (int i = 0; i < 2000; i++) {
-      moved += MIX.draw(i, 35 * NANOS_PER_SECOND, chance).dataSet() == 3 ? 1 : 0;
+      moved += MIX.draw(i, 35 * NANOS_PER_SECOND, random).dataSet() == 3 ? 1 : 0;
     }
     assertThat(moved)
         .as("the hottest set after 35 s")
@@ -155,41 +157,43 @@
 
   @Test
   void stallRaisesLatencyAndNotServiceTime() {
-    LatencyStatistics all = new LatencyStatistics();
+    LatencyStatistics statistics = new LatencyStatistics();
     for (int i = 0; i < 100; i++) {
-      Arrival one = new Arrival(i, i * NANOS_PER_SECOND / 10, "a", "query", 0, 1, 1, 0);
-      // From second 2 to 6 nothing could be sent: what was intended then goes out at 6.
+      Arrival arrival = new Arrival(i, i * NANOS_PER_SECOND / 10, "a", "query", 0, 1, 1, 0);
+      // Nothing can be sent from second 2 to 6; the tasks of that time are sent at 6.
       long sent =
-          one.atNanos() >= 2 * NANOS_PER_SECOND && one.atNanos() < 6 * NANOS_PER_SECOND
+          arrival.atNanos() >= 2 * NANOS_PER_SECOND && arrival.atNanos() < 6 * NANOS_PER_SECOND
               ? 6 * NANOS_PER_SECOND
-              : one.atNanos();
-      boolean inTime = sent - one.atNanos() < NANOS_PER_SECOND;
-      all.record(one, sent, sent + NANOS_PER_SECOND / 100, 1, inTime ? 1 : 0);
+              : arrival.atNanos();
+      boolean inTime = sent - arrival.atNanos() < NANOS_PER_SECOND;
+      statistics.record(arrival, sent, sent + NANOS_PER_SECOND / 100, 1, inTime ? 1 : 0);
     }
-    assertThat(all.service(100)).isCloseTo(NANOS_PER_SECOND / 100, within(NANOS_PER_SECOND / 1000));
-    assertThat(all.latency(100))
+    assertThat(statistics.service(100))
+        .isCloseTo(NANOS_PER_SECOND / 100, within(NANOS_PER_SECOND / 1000));
+    assertThat(statistics.latency(100))
         .isCloseTo(4 * NANOS_PER_SECOND + NANOS_PER_SECOND / 100, within(NANOS_PER_SECOND / 100));
-    assertThat(all.latency(50)).isCloseTo(NANOS_PER_SECOND / 100, within(NANOS_PER_SECOND / 1000));
-    assertThat(all.share()).isCloseTo(0.69, within(0.011));
-    assertThat(all.worstShare(3)).isLessThan(0.05);
-    assertThat(all.seconds().get(2L).latency(100)).isGreaterThan(3 * NANOS_PER_SECOND);
-    assertThat(all.groups()).containsOnlyKeys("grade query", "tenant a");
+    assertThat(statistics.latency(50))
+        .isCloseTo(NANOS_PER_SECOND / 100, within(NANOS_PER_SECOND / 1000));
+    assertThat(statistics.share()).isCloseTo(0.69, within(0.011));
+    assertThat(statistics.worstShare(3)).isLessThan(0.05);
+    assertThat(statistics.seconds().get(2L).latency(100)).isGreaterThan(3 * NANOS_PER_SECOND);
+    assertThat(statistics.groups()).containsOnlyKeys("grade query", "tenant a");
   }
 
   @ParameterizedTest
   @CsvSource({"0, 0, false", "1, 0, false", "2, 0, true", "0, 1, true"})
   void lateGeneratorVoidsTheRun(int late, int unsent, boolean isVoid) {
-    SendDelays kept = new SendDelays(NANOS_PER_SECOND / 100, 0.01);
+    SendDelays delays = new SendDelays(NANOS_PER_SECOND / 100, 0.01);
     for (int i = 0; i < 100; i++) {
-      kept.sent(
+      delays.sent(
           i * NANOS_PER_SECOND,
           i * NANOS_PER_SECOND + (i < late ? NANOS_PER_SECOND / 10 : NANOS_PER_SECOND / 1000));
     }
     for (int i = 0; i < unsent; i++) {
-      kept.unsent();
+      delays.unsent();
     }
-    assertThat(kept.isVoid()).isEqualTo(isVoid);
-    assertThat(kept.summary().contains("void")).isEqualTo(isVoid);
+    assertThat(delays.isVoid()).isEqualTo(isVoid);
+    assertThat(delays.summary().contains("void")).isEqualTo(isVoid);
   }
 
   @ParameterizedTest
@@ -204,12 +208,12 @@
     "53300, 'after=99999999999', 1, 0, -1"
   })
   void retriesOnlyRejectionsWithinTheTimeout(
-      String code, String text, int tried, long sinceMs, long pauseMs) {
-    RetryBehaviour client =
+      String code, String text, int attempts, long elapsedMs, long expectedMs) {
+    RetryBehaviour behaviour =
         new RetryBehaviour(3 * NANOS_PER_SECOND, 3, true, NANOS_PER_SECOND / 10, 2, 0);
-    long pause =
-        client.retryDelayNanos(
-            code, text, tried, sinceMs * 1_000_000, RandomSource.XO_SHI_RO_256_PP.create(1));
-    assertThat(pause).isEqualTo(pauseMs < 0 ? -1 : pauseMs * 1_000_000);
+    long delay =
+        behaviour.retryDelayNanos(
+            code, text, attempts, elapsedMs * 1_000_000, RandomSource.XO_SHI_RO_256_PP.create(1));
+    assertThat(delay).isEqualTo(expectedMs < 0 ? -1 : expectedMs * 1_000_000);
   }
 }
