--- a/src/main/java/tansytrack/lab/footprint/CountingChannel.java
+++ b/src/main/java/tansytrack/lab/footprint/CountingChannel.java
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The command channel as one manager sees it, at an address of that manager alone, so that its
- * bytes and the number it resumes from can be told apart from those of others. Bytes are those of
- * HTTP, heads included, without what TCP and IP add.
+ * A command channel server for a single manager. Each manager has its own address, so that its
+ * bytes and the event number it resumes from can be measured separately. Bytes are those of HTTP
+ * including heads, without TCP and IP overhead.
  */
 final class CountingChannel implements AutoCloseable {
 
@@ -29,36 +29,41 @@
   private final AtomicLong received = new AtomicLong();
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong polls = new AtomicLong();
-  private int resumedFrom; // the highest number that the manager has said it has
-  private long resumedAt; // when it first said so
+
+  /** The highest event number that the manager has acknowledged. */
+  private int resumedFrom;
+
+  /** When the manager first acknowledged that event, by System.nanoTime. */
+  private long resumedAt;
 
   CountingChannel(ListEvents events) throws IOException {
     this.events = events;
     start(this::accept);
   }
 
+  /** Host and port of this server. */
   String address() {
     return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
   }
 
-  /** Bytes that have come from the manager. */
+  /** Bytes received from the manager. */
   long received() {
     return received.get();
   }
 
-  /** Bytes that went to the manager. */
+  /** Bytes sent to the manager. */
   long sent() {
     return sent.get();
   }
 
-  /** Questions that the manager has asked. */
+  /** The number of polls by the manager. */
   long polls() {
     return polls.get();
   }
 
   /**
-   * When the manager first asked for what follows that event, by System.nanoTime, or -1 where it
-   * has not done so by that time.
+   * Waits until the manager acknowledges an event by polling for later ones. Returns the time of
+   * that poll by System.nanoTime, or -1 if the deadline passes first.
    */
   synchronized long awaitEvent(int number, long until) throws InterruptedException {
     long left = until - System.nanoTime();
@@ -85,7 +90,7 @@
         start(() -> serve(one));
       }
     } catch (IOException e) {
-      // closed
+      // The server socket was closed.
     }
   }
 
@@ -115,7 +120,7 @@
         sent.addAndGet(head.length + body.length);
       }
     } catch (IOException e) {
-      // the manager left
+      // The manager closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/tansytrack/lab/footprint/EngineCalls.java
+++ b/src/main/java/tansytrack/lab/footprint/EngineCalls.java
@@ -1,12 +1,12 @@
 package tansytrack.lab.footprint;
 
 /**
- * What the stand-in engines have counted, of all managers together.
+ * The traffic from all managers together, as counted by the stub engines.
  *
- * @param probes load questions since the first launch
- * @param restProbeBytesUp bytes a second of load questions in the reading at rest
- * @param restProbeBytesDown bytes a second of their answers
- * @param connections open when the reading at rest ended
+ * @param probes load probes since the first launch
+ * @param restProbeBytesUp bytes a second of probe requests while managers were idle
+ * @param restProbeBytesDown bytes a second of probe responses while managers were idle
+ * @param connections open connections at the end of the idle measurement
  */
 record EngineCalls(
     long probes, double restProbeBytesUp, double restProbeBytesDown, int connections) {}
--- a/src/main/java/tansytrack/lab/footprint/EngineList.java
+++ b/src/main/java/tansytrack/lab/footprint/EngineList.java
@@ -4,32 +4,37 @@
 import java.util.Locale;
 
 /**
- * The engine list of a large deployment as the command channel tells it: so many engines over a few
- * addresses, each with a place, a kind and a cell of its own. The same size gives the same text.
+ * Generates the engine list of a large deployment in the JSON form of the command channel: many
+ * engines that share a few addresses, each with a zone, an engine type and a distinct cell. The
+ * same size gives the same text.
  */
 public final class EngineList {
 
-  /** The one kind of engine in the list, as the settings of a measured manager name it. */
+  /** The engine type of all engines in the list, as in the settings of a measured manager. */
   public static final String KIND = "eight-core-standard";
 
-  /** The place of the first engine of each list. */
+  /** The zone of the first engine of each list. */
   public static final String FIRST_PLACE = "region-0-zone-00";
 
   private static final int REGIONS = 6;
   private static final int ZONES = 15;
-  private static final int SPREAD = 0x9E3779B9; // makes the ends of the ids look drawn
-  private static final long UP_SINCE_MS = 0; // long past: no engine is cold
+
+  /** Multiplicative hash constant, so that the suffixes of the ids look random. */
+  private static final int SPREAD = 0x9E3779B9;
+
+  /** Long ago, so that no engine is cold. */
+  private static final long UP_SINCE_MS = 0;
 
   private final int engines;
   private final List<String> addresses;
 
-  /** A list of so many engines, which take the addresses (host and port) in turn. */
+  /** A list of engines, to which the addresses (host and port) are assigned round-robin. */
   public EngineList(int engines, List<String> addresses) {
     this.engines = engines;
     this.addresses = List.copyOf(addresses);
   }
 
-  /** The whole list, as the channel's `nodes`. */
+  /** The complete list, as the value of {@code nodes} in a channel event. */
   public String whole() {
     StringBuilder nodes = new StringBuilder("{\"revision\":1,\"complete\":true,\"members\":[");
     for (int number = 0; number < engines; number++) {
@@ -38,12 +43,12 @@
     return nodes.append("]}").toString();
   }
 
-  /** A change of one engine: it is listed with that phase. */
+  /** A change of a single engine to the given phase, as the value of {@code nodes}. */
   public String change(int number, String phase) {
     return "{\"revision\":2,\"complete\":false,\"members\":[" + member(number, phase) + "]}";
   }
 
-  /** The id of an engine. */
+  /** The id of the engine with this number. */
   public static String id(int number) {
     return String.format(Locale.ROOT, "engine-%06d-%08x", number, number * SPREAD);
   }
@@ -52,8 +57,8 @@
     int zone = number % ZONES;
     return String.format(
         Locale.ROOT,
-        "{\"id\":\"%s\",\"host_port\":\"%s\",\"locality\":\"region-%d-zone-%02d\",\"flavor\":\"%s\","
-            + "\"cell\":%d,\"phase\":\"%s\",\"size\":1,\"up_since_ms\":%d}",
+        "{\"id\":\"%s\",\"host_port\":\"%s\",\"locality\":\"region-%d-zone-%02d\","
+            + "\"flavor\":\"%s\",\"cell\":%d,\"phase\":\"%s\",\"size\":1,\"up_since_ms\":%d}",
         id(number),
         addresses.get(number % addresses.size()),
         zone % REGIONS,
--- a/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
@@ -5,16 +5,16 @@
 import tansytrack.settings.InvalidInputException;
 
 /**
- * What is measured.
+ * The options of a footprint measurement.
  *
- * @param managers processes
- * @param engines listed
- * @param siblings managers that each process reckons with; 0: as many as there are processes
- * @param settleSeconds between the last start and the first reading
- * @param seconds of each reading
- * @param rate statements a second that each manager gets in the reading under load; 0: none
- * @param jar that the processes run from; null: this program
- * @param jvmFlags of the processes
+ * @param managers number of manager processes
+ * @param engines number of engines in the engine list
+ * @param siblings the manager count in the settings of each process; 0: the number of processes
+ * @param settleSeconds time between the last start and the first reading
+ * @param seconds duration of each of the idle and the load measurement
+ * @param rate statements a second for each manager in the load measurement; 0: no load
+ * @param jar the jar to run the processes from; null: the class path of this program
+ * @param jvmFlags JVM flags of the processes
  */
 public record FootprintOptions(
     int managers,
@@ -26,7 +26,10 @@
     String jar,
     String jvmFlags) {
 
-  /** The flags of the `run` line in deploy/balancer.toml, without the class-data archive. */
+  /**
+   * The JVM flags of the {@code run} line in deploy/balancer.toml, except that for the class data
+   * sharing archive.
+   */
   public static final String RUN_LINE_FLAGS =
       "-XX:+ExitOnOutOfMemoryError -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:-UsePerfData"
           + " -Xshare:auto -Xms48m -Xmx64m -Xss512k -XX:MaxMetaspaceSize=24m"
@@ -39,7 +42,7 @@
   private static final int MOST_SECONDS = 600;
   private static final int MOST_RATE = 2000;
 
-  /** Refuses what is out of bounds, with the option, the value and what is allowed. */
+  /** Validates the options; a failure names the option, its value and what is allowed. */
   public FootprintOptions {
     bounded("--managers", managers, 1, MOST_MANAGERS);
     bounded("--engines", engines, 1, MOST_ENGINES);
@@ -52,7 +55,7 @@
     }
     if (jvmFlags.isBlank()) {
       throw new InvalidInputException(
-          "--jvm ''; allowed: flags of the java command, apart by blanks");
+          "--jvm ''; allowed: flags of the java command, separated by blanks");
     }
   }
 
@@ -63,7 +66,7 @@
     }
   }
 
-  /** How many managers each process is told to share the engines with, itself among them. */
+  /** The manager count that each process is configured with, itself included. */
   int siblingsTold() {
     return siblings == 0 ? managers : siblings;
   }
--- a/src/main/java/tansytrack/lab/footprint/FootprintResult.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintResult.java
@@ -3,13 +3,15 @@
 import java.util.List;
 
 /**
- * What a run measured: each manager, and the engines' side of all of them.
+ * The result of a footprint measurement.
  *
- * @param listBytes of the whole list, as JSON
+ * @param managers the footprint of each manager
+ * @param engines the traffic of all managers as counted by the stub engines
+ * @param listBytes size of the complete engine list as JSON
  */
 record FootprintResult(List<ManagerFootprint> managers, EngineCalls engines, int listBytes) {
 
-  /** Have all managers got all changes? */
+  /** Whether all managers have received all published changes. */
   boolean reached() {
     return managers.stream().allMatch(ManagerFootprint::reached);
   }
--- a/src/main/java/tansytrack/lab/footprint/FootprintRun.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintRun.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One measurement, from the first process started to the last one ended. */
+/** Runs one measurement, from the start of the first process to the exit of the last one. */
 final class FootprintRun implements AutoCloseable {
 
   private static final long SECOND = 1_000_000_000L;
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Starts the managers, measures them and ends them. */
+  /** Starts the managers, measures them idle and under load, and stops them. */
   FootprintResult play() throws IOException, InterruptedException {
     List<Long> startTimes = startAll();
     Thread.sleep(options.settleSeconds() * 1000L);
@@ -115,7 +115,10 @@
     return loads;
   }
 
-  /** Tells an event and gives, for each manager, how long it took until it said that it has it. */
+  /**
+   * Publishes an event. Returns for each manager the time in nanoseconds until it acknowledged the
+   * event, or -1 if it did not in time.
+   */
   private List<Long> tell(String nodes) throws InterruptedException {
     long from = System.nanoTime();
     int number = events.tell(nodes);
@@ -135,7 +138,7 @@
     }
   }
 
-  /** Whether a process that this run started is still there. */
+  /** Whether any process that this run started is still alive. */
   boolean anyAlive() {
     return managers.stream().anyMatch(MeasuredManager::alive);
   }
--- a/src/main/java/tansytrack/lab/footprint/FootprintTable.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintTable.java
@@ -11,7 +11,7 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** The measurement as a command: a table of medians and maxima, and a CSV with a row a manager. */
+/** Runs a measurement; prints a summary table and writes a CSV file with a row for each manager. */
 public final class FootprintTable {
 
   private static final double MS = 1e6;
@@ -38,7 +38,7 @@
 
   private FootprintTable() {}
 
-  /** Measures; true: all managers served, and got each change that was told. */
+  /** Measures; returns whether all managers received every published change. */
   public static boolean run(FootprintOptions options, Path folder, PrintStream out)
       throws IOException, InterruptedException {
     Files.createDirectories(folder);
@@ -94,7 +94,7 @@
             + result.listBytes()
             + " bytes, "
             + options.siblingsTold()
-            + " managers reckoned");
+            + " managers configured");
     List<ManagerFootprint> all = result.managers();
     line(out, "start, ms", all, one -> one.startTime() / MS);
     line(out, "resident at rest, MB", all, one -> one.residentKb() / MB);
@@ -114,14 +114,14 @@
     out.println(
         String.format(
             Locale.ROOT,
-            "engines, of all managers: %d load questions; at rest %.1f bytes/s of them, %.1f bytes/s of"
-                + " answers; %d connections",
+            "engines, all managers together: %d load probes; at rest %.1f bytes/s of requests,"
+                + " %.1f bytes/s of responses; %d connections",
             engines.probes(),
             engines.restProbeBytesUp(),
             engines.restProbeBytesDown(),
             engines.connections()));
     if (!result.reached()) {
-      out.println("NOT REACHED: a change did not come to all managers");
+      out.println("NOT REACHED: not all managers received every change");
     }
   }
 
--- a/src/main/java/tansytrack/lab/footprint/InstantEngines.java
+++ b/src/main/java/tansytrack/lab/footprint/InstantEngines.java
@@ -14,8 +14,8 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * A few listeners that stand for thousands of engines: each answers at once, whatever engine was
- * meant, and says that it is idle. Counts the bytes of load questions apart from those of tasks.
+ * A few HTTP listeners that stand in for thousands of engines: each responds at once for any engine
+ * and reports that it is idle. Counts the bytes of load probes separately from those of tasks.
  */
 final class InstantEngines implements AutoCloseable {
 
@@ -59,31 +59,32 @@
         .forEach(addresses::add);
   }
 
+  /** Host and port of each listener. */
   List<String> addresses() {
     return addresses;
   }
 
-  /** Load questions answered. */
+  /** The number of load probes answered. */
   long probes() {
     return probes.get();
   }
 
-  /** Their bytes, heads included. */
+  /** Bytes of probe requests, including heads. */
   long probeBytesIn() {
     return probeBytesIn.get();
   }
 
-  /** Those of their answers. */
+  /** Bytes of probe responses, including heads. */
   long probeBytesOut() {
     return probeBytesOut.get();
   }
 
-  /** Tasks begun. */
+  /** The number of tasks received. */
   long tasks() {
     return tasks.get();
   }
 
-  /** Connections open at this moment. */
+  /** The number of connections that are open now. */
   int connections() {
     return acceptor.getManagedSessionCount();
   }
@@ -113,7 +114,7 @@
       }
     }
 
-    /** The length of the first call with its body, or 0 while it is not whole. */
+    /** The length of the first request including its body, or 0 while it is incomplete. */
     private int callLength(String text) {
       int head = text.indexOf("\r\n\r\n") + 4;
       if (head < 4) {
--- a/src/main/java/tansytrack/lab/footprint/LightLoad.java
+++ b/src/main/java/tansytrack/lab/footprint/LightLoad.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.locks.LockSupport;
 import tansytrack.lab.LabClient;
 
-/** Statements at an even rate on one session, one at a time, and what came of them. */
+/** Sends statements at a constant rate on one session, one at a time, and counts the results. */
 final class LightLoad {
 
   private static final long SECOND = 1_000_000_000L;
@@ -31,7 +31,7 @@
     thread.start();
   }
 
-  /** Waits for the last answer. */
+  /** Waits until the last statement is finished. */
   void end() throws InterruptedException {
     thread.join();
   }
@@ -40,7 +40,7 @@
     return handled.get();
   }
 
-  /** Statements that were refused, failed or lost their session. */
+  /** Statements that were rejected, failed or lost their session. */
   long others() {
     return others.get();
   }
--- a/src/main/java/tansytrack/lab/footprint/ListEvents.java
+++ b/src/main/java/tansytrack/lab/footprint/ListEvents.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The numbered events that all measured managers are told, for any number of long polls. */
+/** The numbered engine list events for all measured managers, served to concurrent long polls. */
 final class ListEvents {
 
   private final List<String> events = new ArrayList<>();
 
-  /** Adds an event and gives its number; who waits for it is woken. */
+  /** Adds an event, wakes the waiting polls and returns the number of the event. */
   synchronized int tell(String nodes) {
     int number = events.size() + 1;
     events.add("{\"cursor\":" + number + ",\"nodes\":" + nodes + '}');
@@ -17,12 +17,12 @@
     return number;
   }
 
-  /** All events so far, in the form of the configuration's `known`. */
+  /** All events so far, in the form of {@code known} in the configuration. */
   synchronized String known() {
     return after(0);
   }
 
-  /** The events behind that number, as an answer's body; empty ones once the time is up. */
+  /** Waits for events after the given number; the body has an empty list if the time runs out. */
   synchronized byte[] next(int resume, long blockMs) throws InterruptedException {
     long until = System.nanoTime() + blockMs * 1_000_000;
     long left = blockMs;
--- a/src/main/java/tansytrack/lab/footprint/ManagerFootprint.java
+++ b/src/main/java/tansytrack/lab/footprint/ManagerFootprint.java
@@ -1,20 +1,21 @@
 package tansytrack.lab.footprint;
 
 /**
- * What one manager cost. Times in nanoseconds; a change that did not reach it has the time -1.
+ * The resource usage of one manager. Times are in nanoseconds; -1 stands for a change that the
+ * manager did not receive.
  *
- * @param startTime from the launch until a client was answered
- * @param residentKb after the time to settle and the reading at rest
- * @param mostResidentKb at the end of all, behind a whole list told once more
- * @param restCoreShare part of one core at rest
- * @param restBytesUp bytes a second to the channel at rest
- * @param restBytesDown bytes a second from it
- * @param loadCoreShare part of one core under load; NaN: no load
- * @param handled statements under load that brought rows
- * @param others those that did not
- * @param changeTime until it had a change of one engine
- * @param listTime until it had the whole list once more
- * @param startBytesDown bytes from the channel between launch and settled
+ * @param startTime time from the launch until the first answer to a client
+ * @param residentKb resident memory at the end of the idle measurement
+ * @param mostResidentKb peak resident memory at the end, after the complete list was sent again
+ * @param restCoreShare fraction of one core used while idle
+ * @param restBytesUp bytes a second to the command channel while idle
+ * @param restBytesDown bytes a second from the command channel while idle
+ * @param loadCoreShare fraction of one core used under load; NaN without load
+ * @param handled statements under load that returned rows
+ * @param others statements under load that did not
+ * @param changeTime time until a change of one engine was received
+ * @param listTime time until the complete list was received again
+ * @param startBytesDown bytes from the command channel from the launch until settled
  */
 record ManagerFootprint(
     long startTime,
@@ -30,7 +31,7 @@
     long listTime,
     long startBytesDown) {
 
-  /** Did it get both changes? */
+  /** Whether the manager received both changes. */
   boolean reached() {
     return changeTime >= 0 && listTime >= 0;
   }
--- a/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
+++ b/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
@@ -12,11 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import tansytrack.lab.LabClient;
 
-/** A manager in a process of its own, started as an operator would, and what it was told. */
+/** A manager in its own process, started as an operator would, and its command channel. */
 final class MeasuredManager implements AutoCloseable {
 
-  private static final int PATIENCE_MS = 2000; // for one handshake
-  private static final long PAUSE_MS = 5; // between two tries to reach it
+  /** Timeout of one attempt to get an answer from the starting manager. */
+  private static final int PATIENCE_MS = 2000;
+
+  private static final long PAUSE_MS = 5;
 
   private final String name;
   private final Path folder;
@@ -26,7 +28,7 @@
   private Process process;
   private long launchedAt;
 
-  /** Writes its configuration: that list is known to it before the channel tells anything. */
+  /** Writes the configuration, which contains the engine list as known before the first poll. */
   MeasuredManager(int number, Path parent, FootprintOptions options, ListEvents events)
       throws IOException {
     this.options = options;
@@ -41,11 +43,12 @@
         String.format(
             "{\"siblings\":%d,\"zone\":\"%s\",\"skus\":[\"%s\"],\"extra\":{\"cpu_of_kind\":[8],"
                 + "\"memory_by_kind_mb\":[8192],\"memory_heeded\":true,\"grant_cap\":0.5,"
-                + "\"ranks_heeded\":true,\"tells_cost\":true,\"threads_by_class\":[1],\"is_load\":[false],"
-                + "\"class_waits\":[false]},\"grades\":[{\"name\":\"query\",\"repeat\":\"idempotent\","
-                + "\"objective_ms\":1000,\"deadline_ms\":3000,\"worth\":1}],\"tenants\":[{\"name\":\"t0\","
-                + "\"portion\":1}],\"policy_limits\":{\"may_probe\":true,\"cancel\":true,"
-                + "\"max_attempts\":3,\"connect_timeout_ms\":250,\"conn_idle_ms\":30000,"
+                + "\"ranks_heeded\":true,\"tells_cost\":true,\"threads_by_class\":[1],"
+                + "\"is_load\":[false],\"class_waits\":[false]},"
+                + "\"grades\":[{\"name\":\"query\",\"repeat\":\"idempotent\","
+                + "\"objective_ms\":1000,\"deadline_ms\":3000,\"worth\":1}],"
+                + "\"tenants\":[{\"name\":\"t0\",\"portion\":1}],"
+                + "\"policy_limits\":{\"may_probe\":true,\"cancel\":true,\"max_attempts\":3,\"connect_timeout_ms\":250,\"conn_idle_ms\":30000,"
                 + "\"retry_after\":true,\"max_retry_after_ms\":500},\"reporting\":{\"columns\":"
                 + "[\"busy_reqs\"],\"how\":\"pull\"},\"rules\":{\"answer_slack_ms\":20,"
                 + "\"drain_grace_ms\":1000}}",
@@ -54,7 +57,8 @@
     String configuration =
         String.format(
             "{\"name\":\"%s\",\"listen\":\"%s\",\"seed\":\"%x\",\"limits\":{\"cores\":1.0,"
-                + "\"memory_mb\":192,\"sockets\":1024},\"channel\":\"%s\",\"known\":%s,\"settings\":%s}",
+                + "\"memory_mb\":192,\"sockets\":1024},"
+                + "\"channel\":\"%s\",\"known\":%s,\"settings\":%s}",
             name, address, number + 1, channel.address(), events.known(), settings);
     Files.writeString(configurationFile(), configuration);
   }
@@ -71,11 +75,12 @@
     return channel;
   }
 
+  /** Where the manager listens for clients. */
   InetSocketAddress address() {
     return listen;
   }
 
-  /** Starts the process. */
+  /** Starts the process, with its output in {@code log.txt}. */
   void launch() throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -91,7 +96,7 @@
     process = builder.start();
   }
 
-  /** Waits until a client is answered, and gives the time since the launch. */
+  /** Waits until a client gets an answer and returns the time since the launch in nanoseconds. */
   long awaitService(long until) throws IOException, InterruptedException {
     while (process.isAlive() && System.nanoTime() < until) {
       try (LabClient client = new LabClient(listen, PATIENCE_MS)) {
@@ -101,26 +106,26 @@
         Thread.sleep(PAUSE_MS);
       }
     }
-    throw new IOException(name + " does not serve in time; see " + log());
+    throw new IOException(name + " did not answer a client in time; see " + log());
   }
 
   ProcessFigures figures() throws IOException {
     return ProcessFigures.of(process.toHandle());
   }
 
-  /** Is its process still there? */
+  /** Whether the process is still alive. */
   boolean alive() {
     return process != null && process.isAlive();
   }
 
-  /** SIGTERM. */
+  /** Sends SIGTERM. */
   void terminate() {
     if (process != null) {
       process.destroy();
     }
   }
 
-  /** Waits for its end until then, and kills it where it has not come. */
+  /** Waits for the process to exit, and kills it at the deadline. */
   void end(long until) throws InterruptedException {
     long left = Math.max(0, until - System.nanoTime());
     if (process != null && !process.waitFor(left, TimeUnit.NANOSECONDS)) {
--- a/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
+++ b/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /**
- * What the machine says of a process at one moment.
+ * Resource usage of a process at one moment, as the operating system reports it.
  *
- * @param residentKb memory that it holds now (VmRSS)
- * @param mostResidentKb the most that it has held so far (VmHWM)
- * @param processorTime of all its threads since its start
- * @param at when it was read, by System.nanoTime
+ * @param residentKb resident memory (VmRSS)
+ * @param mostResidentKb peak resident memory so far (VmHWM)
+ * @param processorTime CPU time of all threads since the start of the process
+ * @param at time of the reading, by System.nanoTime
  */
 record ProcessFigures(long residentKb, long mostResidentKb, Duration processorTime, long at) {
 
   private static final String RESIDENT = "VmRSS:";
   private static final String MOST_RESIDENT = "VmHWM:";
 
-  /** Reads /proc/PID/status, and the processor time of /proc/PID/stat as the JDK reads it. */
+  /** Reads memory from /proc/PID/status, and CPU time through the JDK (/proc/PID/stat). */
   static ProcessFigures of(ProcessHandle process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
     Duration used =
@@ -31,7 +31,7 @@
     return parsed(Files.readAllLines(status, StandardCharsets.UTF_8), used, System.nanoTime());
   }
 
-  /** From the lines of a status file. */
+  /** Parses the lines of a status file. */
   static ProcessFigures parsed(List<String> status, Duration processorTime, long at)
       throws IOException {
     return new ProcessFigures(
@@ -44,10 +44,10 @@
         return Long.parseLong(line.substring(name.length()).replace("kB", "").strip());
       }
     }
-    throw new IOException("no " + name + " in the status of the process");
+    throw new IOException("no " + name + " in the status file of the process");
   }
 
-  /** The part of one core that the process has used since the earlier reading. */
+  /** The fraction of one core that the process has used since the earlier reading. */
   double coreShareSince(ProcessFigures earlier) {
     return processorTime.minus(earlier.processorTime).toNanos() / (double) (at - earlier.at);
   }
--- a/src/main/java/tansytrack/lab/footprint/Readings.java
+++ b/src/main/java/tansytrack/lab/footprint/Readings.java
@@ -2,11 +2,12 @@
 
 import java.io.IOException;
 
-/** What a manager's process and its channel have counted up to one moment. */
+/** Resource usage and command channel bytes of a manager up to one moment. */
 record Readings(ProcessFigures process, long bytesUp, long bytesDown) {
 
   private static final double SECOND = 1e9;
 
+  /** Reads the current values of a manager. */
   static Readings of(MeasuredManager manager) throws IOException {
     CountingChannel channel = manager.channel();
     return new Readings(manager.figures(), channel.received(), channel.sent());
--- a/src/main/java/tansytrack/lab/footprint/package-info.java
+++ b/src/main/java/tansytrack/lab/footprint/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a real manager costs before a long list of engines: manager processes on loopback between a
- * stand-in for the command channel and stand-ins for engines, with memory, processor time and bytes
- * counted for each.
+ * Measures the resource usage of real managers that have a long engine list. Manager processes run
+ * on the loopback interface against stub command channels and stub engines; memory, CPU time and
+ * network bytes are measured for each manager.
  */
 package tansytrack.lab.footprint;
--- a/src/main/java/tansytrack/lab/scale/Attempt.java
+++ b/src/main/java/tansytrack/lab/scale/Attempt.java
@@ -1,16 +1,19 @@
 package tansytrack.lab.scale;
 
-/** One forward of a statement to an engine. */
+/** One forward of a statement to an engine, with its place among the forwards of the statement. */
 final class Attempt {
 
   final HollowManager manager;
-  final int life; // of the manager that sent it
+
+  /** The instance of the manager that sent it; a restarted manager ignores earlier instances. */
+  final int life;
+
   final Statement statement;
   final int index;
   final HollowEngine engine;
   final String id;
 
-  /** Its outcome is decided, though the manager may not have heard of it yet. */
+  /** Whether the outcome is decided; the manager may not have received it yet. */
   boolean ended;
 
   Attempt(HollowManager manager, int life, Statement statement, int index, HollowEngine engine) {
--- a/src/main/java/tansytrack/lab/scale/Counts.java
+++ b/src/main/java/tansytrack/lab/scale/Counts.java
@@ -1,6 +1,6 @@
 package tansytrack.lab.scale;
 
-/** What a scale run counts while it plays. */
+/** Counters of a scale run: statements by result, forwards, probes, checks and violations. */
 final class Counts {
 
   long asked;
@@ -8,17 +8,35 @@
   long late;
   long bounced;
   long aborted;
+
+  /** Statements that were open when their manager was killed. */
   long lostWithManager;
-  long unserved; // came while their manager was away
+
+  /** Statements that arrived while their manager was not running. */
+  long unserved;
+
   long attempts;
   long probes;
   long sweeps;
+
+  /** Zone checks that modules made during sweeps. */
   long sweepChecks;
+
+  /** Zone checks that modules made while they took in engine lists. */
   long listChecks;
+
   long listsHeard;
+
+  /** Starts of engines in which forwards exceeded the cold-start limit. */
   long coldOver;
+
+  /** Engines that failed from overload while cold. */
   long coldFallen;
+
+  /** Forwards to draining engines by managers that had known it for longer than the drain grace. */
   long drainBroken;
+
+  /** Forwards after the drain grace by managers that had not known of the drain for that long. */
   long drainUnheard;
 
   private final long[] askedBySecond;
@@ -29,7 +47,7 @@
     inTimeBySecond = new long[seconds + 1];
   }
 
-  /** Adds another's counts to these. */
+  /** Adds the counts of another set of counters to these. */
   void add(Counts other) {
     asked += other.asked;
     inTime += other.inTime;
@@ -59,16 +77,19 @@
     return (int) Math.min(askedBySecond.length - 1, second);
   }
 
+  /** Counts a statement that arrives at a manager. */
   void asked(long at) {
     asked++;
     askedBySecond[second(at)]++;
   }
 
+  /** Counts a statement whose manager is not running. */
   void unserved(long at) {
     unserved++;
     asked(at);
   }
 
+  /** Counts an answer, as in time or late by the deadline of the statement. */
   void answered(Statement statement, long at) {
     if (at <= statement.deadline) {
       inTime++;
@@ -78,7 +99,7 @@
     }
   }
 
-  /** The share answered in time of the statements that came in each second. */
+  /** For each second, the share of the statements arriving in it that were answered in time. */
   double[] inTimeShares() {
     double[] shares = new double[askedBySecond.length - 1];
     for (int i = 0; i < shares.length; i++) {
--- a/src/main/java/tansytrack/lab/scale/EngineList.java
+++ b/src/main/java/tansytrack/lab/scale/EngineList.java
@@ -7,20 +7,23 @@
 import java.util.SplittableRandom;
 import tansytrack.api.EngineEntry;
 
-/** The list of engines: one immutable copy for all managers, and its changes on their way. */
+/**
+ * The engine list of a simulation: one immutable copy that all managers share, and the delayed
+ * delivery of its changes.
+ */
 final class EngineList {
 
   private static final long LEAST_DELAY = 50 * ScalePlan.MS;
   private static final long DELAY_SPREAD = 200 * ScalePlan.MS;
 
-  /** How much later some managers hear of changes in the schedule of stale lists. */
+  /** Additional delay for the managers that receive changes late (schedule stale-list). */
   static final long STALE = 5 * ScalePlan.SECOND;
 
   /**
-   * A change of the list.
+   * A published change of the list.
    *
-   * @param at when the list held it
-   * @param heardAt when each manager heard of it
+   * @param at when the list changed
+   * @param heardAt when each manager receives the change, by manager index
    */
   record Change(long at, long[] heardAt) {}
 
@@ -34,16 +37,17 @@
     this.chance = chance;
   }
 
+  /** The name of a zone in engine entries and settings. */
   static String zone(int number) {
     return "zone-" + number;
   }
 
-  /** All engines as listed now: the same object until the next change. */
+  /** All engines as listed now; the same object until the next change. */
   List<EngineEntry> whole() {
     return whole;
   }
 
-  /** Changes it, without telling anybody. */
+  /** Applies entries to the list without notifying managers. */
   void hold(List<EngineEntry> entries) {
     for (EngineEntry entry : entries) {
       if (entry.state() == EngineEntry.State.GONE) {
@@ -55,7 +59,10 @@
     whole = List.copyOf(current.values());
   }
 
-  /** Changes it, and tells all managers, each a little later; stale ones much later. */
+  /**
+   * Applies entries to the list and delivers them to all managers, each after a random delay; to
+   * those that receive the list late, {@link #STALE} later still.
+   */
   Change tell(List<EngineEntry> entries, List<HollowManager> managers) {
     hold(entries);
     List<EngineEntry> shared = List.copyOf(entries);
@@ -68,12 +75,12 @@
     return new Change(clock.now(), heardAt);
   }
 
-  /** How long a message of the list takes. */
+  /** A random delivery delay of a list message. */
   long delay() {
     return LEAST_DELAY + chance.nextLong(DELAY_SPREAD);
   }
 
-  /** Entries of these engines in that state. */
+  /** List entries for these engines in the given state. */
   static List<EngineEntry> entries(List<HollowEngine> engines, EngineEntry.State state) {
     List<EngineEntry> entries = new ArrayList<>();
     engines.forEach(one -> entries.add(one.entry(state)));
--- a/src/main/java/tansytrack/lab/scale/FailureSchedule.java
+++ b/src/main/java/tansytrack/lab/scale/FailureSchedule.java
@@ -4,23 +4,23 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** The named failures that a scale run can play. */
+/** The failure schedules that a scale run can simulate. */
 public enum FailureSchedule {
   /** No failure. */
   REST("rest"),
-  /** All engines of one zone fall silent, and come back cold. */
+  /** All engines of one zone stop responding and later restart cold. */
   ZONE_LOST("zone-lost"),
-  /** Managers and engines of one region cannot reach those of the others. */
+  /** A network partition separates the managers and engines of one region from the others. */
   REGION_CUT("region-cut"),
   /** Half of all engines are replaced by new ones, which start cold. */
   ENGINES_REPLACED("engines-replaced"),
   /** One engine is replaced. */
   ONE_REPLACED("one-replaced"),
-  /** A part of the managers starts anew. */
+  /** Some managers are killed and restarted. */
   MANAGERS_RESTARTED("managers-restarted"),
-  /** Engines are replaced, and a part of the managers hears of it late. */
+  /** Half of all engines are replaced, and some managers receive the changed list late. */
   STALE_LIST("stale-list"),
-  /** A part of the managers is told an empty list, and later the right one. */
+  /** Some managers receive an empty list, and the correct one later. */
   EMPTY_LIST("empty-list");
 
   private final String text;
@@ -29,17 +29,17 @@
     this.text = text;
   }
 
-  /** Its name on the command line and in experiments. */
+  /** The name of the schedule on the command line and in experiment files. */
   public String text() {
     return text;
   }
 
-  /** The one of that name. */
+  /** The schedule with that name, if there is one. */
   public static Optional<FailureSchedule> named(String text) {
     return Arrays.stream(values()).filter(one -> one.text.equals(text)).findFirst();
   }
 
-  /** All names, for messages. */
+  /** The names of all schedules, separated by commas, for messages. */
   public static String names() {
     return Arrays.stream(values()).map(FailureSchedule::text).collect(Collectors.joining(", "));
   }
--- a/src/main/java/tansytrack/lab/scale/Failures.java
+++ b/src/main/java/tansytrack/lab/scale/Failures.java
@@ -4,21 +4,32 @@
 import java.util.List;
 import tansytrack.api.EngineEntry;
 
-/** Plays a schedule of failures on a world. Times are parts of the run's length. */
+/**
+ * Injects the failures of a schedule into a simulation. Begin and duration are fractions of the
+ * duration of the run.
+ */
 final class Failures {
 
   private static final double BEGIN = 0.3;
   private static final double LASTS = 0.2;
   private static final long LONGEST = 5 * ScalePlan.SECOND;
   private static final int REGIONS = 6;
-  private static final int BATCHES = 10; // of engines replaced one after the other
-  private static final double REPLACED = 0.5; // of all engines
-  private static final double RESTARTED = 0.2; // of all managers
-  private static final double MISTOLD = 0.1; // of all managers: stale or empty lists
+
+  /** Batches in which engines are replaced, one after another. */
+  private static final int BATCHES = 10;
+
+  private static final double REPLACED = 0.5;
+  private static final double RESTARTED = 0.2;
+
+  /** The fraction of managers that receive a late or an empty list. */
+  private static final double MISTOLD = 0.1;
+
   private static final long RESTART_SPREAD = ScalePlan.SECOND;
   private static final long AWAY = ScalePlan.SECOND;
   private static final long EMPTY = ScalePlan.SECOND;
-  private static final long PROCESS_ENDS = 2 * ScalePlan.SECOND; // behind the drain's grace
+
+  /** How long after the drain grace the process of a replaced engine ends. */
+  private static final long PROCESS_ENDS = 2 * ScalePlan.SECOND;
 
   private final ScalePlan plan;
   private final ScaleWorld world;
@@ -32,7 +43,7 @@
     lasts = Math.min(LONGEST, (long) (LASTS * plan.duration()));
   }
 
-  /** Sets all that is to happen. */
+  /** Schedules all events of the failure schedule. */
   void set() {
     switch (plan.schedule()) {
       case REST -> {}
@@ -49,7 +60,7 @@
     }
   }
 
-  /** An even part of the managers. */
+  /** An evenly spaced sample of this fraction of the managers. */
   private List<HollowManager> every(double part) {
     int step = (int) Math.round(1 / part);
     List<HollowManager> some = new ArrayList<>();
@@ -84,7 +95,7 @@
       batches.add(new ArrayList<>());
     }
     for (int i = 0; i < count; i++) {
-      // Every second engine, so that all zones take part.
+      // Every second engine, so that engines of all zones are replaced.
       int slot = (int) (i / REPLACED) % plan.engines();
       batches.get(i * batches.size() / count).add(world.engines().get(slot));
     }
@@ -93,7 +104,10 @@
     }
   }
 
-  /** New engines take the places of these, which drain, and end once their grace is over. */
+  /**
+   * Replaces engines by new ones in the same slots. The replaced ones drain; their processes end
+   * {@link #PROCESS_ENDS} after the drain grace.
+   */
   private void replace(long at, List<HollowEngine> old) {
     Timeline timeline = world.timeline();
     timeline.at(
--- a/src/main/java/tansytrack/lab/scale/HollowEngine.java
+++ b/src/main/java/tansytrack/lab/scale/HollowEngine.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,7 +10,10 @@
 import tansytrack.api.LoadReport;
 import tansytrack.lab.simulation.EngineModel;
 
-/** An engine without sockets: the engine model, what runs on it, and what came to it. */
+/**
+ * An engine without sockets: the engine model, the attempts that run on it, and counts of the
+ * attempts and the work that it received.
+ */
 final class HollowEngine {
 
   private static final int MOST_QUERIES = 64;
@@ -22,34 +26,44 @@
           HollowSettings.COLD_MULTIPLE,
           HollowSettings.COLD_WINDOW);
 
-  /** How an engine answers to calls. */
+  /** How an engine reacts to requests. */
   enum Standing {
+    /** Accepts requests. */
     UP,
-    /** Calls get no answer at all. */
+    /** Requests get no response, and no error either. */
     SILENT,
-    /** Its process has ended: calls are refused. */
+    /** The process has ended: connections are refused. */
     DOWN
   }
 
+  /** An attempt that arrived while the engine was cold. */
   private record Sent(long at, long work) {}
 
   final int index;
   final String id;
-  final int slot; // its place in the fleet, which a replacement takes over
+
+  /** The position in the fleet, which a replacement takes over. */
+  final int slot;
+
   final int zone;
   final long meanCost;
 
   Standing standing = Standing.UP;
 
-  /** The change by which the list says that it drains; null until then. */
+  /** The list change that marks this engine as draining; null before it is published. */
   EngineList.Change drained;
 
   private EngineModel model;
   private long startedAt;
   private final Map<String, Attempt> running = new HashMap<>();
   private final ArrayDeque<Sent> coldWindow = new ArrayDeque<>();
-  private long coldWork; // the sum of the window
-  private boolean overBudget; // since it started
+
+  /** The sum of the work in {@link #coldWindow}. */
+  private long coldWork;
+
+  /** Whether the cold-start limit has been exceeded since the engine started. */
+  private boolean overBudget;
+
   private long work;
   private long attempts;
 
@@ -62,7 +76,7 @@
     start(startedAt);
   }
 
-  /** It starts, or starts anew; at time 0 it started long ago. */
+  /** Starts or restarts the engine. Time 0 stands for a start long ago: the engine is warm. */
   final void start(long at) {
     startedAt = at;
     model = new EngineModel(SPEC, at);
@@ -72,18 +86,18 @@
     overBudget = false;
   }
 
-  /** As the list names it. */
+  /** The entry of this engine in the engine list. */
   EngineEntry entry(EngineEntry.State state) {
     return new EngineEntry(
         id, 1, EngineList.zone(zone), HollowSettings.KIND, slot, state, startedAt);
   }
 
-  /** Its work so far, in nanoseconds of a core. */
+  /** The work of all admitted attempts, in core nanoseconds. */
   long work() {
     return work;
   }
 
-  /** Attempts that came to it. */
+  /** The number of attempts that reached the engine, whether admitted or not. */
   long attempts() {
     return attempts;
   }
@@ -92,12 +106,12 @@
     return !running.isEmpty();
   }
 
-  /** Did it run before the play began, and ever since? */
+  /** Whether the engine has been running without a restart since before the simulation began. */
   boolean old() {
     return startedAt == 0;
   }
 
-  /** An attempt comes; what runs has been advanced to that time. */
+  /** Admits or rejects an arriving attempt. Running attempts must have been advanced to now. */
   EngineModel.Admission take(long now, Attempt attempt) {
     if (!busy()) {
       model.advance(now);
@@ -112,9 +126,9 @@
   }
 
   /**
-   * Counts an attempt against the cold rule: of N mean statements that are allowed within the
-   * window, chance may add two roots of N and two. True where it is the first over that since the
-   * engine started.
+   * Counts an attempt against the cold-start limit, and reports whether it is the first since the
+   * engine started that exceeds it. Where the limit allows the work of N mean statements within the
+   * window, N + 2 * sqrt(N) + 2 are tolerated, because arrivals are random.
    */
   boolean breaksColdRule(long now, long cost) {
     if (startedAt == 0 || model.capacityFraction(now) >= 1) {
@@ -137,13 +151,13 @@
     return first;
   }
 
-  /** Gives an attempt up; false where it does not run here. */
+  /** Cancels an attempt; false if it is not running on this engine. */
   boolean giveUp(long now, Attempt attempt) {
     model.cancel(now, attempt.id);
     return running.remove(attempt.id) != null;
   }
 
-  /** Lets time pass; the attempts that ended meanwhile. */
+  /** Advances the engine to this time and returns the attempts that have completed. */
   List<Attempt> advance(long now) {
     List<Attempt> ended = new ArrayList<>();
     for (String one : model.advance(now)) {
@@ -152,15 +166,15 @@
     return ended;
   }
 
-  /** All that runs is lost; in the order of the attempts' ids. */
+  /** Removes all running attempts and returns them in the order of their ids. */
   List<Attempt> dropAll() {
     List<Attempt> lost = new ArrayList<>(running.values());
-    lost.sort(java.util.Comparator.comparing(one -> one.id));
+    lost.sort(Comparator.comparing(one -> one.id));
     running.clear();
     return lost;
   }
 
-  /** Its word on its load. */
+  /** The current load of the engine, as it reports it to managers. */
   LoadReport report() {
     return new LoadReport(model.utilization(), model.queryCount(), 0, Double.NaN, Double.NaN);
   }
--- a/src/main/java/tansytrack/lab/scale/HollowManager.java
+++ b/src/main/java/tansytrack/lab/scale/HollowManager.java
@@ -13,15 +13,19 @@
 import tansytrack.api.Outcome;
 import tansytrack.api.TaskRequest;
 
-/** A manager without sockets and clients: a real decision module, and what it asked to be done. */
+/**
+ * A manager without sockets and clients: a real decision module, whose actions are carried out in
+ * the simulation.
+ */
 final class HollowManager implements Actions {
 
-  private static final double WRITES = 0.1; // part of the statements that may not run again
+  /** The fraction of the statements that are not idempotent. */
+  private static final double WRITES = 0.1;
 
   final int index;
   final int zone;
 
-  /** It hears changes of the list late. */
+  /** Whether this manager receives changes of the engine list late. */
   boolean stale;
 
   final Shard shard;
@@ -31,9 +35,14 @@
   private final Map<String, Statement> open = new HashMap<>();
   private final BitSet used = new BitSet();
   private DecisionModule module;
+
+  /** Increased at each start and kill; results for earlier instances are ignored. */
   private int life;
-  private long asked; // statements so far
-  private long due; // when the next one comes; 0: none yet
+
+  private long asked;
+
+  /** When the next statement arrives; 0 before the first one is drawn. */
+  private long due;
 
   HollowManager(int index, int zone, Shard shard, ScaleWorld world, SplittableRandom chance) {
     this.index = index;
@@ -43,7 +52,7 @@
     this.chance = chance;
   }
 
-  /** It starts, with a new module that knows nothing, and hears the list as it is. */
+  /** Starts the manager with a new module, which receives the given complete engine list. */
   void start(ModuleFactory factory, List<EngineEntry> list) {
     life++;
     module =
@@ -51,7 +60,7 @@
     hear(true, list);
   }
 
-  /** It ends at once, with all that it holds. */
+  /** Kills the manager; all its open statements are lost. */
   void end() {
     life++;
     module = null;
@@ -72,19 +81,20 @@
     return open.size();
   }
 
-  /** The engines that it sent to or probed, by their index. */
+  /** The indexes of the engines that this manager has forwarded to or probed. */
   BitSet used() {
     return used;
   }
 
-  /** The engines that its module holds. */
+  /** The engines that the module holds; none while the manager is not running. */
   List<EngineStatus> known() {
     return module == null ? List.of() : module.engineStatuses(now());
   }
 
   /**
-   * When the next statement comes to it. Counted on from when the last one was due, not from the
-   * step at which it came: else steps would thin the rate.
+   * Draws the arrival time of the next statement. It is counted from the time at which the previous
+   * one was due, not from the step in which it arrived, as rounding up to steps would lower the
+   * rate.
    */
   long nextDue(double rate) {
     due = due == 0 ? now() : due;
@@ -96,8 +106,9 @@
     return world.now();
   }
 
-  // ---- What it hears ----
+  // ---- Events for the module ----
 
+  /** Delivers an engine list, or changes of it, to the module. */
   void hear(boolean complete, List<EngineEntry> entries) {
     if (module != null) {
       long before = shard.placementChecks();
@@ -108,7 +119,7 @@
     }
   }
 
-  /** A statement comes, with work between half and one and a half of the mean. */
+  /** Submits a statement with a random cost of 0.5 to 1.5 times the mean. */
   void ask(long meanCost, long deadline) {
     if (module == null) {
       shard.counts.unserved(now());
@@ -133,7 +144,7 @@
     module.decide(now());
   }
 
-  /** An attempt has ended. */
+  /** Delivers the outcome of an attempt, unless an earlier instance of the manager sent it. */
   void hear(Attempt attempt, Outcome outcome, LoadReport report) {
     if (module == null || life != attempt.life) {
       return;
@@ -159,7 +170,7 @@
     module.decide(now());
   }
 
-  /** A probe has ended. */
+  /** Delivers the outcome of a probe, unless an earlier instance of the manager sent it. */
   void hearProbe(int ofLife, String engine, Outcome outcome, LoadReport report) {
     if (module != null && life == ofLife) {
       module.onProbeEnd(now(), engine, outcome, report);
@@ -177,7 +188,7 @@
     }
   }
 
-  // ---- What its module asks for ----
+  // ---- Actions of the module ----
 
   @Override
   public void forward(String task, String engine, long timeOut) {
@@ -208,7 +219,7 @@
 
   @Override
   public void assignResources(String task, long memoryMb, int priority) {
-    // Hollow engines heed neither.
+    // Hollow engines use neither memory grants nor priorities.
   }
 
   @Override
@@ -235,6 +246,6 @@
 
   @Override
   public void log(String text) {
-    // What the lab judges is what it sees at engines and clients.
+    // Log texts are dropped: results are measured at engines and clients.
   }
 }
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -6,14 +6,21 @@
 import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
 
-/** The settings of hollow managers: one set shared by all but for seed, position and zone. */
+/** The settings of hollow managers: shared by all managers except for seed, index and zone. */
 final class HollowSettings {
 
-  static final String READ = "read"; // may run again
-  static final String WRITE = "write"; // may not
+  /** The query class of idempotent statements. */
+  static final String READ = "read";
+
+  /** The query class of non-idempotent statements. */
+  static final String WRITE = "write";
+
   static final String KIND = "plain";
 
-  /** Started engines have this part of their capacity, and all of it after {@link #WARM_AFTER}. */
+  /**
+   * The fraction of its capacity that an engine has when it starts. It has all of it after {@link
+   * #WARM_AFTER}.
+   */
   static final double START_CAPACITY = 0.3;
 
   static final long WARM_AFTER = 8 * ScalePlan.SECOND;
@@ -82,7 +89,7 @@
         false);
   }
 
-  /** Those of one manager. */
+  /** The settings of one manager. */
   Settings of(long seed, int position, String zone) {
     return new Settings(
         seed,
--- a/src/main/java/tansytrack/lab/scale/MemoryNeed.java
+++ b/src/main/java/tansytrack/lab/scale/MemoryNeed.java
@@ -1,31 +1,32 @@
 package tansytrack.lab.scale;
 
-/** The memory that a scale run takes, reckoned from its sizes before it starts. */
+/** Estimates the memory that a scale run needs from its sizes, before it starts. */
 public final class MemoryNeed {
 
-  /** Heap of a pair of a manager and an engine that it holds, in bytes. */
+  /** Heap bytes of a pair: a manager and an engine that it holds. */
   public static final double PAIR = 900;
 
-  /** Heap of a manager beside its pairs. */
+  /** Heap bytes of a manager without its pairs. */
   public static final double MANAGER = 12_000;
 
-  /** Heap of an engine: model, entry, what runs. */
+  /** Heap bytes of an engine: its model, its list entry and its running attempts. */
   public static final double ENGINE = 6_000;
 
-  /** Heap of a statement or attempt on its way, with its events. */
+  /** Heap bytes of a statement or attempt in flight, with its events. */
   public static final double IN_FLIGHT = 2_000;
 
-  /** Heap of a reference: each manager keeps the whole list by reference. */
+  /** Heap bytes of a reference: each manager refers to every entry of the shared engine list. */
   public static final double LISTED = 4;
 
-  /** What is free in a heap that runs well, and the program itself. */
+  /** The heap size over the live data, which leaves the garbage collector free space. */
   private static final double ROOM = 1.3;
 
+  /** Memory of the program itself. */
   private static final double PROGRAM = 100e6;
 
   private MemoryNeed() {}
 
-  /** In bytes, where each manager holds so many engines. */
+  /** The memory in bytes for a run in which each manager holds this many engines. */
   public static double of(ScalePlan plan, double enginesPerManager) {
     double pairs = plan.managers() * enginesPerManager;
     double inFlight = ScalePlan.UTILISATION * ScalePlan.CORES * plan.engines();
--- a/src/main/java/tansytrack/lab/scale/ModuleFactory.java
+++ b/src/main/java/tansytrack/lab/scale/ModuleFactory.java
@@ -4,10 +4,10 @@
 import tansytrack.api.DecisionModule;
 import tansytrack.api.Settings;
 
-/** Makes a decision module; the lab knows modules only by their interface. */
+/** Creates decision modules, so that the lab depends on their interface only. */
 @FunctionalInterface
 public interface ModuleFactory {
 
-  /** A module with these settings, which acts through these actions. */
+  /** Creates a module with these settings that acts through these actions. */
   DecisionModule create(Settings settings, Actions actions);
 }
--- a/src/main/java/tansytrack/lab/scale/Network.java
+++ b/src/main/java/tansytrack/lab/scale/Network.java
@@ -5,13 +5,14 @@
 import tansytrack.api.Outcome;
 
 /**
- * The way between managers and engines: fixed delays, silence, and a region that may be cut off.
+ * The simulated network between managers and engines: fixed delays, engines that do not respond,
+ * and a partition between the first region and the others.
  */
 final class Network {
 
-  private static final long WAY = 5 * ScalePlan.MS; // each way
+  private static final long WAY = 5 * ScalePlan.MS;
 
-  /** How long a real manager's calls take to find out that an engine with a forward is silent. */
+  /** How long a real manager takes to detect that an engine with a forward no longer responds. */
   private static final long SILENCE = 2 * ScalePlan.SECOND;
 
   private final ScaleWorld world;
@@ -22,12 +23,12 @@
     this.world = world;
   }
 
-  /** Zones belong to so many regions in turn. */
+  /** Sets the number of regions; zones are assigned to them round-robin. */
   void regions(int count) {
     regions = count;
   }
 
-  /** From now on the first region and the others cannot reach each other, or can again. */
+  /** Begins or ends the partition between the first region and the others. */
   void cut(boolean on) {
     cut = on;
   }
@@ -37,6 +38,7 @@
     return !apart && engine.standing != HollowEngine.Standing.SILENT;
   }
 
+  /** Sends a forward to its engine. */
   void send(Attempt attempt) {
     attempt.manager.shard.post(WAY, () -> arrive(attempt));
   }
@@ -55,12 +57,12 @@
     }
   }
 
-  /** The engine is full: it says so. */
+  /** Sends back that the engine is full. */
   void refuse(Attempt attempt) {
     tell(attempt, Outcome.FULL, WAY);
   }
 
-  /** It ran to its end: the answer goes back, if it gets through. */
+  /** Sends back the result of a completed attempt; its manager sees a reset if it is cut off. */
   void answer(Attempt attempt) {
     if (reaches(attempt.manager, attempt.engine)) {
       tell(attempt, Outcome.OK, WAY);
@@ -69,7 +71,10 @@
     }
   }
 
-  /** Attempts lost with an engine that falls silent, or whose process ends. */
+  /**
+   * Ends the attempts of an engine that stops responding or whose process ends. Managers detect the
+   * former only after a timeout.
+   */
   void lose(List<Attempt> attempts, boolean silently) {
     attempts.forEach(one -> tell(one, Outcome.RESET, silently ? SILENCE : WAY));
   }
@@ -81,6 +86,7 @@
     manager.shard.timeline.in(delay, () -> manager.hear(attempt, outcome, report));
   }
 
+  /** Sends the cancellation of a forward to its engine. */
   void cancel(Attempt attempt) {
     attempt.manager.shard.post(WAY, () -> stop(attempt));
   }
@@ -93,6 +99,7 @@
     tell(attempt, Outcome.CANCELLED, WAY);
   }
 
+  /** Sends a probe of a manager instance to an engine. */
   void probe(HollowManager manager, int life, HollowEngine engine) {
     manager.shard.post(WAY, () -> probed(manager, life, engine));
   }
--- a/src/main/java/tansytrack/lab/scale/PairChanges.java
+++ b/src/main/java/tansytrack/lab/scale/PairChanges.java
@@ -5,12 +5,15 @@
 import java.util.function.Function;
 import tansytrack.api.EngineStatus;
 
-/** Counts the pairs of a manager and an engine that changes of the list made and ended. */
+/** Counts the pairs of a manager and an engine that changes of the list added and removed. */
 final class PairChanges {
 
   private final List<HollowManager> managers;
   private final Function<String, HollowEngine> engines;
-  private BitSet[] before; // the engines known by each manager; null: no change was told
+
+  /** The engines known by each manager before the first change; null while there was none. */
+  private BitSet[] before;
+
   private long added;
   private long removed;
 
@@ -19,7 +22,7 @@
     this.engines = engines;
   }
 
-  /** The first change is about to be told: what is known now is what counts. */
+  /** Captures the known engines before the first change is published; later calls do nothing. */
   void begin() {
     if (before == null) {
       before = new BitSet[managers.size()];
@@ -29,7 +32,7 @@
     }
   }
 
-  /** The run is over: what is known now is held against what was. */
+  /** Compares the known engines at the end of the run with the baseline. */
   void end() {
     if (before == null) {
       return;
@@ -43,7 +46,7 @@
     }
   }
 
-  /** The engines that its module holds, by their index. */
+  /** The indexes of the engines that the module of a manager holds. */
   BitSet known(HollowManager manager) {
     BitSet known = new BitSet();
     for (EngineStatus view : manager.known()) {
--- a/src/main/java/tansytrack/lab/scale/PairSample.java
+++ b/src/main/java/tansytrack/lab/scale/PairSample.java
@@ -3,12 +3,12 @@
 import tansytrack.api.Actions;
 import tansytrack.api.DecisionModule;
 
-/** How many engines one manager of a plan holds, found out by one module that is told the list. */
+/** Determines how many engines one manager of a plan holds, with a single decision module. */
 public final class PairSample {
 
   private PairSample() {}
 
-  /** Of the first manager, before anything else is made. */
+  /** The number of engines that the first manager holds after it received the engine list. */
   public static int enginesPerManager(ScalePlan plan, ModuleFactory factory) {
     HollowSettings settings = new HollowSettings(plan, new PlacementChecks());
     DecisionModule module =
@@ -18,7 +18,7 @@
     return module.engineStatuses(VirtualTime.ORIGIN).size();
   }
 
-  /** Actions that nobody takes. */
+  /** Ignores all actions. */
   private static final class Ignored implements Actions {
     @Override
     public void forward(String task, String engine, long timeOut) {}
--- a/src/main/java/tansytrack/lab/scale/PlacementChecks.java
+++ b/src/main/java/tansytrack/lab/scale/PlacementChecks.java
@@ -5,13 +5,14 @@
 import java.util.Iterator;
 
 /**
- * An empty set of places that counts how often it is asked whether it is empty: once each time a
- * module checks whether a listed engine is at a place where a grade may run.
+ * An empty set of allowed zones that counts the calls of {@link #isEmpty}. A module makes one such
+ * call each time it checks whether a query class may run in the zone of an engine.
  */
 final class PlacementChecks extends AbstractSet<String> {
 
   private long count;
 
+  /** The number of checks so far. */
   long count() {
     return count;
   }
--- a/src/main/java/tansytrack/lab/scale/PowerLaw.java
+++ b/src/main/java/tansytrack/lab/scale/PowerLaw.java
@@ -1,15 +1,15 @@
 package tansytrack.lab.scale;
 
 /**
- * A power law fitted to figures at several sizes: a straight line through the logarithms by least
- * squares.
+ * A power law {@code factor * size ^ exponent}, fitted to figures at several sizes by linear least
+ * squares on the logarithms.
  *
- * @param factor before the power
- * @param exponent of the size
+ * @param factor the figure at size 1
+ * @param exponent the power of the size
  */
 public record PowerLaw(double factor, double exponent) {
 
-  /** The law through these points; all have to be over 0, and at least two sizes differ. */
+  /** Fits a power law to points; all values must be positive, and at least two sizes differ. */
   public static PowerLaw fit(double[] sizes, double[] figures) {
     double meanSize = 0;
     double meanFigure = 0;
@@ -28,7 +28,7 @@
     return new PowerLaw(Math.exp(meanFigure - exponent * meanSize), exponent);
   }
 
-  /** The figure that it predicts at a size. */
+  /** The predicted figure at a size. */
   public double at(double size) {
     return factor * Math.pow(size, exponent);
   }
--- a/src/main/java/tansytrack/lab/scale/ScalePlan.java
+++ b/src/main/java/tansytrack/lab/scale/ScalePlan.java
@@ -1,15 +1,15 @@
 package tansytrack.lab.scale;
 
 /**
- * What a scale run plays.
+ * The parameters of a scale run.
  *
- * @param managers real decision modules
- * @param engines hollow engines
- * @param zones that managers and engines are spread over in turn
- * @param seconds in which statements come, in virtual time
- * @param rate statements a second that come to each manager
- * @param schedule of failures
- * @param seed of all chance
+ * @param managers number of hollow managers, each with a real decision module
+ * @param engines number of hollow engines
+ * @param zones number of zones, to which managers and engines are assigned round-robin
+ * @param seconds virtual time during which statements arrive
+ * @param rate statements a second that arrive at each manager
+ * @param schedule the failures to inject
+ * @param seed of all random numbers
  */
 public record ScalePlan(
     int managers,
@@ -23,39 +23,44 @@
   static final long MS = 1_000_000L;
   static final long SECOND = 1000 * MS;
 
-  /** Cores of each engine. */
   static final int CORES = 4;
 
-  /** The part of all cores that the statements take together on average. */
+  /** The fraction of all cores that the statements use on average. */
   public static final double UTILISATION = 0.5;
 
-  /** The least mean work of a statement, as engines count less as so much. */
+  /**
+   * The minimum mean cost of a statement. Costs are drawn from half the mean upwards, and the engine
+   * model counts work below 1 ms as 1 ms.
+   */
   public static final long LEAST_COST = 2 * MS;
 
   private static final long DEADLINE = 2 * SECOND;
   private static final int DEADLINE_IN_COSTS = 10;
 
-  /** The mean work of a statement, such that the thinned rate loads engines like the full one. */
+  /**
+   * The mean work of a statement in core nanoseconds. It is chosen so that engines reach {@link
+   * #UTILISATION} at the reduced statement rate of the simulation.
+   */
   public long meanCost() {
     return (long) (UTILISATION * CORES * engines / (managers * rate) * SECOND);
   }
 
-  /** How long after it came a statement has to be answered. */
+  /** The time from the arrival of a statement until its deadline. */
   public long deadline() {
     return DEADLINE + DEADLINE_IN_COSTS * meanCost();
   }
 
-  /** When the last statements come, from the start. */
+  /** The time from the start during which statements arrive. */
   long duration() {
     return seconds * SECOND;
   }
 
-  /** Statements that come to an engine on average. */
+  /** The mean number of statements for each engine over the run. */
   public double statementsPerEngine() {
     return managers * rate * seconds / engines;
   }
 
-  /** The same at another size. */
+  /** The same plan with other numbers of managers and engines. */
   public ScalePlan sized(int otherManagers, int otherEngines) {
     return new ScalePlan(otherManagers, otherEngines, zones, seconds, rate, schedule, seed);
   }
--- a/src/main/java/tansytrack/lab/scale/ScaleResult.java
+++ b/src/main/java/tansytrack/lab/scale/ScaleResult.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * What a scale run came to.
+ * The result of a scale run.
  *
- * @param plan that was played
- * @param figures by name, in the order of the table
- * @param engines what came to each
- * @param managers what each knows
- * @param inTimeShares the share answered in time, by the second in which statements came
+ * @param plan the parameters of the run
+ * @param figures by name, in the order of the result table
+ * @param engines the work that each engine received
+ * @param managers the engines that each manager holds and used
+ * @param inTimeShares the share of statements answered in time, by second of arrival
  */
 public record ScaleResult(
     ScalePlan plan,
@@ -22,17 +22,20 @@
     List<ManagerPairs> managers,
     double[] inTimeShares) {
 
-  /** What came to an engine: attempts, their work, managers that hold it and that used it. */
+  /**
+   * The attempts that reached an engine, the admitted work in core nanoseconds, and the numbers of
+   * managers that hold it and that used it.
+   */
   public record EngineWork(
       String id, int zone, long attempts, long work, int knownBy, int usedBy) {}
 
-  /** How many engines a manager holds and has used. */
+  /** The numbers of engines that a manager holds and has used. */
   public record ManagerPairs(int index, int zone, int known, int used) {}
 
-  /** The figure of held pairs, for the reckoning of memory. */
+  /** The number of pairs of a manager and an engine that it holds; determines the memory used. */
   public static final String PAIRS_KNOWN = "pairs_known";
 
-  /** Figures that slopes are fitted to. */
+  /** The figures to which slopes are fitted. */
   public static final List<String> COUNTS =
       List.of(
           PAIRS_KNOWN,
@@ -41,7 +44,7 @@
           "engines_a_manager_mean",
           "placement_checks_a_list");
 
-  /** Of a world that has been played. */
+  /** Computes the result of a completed simulation. */
   public static ScaleResult of(ScaleWorld world) {
     int[] knownBy = new int[world.engines().size()];
     int[] usedBy = new int[world.engines().size()];
@@ -76,7 +79,7 @@
     return new ScaleResult(world.plan(), figures, engines, managers, counts.inTimeShares());
   }
 
-  /** Engines that are listed at the end: those replaced and gone are left out. */
+  /** Whether the engine is listed at the end of the run, that is, has not been replaced. */
   private static boolean listed(HollowEngine engine) {
     return engine.drained == null;
   }
@@ -116,7 +119,7 @@
 
   private static void work(
       Map<String, Double> figures, ScaleWorld world, List<EngineWork> engines, Counts counts) {
-    // Those that ran all the time: others had less time for work.
+    // Only engines that ran all the time, as the others had less time for work.
     List<EngineWork> steady =
         world.engines().stream()
             .filter(engine -> listed(engine) && engine.old())
--- a/src/main/java/tansytrack/lab/scale/ScaleWorld.java
+++ b/src/main/java/tansytrack/lab/scale/ScaleWorld.java
@@ -10,18 +10,24 @@
 import tansytrack.lab.simulation.EngineModel;
 
 /**
- * Many managers' real decision modules before many hollow engines, on virtual time. Same plan and
- * seed, same events.
+ * A deterministic simulation in virtual time of many managers, with real decision modules, and many
+ * hollow engines. The same plan and seed give the same events, whatever the number of threads.
  */
 public final class ScaleWorld {
 
-  private static final int STARTS = 10; // steps over which managers start
-  private static final int SHARDS = 64; // a constant, as what happens at one step goes by shard
+  /** The steps over which the starts of managers are spread. */
+  private static final int STARTS = 10;
 
-  /** Hears how far a run is. */
+  /**
+   * Independent of the number of threads, as the order of events within a step depends on the
+   * shards.
+   */
+  private static final int SHARDS = 64;
+
+  /** Receives the progress of a run. */
   @FunctionalInterface
   public interface Progress {
-    /** That part of the virtual time has passed, from 0 to 1. */
+    /** Called after each step with the fraction of the virtual time that has passed, 0 to 1. */
     void at(double part);
   }
 
@@ -31,16 +37,21 @@
   private final VirtualTime clock = new VirtualTime();
   private final Timeline timeline = new Timeline(clock);
   private final List<Shard> shards = new ArrayList<>();
-  private final Counts counts; // of what engines see
+
+  /** What is counted at the engines; each shard counts what happens at its managers. */
+  private final Counts counts;
+
   private final Network network = new Network(this);
   private final EngineList list;
   private final List<HollowEngine> engines = new ArrayList<>();
   private final Map<String, HollowEngine> engineById = new HashMap<>();
   private final List<HollowManager> managers = new ArrayList<>();
   private final PairChanges pairChanges;
-  private final List<Runnable> turns = new ArrayList<>(); // of the shards, at each step
 
-  /** The world, with nothing started. What comes of it does not depend on the workers. */
+  /** The work of each shard in a step, in the order of the shards. */
+  private final List<Runnable> turns = new ArrayList<>();
+
+  /** Creates a simulation that has not started. Its result does not depend on the workers. */
   public ScaleWorld(ScalePlan plan, ModuleFactory factory, Workers workers) {
     this.plan = plan;
     this.workers = workers;
@@ -64,7 +75,7 @@
     pairChanges = new PairChanges(managers, this::engine);
   }
 
-  /** The list that the managers of a plan are told first. */
+  /** The engine list that the managers of a plan receive first. */
   static List<EngineEntry> firstList(ScalePlan plan) {
     List<EngineEntry> entries = new ArrayList<>();
     for (int slot = 0; slot < plan.engines(); slot++) {
@@ -75,6 +86,7 @@
     return entries;
   }
 
+  /** Adds an engine. */
   private HollowEngine engine(String id, int slot, long startedAt) {
     HollowEngine engine =
         new HollowEngine(engines.size(), id, slot, slot % plan.zones(), startedAt, plan.meanCost());
@@ -83,7 +95,7 @@
     return engine;
   }
 
-  /** Plays it to its end: all statements come, and those that are open may end. */
+  /** Runs until all statements have arrived and are finished or past their deadlines. */
   public void play(Progress progress) {
     for (HollowManager manager : managers) {
       Timeline own = manager.shard.timeline;
@@ -120,7 +132,7 @@
     shards.forEach(shard -> shard.deliver(timeline));
   }
 
-  /** All statements come that are due by this step, and the next one is set. */
+  /** Submits all statements of a manager that are due by this step, and schedules the next one. */
   private void ask(HollowManager manager) {
     long due = clock.now();
     while (due <= clock.now() && clock.now() < VirtualTime.ORIGIN + plan.duration()) {
@@ -132,18 +144,18 @@
     }
   }
 
-  // ---- For the parts of this package ----
+  // ---- Access for the other classes of this package ----
 
   long now() {
     return clock.now();
   }
 
-  /** What happens outside of the managers. */
+  /** The events that do not belong to a shard. */
   Timeline timeline() {
     return timeline;
   }
 
-  /** Of the whole world. */
+  /** The sums of the counters of engines and shards. */
   Counts counts() {
     Counts all = new Counts(plan.seconds());
     all.add(counts);
@@ -175,36 +187,40 @@
     return Collections.unmodifiableList(managers);
   }
 
+  /** The engine with this id. */
   HollowEngine engine(String id) {
     return engineById.get(id);
   }
 
+  /** Starts or restarts a manager with the engine list as it is now. */
   void start(HollowManager manager) {
     manager.start(factory, list.whole());
   }
 
-  /** Tells all managers of a change of the list. */
+  /** Applies a change to the engine list and delivers it to all managers. */
   EngineList.Change tell(List<EngineEntry> entries) {
     pairChanges.begin();
     return list.tell(entries, managers);
   }
 
-  /** A new engine at the place of that one. */
+  /** Adds a new, cold engine in the slot of the given one. */
   HollowEngine replacement(HollowEngine of) {
     return engine(of.id + "-next", of.slot, clock.now());
   }
 
+  /** Makes an engine stop responding; its running attempts are lost. */
   void silence(HollowEngine engine) {
     engine.standing = HollowEngine.Standing.SILENT;
     network.lose(engine.dropAll(), true);
   }
 
+  /** Ends the process of an engine; its running attempts are lost. */
   void endProcess(HollowEngine engine) {
     engine.standing = HollowEngine.Standing.DOWN;
     network.lose(engine.dropAll(), false);
   }
 
-  /** An attempt has come whole to an engine that is up. */
+  /** Handles an attempt that has reached an engine which is up. */
   void arrived(Attempt attempt) {
     HollowEngine engine = attempt.engine;
     long now = clock.now();
@@ -220,6 +236,7 @@
     }
   }
 
+  /** Counts an attempt that reaches an engine after the drain grace. */
   private void drainRule(Attempt attempt, long now) {
     EngineList.Change drained = attempt.engine.drained;
     if (drained == null || now <= drained.at() + HollowSettings.DRAIN_GRACE) {
--- a/src/main/java/tansytrack/lab/scale/Shard.java
+++ b/src/main/java/tansytrack/lab/scale/Shard.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * A part of the managers, played one after the other. Shards share nothing that changes while they
- * play, so that they may play beside one another; what they send is delivered behind the step,
- * shard by shard, and the outcome is the same as if they had played in turn.
+ * A group of managers whose events run sequentially. Shards share no mutable state during a step
+ * and can run in parallel. The messages they send are delivered after the step in the order of the
+ * shards, so the result is the same as that of a sequential run.
  */
 final class Shard {
 
   private record Posted(long time, Runnable event) {}
 
-  /** What happens to its managers. */
+  /** The events of the managers in this shard. */
   final Timeline timeline;
 
   final Counts counts;
@@ -29,16 +29,17 @@
     settings = new HollowSettings(plan, checks);
   }
 
+  /** The number of zone checks that the modules of this shard have made. */
   long placementChecks() {
     return checks.count();
   }
 
-  /** Sets what happens outside of it so much later. */
+  /** Posts an event outside of this shard, to happen after the delay. */
   void post(long delay, Runnable event) {
     outbox.add(new Posted(clock.now() + delay, event));
   }
 
-  /** Hands over what it has posted since the last time. */
+  /** Moves the events posted since the last call to the queue outside of the shards. */
   void deliver(Timeline outside) {
     outbox.forEach(one -> outside.at(one.time(), one.event()));
     outbox.clear();
--- a/src/main/java/tansytrack/lab/scale/Slope.java
+++ b/src/main/java/tansytrack/lab/scale/Slope.java
@@ -3,32 +3,34 @@
 import java.util.Arrays;
 
 /**
- * How a figure grows with size: fitted without the largest size, which is predicted.
+ * How a figure grows with size: a power law fitted to all sizes except the largest, and checked
+ * against the figure at the largest.
  *
- * @param law fitted
- * @param predicted the figure at the largest size by it
- * @param measured the figure there
+ * @param law the fitted power law
+ * @param predicted the figure that the law predicts at the largest size
+ * @param measured the measured figure at the largest size
  */
 public record Slope(PowerLaw law, double predicted, double measured) {
 
-  /** Sizes that a slope takes at least. */
+  /** The minimum number of sizes for a fit. */
   public static final int LEAST_SIZES = 5;
 
-  /** A fit that is further off than this at the largest size is not used. */
+  /** The maximum relative error at the largest size for a usable fit. */
   public static final double MOST_ERROR = 0.15;
 
-  /** Of figures at sizes that grow, all over 0. */
+  /** Fits positive figures at increasing, positive sizes. */
   public static Slope of(double[] sizes, double[] figures) {
     int last = sizes.length - 1;
     PowerLaw law = PowerLaw.fit(Arrays.copyOf(sizes, last), Arrays.copyOf(figures, last));
     return new Slope(law, law.at(sizes[last]), figures[last]);
   }
 
-  /** How far off the prediction is, as a part of what was measured. */
+  /** The absolute error of the prediction as a fraction of the measured figure. */
   public double error() {
     return Math.abs(predicted - measured) / measured;
   }
 
+  /** Whether the error is at most {@link #MOST_ERROR}. */
   public boolean usable() {
     return error() <= MOST_ERROR;
   }
--- a/src/main/java/tansytrack/lab/scale/Spread.java
+++ b/src/main/java/tansytrack/lab/scale/Spread.java
@@ -2,9 +2,10 @@
 
 import java.util.Arrays;
 
-/** Least, mean and most of some figures. */
+/** The minimum, mean and maximum of a series of figures. */
 record Spread(double min, double mean, double max) {
 
+  /** Summarizes figures; all values are 0 if there are none. */
   static Spread of(double[] figures) {
     return new Spread(
         Arrays.stream(figures).min().orElse(0),
@@ -12,7 +13,7 @@
         Arrays.stream(figures).max().orElse(0));
   }
 
-  /** The most over the mean; 0 where there is nothing. */
+  /** The maximum divided by the mean; 0 if the mean is 0. */
   double maxOverMean() {
     return mean == 0 ? 0 : max / mean;
   }
--- a/src/main/java/tansytrack/lab/scale/Statement.java
+++ b/src/main/java/tansytrack/lab/scale/Statement.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's statement, from when it comes until it is answered. */
+/** A client's statement with its forwards. Times in nanoseconds of virtual time. */
 final class Statement {
 
   final String id;
@@ -12,7 +12,7 @@
   final long cost;
   final List<Attempt> attempts = new ArrayList<>(1);
 
-  /** It was answered, refused or lost. */
+  /** Whether the statement was answered, rejected, aborted or lost. */
   boolean over;
 
   Statement(String id, long askedAt, long deadline, long cost) {
--- a/src/main/java/tansytrack/lab/scale/Timeline.java
+++ b/src/main/java/tansytrack/lab/scale/Timeline.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is to happen at each step, in the order in which it was set. */
+/** Scheduled events by step; those of one step run in the order in which they were scheduled. */
 final class Timeline {
 
   private final VirtualTime clock;
@@ -13,12 +13,12 @@
     this.clock = clock;
   }
 
-  /** Sets what happens so much later, at the next step at the earliest. */
+  /** Schedules an event after a delay, in the next step at the earliest. */
   void in(long delay, Runnable event) {
     at(clock.now() + delay, event);
   }
 
-  /** Sets what happens at that time, or at the next step where that has passed. */
+  /** Schedules an event at a time, or in the next step if that time has passed. */
   void at(long time, Runnable event) {
     long due = (time - VirtualTime.ORIGIN + VirtualTime.STEP - 1) / VirtualTime.STEP;
     int step = (int) Math.max(clock.step() + 1, due);
@@ -31,7 +31,7 @@
     steps.get(step).add(event);
   }
 
-  /** Lets happen what was set for the present step. */
+  /** Runs the events of the current step. */
   void play() {
     if (clock.step() < steps.size() && steps.get(clock.step()) != null) {
       steps.set(clock.step(), null).forEach(Runnable::run);
--- a/src/main/java/tansytrack/lab/scale/VirtualTime.java
+++ b/src/main/java/tansytrack/lab/scale/VirtualTime.java
@@ -1,25 +1,26 @@
 package tansytrack.lab.scale;
 
-/** A clock that moves in equal steps. */
+/** A virtual clock that advances in equal steps. */
 final class VirtualTime {
 
-  /** The step, in nanoseconds. */
   static final long STEP = 5 * ScalePlan.MS;
 
-  /** The time before the first step: modules take a time of 0 for never. */
+  /** The time before the first step; not 0, because modules take a time of 0 as "never". */
   static final long ORIGIN = 100 * ScalePlan.SECOND;
 
   private int step;
 
+  /** The number of steps so far. */
   int step() {
     return step;
   }
 
+  /** The current virtual time in nanoseconds. */
   long now() {
     return ORIGIN + step * STEP;
   }
 
-  /** Moves on by one step. */
+  /** Advances by one step. */
   void advance() {
     step++;
   }
--- a/src/main/java/tansytrack/lab/scale/Workers.java
+++ b/src/main/java/tansytrack/lab/scale/Workers.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Runs tasks that share nothing, in any order or at once, and waits for all. */
+/** Runs independent tasks, in any order or in parallel, and waits for all of them. */
 @FunctionalInterface
 public interface Workers {
 
-  /** One after the other. */
+  /** Runs the tasks one after another in the calling thread. */
   Workers ALONE = tasks -> tasks.forEach(Runnable::run);
 
-  /** Runs them all. */
+  /** Runs all tasks and returns when they have finished. */
   void run(List<Runnable> tasks);
 }
--- a/src/test/java/tansytrack/lab/footprint/FootprintTest.java
+++ b/src/test/java/tansytrack/lab/footprint/FootprintTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tansytrack.settings.InvalidInputException;
 
-/** The measurement of real managers: what it counts, and what it refuses. */
+/** The footprint measurement with a real manager, its process figures and its option checks. */
 class FootprintTest {
 
   private static final String FLAGS = FootprintOptions.RUN_LINE_FLAGS;
--- a/src/test/java/tansytrack/lab/scale/ScaleTest.java
+++ b/src/test/java/tansytrack/lab/scale/ScaleTest.java
@@ -30,7 +30,7 @@
 import tansytrack.api.TaskRequest;
 import tansytrack.lab.ScaleTable;
 
-/** Hollow managers: counts only, so that the verdict is the same every time. */
+/** Scale simulations. The tests check counts in virtual time only, so they are deterministic. */
 class ScaleTest {
 
   private static final ScaleTable.Ladder ONE_SIZE =
@@ -87,7 +87,8 @@
   @Test
   void largerFleetHoldsABoundedSubsetEvenly() {
     ScaleResult result = played(plan(64, 600, FailureSchedule.REST, 1), Decide::new);
-    // Of 600 engines a fourth is over the bound of 128, and an eighth leaves 8 managers an engine.
+    // A quarter of 600 engines exceeds the limit of 128, so a manager holds an eighth: 75 engines,
+    // and 8 of the 64 managers hold each engine.
     assertThat(figure(result, "managers_an_engine_min")).isEqualTo(8);
     assertThat(figure(result, "managers_an_engine_max")).isEqualTo(8);
     assertThat(figure(result, "engines_a_manager_mean")).isEqualTo(75);
@@ -123,9 +124,9 @@
     assertThat(figure(result, "in_time_share_min")).isGreaterThan(0.9);
   }
 
-  // ---- What judges them sees what is wrong ----
+  // ---- Violations are detected ----
 
-  /** Sends every task to the engine that was listed last, whatever its state. */
+  /** Forwards every task to the newest or to the oldest listed engine, whatever its state. */
   private static final class Herd implements DecisionModule {
     private final Actions actions;
     private final boolean newest;
@@ -212,7 +213,7 @@
     assertThat(figure(result, "work_over_mean_max")).isZero();
   }
 
-  // ---- The same seed, the same bytes ----
+  // ---- Determinism ----
 
   private String table(ScalePlan plan, int threads, String name) throws IOException {
     ByteArrayOutputStream told = new ByteArrayOutputStream();
@@ -264,7 +265,7 @@
     assertThat(folder.resolve("slopes.png")).exists();
   }
 
-  // ---- What cannot be used ----
+  // ---- Invalid options ----
 
   private String refused(String options) throws IOException, CmdLineException {
     LabCommands.Scale command = new LabCommands.Scale();
