--- a/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
+++ b/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
@@ -48,7 +48,8 @@
                 + "\"grades\":[{\"name\":\"query\",\"repeat\":\"idempotent\","
                 + "\"objective_ms\":1000,\"deadline_ms\":3000,\"worth\":1}],"
                 + "\"tenants\":[{\"name\":\"t0\",\"portion\":1}],"
-                + "\"policy_limits\":{\"may_probe\":true,\"cancel\":true,\"max_attempts\":3,\"connect_timeout_ms\":250,\"conn_idle_ms\":30000,"
+                + "\"policy_limits\":{\"may_probe\":true,\"cancel\":true,\"max_attempts\":3,"
+                + "\"connect_timeout_ms\":250,\"conn_idle_ms\":30000,"
                 + "\"retry_after\":true,\"max_retry_after_ms\":500},\"reporting\":{\"columns\":"
                 + "[\"busy_reqs\"],\"how\":\"pull\"},\"rules\":{\"answer_slack_ms\":20,"
                 + "\"drain_grace_ms\":1000}}",
--- a/src/main/java/tansytrack/lab/scale/ScalePlan.java
+++ b/src/main/java/tansytrack/lab/scale/ScalePlan.java
@@ -29,8 +29,8 @@
   public static final double UTILISATION = 0.5;
 
   /**
-   * The minimum mean cost of a statement. Costs are drawn from half the mean upwards, and the engine
-   * model counts work below 1 ms as 1 ms.
+   * The minimum mean cost of a statement. Costs start at half the mean, and the engine model counts
+   * work below 1 ms as 1 ms.
    */
   public static final long LEAST_COST = 2 * MS;
 
