--- a/src/main/java/tansytrack/LabCommands.java
+++ b/src/main/java/tansytrack/LabCommands.java
@@ -233,7 +233,7 @@
         name = "--jvm",
         metaVar = "FLAGS",
         usage = "flags of the java command; absent: those of the run line")
-    private String jvm = FootprintOptions.RUN_LINE_FLAGS;
+    private String jvm = FootprintOptions.DEPLOYED_JVM_FLAGS;
 
     @Option(
         name = "--out",
@@ -284,7 +284,7 @@
     private double rate = 8;
 
     @Option(name = "--schedule", metaVar = "NAME", usage = "the failures to play")
-    private String schedule = FailureSchedule.REST.text();
+    private String schedule = FailureSchedule.NO_FAILURE.scheduleName();
 
     @Option(name = "--sizes", metaVar = "N", usage = "5 or more: a ladder of sizes with slopes")
     private int sizes = 1;
--- a/src/main/java/tansytrack/lab/ProgressLine.java
+++ b/src/main/java/tansytrack/lab/ProgressLine.java
@@ -2,10 +2,10 @@
 
 import java.io.PrintStream;
 import java.util.Locale;
-import tansytrack.lab.scale.ScaleWorld;
+import tansytrack.lab.scale.ScaleSimulation;
 
 /** Says now and then how far a run is, and how long it will still take. */
-final class ProgressLine implements ScaleWorld.Progress {
+final class ProgressLine implements ScaleSimulation.ProgressListener {
 
   private static final long EVERY = 5_000_000_000L;
 
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public void at(double part) {
+  public void onProgress(double part) {
     long now = System.nanoTime();
     if (now - said >= EVERY && part > 0 && part < 1) {
       said = now;
--- a/src/main/java/tansytrack/lab/ScaleCharts.java
+++ b/src/main/java/tansytrack/lab/ScaleCharts.java
@@ -20,7 +20,8 @@
 
   /** The work of each engine over the mean, in order. */
   static void work(ScaleResult result, Path folder) throws IOException {
-    double[] work = result.engines().stream().mapToDouble(one -> one.work()).sorted().toArray();
+    double[] work =
+        result.engines().stream().mapToDouble(one -> one.workNanos()).sorted().toArray();
     double mean = IntStream.range(0, work.length).mapToDouble(i -> work[i]).average().orElse(1);
     double[] over = new double[work.length];
     for (int i = 0; i < work.length; i++) {
--- a/src/main/java/tansytrack/lab/ScaleExperiment.java
+++ b/src/main/java/tansytrack/lab/ScaleExperiment.java
@@ -8,7 +8,7 @@
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.lab.scale.ScalePlan;
 import tansytrack.lab.scale.ScaleResult;
-import tansytrack.lab.scale.ScaleWorld;
+import tansytrack.lab.scale.ScaleSimulation;
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
 
@@ -46,7 +46,9 @@
   }
 
   private static String scheduleName(ScalePart part) {
-    return part.getSchedule().isEmpty() ? FailureSchedule.REST.text() : part.getSchedule();
+    return part.getSchedule().isEmpty()
+        ? FailureSchedule.NO_FAILURE.scheduleName()
+        : part.getSchedule();
   }
 
   private static ScalePlan plan(ScalePart part, long seed) {
@@ -71,8 +73,8 @@
     }
     Map<String, Double> figures = new TreeMap<>();
     for (ScalePart part : experiment.getScaleList()) {
-      ScaleWorld world = new ScaleWorld(plan(part, seed), factory, Workers.ALONE);
-      world.play(new ProgressLine(part.getName(), System.err));
+      ScaleSimulation world = new ScaleSimulation(plan(part, seed), factory, Workers.SEQUENTIAL);
+      world.run(new ProgressLine(part.getName(), System.err));
       ScaleResult.of(world)
           .figures()
           .forEach((name, figure) -> figures.put(part.getName() + '.' + name, figure));
--- a/src/main/java/tansytrack/lab/ScaleMemory.java
+++ b/src/main/java/tansytrack/lab/ScaleMemory.java
@@ -3,10 +3,10 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 import java.util.Locale;
-import tansytrack.lab.scale.MemoryNeed;
+import tansytrack.lab.scale.MemoryEstimate;
 import tansytrack.lab.scale.ModuleFactory;
-import tansytrack.lab.scale.PairSample;
 import tansytrack.lab.scale.ScalePlan;
+import tansytrack.lab.scale.SubsetSize;
 import tansytrack.settings.InvalidInputException;
 
 /** Refuses scale runs that this machine or this process cannot hold, before they start. */
@@ -27,10 +27,10 @@
   /** Refuses a plan that needs more than that many bytes, or than this process may take. */
   static void checked(ScalePlan plan, ModuleFactory factory, double limit, double processLimit) {
     String sizes = plan.managers() + " managers x " + plan.engines() + " engines";
-    double least = MemoryNeed.of(plan, 0);
+    double least = MemoryEstimate.bytes(plan, 0);
     refused(sizes, 0, least, limit);
-    double pairs = PairSample.enginesPerManager(plan, factory);
-    double need = MemoryNeed.of(plan, pairs);
+    double pairs = SubsetSize.enginesPerManager(plan, factory);
+    double need = MemoryEstimate.bytes(plan, pairs);
     refused(sizes, pairs, need, limit);
     if (need > processLimit) {
       throw new InvalidInputException(
@@ -55,7 +55,7 @@
               sizes,
               mib(need),
               pairs,
-              MemoryNeed.PAIR,
+              MemoryEstimate.BYTES_PER_PAIR,
               mib(limit)));
     }
   }
--- a/src/main/java/tansytrack/lab/ScaleTable.java
+++ b/src/main/java/tansytrack/lab/ScaleTable.java
@@ -14,7 +14,7 @@
 import tansytrack.lab.scale.ModuleFactory;
 import tansytrack.lab.scale.ScalePlan;
 import tansytrack.lab.scale.ScaleResult;
-import tansytrack.lab.scale.ScaleWorld;
+import tansytrack.lab.scale.ScaleSimulation;
 import tansytrack.lab.scale.Slope;
 import tansytrack.lab.scale.Workers;
 import tansytrack.settings.InvalidInputException;
@@ -66,7 +66,7 @@
       throws IOException {
     bounded("--threads", threads, 1, MOST_THREADS);
     try (WorkerThreads workers = new WorkerThreads(threads)) {
-      new ScaleTable(factory, threads == 1 ? Workers.ALONE : workers, to, progress)
+      new ScaleTable(factory, threads == 1 ? Workers.SEQUENTIAL : workers, to, progress)
           .run(largest, ladder, out);
     }
   }
@@ -78,15 +78,15 @@
     bounded("--zones", plan.zones(), 1, plan.engines());
     bounded("--seconds", plan.seconds(), 1, 3600);
     bounded("--rate", plan.rate(), 0.01, 10_000);
-    if (plan.meanCost() < ScalePlan.LEAST_COST) {
+    if (plan.meanCostNanos() < ScalePlan.MIN_MEAN_COST_NANOS) {
       throw new InvalidInputException(
           String.format(
               Locale.ROOT,
               "--rate '%s': statements of %d ns would fill the engines;"
                   + " allowed: at most %.1f at this size",
               Claims.shown(plan.rate()),
-              plan.meanCost(),
-              plan.rate() * plan.meanCost() / ScalePlan.LEAST_COST));
+              plan.meanCostNanos(),
+              plan.rate() * plan.meanCostNanos() / ScalePlan.MIN_MEAN_COST_NANOS));
     }
   }
 
@@ -105,7 +105,7 @@
 
   /** The schedule of that name. */
   public static FailureSchedule schedule(String option, String name) {
-    return FailureSchedule.named(name)
+    return FailureSchedule.fromName(name)
         .orElseThrow(
             () ->
                 new InvalidInputException(
@@ -116,7 +116,7 @@
   static List<ScalePlan> rungs(ScalePlan largest, Ladder ladder) {
     bounded("--sizes", ladder.sizes(), 1, 20);
     if (ladder.sizes() > 1) {
-      bounded("--sizes", ladder.sizes(), Slope.LEAST_SIZES, 20);
+      bounded("--sizes", ladder.sizes(), Slope.MIN_SIZES, 20);
       bounded("--factor", ladder.factor(), 2, 100);
     }
     List<ScalePlan> rungs = new ArrayList<>();
@@ -125,7 +125,7 @@
       double managers = ladder.grows() == Grows.ENGINES ? 1 : by;
       double engines = ladder.grows() == Grows.MANAGERS ? 1 : by;
       ScalePlan rung =
-          largest.sized(
+          largest.withSize(
               (int) Math.round(largest.managers() / managers),
               (int) Math.round(largest.engines() / engines));
       checked(rung);
@@ -163,9 +163,9 @@
   /** The heap that the managers hold behind it, in bytes. */
   private double played(ScalePlan plan, Path folder, List<ScaleResult> results) throws IOException {
     long from = System.nanoTime();
-    ScaleWorld world = new ScaleWorld(plan, factory, workers);
+    ScaleSimulation world = new ScaleSimulation(plan, factory, workers);
     double before = usedHeap();
-    world.play(new ProgressLine(size(plan), progress));
+    world.run(new ProgressLine(size(plan), progress));
     double took = (System.nanoTime() - from) / 1e9;
     double heap = usedHeap() - before;
     ScaleResult result = ScaleResult.of(world);
@@ -204,13 +204,13 @@
               + "%.1f ms of work each on average, %.0f an engine, %.0f%% of all cores%n",
           size(plan),
           plan.zones(),
-          plan.schedule().text(),
+          plan.schedule().scheduleName(),
           plan.seed(),
           plan.seconds(),
           Claims.shown(plan.rate()),
-          plan.meanCost() / 1e6,
+          plan.meanCostNanos() / 1e6,
           plan.statementsPerEngine(),
-          ScalePlan.UTILISATION * 100);
+          ScalePlan.TARGET_UTILIZATION * 100);
     }
     to.printf("%-28s", "figure");
     results.forEach(one -> to.printf("%16s", size(one.plan())));
@@ -230,7 +230,7 @@
       ScalePlan plan = result.plan();
       csv.append(plan.managers()).append(',').append(plan.engines()).append(',');
       csv.append(plan.zones()).append(',').append(plan.seconds()).append(',');
-      csv.append(Claims.shown(plan.rate())).append(',').append(plan.schedule().text());
+      csv.append(Claims.shown(plan.rate())).append(',').append(plan.schedule().scheduleName());
       csv.append(',').append(plan.seed());
       result.figures().values().forEach(one -> csv.append(',').append(Claims.shown(one)));
       csv.append('\n');
@@ -242,8 +242,8 @@
     StringBuilder csv = new StringBuilder("engine,zone,attempts,work_ns,known_by,used_by\n");
     for (ScaleResult.EngineWork one : result.engines()) {
       csv.append(one.id()).append(',').append(one.zone()).append(',').append(one.attempts());
-      csv.append(',').append(one.work()).append(',').append(one.knownBy());
-      csv.append(',').append(one.usedBy()).append('\n');
+      csv.append(',').append(one.workNanos()).append(',').append(one.knownByManagers());
+      csv.append(',').append(one.usedByManagers()).append('\n');
     }
     return csv.toString();
   }
@@ -251,8 +251,8 @@
   private static String managers(ScaleResult result) {
     StringBuilder csv = new StringBuilder("manager,zone,known,used\n");
     for (ScaleResult.ManagerPairs one : result.managers()) {
-      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.known());
-      csv.append(',').append(one.used()).append('\n');
+      csv.append(one.index()).append(',').append(one.zone()).append(',').append(one.knownEngines());
+      csv.append(',').append(one.usedEngines()).append('\n');
     }
     return csv.toString();
   }
@@ -267,7 +267,7 @@
                     ladder.grows() == Grows.MANAGERS ? one.plan().managers() : one.plan().engines())
             .toArray();
     Map<String, double[]> counts = new LinkedHashMap<>();
-    for (String name : ScaleResult.COUNTS) {
+    for (String name : ScaleResult.FITTED_FIGURES) {
       counts.put(name, results.stream().mapToDouble(one -> one.figures().get(name)).toArray());
     }
     String head = "figure,exponent,predicted,measured,error,usable\n";
@@ -295,7 +295,7 @@
         slope.law().exponent(),
         Claims.shown(slope.predicted()),
         Claims.shown(slope.measured()),
-        slope.error() * 100,
+        slope.relativeError() * 100,
         slope.usable() ? "yes" : "NO: over 15% off");
     return String.format(
         Locale.ROOT,
@@ -304,7 +304,7 @@
         slope.law().exponent(),
         Claims.shown(slope.predicted()),
         Claims.shown(slope.measured()),
-        slope.error(),
+        slope.relativeError(),
         slope.usable());
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/CountingChannel.java
+++ b/src/main/java/tansytrack/lab/footprint/CountingChannel.java
@@ -19,41 +19,42 @@
  */
 final class CountingChannel implements AutoCloseable {
 
-  private static final Pattern ASKED =
+  private static final Pattern POLL_REQUEST =
       Pattern.compile("GET /cmd/next\\?resume=(\\d{1,9})&block=(\\d{1,4}) ");
-  private static final int LONGEST_HEAD = 1 << 13;
+  private static final int MAX_HEAD_BYTES = 1 << 13;
   private static final int END_OF_HEAD = 0x0d0a0d0a;
 
-  private final ListEvents events;
-  private final ServerSocket socket = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-  private final AtomicLong received = new AtomicLong();
-  private final AtomicLong sent = new AtomicLong();
+  private final EngineListEvents events;
+  private final ServerSocket serverSocket =
+      new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
+  private final AtomicLong bytesReceived = new AtomicLong();
+  private final AtomicLong bytesSent = new AtomicLong();
   private final AtomicLong polls = new AtomicLong();
 
   /** The highest event number that the manager has acknowledged. */
-  private int resumedFrom;
+  private int lastAcknowledgedEvent;
 
   /** When the manager first acknowledged that event, by System.nanoTime. */
-  private long resumedAt;
+  private long acknowledgedAtNanos;
 
-  CountingChannel(ListEvents events) throws IOException {
+  CountingChannel(EngineListEvents events) throws IOException {
     this.events = events;
     start(this::accept);
   }
 
   /** Host and port of this server. */
   String address() {
-    return socket.getInetAddress().getHostAddress() + ':' + socket.getLocalPort();
+    return serverSocket.getInetAddress().getHostAddress() + ':' + serverSocket.getLocalPort();
   }
 
   /** Bytes received from the manager. */
-  long received() {
-    return received.get();
+  long bytesReceived() {
+    return bytesReceived.get();
   }
 
   /** Bytes sent to the manager. */
-  long sent() {
-    return sent.get();
+  long bytesSent() {
+    return bytesSent.get();
   }
 
   /** The number of polls by the manager. */
@@ -65,19 +66,19 @@
    * Waits until the manager acknowledges an event by polling for later ones. Returns the time of
    * that poll by System.nanoTime, or -1 if the deadline passes first.
    */
-  synchronized long awaitEvent(int number, long until) throws InterruptedException {
-    long left = until - System.nanoTime();
-    while (resumedFrom < number && left > 0) {
-      wait(left / 1_000_000 + 1);
-      left = until - System.nanoTime();
+  synchronized long awaitEvent(int number, long deadlineNanos) throws InterruptedException {
+    long remainingNanos = deadlineNanos - System.nanoTime();
+    while (lastAcknowledgedEvent < number && remainingNanos > 0) {
+      wait(remainingNanos / 1_000_000 + 1);
+      remainingNanos = deadlineNanos - System.nanoTime();
     }
-    return resumedFrom < number ? -1 : resumedAt;
+    return lastAcknowledgedEvent < number ? -1 : acknowledgedAtNanos;
   }
 
-  private synchronized void resumed(int number) {
-    if (number > resumedFrom) {
-      resumedFrom = number;
-      resumedAt = System.nanoTime();
+  private synchronized void recordAcknowledgedEvent(int number) {
+    if (number > lastAcknowledgedEvent) {
+      lastAcknowledgedEvent = number;
+      acknowledgedAtNanos = System.nanoTime();
       notifyAll();
     }
   }
@@ -85,39 +86,39 @@
   private void accept() {
     try {
       while (true) {
-        Socket one = socket.accept();
-        one.setTcpNoDelay(true);
-        start(() -> serve(one));
+        Socket connection = serverSocket.accept();
+        connection.setTcpNoDelay(true);
+        start(() -> serve(connection));
       }
     } catch (IOException e) {
       // The server socket was closed.
     }
   }
 
-  private static void start(Runnable what) {
-    Thread thread = new Thread(what, "counting-channel");
+  private static void start(Runnable task) {
+    Thread thread = new Thread(task, "counting-channel");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void serve(Socket one) {
-    try (one) {
-      DataInputStream in = new DataInputStream(one.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      DataInputStream in = new DataInputStream(connection.getInputStream());
       while (true) {
-        Matcher asked = ASKED.matcher(head(in));
-        if (!asked.lookingAt()) {
+        Matcher request = POLL_REQUEST.matcher(readHead(in));
+        if (!request.lookingAt()) {
           return;
         }
         polls.incrementAndGet();
-        int resume = Integer.parseInt(asked.group(1));
-        resumed(resume);
-        byte[] body = events.next(resume, Long.parseLong(asked.group(2)));
+        int resume = Integer.parseInt(request.group(1));
+        recordAcknowledgedEvent(resume);
+        byte[] body = events.awaitAfter(resume, Long.parseLong(request.group(2)));
         byte[] head =
             ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.UTF_8);
-        one.getOutputStream().write(head);
-        one.getOutputStream().write(body);
-        sent.addAndGet(head.length + body.length);
+        connection.getOutputStream().write(head);
+        connection.getOutputStream().write(body);
+        bytesSent.addAndGet(head.length + body.length);
       }
     } catch (IOException e) {
       // The manager closed the connection.
@@ -126,23 +127,23 @@
     }
   }
 
-  private String head(DataInputStream in) throws IOException {
+  private String readHead(DataInputStream in) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     int tail = 0;
     while (tail != END_OF_HEAD) {
       int next = in.read();
-      if (next < 0 || head.size() > LONGEST_HEAD) {
+      if (next < 0 || head.size() > MAX_HEAD_BYTES) {
         throw new EOFException();
       }
       head.write(next);
       tail = tail << 8 | next;
     }
-    received.addAndGet(head.size());
+    bytesReceived.addAndGet(head.size());
     return head.toString(StandardCharsets.UTF_8);
   }
 
   @Override
   public void close() throws IOException {
-    socket.close();
+    serverSocket.close();
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
@@ -19,7 +19,7 @@
 public record FootprintOptions(
     int managers,
     int engines,
-    int siblings,
+    int configuredManagerCount,
     int settleSeconds,
     int seconds,
     int rate,
@@ -30,26 +30,26 @@
    * The JVM flags of the {@code run} line in deploy/balancer.toml, except that for the class data
    * sharing archive.
    */
-  public static final String RUN_LINE_FLAGS =
+  public static final String DEPLOYED_JVM_FLAGS =
       "-XX:+ExitOnOutOfMemoryError -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:-UsePerfData"
           + " -Xshare:auto -Xms48m -Xmx64m -Xss512k -XX:MaxMetaspaceSize=24m"
           + " -XX:ReservedCodeCacheSize=16m -XX:MaxDirectMemorySize=8m"
           + " -Djdk.nio.maxCachedBufferSize=32768";
 
-  private static final int MOST_MANAGERS = 200;
-  private static final int MOST_ENGINES = 20_000;
-  private static final int MOST_SIBLINGS = 100_000;
-  private static final int MOST_SECONDS = 600;
-  private static final int MOST_RATE = 2000;
+  private static final int MAX_MANAGERS = 200;
+  private static final int MAX_ENGINES = 20_000;
+  private static final int MAX_CONFIGURED_MANAGER_COUNT = 100_000;
+  private static final int MAX_SECONDS = 600;
+  private static final int MAX_STATEMENTS_PER_SECOND = 2000;
 
   /** Validates the options; a failure names the option, its value and what is allowed. */
   public FootprintOptions {
-    bounded("--managers", managers, 1, MOST_MANAGERS);
-    bounded("--engines", engines, 1, MOST_ENGINES);
-    bounded("--siblings", siblings, 0, MOST_SIBLINGS);
-    bounded("--settle", settleSeconds, 0, MOST_SECONDS);
-    bounded("--seconds", seconds, 1, MOST_SECONDS);
-    bounded("--rate", rate, 0, MOST_RATE);
+    requireInRange("--managers", managers, 1, MAX_MANAGERS);
+    requireInRange("--engines", engines, 1, MAX_ENGINES);
+    requireInRange("--siblings", configuredManagerCount, 0, MAX_CONFIGURED_MANAGER_COUNT);
+    requireInRange("--settle", settleSeconds, 0, MAX_SECONDS);
+    requireInRange("--seconds", seconds, 1, MAX_SECONDS);
+    requireInRange("--rate", rate, 0, MAX_STATEMENTS_PER_SECOND);
     if (jar != null && !Files.isRegularFile(Path.of(jar))) {
       throw new InvalidInputException("--jar '" + jar + "'; allowed: a file that exists");
     }
@@ -59,15 +59,14 @@
     }
   }
 
-  private static void bounded(String option, int value, int least, int most) {
-    if (value < least || value > most) {
-      throw new InvalidInputException(
-          option + " '" + value + "'; allowed: " + least + " to " + most);
+  private static void requireInRange(String option, int value, int min, int max) {
+    if (value < min || value > max) {
+      throw new InvalidInputException(option + " '" + value + "'; allowed: " + min + " to " + max);
     }
   }
 
   /** The manager count that each process is configured with, itself included. */
-  int siblingsTold() {
-    return siblings == 0 ? managers : siblings;
+  int effectiveManagerCount() {
+    return configuredManagerCount == 0 ? managers : configuredManagerCount;
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/FootprintRun.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintRun.java
@@ -9,21 +9,21 @@
 /** Runs one measurement, from the start of the first process to the exit of the last one. */
 final class FootprintRun implements AutoCloseable {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final long START_PATIENCE = 60 * SECOND;
-  private static final long CHANGE_PATIENCE = 30 * SECOND;
-  private static final long END_PATIENCE = 6 * SECOND;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final long START_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
+  private static final long CHANGE_TIMEOUT_NANOS = 30 * NANOS_PER_SECOND;
+  private static final long SHUTDOWN_TIMEOUT_NANOS = 6 * NANOS_PER_SECOND;
 
   private final FootprintOptions options;
-  private final InstantEngines engines = new InstantEngines();
-  private final ListEvents events = new ListEvents();
-  private final EngineList list;
+  private final StubEngines engines = new StubEngines();
+  private final EngineListEvents events = new EngineListEvents();
+  private final SyntheticEngineList list;
   private final List<MeasuredManager> managers = new ArrayList<>();
 
   FootprintRun(FootprintOptions options, Path folder) throws IOException {
     this.options = options;
-    list = new EngineList(options.engines(), engines.addresses());
-    events.tell(list.whole());
+    list = new SyntheticEngineList(options.engines(), engines.addresses());
+    events.publish(list.completeList());
     try {
       for (int number = 0; number < options.managers(); number++) {
         managers.add(new MeasuredManager(number, folder, options, events));
@@ -35,82 +35,83 @@
   }
 
   /** Starts the managers, measures them idle and under load, and stops them. */
-  FootprintResult play() throws IOException, InterruptedException {
+  FootprintResult measure() throws IOException, InterruptedException {
     List<Long> startTimes = startAll();
     Thread.sleep(options.settleSeconds() * 1000L);
-    List<Readings> settled = readings();
+    List<ManagerReading> settled = takeReadings();
     long probeBytesIn = engines.probeBytesIn();
     long probeBytesOut = engines.probeBytesOut();
     Thread.sleep(options.seconds() * 1000L);
-    List<Readings> rested = readings();
-    double probesUp = (engines.probeBytesIn() - probeBytesIn) / (double) options.seconds();
-    double probesDown = (engines.probeBytesOut() - probeBytesOut) / (double) options.seconds();
+    List<ManagerReading> idle = takeReadings();
+    double probeRequestRate = (engines.probeBytesIn() - probeBytesIn) / (double) options.seconds();
+    double probeResponseRate =
+        (engines.probeBytesOut() - probeBytesOut) / (double) options.seconds();
     int connections = engines.connections();
-    List<LightLoad> loads = loadAll();
-    List<Readings> loaded = readings();
-    List<Long> changeTimes = tell(list.change(0, "draining"));
-    List<Long> listTimes = tell(list.whole());
-    List<Readings> last = readings();
-    endAll();
-    List<ManagerFootprint> all = new ArrayList<>();
+    List<LightLoad> loads = runLoad();
+    List<ManagerReading> loaded = takeReadings();
+    List<Long> changeTimes = publish(list.change(0, "draining"));
+    List<Long> listTimes = publish(list.completeList());
+    List<ManagerReading> last = takeReadings();
+    stopAll();
+    List<ManagerFootprint> footprints = new ArrayList<>();
     for (int i = 0; i < managers.size(); i++) {
-      Readings before = settled.get(i);
-      Readings rest = rested.get(i);
+      ManagerReading before = settled.get(i);
+      ManagerReading idleReading = idle.get(i);
       boolean hasLoad = !loads.isEmpty();
-      all.add(
+      footprints.add(
           new ManagerFootprint(
               startTimes.get(i),
-              rest.process().residentKb(),
-              last.get(i).process().mostResidentKb(),
-              rest.coreShareSince(before),
-              rest.bytesUpASecondSince(before),
-              rest.bytesDownASecondSince(before),
-              hasLoad ? loaded.get(i).coreShareSince(rest) : Double.NaN,
+              idleReading.process().residentKb(),
+              last.get(i).process().peakResidentKb(),
+              idleReading.coreShareSince(before),
+              idleReading.bytesUpPerSecondSince(before),
+              idleReading.bytesDownPerSecondSince(before),
+              hasLoad ? loaded.get(i).coreShareSince(idleReading) : Double.NaN,
               hasLoad ? loads.get(i).handled() : 0,
-              hasLoad ? loads.get(i).others() : 0,
+              hasLoad ? loads.get(i).notHandled() : 0,
               changeTimes.get(i),
               listTimes.get(i),
               before.bytesDown()));
     }
     return new FootprintResult(
-        all,
-        new EngineCalls(engines.probes(), probesUp, probesDown, connections),
-        list.whole().getBytes(StandardCharsets.UTF_8).length);
+        footprints,
+        new EngineTraffic(engines.probes(), probeRequestRate, probeResponseRate, connections),
+        list.completeList().getBytes(StandardCharsets.UTF_8).length);
   }
 
   private List<Long> startAll() throws IOException, InterruptedException {
-    long until = System.nanoTime() + START_PATIENCE;
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT_NANOS;
     for (MeasuredManager manager : managers) {
       manager.launch();
     }
     List<Long> times = new ArrayList<>();
     for (MeasuredManager manager : managers) {
-      times.add(manager.awaitService(until));
+      times.add(manager.awaitFirstAnswer(deadlineNanos));
     }
     return times;
   }
 
-  private List<Readings> readings() throws IOException {
-    List<Readings> all = new ArrayList<>();
+  private List<ManagerReading> takeReadings() throws IOException {
+    List<ManagerReading> readings = new ArrayList<>();
     for (MeasuredManager manager : managers) {
-      all.add(Readings.of(manager));
+      readings.add(ManagerReading.take(manager));
     }
-    return all;
+    return readings;
   }
 
-  private List<LightLoad> loadAll() throws InterruptedException {
+  private List<LightLoad> runLoad() throws InterruptedException {
     List<LightLoad> loads = new ArrayList<>();
     if (options.rate() == 0) {
       return loads;
     }
-    long until = System.nanoTime() + options.seconds() * SECOND;
+    long endNanos = System.nanoTime() + options.seconds() * NANOS_PER_SECOND;
     for (MeasuredManager manager : managers) {
-      LightLoad load = new LightLoad(manager.address(), options.rate(), until);
+      LightLoad load = new LightLoad(manager.address(), options.rate(), endNanos);
       loads.add(load);
       load.start();
     }
     for (LightLoad load : loads) {
-      load.end();
+      load.awaitEnd();
     }
     return loads;
   }
@@ -119,28 +120,29 @@
    * Publishes an event. Returns for each manager the time in nanoseconds until it acknowledged the
    * event, or -1 if it did not in time.
    */
-  private List<Long> tell(String nodes) throws InterruptedException {
-    long from = System.nanoTime();
-    int number = events.tell(nodes);
+  private List<Long> publish(String nodes) throws InterruptedException {
+    long publishedAtNanos = System.nanoTime();
+    int number = events.publish(nodes);
     List<Long> times = new ArrayList<>();
     for (MeasuredManager manager : managers) {
-      long at = manager.channel().awaitEvent(number, from + CHANGE_PATIENCE);
-      times.add(at < 0 ? -1 : at - from);
+      long receivedAtNanos =
+          manager.channel().awaitEvent(number, publishedAtNanos + CHANGE_TIMEOUT_NANOS);
+      times.add(receivedAtNanos < 0 ? -1 : receivedAtNanos - publishedAtNanos);
     }
     return times;
   }
 
-  private void endAll() throws InterruptedException {
+  private void stopAll() throws InterruptedException {
     managers.forEach(MeasuredManager::terminate);
-    long until = System.nanoTime() + END_PATIENCE;
+    long deadlineNanos = System.nanoTime() + SHUTDOWN_TIMEOUT_NANOS;
     for (MeasuredManager manager : managers) {
-      manager.end(until);
+      manager.awaitExitOrKill(deadlineNanos);
     }
   }
 
   /** Whether any process that this run started is still alive. */
   boolean anyAlive() {
-    return managers.stream().anyMatch(MeasuredManager::alive);
+    return managers.stream().anyMatch(MeasuredManager::isAlive);
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/footprint/FootprintTable.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintTable.java
@@ -14,8 +14,8 @@
 /** Runs a measurement; prints a summary table and writes a CSV file with a row for each manager. */
 public final class FootprintTable {
 
-  private static final double MS = 1e6;
-  private static final double MB = 1024;
+  private static final double NANOS_PER_MS = 1e6;
+  private static final double KB_PER_MB = 1024;
   private static final String[] HEADER = {
     "manager",
     "managers",
@@ -44,7 +44,7 @@
     Files.createDirectories(folder);
     FootprintResult result;
     try (FootprintRun run = new FootprintRun(options, folder)) {
-      result = run.play();
+      result = run.measure();
     }
     try (CSVPrinter csv =
         CSVFormat.DEFAULT
@@ -53,39 +53,40 @@
             .get()
             .print(Files.newBufferedWriter(folder.resolve("result.csv")))) {
       for (int i = 0; i < result.managers().size(); i++) {
-        row(csv, i, options, result.managers().get(i));
+        printRow(csv, i, options, result.managers().get(i));
       }
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
-    print(options, result, out);
-    return result.reached();
+    printSummary(options, result, out);
+    return result.allChangesReceived();
   }
 
-  private static void row(
-      CSVPrinter csv, int number, FootprintOptions options, ManagerFootprint one)
+  private static void printRow(
+      CSVPrinter csv, int number, FootprintOptions options, ManagerFootprint footprint)
       throws IOException {
     csv.printRecord(
         number,
         options.managers(),
         options.engines(),
-        options.siblingsTold(),
-        decimals(one.startTime() / MS, 1),
-        one.residentKb(),
-        one.mostResidentKb(),
-        decimals(one.restCoreShare(), 5),
-        decimals(one.restBytesUp(), 1),
-        decimals(one.restBytesDown(), 1),
+        options.effectiveManagerCount(),
+        format(footprint.startNanos() / NANOS_PER_MS, 1),
+        footprint.residentKb(),
+        footprint.peakResidentKb(),
+        format(footprint.idleCoreShare(), 5),
+        format(footprint.idleBytesUpPerSecond(), 1),
+        format(footprint.idleBytesDownPerSecond(), 1),
         options.rate(),
-        decimals(one.loadCoreShare(), 5),
-        one.handled(),
-        one.others(),
-        decimals(one.changeTime() / MS, 1),
-        decimals(one.listTime() / MS, 1),
-        one.startBytesDown());
+        format(footprint.loadCoreShare(), 5),
+        footprint.handled(),
+        footprint.notHandled(),
+        format(footprint.changeNanos() / NANOS_PER_MS, 1),
+        format(footprint.listNanos() / NANOS_PER_MS, 1),
+        footprint.startBytesDown());
   }
 
-  private static void print(FootprintOptions options, FootprintResult result, PrintStream out) {
+  private static void printSummary(
+      FootprintOptions options, FootprintResult result, PrintStream out) {
     out.println(
         options.managers()
             + " managers, "
@@ -93,41 +94,52 @@
             + " engines listed in "
             + result.listBytes()
             + " bytes, "
-            + options.siblingsTold()
+            + options.effectiveManagerCount()
             + " managers configured");
     List<ManagerFootprint> all = result.managers();
-    line(out, "start, ms", all, one -> one.startTime() / MS);
-    line(out, "resident at rest, MB", all, one -> one.residentKb() / MB);
-    line(out, "most resident, MB", all, one -> one.mostResidentKb() / MB);
-    line(out, "core at rest, %", all, one -> 100 * one.restCoreShare());
-    line(out, "to the channel at rest, bytes/s", all, ManagerFootprint::restBytesUp);
-    line(out, "from the channel at rest, bytes/s", all, ManagerFootprint::restBytesDown);
-    line(out, "from the channel at the start, bytes", all, ManagerFootprint::startBytesDown);
+    printFigure(out, "start, ms", all, footprint -> footprint.startNanos() / NANOS_PER_MS);
+    printFigure(out, "resident at rest, MB", all, footprint -> footprint.residentKb() / KB_PER_MB);
+    printFigure(out, "most resident, MB", all, footprint -> footprint.peakResidentKb() / KB_PER_MB);
+    printFigure(out, "core at rest, %", all, footprint -> 100 * footprint.idleCoreShare());
+    printFigure(
+        out, "to the channel at rest, bytes/s", all, ManagerFootprint::idleBytesUpPerSecond);
+    printFigure(
+        out, "from the channel at rest, bytes/s", all, ManagerFootprint::idleBytesDownPerSecond);
+    printFigure(out, "from the channel at the start, bytes", all, ManagerFootprint::startBytesDown);
     if (options.rate() > 0) {
-      line(out, "core at " + options.rate() + "/s, %", all, one -> 100 * one.loadCoreShare());
-      line(out, "statements handled", all, ManagerFootprint::handled);
-      line(out, "statements not handled", all, ManagerFootprint::others);
+      printFigure(
+          out,
+          "core at " + options.rate() + "/s, %",
+          all,
+          footprint -> 100 * footprint.loadCoreShare());
+      printFigure(out, "statements handled", all, ManagerFootprint::handled);
+      printFigure(out, "statements not handled", all, ManagerFootprint::notHandled);
     }
-    line(out, "a change of one engine had, ms", all, one -> one.changeTime() / MS);
-    line(out, "a whole list had, ms", all, one -> one.listTime() / MS);
-    EngineCalls engines = result.engines();
+    printFigure(
+        out,
+        "a change of one engine had, ms",
+        all,
+        footprint -> footprint.changeNanos() / NANOS_PER_MS);
+    printFigure(
+        out, "a whole list had, ms", all, footprint -> footprint.listNanos() / NANOS_PER_MS);
+    EngineTraffic engines = result.engineTraffic();
     out.println(
         String.format(
             Locale.ROOT,
             "engines, all managers together: %d load probes; at rest %.1f bytes/s of requests,"
                 + " %.1f bytes/s of responses; %d connections",
             engines.probes(),
-            engines.restProbeBytesUp(),
-            engines.restProbeBytesDown(),
-            engines.connections()));
-    if (!result.reached()) {
+            engines.idleProbeRequestBytesPerSecond(),
+            engines.idleProbeResponseBytesPerSecond(),
+            engines.openConnections()));
+    if (!result.allChangesReceived()) {
       out.println("NOT REACHED: not all managers received every change");
     }
   }
 
-  private static void line(
+  private static void printFigure(
       PrintStream out,
-      String what,
+      String label,
       List<ManagerFootprint> all,
       ToDoubleFunction<ManagerFootprint> figure) {
     double[] sorted = all.stream().mapToDouble(figure).sorted().toArray();
@@ -135,13 +147,13 @@
         String.format(
             Locale.ROOT,
             "%-38s median %12.2f  least %12.2f  most %12.2f",
-            what,
+            label,
             sorted[sorted.length / 2],
             sorted[0],
             sorted[sorted.length - 1]));
   }
 
-  private static String decimals(double value, int places) {
-    return String.format(Locale.ROOT, "%." + places + "f", value);
+  private static String format(double value, int decimals) {
+    return String.format(Locale.ROOT, "%." + decimals + "f", value);
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/LightLoad.java
+++ b/src/main/java/tansytrack/lab/footprint/LightLoad.java
@@ -10,20 +10,20 @@
 /** Sends statements at a constant rate on one session, one at a time, and counts the results. */
 final class LightLoad {
 
-  private static final long SECOND = 1_000_000_000L;
-  private static final int PATIENCE_MS = 6000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final int ANSWER_TIMEOUT_MS = 6000;
 
-  private final InetSocketAddress to;
-  private final int rate;
-  private final long until;
+  private final InetSocketAddress address;
+  private final int statementsPerSecond;
+  private final long endNanos;
   private final AtomicLong handled = new AtomicLong();
-  private final AtomicLong others = new AtomicLong();
+  private final AtomicLong notHandled = new AtomicLong();
   private final Thread thread = new Thread(this::run, "light-load");
 
-  LightLoad(InetSocketAddress to, int rate, long until) {
-    this.to = to;
-    this.rate = rate;
-    this.until = until;
+  LightLoad(InetSocketAddress address, int statementsPerSecond, long endNanos) {
+    this.address = address;
+    this.statementsPerSecond = statementsPerSecond;
+    this.endNanos = endNanos;
     thread.setDaemon(true);
   }
 
@@ -32,7 +32,7 @@
   }
 
   /** Waits until the last statement is finished. */
-  void end() throws InterruptedException {
+  void awaitEnd() throws InterruptedException {
     thread.join();
   }
 
@@ -41,20 +41,21 @@
   }
 
   /** Statements that were rejected, failed or lost their session. */
-  long others() {
-    return others.get();
+  long notHandled() {
+    return notHandled.get();
   }
 
   private void run() {
-    long from = System.nanoTime();
-    try (LabClient client = new LabClient(to, PATIENCE_MS)) {
-      for (long number = 0; System.nanoTime() < until; number++) {
-        LockSupport.parkNanos(from + number * SECOND / rate - System.nanoTime());
-        boolean good = client.ask(statement(number)).handled();
-        (good ? handled : others).incrementAndGet();
+    long startNanos = System.nanoTime();
+    try (LabClient client = new LabClient(address, ANSWER_TIMEOUT_MS)) {
+      for (long number = 0; System.nanoTime() < endNanos; number++) {
+        LockSupport.parkNanos(
+            startNanos + number * NANOS_PER_SECOND / statementsPerSecond - System.nanoTime());
+        boolean wasHandled = client.ask(statement(number)).handled();
+        (wasHandled ? handled : notHandled).incrementAndGet();
       }
     } catch (IOException e) {
-      others.incrementAndGet();
+      notHandled.incrementAndGet();
     }
   }
 
--- a/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
+++ b/src/main/java/tansytrack/lab/footprint/MeasuredManager.java
@@ -16,20 +16,20 @@
 final class MeasuredManager implements AutoCloseable {
 
   /** Timeout of one attempt to get an answer from the starting manager. */
-  private static final int PATIENCE_MS = 2000;
+  private static final int CLIENT_TIMEOUT_MS = 2000;
 
-  private static final long PAUSE_MS = 5;
+  private static final long CONNECT_RETRY_DELAY_MS = 5;
 
   private final String name;
   private final Path folder;
   private final FootprintOptions options;
   private final CountingChannel channel;
-  private final InetSocketAddress listen;
+  private final InetSocketAddress listenAddress;
   private Process process;
-  private long launchedAt;
+  private long launchedAtNanos;
 
   /** Writes the configuration, which contains the engine list as known before the first poll. */
-  MeasuredManager(int number, Path parent, FootprintOptions options, ListEvents events)
+  MeasuredManager(int number, Path parent, FootprintOptions options, EngineListEvents events)
       throws IOException {
     this.options = options;
     name = "manager-" + number;
@@ -37,7 +37,7 @@
     channel = new CountingChannel(events);
     InetAddress host = InetAddress.getLoopbackAddress();
     try (ServerSocket free = new ServerSocket(0, 1, host)) {
-      listen = new InetSocketAddress(host, free.getLocalPort());
+      listenAddress = new InetSocketAddress(host, free.getLocalPort());
     }
     String settings =
         String.format(
@@ -53,8 +53,10 @@
                 + "\"retry_after\":true,\"max_retry_after_ms\":500},\"reporting\":{\"columns\":"
                 + "[\"busy_reqs\"],\"how\":\"pull\"},\"rules\":{\"answer_slack_ms\":20,"
                 + "\"drain_grace_ms\":1000}}",
-            options.siblingsTold(), EngineList.FIRST_PLACE, EngineList.KIND);
-    String address = host.getHostAddress() + ':' + listen.getPort();
+            options.effectiveManagerCount(),
+            SyntheticEngineList.FIRST_ZONE,
+            SyntheticEngineList.ENGINE_TYPE);
+    String address = host.getHostAddress() + ':' + listenAddress.getPort();
     String configuration =
         String.format(
             "{\"name\":\"%s\",\"listen\":\"%s\",\"seed\":\"%x\",\"limits\":{\"cores\":1.0,"
@@ -68,7 +70,7 @@
     return folder.resolve("config.json");
   }
 
-  private Path log() {
+  private Path logFile() {
     return folder.resolve("log.txt");
   }
 
@@ -78,7 +80,7 @@
 
   /** Where the manager listens for clients. */
   InetSocketAddress address() {
-    return listen;
+    return listenAddress;
   }
 
   /** Starts the process, with its output in {@code log.txt}. */
@@ -86,36 +88,37 @@
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of(options.jvmFlags().strip().split("\\s+")));
-    String classes = options.jar() == null ? System.getProperty("java.class.path") : options.jar();
-    command.addAll(List.of("-cp", classes, "tansytrack.Main", "serve"));
+    String classPath =
+        options.jar() == null ? System.getProperty("java.class.path") : options.jar();
+    command.addAll(List.of("-cp", classPath, "tansytrack.Main", "serve"));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(new File(log().toString()));
+            .redirectOutput(new File(logFile().toString()));
     builder.environment().put("ROUTER_CONFIG", configurationFile().toString());
-    launchedAt = System.nanoTime();
+    launchedAtNanos = System.nanoTime();
     process = builder.start();
   }
 
   /** Waits until a client gets an answer and returns the time since the launch in nanoseconds. */
-  long awaitService(long until) throws IOException, InterruptedException {
-    while (process.isAlive() && System.nanoTime() < until) {
-      try (LabClient client = new LabClient(listen, PATIENCE_MS)) {
+  long awaitFirstAnswer(long deadlineNanos) throws IOException, InterruptedException {
+    while (process.isAlive() && System.nanoTime() < deadlineNanos) {
+      try (LabClient client = new LabClient(listenAddress, CLIENT_TIMEOUT_MS)) {
         client.ask("");
-        return System.nanoTime() - launchedAt;
+        return System.nanoTime() - launchedAtNanos;
       } catch (IOException e) {
-        Thread.sleep(PAUSE_MS);
+        Thread.sleep(CONNECT_RETRY_DELAY_MS);
       }
     }
-    throw new IOException(name + " did not answer a client in time; see " + log());
+    throw new IOException(name + " did not answer a client in time; see " + logFile());
   }
 
-  ProcessFigures figures() throws IOException {
-    return ProcessFigures.of(process.toHandle());
+  ProcessFigures processFigures() throws IOException {
+    return ProcessFigures.read(process.toHandle());
   }
 
   /** Whether the process is still alive. */
-  boolean alive() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -127,9 +130,9 @@
   }
 
   /** Waits for the process to exit, and kills it at the deadline. */
-  void end(long until) throws InterruptedException {
-    long left = Math.max(0, until - System.nanoTime());
-    if (process != null && !process.waitFor(left, TimeUnit.NANOSECONDS)) {
+  void awaitExitOrKill(long deadlineNanos) throws InterruptedException {
+    long remainingNanos = Math.max(0, deadlineNanos - System.nanoTime());
+    if (process != null && !process.waitFor(remainingNanos, TimeUnit.NANOSECONDS)) {
       process.destroyForcibly().waitFor();
     }
   }
--- a/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
+++ b/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
@@ -11,31 +11,34 @@
  * Resource usage of a process at one moment, as the operating system reports it.
  *
  * @param residentKb resident memory (VmRSS)
- * @param mostResidentKb peak resident memory so far (VmHWM)
- * @param processorTime CPU time of all threads since the start of the process
- * @param at time of the reading, by System.nanoTime
+ * @param peakResidentKb peak resident memory so far (VmHWM)
+ * @param cpuTime CPU time of all threads since the start of the process
+ * @param readAtNanos time of the reading, by System.nanoTime
  */
-record ProcessFigures(long residentKb, long mostResidentKb, Duration processorTime, long at) {
+record ProcessFigures(long residentKb, long peakResidentKb, Duration cpuTime, long readAtNanos) {
 
-  private static final String RESIDENT = "VmRSS:";
-  private static final String MOST_RESIDENT = "VmHWM:";
+  private static final String RESIDENT_FIELD = "VmRSS:";
+  private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
   /** Reads memory from /proc/PID/status, and CPU time through the JDK (/proc/PID/stat). */
-  static ProcessFigures of(ProcessHandle process) throws IOException {
+  static ProcessFigures read(ProcessHandle process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
-    Duration used =
+    Duration cpuTime =
         process
             .info()
             .totalCpuDuration()
             .orElseThrow(() -> new IOException("process " + process.pid() + " has ended"));
-    return parsed(Files.readAllLines(status, StandardCharsets.UTF_8), used, System.nanoTime());
+    return parse(Files.readAllLines(status, StandardCharsets.UTF_8), cpuTime, System.nanoTime());
   }
 
   /** Parses the lines of a status file. */
-  static ProcessFigures parsed(List<String> status, Duration processorTime, long at)
+  static ProcessFigures parse(List<String> status, Duration cpuTime, long readAtNanos)
       throws IOException {
     return new ProcessFigures(
-        kilobytes(status, RESIDENT), kilobytes(status, MOST_RESIDENT), processorTime, at);
+        kilobytes(status, RESIDENT_FIELD),
+        kilobytes(status, PEAK_RESIDENT_FIELD),
+        cpuTime,
+        readAtNanos);
   }
 
   private static long kilobytes(List<String> status, String name) throws IOException {
@@ -49,6 +52,6 @@
 
   /** The fraction of one core that the process has used since the earlier reading. */
   double coreShareSince(ProcessFigures earlier) {
-    return processorTime.minus(earlier.processorTime).toNanos() / (double) (at - earlier.at);
+    return cpuTime.minus(earlier.cpuTime).toNanos() / (double) (readAtNanos - earlier.readAtNanos);
   }
 }
--- a/src/main/java/tansytrack/lab/footprint/InstantEngines.java
+++ b/src/main/java/tansytrack/lab/footprint/StubEngines.java
@@ -17,25 +17,25 @@
  * A few HTTP listeners that stand in for thousands of engines: each responds at once for any engine
  * and reports that it is idle. Counts the bytes of load probes separately from those of tasks.
  */
-final class InstantEngines implements AutoCloseable {
+final class StubEngines implements AutoCloseable {
 
-  private static final AttributeKey REST = new AttributeKey(InstantEngines.class, "rest");
-  private static final int LISTENERS = 4;
+  private static final AttributeKey UNPARSED_TEXT = new AttributeKey(StubEngines.class, "rest");
+  private static final int LISTENER_COUNT = 4;
   private static final int BACKLOG = 4096;
-  private static final int LONGEST_CALL = 1 << 16;
-  private static final String LOAD = "X-Load: busy_reqs:0\r\n";
-  private static final byte[] STATS =
-      bytes("HTTP/1.1 200 OK\r\n" + LOAD + "Content-Length: 0\r\n\r\n");
-  private static final String ROWS = "monday\t12\tnone\n";
-  private static final byte[] RESULT =
+  private static final int MAX_REQUEST_BYTES = 1 << 16;
+  private static final String LOAD_HEADER = "X-Load: busy_reqs:0\r\n";
+  private static final byte[] STATS_RESPONSE =
+      bytes("HTTP/1.1 200 OK\r\n" + LOAD_HEADER + "Content-Length: 0\r\n\r\n");
+  private static final String RESULT_ROWS = "monday\t12\tnone\n";
+  private static final byte[] RESULT_RESPONSE =
       bytes(
           "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nPeak-Mb: 1\r\nWork-Ms: 1.0\r\n"
-              + LOAD
+              + LOAD_HEADER
               + "Content-Length: "
-              + ROWS.length()
+              + RESULT_ROWS.length()
               + "\r\n\r\n"
-              + ROWS);
-  private static final byte[] NO_CONTENT = bytes("HTTP/1.1 204 No Content\r\n\r\n");
+              + RESULT_ROWS);
+  private static final byte[] NO_CONTENT_RESPONSE = bytes("HTTP/1.1 204 No Content\r\n\r\n");
 
   private final NioSocketAcceptor acceptor = new NioSocketAcceptor();
   private final List<String> addresses = new ArrayList<>();
@@ -44,17 +44,17 @@
   private final AtomicLong probeBytesOut = new AtomicLong();
   private final AtomicLong tasks = new AtomicLong();
 
-  InstantEngines() throws IOException {
+  StubEngines() throws IOException {
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
     acceptor.setHandler(new Handler());
-    for (int number = 1; number <= LISTENERS; number++) {
+    for (int number = 1; number <= LISTENER_COUNT; number++) {
       acceptor.bind(new InetSocketAddress("127.0.0." + number, 0));
     }
     acceptor.getLocalAddresses().stream()
         .map(InetSocketAddress.class::cast)
-        .map(at -> at.getAddress().getHostAddress() + ':' + at.getPort())
+        .map(address -> address.getAddress().getHostAddress() + ':' + address.getPort())
         .sorted()
         .forEach(addresses::add);
   }
@@ -98,24 +98,24 @@
     @Override
     public void messageReceived(IoSession session, Object message) {
       IoBuffer buffer = (IoBuffer) message;
-      byte[] part = new byte[buffer.remaining()];
-      buffer.get(part);
-      String rest = (String) session.getAttribute(REST, "");
-      String text = rest + new String(part, StandardCharsets.ISO_8859_1);
-      int length = callLength(text);
+      byte[] received = new byte[buffer.remaining()];
+      buffer.get(received);
+      String unparsed = (String) session.getAttribute(UNPARSED_TEXT, "");
+      String text = unparsed + new String(received, StandardCharsets.ISO_8859_1);
+      int length = requestLength(text);
       while (length > 0) {
-        answer(session, text.substring(0, length));
+        respond(session, text.substring(0, length));
         text = text.substring(length);
-        length = callLength(text);
+        length = requestLength(text);
       }
-      session.setAttribute(REST, text);
-      if (text.length() > LONGEST_CALL) {
+      session.setAttribute(UNPARSED_TEXT, text);
+      if (text.length() > MAX_REQUEST_BYTES) {
         session.closeNow();
       }
     }
 
     /** The length of the first request including its body, or 0 while it is incomplete. */
-    private int callLength(String text) {
+    private int requestLength(String text) {
       int head = text.indexOf("\r\n\r\n") + 4;
       if (head < 4) {
         return 0;
@@ -129,20 +129,20 @@
       return text.length() < head + body ? 0 : head + body;
     }
 
-    private void answer(IoSession session, String call) {
-      byte[] answer;
-      if (call.startsWith("GET /stats")) {
-        answer = STATS;
+    private void respond(IoSession session, String request) {
+      byte[] response;
+      if (request.startsWith("GET /stats")) {
+        response = STATS_RESPONSE;
         probes.incrementAndGet();
-        probeBytesIn.addAndGet(call.length());
-        probeBytesOut.addAndGet(answer.length);
-      } else if (call.startsWith("POST /o")) {
-        answer = RESULT;
+        probeBytesIn.addAndGet(request.length());
+        probeBytesOut.addAndGet(response.length);
+      } else if (request.startsWith("POST /o")) {
+        response = RESULT_RESPONSE;
         tasks.incrementAndGet();
       } else {
-        answer = NO_CONTENT;
+        response = NO_CONTENT_RESPONSE;
       }
-      session.write(IoBuffer.wrap(answer));
+      session.write(IoBuffer.wrap(response));
     }
 
     @Override
--- a/src/main/java/tansytrack/lab/footprint/EngineList.java
+++ b/src/main/java/tansytrack/lab/footprint/SyntheticEngineList.java
@@ -8,19 +8,19 @@
  * engines that share a few addresses, each with a zone, an engine type and a distinct cell. The
  * same size gives the same text.
  */
-public final class EngineList {
+public final class SyntheticEngineList {
 
   /** The engine type of all engines in the list, as in the settings of a measured manager. */
-  public static final String KIND = "eight-core-standard";
+  public static final String ENGINE_TYPE = "eight-core-standard";
 
   /** The zone of the first engine of each list. */
-  public static final String FIRST_PLACE = "region-0-zone-00";
+  public static final String FIRST_ZONE = "region-0-zone-00";
 
   private static final int REGIONS = 6;
   private static final int ZONES = 15;
 
   /** Multiplicative hash constant, so that the suffixes of the ids look random. */
-  private static final int SPREAD = 0x9E3779B9;
+  private static final int ID_HASH_MULTIPLIER = 0x9E3779B9;
 
   /** Long ago, so that no engine is cold. */
   private static final long UP_SINCE_MS = 0;
@@ -29,13 +29,13 @@
   private final List<String> addresses;
 
   /** A list of engines, to which the addresses (host and port) are assigned round-robin. */
-  public EngineList(int engines, List<String> addresses) {
+  public SyntheticEngineList(int engines, List<String> addresses) {
     this.engines = engines;
     this.addresses = List.copyOf(addresses);
   }
 
   /** The complete list, as the value of {@code nodes} in a channel event. */
-  public String whole() {
+  public String completeList() {
     StringBuilder nodes = new StringBuilder("{\"revision\":1,\"complete\":true,\"members\":[");
     for (int number = 0; number < engines; number++) {
       nodes.append(number == 0 ? "" : ",").append(member(number, "ready"));
@@ -49,8 +49,8 @@
   }
 
   /** The id of the engine with this number. */
-  public static String id(int number) {
-    return String.format(Locale.ROOT, "engine-%06d-%08x", number, number * SPREAD);
+  public static String engineId(int number) {
+    return String.format(Locale.ROOT, "engine-%06d-%08x", number, number * ID_HASH_MULTIPLIER);
   }
 
   private String member(int number, String phase) {
@@ -59,11 +59,11 @@
         Locale.ROOT,
         "{\"id\":\"%s\",\"host_port\":\"%s\",\"locality\":\"region-%d-zone-%02d\","
             + "\"flavor\":\"%s\",\"cell\":%d,\"phase\":\"%s\",\"size\":1,\"up_since_ms\":%d}",
-        id(number),
+        engineId(number),
         addresses.get(number % addresses.size()),
         zone % REGIONS,
         zone,
-        KIND,
+        ENGINE_TYPE,
         number,
         phase,
         UP_SINCE_MS);
--- a/src/main/java/tansytrack/lab/scale/Attempt.java
+++ b/src/main/java/tansytrack/lab/scale/Attempt.java
@@ -6,7 +6,7 @@
   final HollowManager manager;
 
   /** The instance of the manager that sent it; a restarted manager ignores earlier instances. */
-  final int life;
+  final int managerInstanceId;
 
   final Statement statement;
   final int index;
@@ -16,9 +16,14 @@
   /** Whether the outcome is decided; the manager may not have received it yet. */
   boolean ended;
 
-  Attempt(HollowManager manager, int life, Statement statement, int index, HollowEngine engine) {
+  Attempt(
+      HollowManager manager,
+      int managerInstanceId,
+      Statement statement,
+      int index,
+      HollowEngine engine) {
     this.manager = manager;
-    this.life = life;
+    this.managerInstanceId = managerInstanceId;
     this.statement = statement;
     this.index = index;
     this.engine = engine;
--- a/src/main/java/tansytrack/lab/scale/EngineList.java
+++ b/src/main/java/tansytrack/lab/scale/EngineList.java
@@ -13,77 +13,77 @@
  */
 final class EngineList {
 
-  private static final long LEAST_DELAY = 50 * ScalePlan.MS;
-  private static final long DELAY_SPREAD = 200 * ScalePlan.MS;
+  private static final long MIN_DELAY_NANOS = 50 * ScalePlan.NANOS_PER_MS;
+  private static final long DELAY_SPREAD_NANOS = 200 * ScalePlan.NANOS_PER_MS;
 
   /** Additional delay for the managers that receive changes late (schedule stale-list). */
-  static final long STALE = 5 * ScalePlan.SECOND;
+  static final long LATE_LIST_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_SECOND;
 
   /**
    * A published change of the list.
    *
-   * @param at when the list changed
-   * @param heardAt when each manager receives the change, by manager index
+   * @param atNanos when the list changed
+   * @param receivedAtNanos when each manager receives the change, by manager index
    */
-  record Change(long at, long[] heardAt) {}
+  record Change(long atNanos, long[] receivedAtNanos) {}
 
-  private final VirtualTime clock;
-  private final SplittableRandom chance;
-  private final Map<String, EngineEntry> current = new LinkedHashMap<>();
-  private List<EngineEntry> whole = List.of();
+  private final VirtualClock clock;
+  private final SplittableRandom random;
+  private final Map<String, EngineEntry> entriesById = new LinkedHashMap<>();
+  private List<EngineEntry> snapshot = List.of();
 
-  EngineList(VirtualTime clock, SplittableRandom chance) {
+  EngineList(VirtualClock clock, SplittableRandom random) {
     this.clock = clock;
-    this.chance = chance;
+    this.random = random;
   }
 
   /** The name of a zone in engine entries and settings. */
-  static String zone(int number) {
+  static String zoneName(int number) {
     return "zone-" + number;
   }
 
   /** All engines as listed now; the same object until the next change. */
-  List<EngineEntry> whole() {
-    return whole;
+  List<EngineEntry> snapshot() {
+    return snapshot;
   }
 
   /** Applies entries to the list without notifying managers. */
-  void hold(List<EngineEntry> entries) {
+  void apply(List<EngineEntry> entries) {
     for (EngineEntry entry : entries) {
       if (entry.state() == EngineEntry.State.GONE) {
-        current.remove(entry.id());
+        entriesById.remove(entry.id());
       } else {
-        current.put(entry.id(), entry);
+        entriesById.put(entry.id(), entry);
       }
     }
-    whole = List.copyOf(current.values());
+    snapshot = List.copyOf(entriesById.values());
   }
 
   /**
    * Applies entries to the list and delivers them to all managers, each after a random delay; to
    * those that receive the list late, {@link #STALE} later still.
    */
-  Change tell(List<EngineEntry> entries, List<HollowManager> managers) {
-    hold(entries);
+  Change publish(List<EngineEntry> entries, List<HollowManager> managers) {
+    apply(entries);
     List<EngineEntry> shared = List.copyOf(entries);
-    long[] heardAt = new long[managers.size()];
+    long[] receivedAtNanos = new long[managers.size()];
     for (HollowManager manager : managers) {
-      long delay = delay() + (manager.stale ? STALE : 0);
-      heardAt[manager.index] = clock.now() + delay;
-      manager.shard.timeline.in(delay, () -> manager.hear(false, shared));
+      long delayNanos = randomDelayNanos() + (manager.receivesListLate ? LATE_LIST_DELAY_NANOS : 0);
+      receivedAtNanos[manager.index] = clock.now() + delayNanos;
+      manager.shard.events.scheduleAfter(delayNanos, () -> manager.receive(false, shared));
     }
-    return new Change(clock.now(), heardAt);
+    return new Change(clock.now(), receivedAtNanos);
   }
 
   /** A random delivery delay of a list message. */
-  long delay() {
-    return LEAST_DELAY + chance.nextLong(DELAY_SPREAD);
+  long randomDelayNanos() {
+    return MIN_DELAY_NANOS + random.nextLong(DELAY_SPREAD_NANOS);
   }
 
   /** List entries for these engines in the given state. */
   static List<EngineEntry> entries(List<HollowEngine> engines, EngineEntry.State state) {
     List<EngineEntry> entries = new ArrayList<>();
-    engines.forEach(one -> entries.add(one.entry(state)));
+    engines.forEach(engine -> entries.add(engine.entry(state)));
     return entries;
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Timeline.java
+++ b/src/main/java/tansytrack/lab/scale/EventQueue.java
@@ -4,24 +4,26 @@
 import java.util.List;
 
 /** Scheduled events by step; those of one step run in the order in which they were scheduled. */
-final class Timeline {
+final class EventQueue {
 
-  private final VirtualTime clock;
+  private final VirtualClock clock;
   private final List<List<Runnable>> steps = new ArrayList<>();
 
-  Timeline(VirtualTime clock) {
+  EventQueue(VirtualClock clock) {
     this.clock = clock;
   }
 
   /** Schedules an event after a delay, in the next step at the earliest. */
-  void in(long delay, Runnable event) {
-    at(clock.now() + delay, event);
+  void scheduleAfter(long delayNanos, Runnable event) {
+    scheduleAt(clock.now() + delayNanos, event);
   }
 
   /** Schedules an event at a time, or in the next step if that time has passed. */
-  void at(long time, Runnable event) {
-    long due = (time - VirtualTime.ORIGIN + VirtualTime.STEP - 1) / VirtualTime.STEP;
-    int step = (int) Math.max(clock.step() + 1, due);
+  void scheduleAt(long atNanos, Runnable event) {
+    long dueStep =
+        (atNanos - VirtualClock.ORIGIN_NANOS + VirtualClock.STEP_NANOS - 1)
+            / VirtualClock.STEP_NANOS;
+    int step = (int) Math.max(clock.step() + 1, dueStep);
     while (steps.size() <= step) {
       steps.add(null);
     }
@@ -32,7 +34,7 @@
   }
 
   /** Runs the events of the current step. */
-  void play() {
+  void runDueEvents() {
     if (clock.step() < steps.size() && steps.get(clock.step()) != null) {
       steps.set(clock.step(), null).forEach(Runnable::run);
     }
--- a/src/main/java/tansytrack/lab/scale/FailureSchedule.java
+++ b/src/main/java/tansytrack/lab/scale/FailureSchedule.java
@@ -7,7 +7,7 @@
 /** The failure schedules that a scale run can simulate. */
 public enum FailureSchedule {
   /** No failure. */
-  REST("rest"),
+  NO_FAILURE("rest"),
   /** All engines of one zone stop responding and later restart cold. */
   ZONE_LOST("zone-lost"),
   /** A network partition separates the managers and engines of one region from the others. */
@@ -23,24 +23,28 @@
   /** Some managers receive an empty list, and the correct one later. */
   EMPTY_LIST("empty-list");
 
-  private final String text;
+  private final String scheduleName;
 
-  FailureSchedule(String text) {
-    this.text = text;
+  FailureSchedule(String scheduleName) {
+    this.scheduleName = scheduleName;
   }
 
   /** The name of the schedule on the command line and in experiment files. */
-  public String text() {
-    return text;
+  public String scheduleName() {
+    return scheduleName;
   }
 
   /** The schedule with that name, if there is one. */
-  public static Optional<FailureSchedule> named(String text) {
-    return Arrays.stream(values()).filter(one -> one.text.equals(text)).findFirst();
+  public static Optional<FailureSchedule> fromName(String name) {
+    return Arrays.stream(values())
+        .filter(schedule -> schedule.scheduleName.equals(name))
+        .findFirst();
   }
 
   /** The names of all schedules, separated by commas, for messages. */
   public static String names() {
-    return Arrays.stream(values()).map(FailureSchedule::text).collect(Collectors.joining(", "));
+    return Arrays.stream(values())
+        .map(FailureSchedule::scheduleName)
+        .collect(Collectors.joining(", "));
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Spread.java
+++ b/src/main/java/tansytrack/lab/scale/FigureSummary.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /** The minimum, mean and maximum of a series of figures. */
-record Spread(double min, double mean, double max) {
+record FigureSummary(double min, double mean, double max) {
 
   /** Summarizes figures; all values are 0 if there are none. */
-  static Spread of(double[] figures) {
-    return new Spread(
+  static FigureSummary of(double[] figures) {
+    return new FigureSummary(
         Arrays.stream(figures).min().orElse(0),
         Arrays.stream(figures).average().orElse(0),
         Arrays.stream(figures).max().orElse(0));
--- a/src/main/java/tansytrack/lab/scale/HollowEngine.java
+++ b/src/main/java/tansytrack/lab/scale/HollowEngine.java
@@ -16,18 +16,18 @@
  */
 final class HollowEngine {
 
-  private static final int MOST_QUERIES = 64;
+  private static final int MAX_QUERIES = 64;
   private static final EngineModel.Spec SPEC =
       new EngineModel.Spec(
-          ScalePlan.CORES,
-          MOST_QUERIES,
-          HollowSettings.START_CAPACITY,
-          HollowSettings.WARM_AFTER,
+          ScalePlan.CORES_PER_ENGINE,
+          MAX_QUERIES,
+          HollowSettings.START_CAPACITY_FRACTION,
+          HollowSettings.WARM_UP_NANOS,
           HollowSettings.COLD_MULTIPLE,
-          HollowSettings.COLD_WINDOW);
+          HollowSettings.COLD_WINDOW_NANOS);
 
   /** How an engine reacts to requests. */
-  enum Standing {
+  enum Availability {
     /** Accepts requests. */
     UP,
     /** Requests get no response, and no error either. */
@@ -37,7 +37,7 @@
   }
 
   /** An attempt that arrived while the engine was cold. */
-  private record Sent(long at, long work) {}
+  private record ColdAdmission(long atNanos, long workNanos) {}
 
   final int index;
   final String id;
@@ -46,83 +46,84 @@
   final int slot;
 
   final int zone;
-  final long meanCost;
+  final long meanCostNanos;
 
-  Standing standing = Standing.UP;
+  Availability availability = Availability.UP;
 
   /** The list change that marks this engine as draining; null before it is published. */
-  EngineList.Change drained;
+  EngineList.Change drainChange;
 
   private EngineModel model;
-  private long startedAt;
+  private long startedAtNanos;
   private final Map<String, Attempt> running = new HashMap<>();
-  private final ArrayDeque<Sent> coldWindow = new ArrayDeque<>();
+  private final ArrayDeque<ColdAdmission> coldWindow = new ArrayDeque<>();
 
   /** The sum of the work in {@link #coldWindow}. */
-  private long coldWork;
+  private long coldWindowWorkNanos;
 
   /** Whether the cold-start limit has been exceeded since the engine started. */
-  private boolean overBudget;
+  private boolean coldLimitExceeded;
 
-  private long work;
-  private long attempts;
+  private long workNanos;
+  private long attemptCount;
 
-  HollowEngine(int index, String id, int slot, int zone, long startedAt, long meanCost) {
+  HollowEngine(int index, String id, int slot, int zone, long startedAtNanos, long meanCostNanos) {
     this.index = index;
     this.id = id;
     this.slot = slot;
     this.zone = zone;
-    this.meanCost = meanCost;
-    start(startedAt);
+    this.meanCostNanos = meanCostNanos;
+    start(startedAtNanos);
   }
 
   /** Starts or restarts the engine. Time 0 stands for a start long ago: the engine is warm. */
-  final void start(long at) {
-    startedAt = at;
-    model = new EngineModel(SPEC, at);
-    standing = Standing.UP;
+  final void start(long atNanos) {
+    startedAtNanos = atNanos;
+    model = new EngineModel(SPEC, atNanos);
+    availability = Availability.UP;
     coldWindow.clear();
-    coldWork = 0;
-    overBudget = false;
+    coldWindowWorkNanos = 0;
+    coldLimitExceeded = false;
   }
 
   /** The entry of this engine in the engine list. */
   EngineEntry entry(EngineEntry.State state) {
     return new EngineEntry(
-        id, 1, EngineList.zone(zone), HollowSettings.KIND, slot, state, startedAt);
+        id, 1, EngineList.zoneName(zone), HollowSettings.ENGINE_TYPE, slot, state, startedAtNanos);
   }
 
   /** The work of all admitted attempts, in core nanoseconds. */
-  long work() {
-    return work;
+  long workNanos() {
+    return workNanos;
   }
 
   /** The number of attempts that reached the engine, whether admitted or not. */
-  long attempts() {
-    return attempts;
+  long attemptCount() {
+    return attemptCount;
   }
 
-  boolean busy() {
+  boolean isBusy() {
     return !running.isEmpty();
   }
 
   /** Whether the engine has been running without a restart since before the simulation began. */
-  boolean old() {
-    return startedAt == 0;
+  boolean startedBeforeRun() {
+    return startedAtNanos == 0;
   }
 
   /** Admits or rejects an arriving attempt. Running attempts must have been advanced to now. */
-  EngineModel.Admission take(long now, Attempt attempt) {
-    if (!busy()) {
+  EngineModel.Admission admit(long now, Attempt attempt) {
+    if (!isBusy()) {
       model.advance(now);
     }
-    EngineModel.Admission taken = model.start(now, attempt.id, (double) attempt.statement.cost, 1);
-    attempts++;
-    if (taken == EngineModel.Admission.STARTED) {
-      work += attempt.statement.cost;
+    EngineModel.Admission admission =
+        model.start(now, attempt.id, (double) attempt.statement.costNanos, 1);
+    attemptCount++;
+    if (admission == EngineModel.Admission.STARTED) {
+      workNanos += attempt.statement.costNanos;
       running.put(attempt.id, attempt);
     }
-    return taken;
+    return admission;
   }
 
   /**
@@ -130,29 +131,30 @@
    * engine started that exceeds it. Where the limit allows the work of N mean statements within the
    * window, N + 2 * sqrt(N) + 2 are tolerated, because arrivals are random.
    */
-  boolean breaksColdRule(long now, long cost) {
-    if (startedAt == 0 || model.capacityFraction(now) >= 1) {
+  boolean firstExceedsColdLimit(long now, long costNanos) {
+    if (startedAtNanos == 0 || model.capacityFraction(now) >= 1) {
       return false;
     }
-    coldWindow.add(new Sent(now, cost));
-    coldWork += cost;
-    while (coldWindow.peek().at() <= now - HollowSettings.COLD_WINDOW) {
-      coldWork -= coldWindow.poll().work();
+    coldWindow.add(new ColdAdmission(now, costNanos));
+    coldWindowWorkNanos += costNanos;
+    while (coldWindow.peek().atNanos() <= now - HollowSettings.COLD_WINDOW_NANOS) {
+      coldWindowWorkNanos -= coldWindow.poll().workNanos();
     }
     double allowed =
         HollowSettings.COLD_MULTIPLE
             * model.capacityFraction(now)
-            * ScalePlan.CORES
-            * HollowSettings.COLD_WINDOW
-            / meanCost;
-    boolean over = coldWork / (double) meanCost > allowed + 2 * Math.sqrt(allowed) + 2;
-    boolean first = over && !overBudget;
-    overBudget |= over;
+            * ScalePlan.CORES_PER_ENGINE
+            * HollowSettings.COLD_WINDOW_NANOS
+            / meanCostNanos;
+    boolean exceeded =
+        coldWindowWorkNanos / (double) meanCostNanos > allowed + 2 * Math.sqrt(allowed) + 2;
+    boolean first = exceeded && !coldLimitExceeded;
+    coldLimitExceeded |= exceeded;
     return first;
   }
 
   /** Cancels an attempt; false if it is not running on this engine. */
-  boolean giveUp(long now, Attempt attempt) {
+  boolean cancel(long now, Attempt attempt) {
     model.cancel(now, attempt.id);
     return running.remove(attempt.id) != null;
   }
@@ -160,22 +162,22 @@
   /** Advances the engine to this time and returns the attempts that have completed. */
   List<Attempt> advance(long now) {
     List<Attempt> ended = new ArrayList<>();
-    for (String one : model.advance(now)) {
-      ended.add(running.remove(one));
+    for (String attemptId : model.advance(now)) {
+      ended.add(running.remove(attemptId));
     }
     return ended;
   }
 
   /** Removes all running attempts and returns them in the order of their ids. */
-  List<Attempt> dropAll() {
+  List<Attempt> removeAll() {
     List<Attempt> lost = new ArrayList<>(running.values());
-    lost.sort(Comparator.comparing(one -> one.id));
+    lost.sort(Comparator.comparing(attempt -> attempt.id));
     running.clear();
     return lost;
   }
 
   /** The current load of the engine, as it reports it to managers. */
-  LoadReport report() {
+  LoadReport loadReport() {
     return new LoadReport(model.utilization(), model.queryCount(), 0, Double.NaN, Double.NaN);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/HollowManager.java
+++ b/src/main/java/tansytrack/lab/scale/HollowManager.java
@@ -20,74 +20,76 @@
 final class HollowManager implements Actions {
 
   /** The fraction of the statements that are not idempotent. */
-  private static final double WRITES = 0.1;
+  private static final double WRITE_FRACTION = 0.1;
 
   final int index;
   final int zone;
 
   /** Whether this manager receives changes of the engine list late. */
-  boolean stale;
+  boolean receivesListLate;
 
   final Shard shard;
 
-  private final ScaleWorld world;
-  private final SplittableRandom chance;
-  private final Map<String, Statement> open = new HashMap<>();
-  private final BitSet used = new BitSet();
+  private final ScaleSimulation simulation;
+  private final SplittableRandom random;
+  private final Map<String, Statement> openStatements = new HashMap<>();
+  private final BitSet usedEngines = new BitSet();
   private DecisionModule module;
 
   /** Increased at each start and kill; results for earlier instances are ignored. */
-  private int life;
+  private int instanceId;
 
-  private long asked;
+  private long statementCount;
 
   /** When the next statement arrives; 0 before the first one is drawn. */
-  private long due;
+  private long nextDueNanos;
 
-  HollowManager(int index, int zone, Shard shard, ScaleWorld world, SplittableRandom chance) {
+  HollowManager(
+      int index, int zone, Shard shard, ScaleSimulation simulation, SplittableRandom random) {
     this.index = index;
     this.zone = zone;
     this.shard = shard;
-    this.world = world;
-    this.chance = chance;
+    this.simulation = simulation;
+    this.random = random;
   }
 
   /** Starts the manager with a new module, which receives the given complete engine list. */
   void start(ModuleFactory factory, List<EngineEntry> list) {
-    life++;
+    instanceId++;
     module =
-        factory.create(shard.settings.of(chance.nextLong(), index, EngineList.zone(zone)), this);
-    hear(true, list);
+        factory.create(
+            shard.settings.forManager(random.nextLong(), index, EngineList.zoneName(zone)), this);
+    receive(true, list);
   }
 
   /** Kills the manager; all its open statements are lost. */
-  void end() {
-    life++;
+  void kill() {
+    instanceId++;
     module = null;
-    open.values().forEach(one -> one.over = true);
-    shard.counts.lostWithManager += open.size();
-    open.clear();
+    openStatements.values().forEach(statement -> statement.finished = true);
+    shard.counters.lostWithManager += openStatements.size();
+    openStatements.clear();
   }
 
-  boolean running() {
+  boolean isRunning() {
     return module != null;
   }
 
-  int life() {
-    return life;
+  int instanceId() {
+    return instanceId;
   }
 
-  int unanswered() {
-    return open.size();
+  int openStatementCount() {
+    return openStatements.size();
   }
 
   /** The indexes of the engines that this manager has forwarded to or probed. */
-  BitSet used() {
-    return used;
+  BitSet usedEngines() {
+    return usedEngines;
   }
 
   /** The engines that the module holds; none while the manager is not running. */
-  List<EngineStatus> known() {
+  List<EngineStatus> knownEngines() {
     return module == null ? List.of() : module.engineStatuses(now());
   }
 
@@ -96,40 +98,41 @@
    * one was due, not from the step in which it arrived, as rounding up to steps would lower the
    * rate.
    */
-  long nextDue(double rate) {
-    due = due == 0 ? now() : due;
-    due += (long) (-Math.log(1 - chance.nextDouble()) * ScalePlan.SECOND / rate);
-    return due;
+  long drawNextDue(double rate) {
+    nextDueNanos = nextDueNanos == 0 ? now() : nextDueNanos;
+    nextDueNanos += (long) (-Math.log(1 - random.nextDouble()) * ScalePlan.NANOS_PER_SECOND / rate);
+    return nextDueNanos;
   }
 
   private long now() {
-    return world.now();
+    return simulation.now();
   }
 
   // ---- Events for the module ----
 
   /** Delivers an engine list, or changes of it, to the module. */
-  void hear(boolean complete, List<EngineEntry> entries) {
+  void receive(boolean complete, List<EngineEntry> entries) {
     if (module != null) {
-      long before = shard.placementChecks();
+      long checksBefore = shard.placementChecks();
       module.onEngineList(now(), complete, entries);
       module.decide(now());
-      shard.counts.listsHeard++;
-      shard.counts.listChecks += shard.placementChecks() - before;
+      shard.counters.listsReceived++;
+      shard.counters.placementChecksOnLists += shard.placementChecks() - checksBefore;
     }
   }
 
   /** Submits a statement with a random cost of 0.5 to 1.5 times the mean. */
-  void ask(long meanCost, long deadline) {
+  void submitStatement(long meanCostNanos, long deadlineNanos) {
     if (module == null) {
-      shard.counts.unserved(now());
+      shard.counters.countArrivalWithoutManager(now());
       return;
     }
-    boolean write = chance.nextDouble() < WRITES;
-    long cost = (long) (meanCost * (0.5 + chance.nextDouble()));
-    Statement statement = new Statement(index + ":" + asked++, now(), now() + deadline, cost);
-    open.put(statement.id, statement);
-    shard.counts.asked(now());
+    boolean write = random.nextDouble() < WRITE_FRACTION;
+    long costNanos = (long) (meanCostNanos * (0.5 + random.nextDouble()));
+    Statement statement =
+        new Statement(index + ":" + statementCount++, now(), now() + deadlineNanos, costNanos);
+    openStatements.put(statement.id, statement);
+    shard.counters.countArrival(now());
     module.onTask(
         now(),
         new TaskRequest(
@@ -137,25 +140,25 @@
             write ? HollowSettings.WRITE : HollowSettings.READ,
             "",
             null,
-            statement.deadline,
-            cost,
+            statement.deadlineNanos,
+            costNanos,
             0,
             -1));
     module.decide(now());
   }
 
   /** Delivers the outcome of an attempt, unless an earlier instance of the manager sent it. */
-  void hear(Attempt attempt, Outcome outcome, LoadReport report) {
-    if (module == null || life != attempt.life) {
+  void receive(Attempt attempt, Outcome outcome, LoadReport report) {
+    if (module == null || instanceId != attempt.managerInstanceId) {
       return;
     }
     Statement statement = attempt.statement;
-    if (outcome == Outcome.OK && !statement.over) {
-      statement.over = true;
-      open.remove(statement.id);
-      shard.counts.answered(statement, now());
+    if (outcome == Outcome.OK && !statement.finished) {
+      statement.finished = true;
+      openStatements.remove(statement.id);
+      shard.counters.countAnswer(statement, now());
     }
-    long cost = outcome == Outcome.OK ? statement.cost : 0;
+    long costNanos = outcome == Outcome.OK ? statement.costNanos : 0;
     module.onForwardEnd(
         now(),
         statement.id,
@@ -163,58 +166,59 @@
         attempt.engine.id,
         outcome,
         0,
-        statement.over,
-        cost,
+        statement.finished,
+        costNanos,
         0,
         report);
     module.decide(now());
   }
 
   /** Delivers the outcome of a probe, unless an earlier instance of the manager sent it. */
-  void hearProbe(int ofLife, String engine, Outcome outcome, LoadReport report) {
-    if (module != null && life == ofLife) {
+  void receiveProbeResult(
+      int probingInstanceId, String engine, Outcome outcome, LoadReport report) {
+    if (module != null && instanceId == probingInstanceId) {
       module.onProbeEnd(now(), engine, outcome, report);
       module.decide(now());
     }
   }
 
-  private void woken(int ofLife, String token) {
-    if (module != null && life == ofLife) {
-      long before = shard.placementChecks();
+  private void wakeUp(int scheduledInstanceId, String token) {
+    if (module != null && instanceId == scheduledInstanceId) {
+      long checksBefore = shard.placementChecks();
       module.onWakeUp(now(), token);
       module.decide(now());
-      shard.counts.sweeps++;
-      shard.counts.sweepChecks += shard.placementChecks() - before;
+      shard.counters.sweeps++;
+      shard.counters.placementChecksInSweeps += shard.placementChecks() - checksBefore;
     }
   }
 
   // ---- Actions of the module ----
 
   @Override
-  public void forward(String task, String engine, long timeOut) {
-    Statement statement = open.get(task);
-    HollowEngine to = world.engine(engine);
-    used.set(to.index);
-    Attempt attempt = new Attempt(this, life, statement, statement.attempts.size(), to);
+  public void forward(String task, String engine, long timeoutNanos) {
+    Statement statement = openStatements.get(task);
+    HollowEngine target = simulation.engine(engine);
+    usedEngines.set(target.index);
+    Attempt attempt = new Attempt(this, instanceId, statement, statement.attempts.size(), target);
     statement.attempts.add(attempt);
-    shard.counts.attempts++;
-    world.network().send(attempt);
+    shard.counters.attempts++;
+    simulation.network().send(attempt);
   }
 
   @Override
-  public void reject(String task, long pause) {
-    shard.counts.bounced++;
+  public void reject(String task, long retryAfterNanos) {
+    shard.counters.rejected++;
     finish(task);
   }
 
   @Override
   public void abort(String task) {
-    shard.counts.aborted++;
+    shard.counters.aborted++;
     finish(task);
   }
 
   private void finish(String task) {
-    open.remove(task).over = true;
+    openStatements.remove(task).finished = true;
   }
 
   @Override
@@ -224,24 +228,24 @@
 
   @Override
   public void probe(String engine) {
-    HollowEngine to = world.engine(engine);
-    used.set(to.index);
-    shard.counts.probes++;
-    world.network().probe(this, life, to);
+    HollowEngine target = simulation.engine(engine);
+    usedEngines.set(target.index);
+    shard.counters.probes++;
+    simulation.network().probe(this, instanceId, target);
   }
 
   @Override
   public void cancel(String task, int index) {
-    Statement statement = open.get(task);
+    Statement statement = openStatements.get(task);
     if (statement != null) {
-      world.network().cancel(statement.attempts.get(index));
+      simulation.network().cancel(statement.attempts.get(index));
     }
   }
 
   @Override
-  public void scheduleWakeUp(long in, String token) {
-    int ofLife = life;
-    shard.timeline.in(in, () -> woken(ofLife, token));
+  public void scheduleWakeUp(long delayNanos, String token) {
+    int scheduledInstanceId = instanceId;
+    shard.events.scheduleAfter(delayNanos, () -> wakeUp(scheduledInstanceId, token));
   }
 
   @Override
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -15,29 +15,29 @@
   /** The query class of non-idempotent statements. */
   static final String WRITE = "write";
 
-  static final String KIND = "plain";
+  static final String ENGINE_TYPE = "plain";
 
   /**
    * The fraction of its capacity that an engine has when it starts. It has all of it after {@link
    * #WARM_AFTER}.
    */
-  static final double START_CAPACITY = 0.3;
+  static final double START_CAPACITY_FRACTION = 0.3;
 
-  static final long WARM_AFTER = 8 * ScalePlan.SECOND;
+  static final long WARM_UP_NANOS = 8 * ScalePlan.NANOS_PER_SECOND;
   static final double COLD_MULTIPLE = 2;
-  static final long COLD_WINDOW = ScalePlan.SECOND;
-  static final long DRAIN_GRACE = ScalePlan.SECOND;
-  static final long CONNECT_TIME = 250 * ScalePlan.MS;
+  static final long COLD_WINDOW_NANOS = ScalePlan.NANOS_PER_SECOND;
+  static final long DRAIN_GRACE_NANOS = ScalePlan.NANOS_PER_SECOND;
+  static final long CONNECT_TIMEOUT_NANOS = 250 * ScalePlan.NANOS_PER_MS;
 
-  private static final int MOST_FORWARDS = 3;
-  private static final long LONGEST_COME_BACK = 500 * ScalePlan.MS;
-  private static final long KEY_REST = 300 * ScalePlan.MS;
-  private static final Settings.RetryBudget RATION =
-      new Settings.RetryBudget(10, 0.2, 10 * ScalePlan.SECOND);
+  private static final int MAX_FORWARDS = 3;
+  private static final long MAX_RETRY_AFTER_NANOS = 500 * ScalePlan.NANOS_PER_MS;
+  private static final long KEY_COOLDOWN_NANOS = 300 * ScalePlan.NANOS_PER_MS;
+  private static final Settings.RetryBudget RETRY_BUDGET =
+      new Settings.RetryBudget(10, 0.2, 10 * ScalePlan.NANOS_PER_SECOND);
 
   private final Settings shared;
 
-  HollowSettings(ScalePlan plan, PlacementChecks checks) {
+  HollowSettings(ScalePlan plan, PlacementCheckCounter checks) {
     shared =
         new Settings(
             0,
@@ -45,40 +45,44 @@
             Settings.UNKNOWN_INDEX,
             "",
             List.of(
-                grade(READ, QueryClass.RetrySafety.IDEMPOTENT, plan, checks),
-                grade(WRITE, QueryClass.RetrySafety.NON_IDEMPOTENT, plan, checks)),
+                queryClass(READ, QueryClass.RetrySafety.IDEMPOTENT, plan, checks),
+                queryClass(WRITE, QueryClass.RetrySafety.NON_IDEMPOTENT, plan, checks)),
             List.of(),
-            Map.of(KIND, new Settings.EngineType(ScalePlan.CORES, 0)),
+            Map.of(ENGINE_TYPE, new Settings.EngineType(ScalePlan.CORES_PER_ENGINE, 0)),
             new Settings.Capabilities(
                 true,
                 true,
                 false,
                 true,
-                LONGEST_COME_BACK,
-                MOST_FORWARDS,
+                MAX_RETRY_AFTER_NANOS,
+                MAX_FORWARDS,
                 false,
                 0,
                 false,
                 true,
                 0,
                 false,
-                CONNECT_TIME),
-            DRAIN_GRACE,
-            new Settings.ColdStartLimit(START_CAPACITY, WARM_AFTER, COLD_MULTIPLE, COLD_WINDOW),
-            KEY_REST,
-            RATION);
+                CONNECT_TIMEOUT_NANOS),
+            DRAIN_GRACE_NANOS,
+            new Settings.ColdStartLimit(
+                START_CAPACITY_FRACTION, WARM_UP_NANOS, COLD_MULTIPLE, COLD_WINDOW_NANOS),
+            KEY_COOLDOWN_NANOS,
+            RETRY_BUDGET);
   }
 
-  private static QueryClass grade(
-      String name, QueryClass.RetrySafety repeat, ScalePlan plan, PlacementChecks checks) {
+  private static QueryClass queryClass(
+      String name,
+      QueryClass.RetrySafety retrySafety,
+      ScalePlan plan,
+      PlacementCheckCounter checks) {
     return new QueryClass(
         name,
-        repeat,
+        retrySafety,
         QueryClass.DeduplicationScope.ALL,
         0,
-        plan.deadline() / 2,
+        plan.deadlineNanos() / 2,
         2,
-        plan.deadline(),
+        plan.deadlineNanos(),
         1,
         0.5,
         false,
@@ -90,11 +94,11 @@
   }
 
   /** The settings of one manager. */
-  Settings of(long seed, int position, String zone) {
+  Settings forManager(long seed, int managerIndex, String zone) {
     return new Settings(
         seed,
         shared.managerCount(),
-        position,
+        managerIndex,
         zone,
         shared.queryClasses(),
         shared.tenants(),
--- a/src/main/java/tansytrack/lab/scale/Network.java
+++ b/src/main/java/tansytrack/lab/scale/Network.java
@@ -10,64 +10,65 @@
  */
 final class Network {
 
-  private static final long WAY = 5 * ScalePlan.MS;
+  private static final long ONE_WAY_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_MS;
 
   /** How long a real manager takes to detect that an engine with a forward no longer responds. */
-  private static final long SILENCE = 2 * ScalePlan.SECOND;
+  private static final long SILENCE_TIMEOUT_NANOS = 2 * ScalePlan.NANOS_PER_SECOND;
 
-  private final ScaleWorld world;
-  private int regions = 1;
-  private boolean cut;
+  private final ScaleSimulation simulation;
+  private int regionCount = 1;
+  private boolean partitioned;
 
-  Network(ScaleWorld world) {
-    this.world = world;
+  Network(ScaleSimulation simulation) {
+    this.simulation = simulation;
   }
 
   /** Sets the number of regions; zones are assigned to them round-robin. */
-  void regions(int count) {
-    regions = count;
+  void setRegionCount(int count) {
+    regionCount = count;
   }
 
   /** Begins or ends the partition between the first region and the others. */
-  void cut(boolean on) {
-    cut = on;
+  void setPartitioned(boolean active) {
+    partitioned = active;
   }
 
-  private boolean reaches(HollowManager manager, HollowEngine engine) {
-    boolean apart = cut && (manager.zone % regions == 0) != (engine.zone % regions == 0);
-    return !apart && engine.standing != HollowEngine.Standing.SILENT;
+  private boolean canReach(HollowManager manager, HollowEngine engine) {
+    boolean separated =
+        partitioned && (manager.zone % regionCount == 0) != (engine.zone % regionCount == 0);
+    return !separated && engine.availability != HollowEngine.Availability.SILENT;
   }
 
   /** Sends a forward to its engine. */
   void send(Attempt attempt) {
-    attempt.manager.shard.post(WAY, () -> arrive(attempt));
+    attempt.manager.shard.post(ONE_WAY_DELAY_NANOS, () -> onForwardArrival(attempt));
   }
 
-  private void arrive(Attempt attempt) {
+  private void onForwardArrival(Attempt attempt) {
     if (attempt.ended) {
       return;
     }
     HollowEngine engine = attempt.engine;
-    if (!reaches(attempt.manager, engine)) {
-      tell(attempt, Outcome.UNREACHED, HollowSettings.CONNECT_TIME);
-    } else if (engine.standing == HollowEngine.Standing.DOWN) {
-      tell(attempt, Outcome.UNREACHED, WAY);
+    if (!canReach(attempt.manager, engine)) {
+      reportOutcome(attempt, Outcome.UNREACHED, HollowSettings.CONNECT_TIMEOUT_NANOS);
+    } else if (engine.availability == HollowEngine.Availability.DOWN) {
+      reportOutcome(attempt, Outcome.UNREACHED, ONE_WAY_DELAY_NANOS);
     } else {
-      world.arrived(attempt);
+      simulation.onForwardArrival(attempt);
     }
   }
 
   /** Sends back that the engine is full. */
-  void refuse(Attempt attempt) {
-    tell(attempt, Outcome.FULL, WAY);
+  void replyFull(Attempt attempt) {
+    reportOutcome(attempt, Outcome.FULL, ONE_WAY_DELAY_NANOS);
   }
 
   /** Sends back the result of a completed attempt; its manager sees a reset if it is cut off. */
-  void answer(Attempt attempt) {
-    if (reaches(attempt.manager, attempt.engine)) {
-      tell(attempt, Outcome.OK, WAY);
+  void replyResult(Attempt attempt) {
+    if (canReach(attempt.manager, attempt.engine)) {
+      reportOutcome(attempt, Outcome.OK, ONE_WAY_DELAY_NANOS);
     } else {
-      tell(attempt, Outcome.RESET, SILENCE);
+      reportOutcome(attempt, Outcome.RESET, SILENCE_TIMEOUT_NANOS);
     }
   }
 
@@ -75,41 +76,47 @@
    * Ends the attempts of an engine that stops responding or whose process ends. Managers detect the
    * former only after a timeout.
    */
-  void lose(List<Attempt> attempts, boolean silently) {
-    attempts.forEach(one -> tell(one, Outcome.RESET, silently ? SILENCE : WAY));
+  void resetAll(List<Attempt> attempts, boolean silently) {
+    attempts.forEach(
+        attempt ->
+            reportOutcome(
+                attempt, Outcome.RESET, silently ? SILENCE_TIMEOUT_NANOS : ONE_WAY_DELAY_NANOS));
   }
 
-  private void tell(Attempt attempt, Outcome outcome, long delay) {
+  private void reportOutcome(Attempt attempt, Outcome outcome, long delayNanos) {
     attempt.ended = true;
-    LoadReport report = outcome == Outcome.OK ? attempt.engine.report() : null;
+    LoadReport report = outcome == Outcome.OK ? attempt.engine.loadReport() : null;
     HollowManager manager = attempt.manager;
-    manager.shard.timeline.in(delay, () -> manager.hear(attempt, outcome, report));
+    manager.shard.events.scheduleAfter(delayNanos, () -> manager.receive(attempt, outcome, report));
   }
 
   /** Sends the cancellation of a forward to its engine. */
   void cancel(Attempt attempt) {
-    attempt.manager.shard.post(WAY, () -> stop(attempt));
+    attempt.manager.shard.post(ONE_WAY_DELAY_NANOS, () -> onCancelArrival(attempt));
   }
 
-  private void stop(Attempt attempt) {
-    if (attempt.ended || !reaches(attempt.manager, attempt.engine)) {
+  private void onCancelArrival(Attempt attempt) {
+    if (attempt.ended || !canReach(attempt.manager, attempt.engine)) {
       return;
     }
-    attempt.engine.giveUp(world.now(), attempt);
-    tell(attempt, Outcome.CANCELLED, WAY);
+    attempt.engine.cancel(simulation.now(), attempt);
+    reportOutcome(attempt, Outcome.CANCELLED, ONE_WAY_DELAY_NANOS);
   }
 
   /** Sends a probe of a manager instance to an engine. */
-  void probe(HollowManager manager, int life, HollowEngine engine) {
-    manager.shard.post(WAY, () -> probed(manager, life, engine));
+  void probe(HollowManager manager, int managerInstanceId, HollowEngine engine) {
+    manager.shard.post(
+        ONE_WAY_DELAY_NANOS, () -> onProbeArrival(manager, managerInstanceId, engine));
   }
 
-  private void probed(HollowManager manager, int life, HollowEngine engine) {
-    boolean reached = reaches(manager, engine);
-    boolean up = reached && engine.standing == HollowEngine.Standing.UP;
+  private void onProbeArrival(HollowManager manager, int managerInstanceId, HollowEngine engine) {
+    boolean reached = canReach(manager, engine);
+    boolean up = reached && engine.availability == HollowEngine.Availability.UP;
     Outcome outcome = up ? Outcome.OK : Outcome.UNREACHED;
-    LoadReport report = up ? engine.report() : null;
-    long delay = reached ? WAY : HollowSettings.CONNECT_TIME;
-    manager.shard.timeline.in(delay, () -> manager.hearProbe(life, engine.id, outcome, report));
+    LoadReport report = up ? engine.loadReport() : null;
+    long delayNanos = reached ? ONE_WAY_DELAY_NANOS : HollowSettings.CONNECT_TIMEOUT_NANOS;
+    manager.shard.events.scheduleAfter(
+        delayNanos,
+        () -> manager.receiveProbeResult(managerInstanceId, engine.id, outcome, report));
   }
 }
--- a/src/main/java/tansytrack/lab/scale/PairChanges.java
+++ b/src/main/java/tansytrack/lab/scale/PairChanges.java
@@ -9,48 +9,48 @@
 final class PairChanges {
 
   private final List<HollowManager> managers;
-  private final Function<String, HollowEngine> engines;
+  private final Function<String, HollowEngine> engineById;
 
   /** The engines known by each manager before the first change; null while there was none. */
-  private BitSet[] before;
+  private BitSet[] baseline;
 
   private long added;
   private long removed;
 
-  PairChanges(List<HollowManager> managers, Function<String, HollowEngine> engines) {
+  PairChanges(List<HollowManager> managers, Function<String, HollowEngine> engineById) {
     this.managers = managers;
-    this.engines = engines;
+    this.engineById = engineById;
   }
 
   /** Captures the known engines before the first change is published; later calls do nothing. */
-  void begin() {
-    if (before == null) {
-      before = new BitSet[managers.size()];
-      for (int i = 0; i < before.length; i++) {
-        before[i] = known(managers.get(i));
+  void captureBaseline() {
+    if (baseline == null) {
+      baseline = new BitSet[managers.size()];
+      for (int i = 0; i < baseline.length; i++) {
+        baseline[i] = knownEngines(managers.get(i));
       }
     }
   }
 
   /** Compares the known engines at the end of the run with the baseline. */
-  void end() {
-    if (before == null) {
+  void countChanges() {
+    if (baseline == null) {
       return;
     }
-    for (int i = 0; i < before.length; i++) {
-      BitSet now = known(managers.get(i));
-      BitSet both = (BitSet) now.clone();
-      both.and(before[i]);
-      added += now.cardinality() - both.cardinality();
-      removed += before[i].cardinality() - both.cardinality();
+    for (int i = 0; i < baseline.length; i++) {
+      BitSet now = knownEngines(managers.get(i));
+      BitSet common = (BitSet) now.clone();
+      common.and(baseline[i]);
+      added += now.cardinality() - common.cardinality();
+      removed += baseline[i].cardinality() - common.cardinality();
     }
   }
 
   /** The indexes of the engines that the module of a manager holds. */
-  BitSet known(HollowManager manager) {
+  BitSet knownEngines(HollowManager manager) {
     BitSet known = new BitSet();
-    for (EngineStatus view : manager.known()) {
-      known.set(engines.apply(view.id()).index);
+    for (EngineStatus status : manager.knownEngines()) {
+      known.set(engineById.apply(status.id()).index);
     }
     return known;
   }
--- a/src/main/java/tansytrack/lab/scale/PlacementChecks.java
+++ b/src/main/java/tansytrack/lab/scale/PlacementCheckCounter.java
@@ -8,7 +8,7 @@
  * An empty set of allowed zones that counts the calls of {@link #isEmpty}. A module makes one such
  * call each time it checks whether a query class may run in the zone of an engine.
  */
-final class PlacementChecks extends AbstractSet<String> {
+final class PlacementCheckCounter extends AbstractSet<String> {
 
   private long count;
 
--- a/src/main/java/tansytrack/lab/scale/PowerLaw.java
+++ b/src/main/java/tansytrack/lab/scale/PowerLaw.java
@@ -17,19 +17,19 @@
       meanSize += Math.log(sizes[i]) / sizes.length;
       meanFigure += Math.log(figures[i]) / sizes.length;
     }
-    double both = 0;
-    double square = 0;
+    double covariance = 0;
+    double variance = 0;
     for (int i = 0; i < sizes.length; i++) {
-      double off = Math.log(sizes[i]) - meanSize;
-      both += off * (Math.log(figures[i]) - meanFigure);
-      square += off * off;
+      double sizeDeviation = Math.log(sizes[i]) - meanSize;
+      covariance += sizeDeviation * (Math.log(figures[i]) - meanFigure);
+      variance += sizeDeviation * sizeDeviation;
     }
-    double exponent = both / square;
+    double exponent = covariance / variance;
     return new PowerLaw(Math.exp(meanFigure - exponent * meanSize), exponent);
   }
 
   /** The predicted figure at a size. */
-  public double at(double size) {
+  public double predict(double size) {
     return factor * Math.pow(size, exponent);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/ScalePlan.java
+++ b/src/main/java/tansytrack/lab/scale/ScalePlan.java
@@ -20,39 +20,40 @@
     FailureSchedule schedule,
     long seed) {
 
-  static final long MS = 1_000_000L;
-  static final long SECOND = 1000 * MS;
+  static final long NANOS_PER_MS = 1_000_000L;
+  static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
 
-  static final int CORES = 4;
+  static final int CORES_PER_ENGINE = 4;
 
   /** The fraction of all cores that the statements use on average. */
-  public static final double UTILISATION = 0.5;
+  public static final double TARGET_UTILIZATION = 0.5;
 
   /**
    * The minimum mean cost of a statement. Costs start at half the mean, and the engine model counts
    * work below 1 ms as 1 ms.
    */
-  public static final long LEAST_COST = 2 * MS;
+  public static final long MIN_MEAN_COST_NANOS = 2 * NANOS_PER_MS;
 
-  private static final long DEADLINE = 2 * SECOND;
-  private static final int DEADLINE_IN_COSTS = 10;
+  private static final long BASE_DEADLINE_NANOS = 2 * NANOS_PER_SECOND;
+  private static final int DEADLINE_MEAN_COSTS = 10;
 
   /**
    * The mean work of a statement in core nanoseconds. It is chosen so that engines reach {@link
    * #UTILISATION} at the reduced statement rate of the simulation.
    */
-  public long meanCost() {
-    return (long) (UTILISATION * CORES * engines / (managers * rate) * SECOND);
+  public long meanCostNanos() {
+    return (long)
+        (TARGET_UTILIZATION * CORES_PER_ENGINE * engines / (managers * rate) * NANOS_PER_SECOND);
   }
 
   /** The time from the arrival of a statement until its deadline. */
-  public long deadline() {
-    return DEADLINE + DEADLINE_IN_COSTS * meanCost();
+  public long deadlineNanos() {
+    return BASE_DEADLINE_NANOS + DEADLINE_MEAN_COSTS * meanCostNanos();
   }
 
   /** The time from the start during which statements arrive. */
-  long duration() {
-    return seconds * SECOND;
+  long durationNanos() {
+    return seconds * NANOS_PER_SECOND;
   }
 
   /** The mean number of statements for each engine over the run. */
@@ -61,7 +62,7 @@
   }
 
   /** The same plan with other numbers of managers and engines. */
-  public ScalePlan sized(int otherManagers, int otherEngines) {
+  public ScalePlan withSize(int otherManagers, int otherEngines) {
     return new ScalePlan(otherManagers, otherEngines, zones, seconds, rate, schedule, seed);
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Shard.java
+++ b/src/main/java/tansytrack/lab/scale/Shard.java
@@ -10,22 +10,22 @@
  */
 final class Shard {
 
-  private record Posted(long time, Runnable event) {}
+  private record DelayedEvent(long atNanos, Runnable event) {}
 
   /** The events of the managers in this shard. */
-  final Timeline timeline;
+  final EventQueue events;
 
-  final Counts counts;
+  final RunCounters counters;
   final HollowSettings settings;
 
-  private final VirtualTime clock;
-  private final PlacementChecks checks = new PlacementChecks();
-  private final List<Posted> outbox = new ArrayList<>();
+  private final VirtualClock clock;
+  private final PlacementCheckCounter checks = new PlacementCheckCounter();
+  private final List<DelayedEvent> outbox = new ArrayList<>();
 
-  Shard(ScalePlan plan, VirtualTime clock) {
+  Shard(ScalePlan plan, VirtualClock clock) {
     this.clock = clock;
-    timeline = new Timeline(clock);
-    counts = new Counts(plan.seconds());
+    events = new EventQueue(clock);
+    counters = new RunCounters(plan.seconds());
     settings = new HollowSettings(plan, checks);
   }
 
@@ -35,13 +35,13 @@
   }
 
   /** Posts an event outside of this shard, to happen after the delay. */
-  void post(long delay, Runnable event) {
-    outbox.add(new Posted(clock.now() + delay, event));
+  void post(long delayNanos, Runnable event) {
+    outbox.add(new DelayedEvent(clock.now() + delayNanos, event));
   }
 
   /** Moves the events posted since the last call to the queue outside of the shards. */
-  void deliver(Timeline outside) {
-    outbox.forEach(one -> outside.at(one.time(), one.event()));
+  void deliver(EventQueue outside) {
+    outbox.forEach(posted -> outside.scheduleAt(posted.atNanos(), posted.event()));
     outbox.clear();
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Slope.java
+++ b/src/main/java/tansytrack/lab/scale/Slope.java
@@ -13,25 +13,25 @@
 public record Slope(PowerLaw law, double predicted, double measured) {
 
   /** The minimum number of sizes for a fit. */
-  public static final int LEAST_SIZES = 5;
+  public static final int MIN_SIZES = 5;
 
   /** The maximum relative error at the largest size for a usable fit. */
-  public static final double MOST_ERROR = 0.15;
+  public static final double MAX_RELATIVE_ERROR = 0.15;
 
   /** Fits positive figures at increasing, positive sizes. */
   public static Slope of(double[] sizes, double[] figures) {
     int last = sizes.length - 1;
     PowerLaw law = PowerLaw.fit(Arrays.copyOf(sizes, last), Arrays.copyOf(figures, last));
-    return new Slope(law, law.at(sizes[last]), figures[last]);
+    return new Slope(law, law.predict(sizes[last]), figures[last]);
   }
 
   /** The absolute error of the prediction as a fraction of the measured figure. */
-  public double error() {
+  public double relativeError() {
     return Math.abs(predicted - measured) / measured;
   }
 
   /** Whether the error is at most {@link #MOST_ERROR}. */
   public boolean usable() {
-    return error() <= MOST_ERROR;
+    return relativeError() <= MAX_RELATIVE_ERROR;
   }
 }
--- a/src/main/java/tansytrack/lab/scale/Statement.java
+++ b/src/main/java/tansytrack/lab/scale/Statement.java
@@ -7,18 +7,18 @@
 final class Statement {
 
   final String id;
-  final long askedAt;
-  final long deadline;
-  final long cost;
+  final long arrivedAtNanos;
+  final long deadlineNanos;
+  final long costNanos;
   final List<Attempt> attempts = new ArrayList<>(1);
 
   /** Whether the statement was answered, rejected, aborted or lost. */
-  boolean over;
+  boolean finished;
 
-  Statement(String id, long askedAt, long deadline, long cost) {
+  Statement(String id, long arrivedAtNanos, long deadlineNanos, long costNanos) {
     this.id = id;
-    this.askedAt = askedAt;
-    this.deadline = deadline;
-    this.cost = cost;
+    this.arrivedAtNanos = arrivedAtNanos;
+    this.deadlineNanos = deadlineNanos;
+    this.costNanos = costNanos;
   }
 }
--- a/src/main/java/tansytrack/lab/scale/PairSample.java
+++ b/src/main/java/tansytrack/lab/scale/SubsetSize.java
@@ -4,27 +4,28 @@
 import tansytrack.api.DecisionModule;
 
 /** Determines how many engines one manager of a plan holds, with a single decision module. */
-public final class PairSample {
+public final class SubsetSize {
 
-  private PairSample() {}
+  private SubsetSize() {}
 
   /** The number of engines that the first manager holds after it received the engine list. */
   public static int enginesPerManager(ScalePlan plan, ModuleFactory factory) {
-    HollowSettings settings = new HollowSettings(plan, new PlacementChecks());
+    HollowSettings settings = new HollowSettings(plan, new PlacementCheckCounter());
     DecisionModule module =
-        factory.create(settings.of(plan.seed(), 0, EngineList.zone(0)), new Ignored());
-    module.onEngineList(VirtualTime.ORIGIN, true, ScaleWorld.firstList(plan));
-    module.decide(VirtualTime.ORIGIN);
-    return module.engineStatuses(VirtualTime.ORIGIN).size();
+        factory.create(
+            settings.forManager(plan.seed(), 0, EngineList.zoneName(0)), new NoOpActions());
+    module.onEngineList(VirtualClock.ORIGIN_NANOS, true, ScaleSimulation.initialList(plan));
+    module.decide(VirtualClock.ORIGIN_NANOS);
+    return module.engineStatuses(VirtualClock.ORIGIN_NANOS).size();
   }
 
   /** Ignores all actions. */
-  private static final class Ignored implements Actions {
+  private static final class NoOpActions implements Actions {
     @Override
-    public void forward(String task, String engine, long timeOut) {}
+    public void forward(String task, String engine, long timeoutNanos) {}
 
     @Override
-    public void reject(String task, long pause) {}
+    public void reject(String task, long retryAfterNanos) {}
 
     @Override
     public void abort(String task) {}
@@ -39,7 +40,7 @@
     public void cancel(String task, int index) {}
 
     @Override
-    public void scheduleWakeUp(long in, String token) {}
+    public void scheduleWakeUp(long delayNanos, String token) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/tansytrack/lab/scale/Workers.java
+++ b/src/main/java/tansytrack/lab/scale/Workers.java
@@ -7,7 +7,7 @@
 public interface Workers {
 
   /** Runs the tasks one after another in the calling thread. */
-  Workers ALONE = tasks -> tasks.forEach(Runnable::run);
+  Workers SEQUENTIAL = tasks -> tasks.forEach(Runnable::run);
 
   /** Runs all tasks and returns when they have finished. */
   void run(List<Runnable> tasks);
--- a/src/test/java/tansytrack/lab/footprint/FootprintTest.java
+++ b/src/test/java/tansytrack/lab/footprint/FootprintTest.java
@@ -14,39 +14,40 @@
 /** The footprint measurement with a real manager, its process figures and its option checks. */
 class FootprintTest {
 
-  private static final String FLAGS = FootprintOptions.RUN_LINE_FLAGS;
+  private static final String FLAGS = FootprintOptions.DEPLOYED_JVM_FLAGS;
 
   @Test
-  void oneManagerIsMeasuredAndEnded(@TempDir Path folder) throws IOException, InterruptedException {
+  void oneManagerIsMeasuredAndStopped(@TempDir Path folder)
+      throws IOException, InterruptedException {
     FootprintOptions options = new FootprintOptions(1, 50, 0, 0, 1, 20, null, FLAGS);
     try (FootprintRun run = new FootprintRun(options, folder)) {
-      FootprintResult result = run.play();
+      FootprintResult result = run.measure();
       assertThat(result.managers()).hasSize(1);
       ManagerFootprint manager = result.managers().get(0);
-      assertThat(manager.reached()).isTrue();
+      assertThat(manager.allChangesReceived()).isTrue();
       assertThat(manager.residentKb()).isPositive();
       assertThat(manager.startBytesDown()).isPositive();
-      assertThat(manager.restBytesUp()).isPositive();
+      assertThat(manager.idleBytesUpPerSecond()).isPositive();
       assertThat(manager.handled()).isPositive();
-      assertThat(result.engines().probes()).isPositive();
+      assertThat(result.engineTraffic().probes()).isPositive();
       assertThat(result.listBytes()).isBetween(50 * 100, 50 * 250);
       assertThat(run.anyAlive()).isFalse();
     }
   }
 
   @Test
-  void figuresAreReadFromTheStatusOfAProcess() throws IOException {
+  void processFiguresAreReadFromAStatusFile() throws IOException {
     List<String> status = List.of("Name:\tjava", "VmHWM:\t   90000 kB", "VmRSS:\t   80000 kB");
-    ProcessFigures earlier = ProcessFigures.parsed(status, Duration.ofMillis(100), 0);
+    ProcessFigures earlier = ProcessFigures.parse(status, Duration.ofMillis(100), 0);
     ProcessFigures later =
-        ProcessFigures.parsed(status, Duration.ofMillis(200), Duration.ofSeconds(10).toNanos());
+        ProcessFigures.parse(status, Duration.ofMillis(200), Duration.ofSeconds(10).toNanos());
     assertThat(later.residentKb()).isEqualTo(80_000);
-    assertThat(later.mostResidentKb()).isEqualTo(90_000);
+    assertThat(later.peakResidentKb()).isEqualTo(90_000);
     assertThat(later.coreShareSince(earlier)).isEqualTo(0.01);
   }
 
   @Test
-  void whatIsOutOfBoundsIsNamedWithWhatIsAllowed() {
+  void optionsOutOfRangeAreReportedWithTheAllowedRange() {
     assertThatThrownBy(() -> new FootprintOptions(0, 50, 0, 0, 1, 20, null, FLAGS))
         .isInstanceOf(InvalidInputException.class)
         .hasMessage("--managers '0'; allowed: 1 to 200");
--- a/src/test/java/tansytrack/lab/scale/ScaleTest.java
+++ b/src/test/java/tansytrack/lab/scale/ScaleTest.java
@@ -36,7 +36,7 @@
   private static final ScaleTable.Ladder ONE_SIZE =
       new ScaleTable.Ladder(1, 2, ScaleTable.Grows.BOTH);
 
-  private static final PrintStream NOBODY = new PrintStream(OutputStream.nullOutputStream());
+  private static final PrintStream DISCARD = new PrintStream(OutputStream.nullOutputStream());
 
   @TempDir Path folder;
 
@@ -44,10 +44,10 @@
     return new ScalePlan(managers, engines, 5, 6, 10, schedule, seed);
   }
 
-  private static ScaleResult played(ScalePlan plan, ModuleFactory factory) {
-    ScaleWorld world = new ScaleWorld(plan, factory, Workers.ALONE);
-    world.play(part -> {});
-    return ScaleResult.of(world);
+  private static ScaleResult simulate(ScalePlan plan, ModuleFactory factory) {
+    ScaleSimulation simulation = new ScaleSimulation(plan, factory, Workers.SEQUENTIAL);
+    simulation.run(fraction -> {});
+    return ScaleResult.of(simulation);
   }
 
   private static double figure(ScaleResult result, String name) {
@@ -57,8 +57,8 @@
   // ---- Counts ----
 
   @Test
-  void smallFleetKnowsAllPairsAndServesAll() {
-    ScaleResult result = played(plan(20, 60, FailureSchedule.REST, 1), Decide::new);
+  void managersOfASmallFleetHoldEveryEngineAndServeEveryStatement() {
+    ScaleResult result = simulate(plan(20, 60, FailureSchedule.NO_FAILURE, 1), Decide::new);
     assertThat(figure(result, "pairs_known")).isEqualTo(20 * 60);
     assertThat(figure(result, "managers_an_engine_min")).isEqualTo(20);
     assertThat(figure(result, "even_part_over_mean_max")).isEqualTo(1);
@@ -70,23 +70,23 @@
 
   @Test
   void oneReplacedEngineChangesOnePairOfEachManagerThatHoldsIt() {
-    ScaleResult result = played(plan(20, 60, FailureSchedule.ONE_REPLACED, 1), Decide::new);
+    ScaleResult result = simulate(plan(20, 60, FailureSchedule.ONE_REPLACED, 1), Decide::new);
     assertThat(figure(result, "pairs_added")).isEqualTo(20);
     assertThat(figure(result, "pairs_removed")).isEqualTo(20);
   }
 
   @ParameterizedTest
   @ValueSource(doubles = {8, 64, 400})
-  void statementsComeAtTheRateThatIsTold(double rate) {
-    ScalePlan plan = new ScalePlan(20, 60, 5, 6, rate, FailureSchedule.REST, 1);
+  void statementsArriveAtTheConfiguredRate(double rate) {
+    ScalePlan plan = new ScalePlan(20, 60, 5, 6, rate, FailureSchedule.NO_FAILURE, 1);
     double intended = 20 * rate * 6;
-    assertThat(figure(played(plan, Decide::new), "statements"))
+    assertThat(figure(simulate(plan, Decide::new), "statements"))
         .isBetween(0.92 * intended, 1.08 * intended);
   }
 
   @Test
   void largerFleetHoldsABoundedSubsetEvenly() {
-    ScaleResult result = played(plan(64, 600, FailureSchedule.REST, 1), Decide::new);
+    ScaleResult result = simulate(plan(64, 600, FailureSchedule.NO_FAILURE, 1), Decide::new);
     // A quarter of 600 engines exceeds the limit of 128, so a manager holds an eighth: 75 engines,
     // and 8 of the 64 managers hold each engine.
     assertThat(figure(result, "managers_an_engine_min")).isEqualTo(8);
@@ -99,24 +99,24 @@
 
   @Test
   void oneReplacedEngineOfALargerFleetChangesThePairsOfItsSubsetOnly() {
-    ScaleResult result = played(plan(64, 600, FailureSchedule.ONE_REPLACED, 1), Decide::new);
+    ScaleResult result = simulate(plan(64, 600, FailureSchedule.ONE_REPLACED, 1), Decide::new);
     assertThat(figure(result, "pairs_added")).isEqualTo(8);
     assertThat(figure(result, "pairs_removed")).isEqualTo(8);
   }
 
   @ParameterizedTest
   @EnumSource(FailureSchedule.class)
-  void noScheduleBreaksARule(FailureSchedule schedule) {
-    assertNothingBroken(played(plan(40, 100, schedule, 3), Decide::new));
+  void noFailureScheduleCausesAViolation(FailureSchedule schedule) {
+    assertNoViolations(simulate(plan(40, 100, schedule, 3), Decide::new));
   }
 
   @ParameterizedTest
   @EnumSource(FailureSchedule.class)
-  void noScheduleBreaksARuleWhereManagersHoldSubsets(FailureSchedule schedule) {
-    assertNothingBroken(played(plan(48, 300, schedule, 3), Decide::new));
+  void noFailureScheduleCausesAViolationWhereManagersHoldSubsets(FailureSchedule schedule) {
+    assertNoViolations(simulate(plan(48, 300, schedule, 3), Decide::new));
   }
 
-  private static void assertNothingBroken(ScaleResult result) {
+  private static void assertNoViolations(ScaleResult result) {
     assertThat(figure(result, "cold_pushed_over")).isZero();
     assertThat(figure(result, "cold_fallen")).isZero();
     assertThat(figure(result, "drain_broken")).isZero();
@@ -127,12 +127,12 @@
   // ---- Violations are detected ----
 
   /** Forwards every task to the newest or to the oldest listed engine, whatever its state. */
-  private static final class Herd implements DecisionModule {
+  private static final class SingleEngineModule implements DecisionModule {
     private final Actions actions;
     private final boolean newest;
-    private final List<String> listed = new ArrayList<>();
+    private final List<String> engineIds = new ArrayList<>();
 
-    Herd(Actions actions, boolean newest) {
+    SingleEngineModule(Actions actions, boolean newest) {
       this.actions = actions;
       this.newest = newest;
     }
@@ -140,13 +140,13 @@
     @Override
     public void onEngineList(long now, boolean complete, List<EngineEntry> entries) {
       entries.stream()
-          .filter(entry -> !listed.contains(entry.id()))
-          .forEach(entry -> listed.add(entry.id()));
+          .filter(entry -> !engineIds.contains(entry.id()))
+          .forEach(entry -> engineIds.add(entry.id()));
     }
 
     @Override
-    public void onTask(long now, TaskRequest offer) {
-      actions.forward(offer.id(), listed.get(newest ? listed.size() - 1 : 0), 0);
+    public void onTask(long now, TaskRequest request) {
+      actions.forward(request.id(), engineIds.get(newest ? engineIds.size() - 1 : 0), 0);
     }
 
     @Override
@@ -189,57 +189,57 @@
 
     @Override
     public List<EngineStatus> engineStatuses(long now) {
-      return listed.stream().map(id -> new EngineStatus(id, 0, -1, false)).toList();
+      return engineIds.stream().map(id -> new EngineStatus(id, 0, -1, false)).toList();
     }
   }
 
   @Test
-  void managersThatAllTakeTheNewestEnginePushItOverWhileItIsCold() {
+  void aColdEngineThatAllManagersUseExceedsItsLimitAndFails() {
     ScaleResult result =
-        played(
+        simulate(
             plan(40, 100, FailureSchedule.ONE_REPLACED, 1),
-            (settings, actions) -> new Herd(actions, true));
+            (settings, actions) -> new SingleEngineModule(actions, true));
     assertThat(figure(result, "cold_pushed_over")).isEqualTo(1);
     assertThat(figure(result, "cold_fallen")).isPositive();
   }
 
   @Test
-  void managersThatStayWithADrainingEngineAreCounted() {
+  void forwardsToADrainingEngineAreCounted() {
     ScaleResult result =
-        played(
+        simulate(
             plan(40, 100, FailureSchedule.ONE_REPLACED, 1),
-            (settings, actions) -> new Herd(actions, false));
+            (settings, actions) -> new SingleEngineModule(actions, false));
     assertThat(figure(result, "drain_broken")).isPositive();
     assertThat(figure(result, "work_over_mean_max")).isZero();
   }
 
   // ---- Determinism ----
 
-  private String table(ScalePlan plan, int threads, String name) throws IOException {
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
-    PrintStream to = new PrintStream(told, true, StandardCharsets.UTF_8);
+  private String runAndReadOutput(ScalePlan plan, int threads, String name) throws IOException {
+    ByteArrayOutputStream captured = new ByteArrayOutputStream();
+    PrintStream output = new PrintStream(captured, true, StandardCharsets.UTF_8);
     Path out = folder.resolve(name);
-    ScaleTable.run(plan, ONE_SIZE, Decide::new, threads, out, to, NOBODY);
-    return told.toString(StandardCharsets.UTF_8)
+    ScaleTable.run(plan, ONE_SIZE, Decide::new, threads, out, output, DISCARD);
+    return captured.toString(StandardCharsets.UTF_8)
         + Files.readString(out.resolve("result.csv"))
         + Files.readString(out.resolve("engines.csv"))
         + Files.readString(out.resolve("managers.csv"));
   }
 
   @Test
-  void theSameSeedGivesTheSameTable() throws IOException {
+  void theSameSeedGivesTheSameOutputWithAnyNumberOfThreads() throws IOException {
     ScalePlan plan = plan(20, 60, FailureSchedule.ENGINES_REPLACED, 5);
-    String first = table(plan, 1, "first");
-    assertThat(table(plan, 1, "again")).isEqualTo(first);
-    assertThat(table(plan, 3, "threads")).isEqualTo(first);
-    assertThat(table(plan(20, 60, FailureSchedule.ENGINES_REPLACED, 6), 1, "other"))
+    String first = runAndReadOutput(plan, 1, "first");
+    assertThat(runAndReadOutput(plan, 1, "again")).isEqualTo(first);
+    assertThat(runAndReadOutput(plan, 3, "threads")).isEqualTo(first);
+    assertThat(runAndReadOutput(plan(20, 60, FailureSchedule.ENGINES_REPLACED, 6), 1, "other"))
         .isNotEqualTo(first.replace("seed 5", "seed 6"));
   }
 
   // ---- Slopes ----
 
   @Test
-  void slopeFindsThePowerAndPredictsTheLargest() {
+  void slopeFitsTheExponentAndPredictsTheLargestSize() {
     double[] sizes = {10, 20, 40, 80, 160};
     double[] figures = {200, 800, 3200, 12_800, 51_200};
     Slope slope = Slope.of(sizes, figures);
@@ -255,10 +255,10 @@
   }
 
   @Test
-  void ladderCountsPairsBySquare() throws IOException {
-    ScalePlan largest = plan(32, 80, FailureSchedule.REST, 1);
+  void pairsGrowWithTheSquareOfTheSize() throws IOException {
+    ScalePlan largest = plan(32, 80, FailureSchedule.NO_FAILURE, 1);
     ScaleTable.Ladder ladder = new ScaleTable.Ladder(5, 2, ScaleTable.Grows.BOTH);
-    ScaleTable.run(largest, ladder, Decide::new, 1, folder, NOBODY, NOBODY);
+    ScaleTable.run(largest, ladder, Decide::new, 1, folder, DISCARD, DISCARD);
     assertThat(folder.resolve("slopes.csv"))
         .content()
         .contains("pairs_known,2.0000,2560,2560,0.0000,true");
@@ -267,19 +267,19 @@
 
   // ---- Invalid options ----
 
-  private String refused(String options) throws IOException, CmdLineException {
+  private String runRejected(String options) throws IOException, CmdLineException {
     LabCommands.Scale command = new LabCommands.Scale();
     new CmdLineParser(command).parseArgument((options + " --out " + folder).split(" "));
-    PrintStream usual = System.err;
-    ByteArrayOutputStream told = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(told, true, StandardCharsets.UTF_8));
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream captured = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(captured, true, StandardCharsets.UTF_8));
     try {
       assertThat(command.run()).isEqualTo(2);
     } finally {
-      System.setErr(usual);
+      System.setErr(originalErr);
     }
     assertThat(folder).isEmptyDirectory();
-    return told.toString(StandardCharsets.UTF_8);
+    return captured.toString(StandardCharsets.UTF_8);
   }
 
   @ParameterizedTest
@@ -297,22 +297,23 @@
         "--managers 80 --engines 80 --sizes 3; --sizes '3'; 5 to 20",
         "--managers 4 --engines 80 --sizes 5; --managers '0'; 1 to"
       })
-  void optionsThatCannotBeUsedAreNamed(String options, String named, String allowed)
-      throws Exception {
-    assertThat(refused(options)).contains(named, "allowed: ", allowed);
+  void invalidOptionsAreReportedWithTheAllowedValues(
+      String options, String reportedOption, String allowed) throws Exception {
+    assertThat(runRejected(options)).contains(reportedOption, "allowed: ", allowed);
   }
 
   @Test
-  void sizesOverHalfOfTheMachineAreRefusedBeforeAnythingStarts() throws Exception {
-    assertThat(refused("--managers 2000000000 --engines 2000000000"))
+  void sizesThatNeedOverHalfOfTheMemoryAreRejectedBeforeTheRun() throws Exception {
+    assertThat(runRejected("--managers 2000000000 --engines 2000000000"))
         .contains("'2000000000 managers x 2000000000 engines' need ", "half of this machine's");
   }
 
   @Test
-  void needIsReckonedByPairsThatAManagerHolds() {
-    ScalePlan plan = plan(20, 60, FailureSchedule.REST, 1);
-    int held = PairSample.enginesPerManager(plan, Decide::new);
-    assertThat(held).isEqualTo(60);
-    assertThat(MemoryNeed.of(plan, held)).isGreaterThan(MemoryNeed.of(plan, 0));
+  void memoryEstimateGrowsWithTheEnginesThatAManagerHolds() {
+    ScalePlan plan = plan(20, 60, FailureSchedule.NO_FAILURE, 1);
+    int enginesHeld = SubsetSize.enginesPerManager(plan, Decide::new);
+    assertThat(enginesHeld).isEqualTo(60);
+    assertThat(MemoryEstimate.bytes(plan, enginesHeld))
+        .isGreaterThan(MemoryEstimate.bytes(plan, 0));
   }
 }
--- a/src/test/java/tansytrack/service/LongEngineListTest.java
+++ b/src/test/java/tansytrack/service/LongEngineListTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tansytrack.lab.StandInChannel;
-import tansytrack.lab.footprint.EngineList;
+import tansytrack.lab.footprint.SyntheticEngineList;
 import tansytrack.wire.ProtocolException;
 
 /** A list of thousands of engines, told by the command channel or read from the file. */
@@ -26,8 +26,8 @@
       3000; // far more than a list takes, and the channel's patience
 
   /** Addresses where nothing listens: no task is sent here, and the settings allow no probe. */
-  private static final EngineList LIST =
-      new EngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
+  private static final SyntheticEngineList LIST =
+      new SyntheticEngineList(ENGINES, List.of("127.101.202.103:18080", "127.104.205.106:18080"));
 
   @Test
   void aListOfThousandsOfEnginesIsTakenFromTheChannel()
@@ -37,7 +37,7 @@
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
-        channel.tell(LIST.whole());
+        channel.tell(LIST.completeList());
         String stats = statsWith(client, "channel.lists,2;");
         assertThat(stats).doesNotContain("channel.failed");
         // The engine of the file has left the list, and is forgotten a little later.
@@ -61,7 +61,7 @@
       ServiceFixture.Running running =
           new ServiceFixture.Running(ServiceTest.config(channel.address()));
       try {
-        channel.tell(LIST.whole());
+        channel.tell(LIST.completeList());
         Thread.sleep(QUIET_MS);
         try (ServiceTest.Client client = new ServiceTest.Client(running.at).started()) {
           assertThat(client.ask("SHOW STATS"))
@@ -91,7 +91,7 @@
   @Test
   void aListOfThousandsOfEnginesIsReadFromTheFile(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("config.json");
-    String known = "{'cursor':1,'cmds':[{'cursor':1,'nodes':" + LIST.whole() + "}]}";
+    String known = "{'cursor':1,'cmds':[{'cursor':1,'nodes':" + LIST.completeList() + "}]}";
     String config =
         ServiceTest.config("127.0.0.1:9")
             .replaceFirst("'known':.*,'settings'", "'known':" + known + ",'settings'");
