--- a/src/main/java/tansytrack/lab/scale/EngineList.java
+++ b/src/main/java/tansytrack/lab/scale/EngineList.java
@@ -61,7 +61,7 @@
 
   /**
    * Applies entries to the list and delivers them to all managers, each after a random delay; to
-   * those that receive the list late, {@link #STALE} later still.
+   * those that receive the list late, {@link #LATE_LIST_DELAY_NANOS} later still.
    */
   Change publish(List<EngineEntry> entries, List<HollowManager> managers) {
     apply(entries);
--- a/src/main/java/tansytrack/lab/scale/FailureInjector.java
+++ b/src/main/java/tansytrack/lab/scale/FailureInjector.java
@@ -109,7 +109,7 @@
 
   /**
    * Replaces engines by new ones in the same slots. The replaced ones drain; their processes end
-   * {@link #PROCESS_ENDS} after the drain grace.
+   * {@link #PROCESS_END_DELAY_NANOS} after the drain grace.
    */
   private void scheduleReplacement(long atNanos, List<HollowEngine> replaced) {
     EventQueue events = simulation.events();
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -19,7 +19,7 @@
 
   /**
    * The fraction of its capacity that an engine has when it starts. It has all of it after {@link
-   * #WARM_AFTER}.
+   * #WARM_UP_NANOS}.
    */
   static final double START_CAPACITY_FRACTION = 0.3;
 
--- a/src/main/java/tansytrack/lab/scale/RunCounters.java
+++ b/src/main/java/tansytrack/lab/scale/RunCounters.java
@@ -33,7 +33,7 @@
   /** Engines that failed from overload while cold. */
   long coldEngineFailures;
 
-  /** Forwards to draining engines by managers that had known it for longer than the drain grace. */
+  /** Forwards to engines by managers that had known of the drain for longer than the grace. */
   long drainViolations;
 
   /** Forwards after the drain grace by managers that had not known of the drain for that long. */
--- a/src/main/java/tansytrack/lab/scale/ScalePlan.java
+++ b/src/main/java/tansytrack/lab/scale/ScalePlan.java
@@ -39,7 +39,7 @@
 
   /**
    * The mean work of a statement in core nanoseconds. It is chosen so that engines reach {@link
-   * #UTILISATION} at the reduced statement rate of the simulation.
+   * #TARGET_UTILIZATION} at the reduced statement rate of the simulation.
    */
   public long meanCostNanos() {
     return (long)
--- a/src/main/java/tansytrack/lab/scale/Slope.java
+++ b/src/main/java/tansytrack/lab/scale/Slope.java
@@ -30,7 +30,7 @@
     return Math.abs(predicted - measured) / measured;
   }
 
-  /** Whether the error is at most {@link #MOST_ERROR}. */
+  /** Whether the error is at most {@link #MAX_RELATIVE_ERROR}. */
   public boolean usable() {
     return relativeError() <= MAX_RELATIVE_ERROR;
   }
