--- a/src/main/java/tansytrack/lab/footprint/CountingChannel.java
+++ b/src/main/java/tansytrack/lab/footprint/CountingChannel.java
@@ -29,7 +29,7 @@
       new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
   private final AtomicLong bytesReceived = new AtomicLong();
   private final AtomicLong bytesSent = new AtomicLong();
-  private final AtomicLong polls = new AtomicLong();
+  private final AtomicLong pollCount = new AtomicLong();
 
   /** The highest event number that the manager has acknowledged. */
   private int lastAcknowledgedEvent;
@@ -39,7 +39,7 @@
 
   CountingChannel(EngineListEvents events) throws IOException {
     this.events = events;
-    start(this::accept);
+    start(this::acceptConnections);
   }
 
   /** Host and port of this server. */
@@ -58,8 +58,8 @@
   }
 
   /** The number of polls by the manager. */
-  long polls() {
-    return polls.get();
+  long pollCount() {
+    return pollCount.get();
   }
 
   /**
@@ -83,7 +83,7 @@
     }
   }
 
-  private void accept() {
+  private void acceptConnections() {
     try {
       while (true) {
         Socket connection = serverSocket.accept();
@@ -109,7 +109,7 @@
         if (!request.lookingAt()) {
           return;
         }
-        polls.incrementAndGet();
+        pollCount.incrementAndGet();
         int resume = Integer.parseInt(request.group(1));
         recordAcknowledgedEvent(resume);
         byte[] body = events.awaitAfter(resume, Long.parseLong(request.group(2)));
--- a/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintOptions.java
@@ -9,7 +9,8 @@
  *
  * @param managers number of manager processes
  * @param engines number of engines in the engine list
- * @param configuredManagerCount the manager count in the settings of each process; 0: the number of processes
+ * @param configuredManagerCount the manager count in the settings of each process; 0: the number of
+ *     processes
  * @param settleSeconds time between the last start and the first reading
  * @param seconds duration of each of the idle and the load measurement
  * @param rate statements a second for each manager in the load measurement; 0: no load
--- a/src/main/java/tansytrack/lab/footprint/FootprintRun.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintRun.java
@@ -38,40 +38,40 @@
   FootprintResult measure() throws IOException, InterruptedException {
     List<Long> startTimes = startAll();
     Thread.sleep(options.settleSeconds() * 1000L);
-    List<ManagerReading> settled = takeReadings();
+    List<ManagerReading> settledReadings = takeReadings();
     long probeBytesIn = engines.probeBytesIn();
     long probeBytesOut = engines.probeBytesOut();
     Thread.sleep(options.seconds() * 1000L);
-    List<ManagerReading> idle = takeReadings();
+    List<ManagerReading> idleReadings = takeReadings();
     double probeRequestRate = (engines.probeBytesIn() - probeBytesIn) / (double) options.seconds();
     double probeResponseRate =
         (engines.probeBytesOut() - probeBytesOut) / (double) options.seconds();
     int connections = engines.connections();
     List<LightLoad> loads = runLoad();
-    List<ManagerReading> loaded = takeReadings();
+    List<ManagerReading> loadedReadings = takeReadings();
     List<Long> changeTimes = publish(list.change(0, "draining"));
     List<Long> listTimes = publish(list.completeList());
-    List<ManagerReading> last = takeReadings();
+    List<ManagerReading> finalReadings = takeReadings();
     stopAll();
     List<ManagerFootprint> footprints = new ArrayList<>();
     for (int i = 0; i < managers.size(); i++) {
-      ManagerReading before = settled.get(i);
-      ManagerReading idleReading = idle.get(i);
+      ManagerReading settledReading = settledReadings.get(i);
+      ManagerReading idleReading = idleReadings.get(i);
       boolean hasLoad = !loads.isEmpty();
       footprints.add(
           new ManagerFootprint(
               startTimes.get(i),
               idleReading.process().residentKb(),
-              last.get(i).process().peakResidentKb(),
-              idleReading.coreShareSince(before),
-              idleReading.bytesUpPerSecondSince(before),
-              idleReading.bytesDownPerSecondSince(before),
-              hasLoad ? loaded.get(i).coreShareSince(idleReading) : Double.NaN,
+              finalReadings.get(i).process().peakResidentKb(),
+              idleReading.coreShareSince(settledReading),
+              idleReading.bytesUpPerSecondSince(settledReading),
+              idleReading.bytesDownPerSecondSince(settledReading),
+              hasLoad ? loadedReadings.get(i).coreShareSince(idleReading) : Double.NaN,
               hasLoad ? loads.get(i).handled() : 0,
               hasLoad ? loads.get(i).notHandled() : 0,
               changeTimes.get(i),
               listTimes.get(i),
-              before.bytesDown()));
+              settledReading.bytesDown()));
     }
     return new FootprintResult(
         footprints,
--- a/src/main/java/tansytrack/lab/footprint/FootprintTable.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintTable.java
@@ -96,42 +96,48 @@
             + " bytes, "
             + options.effectiveManagerCount()
             + " managers configured");
-    List<ManagerFootprint> all = result.managers();
-    printFigure(out, "start, ms", all, footprint -> footprint.startNanos() / NANOS_PER_MS);
-    printFigure(out, "resident at rest, MB", all, footprint -> footprint.residentKb() / KB_PER_MB);
-    printFigure(out, "most resident, MB", all, footprint -> footprint.peakResidentKb() / KB_PER_MB);
-    printFigure(out, "core at rest, %", all, footprint -> 100 * footprint.idleCoreShare());
+    List<ManagerFootprint> footprints = result.managers();
+    printFigure(out, "start, ms", footprints, footprint -> footprint.startNanos() / NANOS_PER_MS);
     printFigure(
-        out, "to the channel at rest, bytes/s", all, ManagerFootprint::idleBytesUpPerSecond);
+        out, "resident at rest, MB", footprints, footprint -> footprint.residentKb() / KB_PER_MB);
     printFigure(
-        out, "from the channel at rest, bytes/s", all, ManagerFootprint::idleBytesDownPerSecond);
-    printFigure(out, "from the channel at the start, bytes", all, ManagerFootprint::startBytesDown);
+        out, "most resident, MB", footprints, footprint -> footprint.peakResidentKb() / KB_PER_MB);
+    printFigure(out, "core at rest, %", footprints, footprint -> 100 * footprint.idleCoreShare());
+    printFigure(
+        out, "to the channel at rest, bytes/s", footprints, ManagerFootprint::idleBytesUpPerSecond);
+    printFigure(
+        out,
+        "from the channel at rest, bytes/s",
+        footprints,
+        ManagerFootprint::idleBytesDownPerSecond);
+    printFigure(
+        out, "from the channel at the start, bytes", footprints, ManagerFootprint::startBytesDown);
     if (options.rate() > 0) {
       printFigure(
           out,
           "core at " + options.rate() + "/s, %",
-          all,
+          footprints,
           footprint -> 100 * footprint.loadCoreShare());
-      printFigure(out, "statements handled", all, ManagerFootprint::handled);
-      printFigure(out, "statements not handled", all, ManagerFootprint::notHandled);
+      printFigure(out, "statements handled", footprints, ManagerFootprint::handled);
+      printFigure(out, "statements not handled", footprints, ManagerFootprint::notHandled);
     }
     printFigure(
         out,
         "a change of one engine had, ms",
-        all,
+        footprints,
         footprint -> footprint.changeNanos() / NANOS_PER_MS);
     printFigure(
-        out, "a whole list had, ms", all, footprint -> footprint.listNanos() / NANOS_PER_MS);
-    EngineTraffic engines = result.engineTraffic();
+        out, "a whole list had, ms", footprints, footprint -> footprint.listNanos() / NANOS_PER_MS);
+    EngineTraffic traffic = result.engineTraffic();
     out.println(
         String.format(
             Locale.ROOT,
             "engines, all managers together: %d load probes; at rest %.1f bytes/s of requests,"
                 + " %.1f bytes/s of responses; %d connections",
-            engines.probes(),
-            engines.idleProbeRequestBytesPerSecond(),
-            engines.idleProbeResponseBytesPerSecond(),
-            engines.openConnections()));
+            traffic.probes(),
+            traffic.idleProbeRequestBytesPerSecond(),
+            traffic.idleProbeResponseBytesPerSecond(),
+            traffic.openConnections()));
     if (!result.allChangesReceived()) {
       out.println("NOT REACHED: not all managers received every change");
     }
@@ -140,9 +146,9 @@
   private static void printFigure(
       PrintStream out,
       String label,
-      List<ManagerFootprint> all,
+      List<ManagerFootprint> footprints,
       ToDoubleFunction<ManagerFootprint> figure) {
-    double[] sorted = all.stream().mapToDouble(figure).sorted().toArray();
+    double[] sorted = footprints.stream().mapToDouble(figure).sorted().toArray();
     out.println(
         String.format(
             Locale.ROOT,
--- a/src/main/java/tansytrack/lab/scale/HollowEngine.java
+++ b/src/main/java/tansytrack/lab/scale/HollowEngine.java
@@ -23,7 +23,7 @@
           MAX_QUERIES,
           HollowSettings.START_CAPACITY_FRACTION,
           HollowSettings.WARM_UP_NANOS,
-          HollowSettings.COLD_MULTIPLE,
+          HollowSettings.COLD_OVERLOAD_FACTOR,
           HollowSettings.COLD_WINDOW_NANOS);
 
   /** How an engine reacts to requests. */
@@ -37,7 +37,7 @@
   }
 
   /** An attempt that arrived while the engine was cold. */
-  private record ColdAdmission(long atNanos, long workNanos) {}
+  private record ColdArrival(long atNanos, long workNanos) {}
 
   final int index;
   final String id;
@@ -56,7 +56,7 @@
   private EngineModel model;
   private long startedAtNanos;
   private final Map<String, Attempt> running = new HashMap<>();
-  private final ArrayDeque<ColdAdmission> coldWindow = new ArrayDeque<>();
+  private final ArrayDeque<ColdArrival> coldWindow = new ArrayDeque<>();
 
   /** The sum of the work in {@link #coldWindow}. */
   private long coldWindowWorkNanos;
@@ -135,13 +135,13 @@
     if (startedAtNanos == 0 || model.capacityFraction(now) >= 1) {
       return false;
     }
-    coldWindow.add(new ColdAdmission(now, costNanos));
+    coldWindow.add(new ColdArrival(now, costNanos));
     coldWindowWorkNanos += costNanos;
     while (coldWindow.peek().atNanos() <= now - HollowSettings.COLD_WINDOW_NANOS) {
       coldWindowWorkNanos -= coldWindow.poll().workNanos();
     }
     double allowed =
-        HollowSettings.COLD_MULTIPLE
+        HollowSettings.COLD_OVERLOAD_FACTOR
             * model.capacityFraction(now)
             * ScalePlan.CORES_PER_ENGINE
             * HollowSettings.COLD_WINDOW_NANOS
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -24,7 +24,7 @@
   static final double START_CAPACITY_FRACTION = 0.3;
 
   static final long WARM_UP_NANOS = 8 * ScalePlan.NANOS_PER_SECOND;
-  static final double COLD_MULTIPLE = 2;
+  static final double COLD_OVERLOAD_FACTOR = 2;
   static final long COLD_WINDOW_NANOS = ScalePlan.NANOS_PER_SECOND;
   static final long DRAIN_GRACE_NANOS = ScalePlan.NANOS_PER_SECOND;
   static final long CONNECT_TIMEOUT_NANOS = 250 * ScalePlan.NANOS_PER_MS;
@@ -65,7 +65,7 @@
                 CONNECT_TIMEOUT_NANOS),
             DRAIN_GRACE_NANOS,
             new Settings.ColdStartLimit(
-                START_CAPACITY_FRACTION, WARM_UP_NANOS, COLD_MULTIPLE, COLD_WINDOW_NANOS),
+                START_CAPACITY_FRACTION, WARM_UP_NANOS, COLD_OVERLOAD_FACTOR, COLD_WINDOW_NANOS),
             KEY_COOLDOWN_NANOS,
             RETRY_BUDGET);
   }
--- a/src/main/java/tansytrack/lab/scale/ScaleSimulation.java
+++ b/src/main/java/tansytrack/lab/scale/ScaleSimulation.java
@@ -87,10 +87,10 @@
   }
 
   /** Adds an engine. */
-  private HollowEngine engine(String id, int slot, long startedAt) {
+  private HollowEngine engine(String id, int slot, long startedAtNanos) {
     HollowEngine engine =
         new HollowEngine(
-            engines.size(), id, slot, slot % plan.zones(), startedAt, plan.meanCostNanos());
+            engines.size(), id, slot, slot % plan.zones(), startedAtNanos, plan.meanCostNanos());
     engines.add(engine);
     engineById.put(id, engine);
     return engine;
