--- a/src/main/java/tansytrack/lab/footprint/FootprintTable.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintTable.java
@@ -96,38 +96,25 @@
             + " bytes, "
             + options.effectiveManagerCount()
             + " managers configured");
-    List<ManagerFootprint> footprints = result.managers();
-    printFigure(out, "start, ms", footprints, footprint -> footprint.startNanos() / NANOS_PER_MS);
+    List<ManagerFootprint> all = result.managers();
+    printFigure(out, "start, ms", all, one -> one.startNanos() / NANOS_PER_MS);
+    printFigure(out, "resident at rest, MB", all, one -> one.residentKb() / KB_PER_MB);
+    printFigure(out, "most resident, MB", all, one -> one.peakResidentKb() / KB_PER_MB);
+    printFigure(out, "core at rest, %", all, one -> 100 * one.idleCoreShare());
     printFigure(
-        out, "resident at rest, MB", footprints, footprint -> footprint.residentKb() / KB_PER_MB);
+        out, "to the channel at rest, bytes/s", all, ManagerFootprint::idleBytesUpPerSecond);
     printFigure(
-        out, "most resident, MB", footprints, footprint -> footprint.peakResidentKb() / KB_PER_MB);
-    printFigure(out, "core at rest, %", footprints, footprint -> 100 * footprint.idleCoreShare());
-    printFigure(
-        out, "to the channel at rest, bytes/s", footprints, ManagerFootprint::idleBytesUpPerSecond);
-    printFigure(
-        out,
-        "from the channel at rest, bytes/s",
-        footprints,
-        ManagerFootprint::idleBytesDownPerSecond);
-    printFigure(
-        out, "from the channel at the start, bytes", footprints, ManagerFootprint::startBytesDown);
+        out, "from the channel at rest, bytes/s", all, ManagerFootprint::idleBytesDownPerSecond);
+    printFigure(out, "from the channel at the start, bytes", all, ManagerFootprint::startBytesDown);
     if (options.rate() > 0) {
       printFigure(
-          out,
-          "core at " + options.rate() + "/s, %",
-          footprints,
-          footprint -> 100 * footprint.loadCoreShare());
-      printFigure(out, "statements handled", footprints, ManagerFootprint::handled);
-      printFigure(out, "statements not handled", footprints, ManagerFootprint::notHandled);
+          out, "core at " + options.rate() + "/s, %", all, one -> 100 * one.loadCoreShare());
+      printFigure(out, "statements handled", all, ManagerFootprint::handled);
+      printFigure(out, "statements not handled", all, ManagerFootprint::notHandled);
     }
     printFigure(
-        out,
-        "a change of one engine had, ms",
-        footprints,
-        footprint -> footprint.changeNanos() / NANOS_PER_MS);
-    printFigure(
-        out, "a whole list had, ms", footprints, footprint -> footprint.listNanos() / NANOS_PER_MS);
+        out, "a change of one engine had, ms", all, one -> one.changeNanos() / NANOS_PER_MS);
+    printFigure(out, "a whole list had, ms", all, one -> one.listNanos() / NANOS_PER_MS);
     EngineTraffic traffic = result.engineTraffic();
     out.println(
         String.format(
