--- a/src/main/java/tansytrack/lab/footprint/EngineTraffic.java
+++ b/src/main/java/tansytrack/lab/footprint/EngineTraffic.java
@@ -1,12 +1,12 @@
 package tansytrack.lab.footprint;
 
 /**
- * What the stand-in engines have counted, of all managers together.
+ * The traffic from all managers together, as counted by the stub engines.
  *
- * @param probes load questions since the first launch
- * @param idleProbeRequestBytesPerSecond bytes a second of load questions in the reading at rest
- * @param idleProbeResponseBytesPerSecond bytes a second of their answers
- * @param openConnections open when the reading at rest ended
+ * @param probes load probes since the first launch
+ * @param idleProbeRequestBytesPerSecond bytes a second of probe requests while managers were idle
+ * @param idleProbeResponseBytesPerSecond bytes a second of probe responses while managers were idle
+ * @param openConnections open connections at the end of the idle measurement
  */
 record EngineTraffic(
     long probes,
--- a/src/main/java/tansytrack/lab/footprint/FootprintResult.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintResult.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * What a run measured: each manager, and the engines' side of all of them.
+ * The result of a footprint measurement.
  *
- * @param listBytes of the whole list, as JSON
+ * @param managers the footprint of each manager
+ * @param engineTraffic the traffic of all managers as counted by the stub engines
+ * @param listBytes size of the complete engine list as JSON
  */
 record FootprintResult(
     List<ManagerFootprint> managers, EngineTraffic engineTraffic, int listBytes) {
 
-  /** Have all managers got all changes? */
+  /** Whether all managers have received all published changes. */
   boolean allChangesReceived() {
     return managers.stream().allMatch(ManagerFootprint::allChangesReceived);
   }
--- a/src/main/java/tansytrack/lab/footprint/FootprintTable.java
+++ b/src/main/java/tansytrack/lab/footprint/FootprintTable.java
@@ -11,7 +11,7 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** The measurement as a command: a table of medians and maxima, and a CSV with a row a manager. */
+/** Runs a measurement; prints a summary table and writes a CSV file with a row for each manager. */
 public final class FootprintTable {
 
   private static final double NANOS_PER_MS = 1e6;
@@ -38,7 +38,7 @@
 
   private FootprintTable() {}
 
-  /** Measures; true: all managers served, and got each change that was told. */
+  /** Measures; returns whether all managers received every published change. */
   public static boolean run(FootprintOptions options, Path folder, PrintStream out)
       throws IOException, InterruptedException {
     Files.createDirectories(folder);
@@ -95,51 +95,38 @@
             + result.listBytes()
             + " bytes, "
             + options.effectiveManagerCount()
-            + " managers reckoned");
-    List<ManagerFootprint> footprints = result.managers();
-    printFigure(out, "start, ms", footprints, footprint -> footprint.startNanos() / NANOS_PER_MS);
+            + " managers configured");
+    List<ManagerFootprint> all = result.managers();
+    printFigure(out, "start, ms", all, one -> one.startNanos() / NANOS_PER_MS);
+    printFigure(out, "resident at rest, MB", all, one -> one.residentKb() / KB_PER_MB);
+    printFigure(out, "most resident, MB", all, one -> one.peakResidentKb() / KB_PER_MB);
+    printFigure(out, "core at rest, %", all, one -> 100 * one.idleCoreShare());
     printFigure(
-        out, "resident at rest, MB", footprints, footprint -> footprint.residentKb() / KB_PER_MB);
+        out, "to the channel at rest, bytes/s", all, ManagerFootprint::idleBytesUpPerSecond);
     printFigure(
-        out, "most resident, MB", footprints, footprint -> footprint.peakResidentKb() / KB_PER_MB);
-    printFigure(out, "core at rest, %", footprints, footprint -> 100 * footprint.idleCoreShare());
-    printFigure(
-        out, "to the channel at rest, bytes/s", footprints, ManagerFootprint::idleBytesUpPerSecond);
-    printFigure(
-        out,
-        "from the channel at rest, bytes/s",
-        footprints,
-        ManagerFootprint::idleBytesDownPerSecond);
-    printFigure(
-        out, "from the channel at the start, bytes", footprints, ManagerFootprint::startBytesDown);
+        out, "from the channel at rest, bytes/s", all, ManagerFootprint::idleBytesDownPerSecond);
+    printFigure(out, "from the channel at the start, bytes", all, ManagerFootprint::startBytesDown);
     if (options.rate() > 0) {
       printFigure(
-          out,
-          "core at " + options.rate() + "/s, %",
-          footprints,
-          footprint -> 100 * footprint.loadCoreShare());
-      printFigure(out, "statements handled", footprints, ManagerFootprint::handled);
-      printFigure(out, "statements not handled", footprints, ManagerFootprint::notHandled);
+          out, "core at " + options.rate() + "/s, %", all, one -> 100 * one.loadCoreShare());
+      printFigure(out, "statements handled", all, ManagerFootprint::handled);
+      printFigure(out, "statements not handled", all, ManagerFootprint::notHandled);
     }
     printFigure(
-        out,
-        "a change of one engine had, ms",
-        footprints,
-        footprint -> footprint.changeNanos() / NANOS_PER_MS);
-    printFigure(
-        out, "a whole list had, ms", footprints, footprint -> footprint.listNanos() / NANOS_PER_MS);
+        out, "a change of one engine had, ms", all, one -> one.changeNanos() / NANOS_PER_MS);
+    printFigure(out, "a whole list had, ms", all, one -> one.listNanos() / NANOS_PER_MS);
     EngineTraffic traffic = result.engineTraffic();
     out.println(
         String.format(
             Locale.ROOT,
-            "engines, of all managers: %d load questions; at rest %.1f bytes/s of them, %.1f bytes/s of"
-                + " answers; %d connections",
+            "engines, all managers together: %d load probes; at rest %.1f bytes/s of requests,"
+                + " %.1f bytes/s of responses; %d connections",
             traffic.probes(),
             traffic.idleProbeRequestBytesPerSecond(),
             traffic.idleProbeResponseBytesPerSecond(),
             traffic.openConnections()));
     if (!result.allChangesReceived()) {
-      out.println("NOT REACHED: a change did not come to all managers");
+      out.println("NOT REACHED: not all managers received every change");
     }
   }
 
--- a/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
+++ b/src/main/java/tansytrack/lab/footprint/ProcessFigures.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /**
- * What the machine says of a process at one moment.
+ * Resource usage of a process at one moment, as the operating system reports it.
  *
- * @param residentKb memory that it holds now (VmRSS)
- * @param peakResidentKb the most that it has held so far (VmHWM)
- * @param cpuTime of all its threads since its start
- * @param readAtNanos when it was read, by System.nanoTime
+ * @param residentKb resident memory (VmRSS)
+ * @param peakResidentKb peak resident memory so far (VmHWM)
+ * @param cpuTime CPU time of all threads since the start of the process
+ * @param readAtNanos time of the reading, by System.nanoTime
  */
 record ProcessFigures(long residentKb, long peakResidentKb, Duration cpuTime, long readAtNanos) {
 
   private static final String RESIDENT_FIELD = "VmRSS:";
   private static final String PEAK_RESIDENT_FIELD = "VmHWM:";
 
-  /** Reads /proc/PID/status, and the processor time of /proc/PID/stat as the JDK reads it. */
+  /** Reads memory from /proc/PID/status, and CPU time through the JDK (/proc/PID/stat). */
   static ProcessFigures read(ProcessHandle process) throws IOException {
     Path status = Path.of("/proc", Long.toString(process.pid()), "status");
     Duration cpuTime =
@@ -31,7 +31,7 @@
     return parse(Files.readAllLines(status, StandardCharsets.UTF_8), cpuTime, System.nanoTime());
   }
 
-  /** From the lines of a status file. */
+  /** Parses the lines of a status file. */
   static ProcessFigures parse(List<String> status, Duration cpuTime, long readAtNanos)
       throws IOException {
     return new ProcessFigures(
@@ -47,10 +47,10 @@
         return Long.parseLong(line.substring(name.length()).replace("kB", "").strip());
       }
     }
-    throw new IOException("no " + name + " in the status of the process");
+    throw new IOException("no " + name + " in the status file of the process");
   }
 
-  /** The part of one core that the process has used since the earlier reading. */
+  /** The fraction of one core that the process has used since the earlier reading. */
   double coreShareSince(ProcessFigures earlier) {
     return cpuTime.minus(earlier.cpuTime).toNanos() / (double) (readAtNanos - earlier.readAtNanos);
   }
--- a/src/main/java/tansytrack/lab/scale/EngineList.java
+++ b/src/main/java/tansytrack/lab/scale/EngineList.java
@@ -7,20 +7,23 @@
 import java.util.SplittableRandom;
 import tansytrack.api.EngineEntry;
 
-/** The list of engines: one immutable copy for all managers, and its changes on their way. */
+/**
+ * The engine list of a simulation: one immutable copy that all managers share, and the delayed
+ * delivery of its changes.
+ */
 final class EngineList {
 
   private static final long MIN_DELAY_NANOS = 50 * ScalePlan.NANOS_PER_MS;
   private static final long DELAY_SPREAD_NANOS = 200 * ScalePlan.NANOS_PER_MS;
 
-  /** How much later some managers hear of changes in the schedule of stale lists. */
+  /** Additional delay for the managers that receive changes late (schedule stale-list). */
   static final long LATE_LIST_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_SECOND;
 
   /**
-   * A change of the list.
+   * A published change of the list.
    *
-   * @param atNanos when the list held it
-   * @param receivedAtNanos when each manager heard of it
+   * @param atNanos when the list changed
+   * @param receivedAtNanos when each manager receives the change, by manager index
    */
   record Change(long atNanos, long[] receivedAtNanos) {}
 
@@ -34,16 +37,17 @@
     this.random = random;
   }
 
+  /** The name of a zone in engine entries and settings. */
   static String zoneName(int number) {
     return "zone-" + number;
   }
 
-  /** All engines as listed now: the same object until the next change. */
+  /** All engines as listed now; the same object until the next change. */
   List<EngineEntry> snapshot() {
     return snapshot;
   }
 
-  /** Changes it, without telling anybody. */
+  /** Applies entries to the list without notifying managers. */
   void apply(List<EngineEntry> entries) {
     for (EngineEntry entry : entries) {
       if (entry.state() == EngineEntry.State.GONE) {
@@ -55,7 +59,10 @@
     snapshot = List.copyOf(entriesById.values());
   }
 
-  /** Changes it, and tells all managers, each a little later; stale ones much later. */
+  /**
+   * Applies entries to the list and delivers them to all managers, each after a random delay; to
+   * those that receive the list late, {@link #LATE_LIST_DELAY_NANOS} later still.
+   */
   Change publish(List<EngineEntry> entries, List<HollowManager> managers) {
     apply(entries);
     List<EngineEntry> shared = List.copyOf(entries);
@@ -68,12 +75,12 @@
     return new Change(clock.now(), receivedAtNanos);
   }
 
-  /** How long a message of the list takes. */
+  /** A random delivery delay of a list message. */
   long randomDelayNanos() {
     return MIN_DELAY_NANOS + random.nextLong(DELAY_SPREAD_NANOS);
   }
 
-  /** Entries of these engines in that state. */
+  /** List entries for these engines in the given state. */
   static List<EngineEntry> entries(List<HollowEngine> engines, EngineEntry.State state) {
     List<EngineEntry> entries = new ArrayList<>();
     engines.forEach(engine -> entries.add(engine.entry(state)));
--- a/src/main/java/tansytrack/lab/scale/EventQueue.java
+++ b/src/main/java/tansytrack/lab/scale/EventQueue.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is to happen at each step, in the order in which it was set. */
+/** Scheduled events by step; those of one step run in the order in which they were scheduled. */
 final class EventQueue {
 
   private final VirtualClock clock;
@@ -13,12 +13,12 @@
     this.clock = clock;
   }
 
-  /** Sets what happens so much later, at the next step at the earliest. */
+  /** Schedules an event after a delay, in the next step at the earliest. */
   void scheduleAfter(long delayNanos, Runnable event) {
     scheduleAt(clock.now() + delayNanos, event);
   }
 
-  /** Sets what happens at that time, or at the next step where that has passed. */
+  /** Schedules an event at a time, or in the next step if that time has passed. */
   void scheduleAt(long atNanos, Runnable event) {
     long dueStep =
         (atNanos - VirtualClock.ORIGIN_NANOS + VirtualClock.STEP_NANOS - 1)
@@ -33,7 +33,7 @@
     steps.get(step).add(event);
   }
 
-  /** Lets happen what was set for the present step. */
+  /** Runs the events of the current step. */
   void runDueEvents() {
     if (clock.step() < steps.size() && steps.get(clock.step()) != null) {
       steps.set(clock.step(), null).forEach(Runnable::run);
--- a/src/main/java/tansytrack/lab/scale/FailureInjector.java
+++ b/src/main/java/tansytrack/lab/scale/FailureInjector.java
@@ -4,23 +4,32 @@
 import java.util.List;
 import tansytrack.api.EngineEntry;
 
-/** Plays a schedule of failures on a world. Times are parts of the run's length. */
+/**
+ * Injects the failures of a schedule into a simulation. Begin and duration are fractions of the
+ * duration of the run.
+ */
 final class FailureInjector {
 
   private static final double BEGIN_FRACTION = 0.3;
   private static final double DURATION_FRACTION = 0.2;
   private static final long MAX_DURATION_NANOS = 5 * ScalePlan.NANOS_PER_SECOND;
   private static final int MAX_REGIONS = 6;
-  private static final int REPLACEMENT_BATCHES = 10; // of engines replaced one after the other
-  private static final double REPLACED_ENGINE_FRACTION = 0.5; // of all engines
-  private static final double RESTARTED_MANAGER_FRACTION = 0.2; // of all managers
-  private static final double WRONG_LIST_MANAGER_FRACTION =
-      0.1; // of all managers: stale or empty lists
+
+  /** Batches in which engines are replaced, one after another. */
+  private static final int REPLACEMENT_BATCHES = 10;
+
+  private static final double REPLACED_ENGINE_FRACTION = 0.5;
+  private static final double RESTARTED_MANAGER_FRACTION = 0.2;
+
+  /** The fraction of managers that receive a late or an empty list. */
+  private static final double WRONG_LIST_MANAGER_FRACTION = 0.1;
+
   private static final long RESTART_SPREAD_NANOS = ScalePlan.NANOS_PER_SECOND;
   private static final long RESTART_DOWNTIME_NANOS = ScalePlan.NANOS_PER_SECOND;
   private static final long EMPTY_LIST_NANOS = ScalePlan.NANOS_PER_SECOND;
-  private static final long PROCESS_END_DELAY_NANOS =
-      2 * ScalePlan.NANOS_PER_SECOND; // behind the drain's grace
+
+  /** How long after the drain grace the process of a replaced engine ends. */
+  private static final long PROCESS_END_DELAY_NANOS = 2 * ScalePlan.NANOS_PER_SECOND;
 
   private final ScalePlan plan;
   private final ScaleSimulation simulation;
@@ -34,7 +43,7 @@
     durationNanos = Math.min(MAX_DURATION_NANOS, (long) (DURATION_FRACTION * plan.durationNanos()));
   }
 
-  /** Sets all that is to happen. */
+  /** Schedules all events of the failure schedule. */
   void scheduleAll() {
     switch (plan.schedule()) {
       case NO_FAILURE -> {}
@@ -51,7 +60,7 @@
     }
   }
 
-  /** An even part of the managers. */
+  /** An evenly spaced sample of this fraction of the managers. */
   private List<HollowManager> evenSample(double fraction) {
     int step = (int) Math.round(1 / fraction);
     List<HollowManager> sample = new ArrayList<>();
@@ -89,7 +98,7 @@
       batches.add(new ArrayList<>());
     }
     for (int i = 0; i < count; i++) {
-      // Every second engine, so that all zones take part.
+      // Every second engine, so that engines of all zones are replaced.
       int slot = (int) (i / REPLACED_ENGINE_FRACTION) % plan.engines();
       batches.get(i * batches.size() / count).add(simulation.engines().get(slot));
     }
@@ -98,7 +107,10 @@
     }
   }
 
-  /** New engines take the places of these, which drain, and end once their grace is over. */
+  /**
+   * Replaces engines by new ones in the same slots. The replaced ones drain; their processes end
+   * {@link #PROCESS_END_DELAY_NANOS} after the drain grace.
+   */
   private void scheduleReplacement(long atNanos, List<HollowEngine> replaced) {
     EventQueue events = simulation.events();
     events.scheduleAt(
--- a/src/main/java/tansytrack/lab/scale/HollowManager.java
+++ b/src/main/java/tansytrack/lab/scale/HollowManager.java
@@ -13,15 +13,19 @@
 import tansytrack.api.Outcome;
 import tansytrack.api.TaskRequest;
 
-/** A manager without sockets and clients: a real decision module, and what it asked to be done. */
+/**
+ * A manager without sockets and clients: a real decision module, whose actions are carried out in
+ * the simulation.
+ */
 final class HollowManager implements Actions {
 
-  private static final double WRITE_FRACTION = 0.1; // part of the statements that may not run again
+  /** The fraction of the statements that are not idempotent. */
+  private static final double WRITE_FRACTION = 0.1;
 
   final int index;
   final int zone;
 
-  /** It hears changes of the list late. */
+  /** Whether this manager receives changes of the engine list late. */
   boolean receivesListLate;
 
   final Shard shard;
@@ -31,9 +35,14 @@
   private final Map<String, Statement> openStatements = new HashMap<>();
   private final BitSet usedEngines = new BitSet();
   private DecisionModule module;
+
+  /** Increased at each start and kill; results for earlier instances are ignored. */
   private int instanceId;
-  private long statementCount; // statements so far
-  private long nextDueNanos; // when the next one comes; 0: none yet
+
+  private long statementCount;
+
+  /** When the next statement arrives; 0 before the first one is drawn. */
+  private long nextDueNanos;
 
   HollowManager(
       int index, int zone, Shard shard, ScaleSimulation simulation, SplittableRandom random) {
@@ -44,7 +53,7 @@
     this.random = random;
   }
 
-  /** It starts, with a new module that knows nothing, and hears the list as it is. */
+  /** Starts the manager with a new module, which receives the given complete engine list. */
   void start(ModuleFactory factory, List<EngineEntry> list) {
     instanceId++;
     module =
@@ -53,7 +62,7 @@
     receive(true, list);
   }
 
-  /** It ends at once, with all that it holds. */
+  /** Kills the manager; all its open statements are lost. */
   void kill() {
     instanceId++;
     module = null;
@@ -74,19 +83,20 @@
     return openStatements.size();
   }
 
-  /** The engines that it sent to or probed, by their index. */
+  /** The indexes of the engines that this manager has forwarded to or probed. */
   BitSet usedEngines() {
     return usedEngines;
   }
 
-  /** The engines that its module holds. */
+  /** The engines that the module holds; none while the manager is not running. */
   List<EngineStatus> knownEngines() {
     return module == null ? List.of() : module.engineStatuses(now());
   }
 
   /**
-   * When the next statement comes to it. Counted on from when the last one was due, not from the
-   * step at which it came: else steps would thin the rate.
+   * Draws the arrival time of the next statement. It is counted from the time at which the previous
+   * one was due, not from the step in which it arrived, as rounding up to steps would lower the
+   * rate.
    */
   long drawNextDue(double rate) {
     nextDueNanos = nextDueNanos == 0 ? now() : nextDueNanos;
@@ -98,8 +108,9 @@
     return simulation.now();
   }
 
-  // ---- What it hears ----
+  // ---- Events for the module ----
 
+  /** Delivers an engine list, or changes of it, to the module. */
   void receive(boolean complete, List<EngineEntry> entries) {
     if (module != null) {
       long checksBefore = shard.placementChecks();
@@ -110,7 +121,7 @@
     }
   }
 
-  /** A statement comes, with work between half and one and a half of the mean. */
+  /** Submits a statement with a random cost of 0.5 to 1.5 times the mean. */
   void submitStatement(long meanCostNanos, long deadlineNanos) {
     if (module == null) {
       shard.counters.countArrivalWithoutManager(now());
@@ -136,7 +147,7 @@
     module.decide(now());
   }
 
-  /** An attempt has ended. */
+  /** Delivers the outcome of an attempt, unless an earlier instance of the manager sent it. */
   void receive(Attempt attempt, Outcome outcome, LoadReport report) {
     if (module == null || instanceId != attempt.managerInstanceId) {
       return;
@@ -162,7 +173,7 @@
     module.decide(now());
   }
 
-  /** A probe has ended. */
+  /** Delivers the outcome of a probe, unless an earlier instance of the manager sent it. */
   void receiveProbeResult(
       int probingInstanceId, String engine, Outcome outcome, LoadReport report) {
     if (module != null && instanceId == probingInstanceId) {
@@ -181,7 +192,7 @@
     }
   }
 
-  // ---- What its module asks for ----
+  // ---- Actions of the module ----
 
   @Override
   public void forward(String task, String engine, long timeoutNanos) {
@@ -212,7 +223,7 @@
 
   @Override
   public void assignResources(String task, long memoryMb, int priority) {
-    // Hollow engines heed neither.
+    // Hollow engines use neither memory grants nor priorities.
   }
 
   @Override
@@ -239,6 +250,6 @@
 
   @Override
   public void log(String text) {
-    // What the lab judges is what it sees at engines and clients.
+    // Log texts are dropped: results are measured at engines and clients.
   }
 }
--- a/src/main/java/tansytrack/lab/scale/HollowSettings.java
+++ b/src/main/java/tansytrack/lab/scale/HollowSettings.java
@@ -6,14 +6,21 @@
 import tansytrack.api.QueryClass;
 import tansytrack.api.Settings;
 
-/** The settings of hollow managers: one set shared by all but for seed, position and zone. */
+/** The settings of hollow managers: shared by all managers except for seed, index and zone. */
 final class HollowSettings {
 
-  static final String READ = "read"; // may run again
-  static final String WRITE = "write"; // may not
+  /** The query class of idempotent statements. */
+  static final String READ = "read";
+
+  /** The query class of non-idempotent statements. */
+  static final String WRITE = "write";
+
   static final String ENGINE_TYPE = "plain";
 
-  /** Started engines have this part of their capacity, and all of it after {@link #WARM_AFTER}. */
+  /**
+   * The fraction of its capacity that an engine has when it starts. It has all of it after {@link
+   * #WARM_UP_NANOS}.
+   */
   static final double START_CAPACITY_FRACTION = 0.3;
 
   static final long WARM_UP_NANOS = 8 * ScalePlan.NANOS_PER_SECOND;
@@ -86,7 +93,7 @@
         false);
   }
 
-  /** Those of one manager. */
+  /** The settings of one manager. */
   Settings forManager(long seed, int managerIndex, String zone) {
     return new Settings(
         seed,
--- a/src/main/java/tansytrack/lab/scale/Network.java
+++ b/src/main/java/tansytrack/lab/scale/Network.java
@@ -5,13 +5,14 @@
 import tansytrack.api.Outcome;
 
 /**
- * The way between managers and engines: fixed delays, silence, and a region that may be cut off.
+ * The simulated network between managers and engines: fixed delays, engines that do not respond,
+ * and a partition between the first region and the others.
  */
 final class Network {
 
-  private static final long ONE_WAY_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_MS; // each way
+  private static final long ONE_WAY_DELAY_NANOS = 5 * ScalePlan.NANOS_PER_MS;
 
-  /** How long a real manager's calls take to find out that an engine with a forward is silent. */
+  /** How long a real manager takes to detect that an engine with a forward no longer responds. */
   private static final long SILENCE_TIMEOUT_NANOS = 2 * ScalePlan.NANOS_PER_SECOND;
 
   private final ScaleSimulation simulation;
@@ -22,12 +23,12 @@
     this.simulation = simulation;
   }
 
-  /** Zones belong to so many regions in turn. */
+  /** Sets the number of regions; zones are assigned to them round-robin. */
   void setRegionCount(int count) {
     regionCount = count;
   }
 
-  /** From now on the first region and the others cannot reach each other, or can again. */
+  /** Begins or ends the partition between the first region and the others. */
   void setPartitioned(boolean active) {
     partitioned = active;
   }
@@ -38,6 +39,7 @@
     return !separated && engine.availability != HollowEngine.Availability.SILENT;
   }
 
+  /** Sends a forward to its engine. */
   void send(Attempt attempt) {
     attempt.manager.shard.post(ONE_WAY_DELAY_NANOS, () -> onForwardArrival(attempt));
   }
@@ -56,12 +58,12 @@
     }
   }
 
-  /** The engine is full: it says so. */
+  /** Sends back that the engine is full. */
   void replyFull(Attempt attempt) {
     reportOutcome(attempt, Outcome.FULL, ONE_WAY_DELAY_NANOS);
   }
 
-  /** It ran to its end: the answer goes back, if it gets through. */
+  /** Sends back the result of a completed attempt; its manager sees a reset if it is cut off. */
   void replyResult(Attempt attempt) {
     if (canReach(attempt.manager, attempt.engine)) {
       reportOutcome(attempt, Outcome.OK, ONE_WAY_DELAY_NANOS);
@@ -70,7 +72,10 @@
     }
   }
 
-  /** Attempts lost with an engine that falls silent, or whose process ends. */
+  /**
+   * Ends the attempts of an engine that stops responding or whose process ends. Managers detect the
+   * former only after a timeout.
+   */
   void resetAll(List<Attempt> attempts, boolean silently) {
     attempts.forEach(
         attempt ->
@@ -85,6 +90,7 @@
     manager.shard.events.scheduleAfter(delayNanos, () -> manager.receive(attempt, outcome, report));
   }
 
+  /** Sends the cancellation of a forward to its engine. */
   void cancel(Attempt attempt) {
     attempt.manager.shard.post(ONE_WAY_DELAY_NANOS, () -> onCancelArrival(attempt));
   }
@@ -97,6 +103,7 @@
     reportOutcome(attempt, Outcome.CANCELLED, ONE_WAY_DELAY_NANOS);
   }
 
+  /** Sends a probe of a manager instance to an engine. */
   void probe(HollowManager manager, int managerInstanceId, HollowEngine engine) {
     manager.shard.post(
         ONE_WAY_DELAY_NANOS, () -> onProbeArrival(manager, managerInstanceId, engine));
--- a/src/main/java/tansytrack/lab/scale/RunCounters.java
+++ b/src/main/java/tansytrack/lab/scale/RunCounters.java
@@ -1,6 +1,6 @@
 package tansytrack.lab.scale;
 
-/** What a scale run counts while it plays. */
+/** Counters of a scale run: statements by result, forwards, probes, checks and violations. */
 final class RunCounters {
 
   long statements;
@@ -8,17 +8,35 @@
   long late;
   long rejected;
   long aborted;
+
+  /** Statements that were open when their manager was killed. */
   long lostWithManager;
-  long arrivedWithoutManager; // came while their manager was away
+
+  /** Statements that arrived while their manager was not running. */
+  long arrivedWithoutManager;
+
   long attempts;
   long probes;
   long sweeps;
+
+  /** Zone checks that modules made during sweeps. */
   long placementChecksInSweeps;
+
+  /** Zone checks that modules made while they took in engine lists. */
   long placementChecksOnLists;
+
   long listsReceived;
+
+  /** Starts of engines in which forwards exceeded the cold-start limit. */
   long coldLimitViolations;
+
+  /** Engines that failed from overload while cold. */
   long coldEngineFailures;
+
+  /** Forwards to engines by managers that had known of the drain for longer than the grace. */
   long drainViolations;
+
+  /** Forwards after the drain grace by managers that had not known of the drain for that long. */
   long forwardsBeforeDrainNotice;
 
   private final long[] statementsBySecond;
@@ -29,7 +47,7 @@
     inTimeBySecond = new long[seconds + 1];
   }
 
-  /** Adds another's counts to these. */
+  /** Adds the counts of another set of counters to these. */
   void add(RunCounters other) {
     statements += other.statements;
     inTime += other.inTime;
@@ -59,16 +77,19 @@
     return (int) Math.min(statementsBySecond.length - 1, second);
   }
 
+  /** Counts a statement that arrives at a manager. */
   void countArrival(long atNanos) {
     statements++;
     statementsBySecond[second(atNanos)]++;
   }
 
+  /** Counts a statement whose manager is not running. */
   void countArrivalWithoutManager(long atNanos) {
     arrivedWithoutManager++;
     countArrival(atNanos);
   }
 
+  /** Counts an answer, as in time or late by the deadline of the statement. */
   void countAnswer(Statement statement, long atNanos) {
     if (atNanos <= statement.deadlineNanos) {
       inTime++;
@@ -78,7 +99,7 @@
     }
   }
 
-  /** The share answered in time of the statements that came in each second. */
+  /** For each second, the share of the statements arriving in it that were answered in time. */
   double[] inTimeShares() {
     double[] shares = new double[statementsBySecond.length - 1];
     for (int i = 0; i < shares.length; i++) {
--- a/src/main/java/tansytrack/lab/scale/ScaleSimulation.java
+++ b/src/main/java/tansytrack/lab/scale/ScaleSimulation.java
@@ -10,19 +10,24 @@
 import tansytrack.lab.simulation.EngineModel;
 
 /**
- * Many managers' real decision modules before many hollow engines, on virtual time. Same plan and
- * seed, same events.
+ * A deterministic simulation in virtual time of many managers, with real decision modules, and many
+ * hollow engines. The same plan and seed give the same events, whatever the number of threads.
  */
 public final class ScaleSimulation {
 
-  private static final int MANAGER_START_STEPS = 10; // steps over which managers start
-  private static final int SHARD_COUNT =
-      64; // a constant, as what happens at one step goes by shard
+  /** The steps over which the starts of managers are spread. */
+  private static final int MANAGER_START_STEPS = 10;
 
-  /** Hears how far a run is. */
+  /**
+   * Independent of the number of threads, as the order of events within a step depends on the
+   * shards.
+   */
+  private static final int SHARD_COUNT = 64;
+
+  /** Receives the progress of a run. */
   @FunctionalInterface
   public interface ProgressListener {
-    /** That part of the virtual time has passed, from 0 to 1. */
+    /** Called after each step with the fraction of the virtual time that has passed, 0 to 1. */
     void onProgress(double fraction);
   }
 
@@ -32,16 +37,21 @@
   private final VirtualClock clock = new VirtualClock();
   private final EventQueue events = new EventQueue(clock);
   private final List<Shard> shards = new ArrayList<>();
-  private final RunCounters engineCounters; // of what engines see
+
+  /** What is counted at the engines; each shard counts what happens at its managers. */
+  private final RunCounters engineCounters;
+
   private final Network network = new Network(this);
   private final EngineList engineList;
   private final List<HollowEngine> engines = new ArrayList<>();
   private final Map<String, HollowEngine> engineById = new HashMap<>();
   private final List<HollowManager> managers = new ArrayList<>();
   private final PairChanges pairChanges;
-  private final List<Runnable> shardTasks = new ArrayList<>(); // of the shards, at each step
 
-  /** The world, with nothing started. What comes of it does not depend on the workers. */
+  /** The work of each shard in a step, in the order of the shards. */
+  private final List<Runnable> shardTasks = new ArrayList<>();
+
+  /** Creates a simulation that has not started. Its result does not depend on the workers. */
   public ScaleSimulation(ScalePlan plan, ModuleFactory factory, Workers workers) {
     this.plan = plan;
     this.workers = workers;
@@ -65,7 +75,7 @@
     pairChanges = new PairChanges(managers, this::engine);
   }
 
-  /** The list that the managers of a plan are told first. */
+  /** The engine list that the managers of a plan receive first. */
   static List<EngineEntry> initialList(ScalePlan plan) {
     List<EngineEntry> entries = new ArrayList<>();
     for (int slot = 0; slot < plan.engines(); slot++) {
@@ -76,6 +86,7 @@
     return entries;
   }
 
+  /** Adds an engine. */
   private HollowEngine engine(String id, int slot, long startedAtNanos) {
     HollowEngine engine =
         new HollowEngine(
@@ -85,7 +96,7 @@
     return engine;
   }
 
-  /** Plays it to its end: all statements come, and those that are open may end. */
+  /** Runs until all statements have arrived and are finished or past their deadlines. */
   public void run(ProgressListener progress) {
     for (HollowManager manager : managers) {
       EventQueue shardEvents = manager.shard.events;
@@ -124,7 +135,7 @@
     shards.forEach(shard -> shard.deliver(events));
   }
 
-  /** All statements come that are due by this step, and the next one is set. */
+  /** Submits all statements of a manager that are due by this step, and schedules the next one. */
   private void submitDueStatements(HollowManager manager) {
     long dueNanos = clock.now();
     while (dueNanos <= clock.now()
@@ -137,18 +148,18 @@
     }
   }
 
-  // ---- For the parts of this package ----
+  // ---- Access for the other classes of this package ----
 
   long now() {
     return clock.now();
   }
 
-  /** What happens outside of the managers. */
+  /** The events that do not belong to a shard. */
   EventQueue events() {
     return events;
   }
 
-  /** Of the whole world. */
+  /** The sums of the counters of engines and shards. */
   RunCounters totalCounters() {
     RunCounters total = new RunCounters(plan.seconds());
     total.add(engineCounters);
@@ -180,36 +191,40 @@
     return Collections.unmodifiableList(managers);
   }
 
+  /** The engine with this id. */
   HollowEngine engine(String id) {
     return engineById.get(id);
   }
 
+  /** Starts or restarts a manager with the engine list as it is now. */
   void startManager(HollowManager manager) {
     manager.start(factory, engineList.snapshot());
   }
 
-  /** Tells all managers of a change of the list. */
+  /** Applies a change to the engine list and delivers it to all managers. */
   EngineList.Change publish(List<EngineEntry> entries) {
     pairChanges.captureBaseline();
     return engineList.publish(entries, managers);
   }
 
-  /** A new engine at the place of that one. */
+  /** Adds a new, cold engine in the slot of the given one. */
   HollowEngine addReplacement(HollowEngine replaced) {
     return engine(replaced.id + "-next", replaced.slot, clock.now());
   }
 
+  /** Makes an engine stop responding; its running attempts are lost. */
   void silence(HollowEngine engine) {
     engine.availability = HollowEngine.Availability.SILENT;
     network.resetAll(engine.removeAll(), true);
   }
 
+  /** Ends the process of an engine; its running attempts are lost. */
   void endProcess(HollowEngine engine) {
     engine.availability = HollowEngine.Availability.DOWN;
     network.resetAll(engine.removeAll(), false);
   }
 
-  /** An attempt has come whole to an engine that is up. */
+  /** Handles an attempt that has reached an engine which is up. */
   void onForwardArrival(Attempt attempt) {
     HollowEngine engine = attempt.engine;
     long now = clock.now();
@@ -226,6 +241,7 @@
     }
   }
 
+  /** Counts an attempt that reaches an engine after the drain grace. */
   private void checkDrain(Attempt attempt, long now) {
     EngineList.Change drainChange = attempt.engine.drainChange;
     if (drainChange == null || now <= drainChange.atNanos() + HollowSettings.DRAIN_GRACE_NANOS) {
--- a/src/main/java/tansytrack/lab/scale/SubsetSize.java
+++ b/src/main/java/tansytrack/lab/scale/SubsetSize.java
@@ -3,12 +3,12 @@
 import tansytrack.api.Actions;
 import tansytrack.api.DecisionModule;
 
-/** How many engines one manager of a plan holds, found out by one module that is told the list. */
+/** Determines how many engines one manager of a plan holds, with a single decision module. */
 public final class SubsetSize {
 
   private SubsetSize() {}
 
-  /** Of the first manager, before anything else is made. */
+  /** The number of engines that the first manager holds after it received the engine list. */
   public static int enginesPerManager(ScalePlan plan, ModuleFactory factory) {
     HollowSettings settings = new HollowSettings(plan, new PlacementCheckCounter());
     DecisionModule module =
@@ -19,7 +19,7 @@
     return module.engineStatuses(VirtualClock.ORIGIN_NANOS).size();
   }
 
-  /** Actions that nobody takes. */
+  /** Ignores all actions. */
   private static final class NoOpActions implements Actions {
     @Override
     public void forward(String task, String engine, long timeoutNanos) {}
