--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -21,8 +21,6 @@
   private static final int REJOIN_EVERY_PROBES = 3;
   private static final int MAX_SEEDS_PER_REJOIN = 3;
   private static final int MAX_INDIRECT_PROBES = 256;
-  // Minimum time between two attempts to reclaim a name that another process uses too.
-  private static final long NAME_CONFLICT_INTERVAL_NANOS = 60_000_000_000L;
 
   private final MembershipConfig config;
   private final SplittableRandom random;
@@ -30,10 +28,9 @@
   private final Outbox outbox;
   private final MemberTable members;
   private final FactStore facts;
+  private final SelfClaims selfClaims;
   // By request ID. All have the same timeout, so the oldest expires first.
   private final LinkedHashMap<Long, IndirectProbe> indirectProbes = new LinkedHashMap<>();
-  // By instance ID of another process with this name: the incarnation that superseded its claim.
-  private final Map<Long, Long> refutedIncarnations = new HashMap<>();
   private long lastRequestId;
   private long lastFactVersion;
   private long probeRounds;
@@ -41,25 +38,6 @@
   private Probe probe;
   private Sync sync;
   private long nextSyncAt;
-  private long nameConflictAt = Long.MIN_VALUE;
-
-  /** The probe of the current round. */
-  private static final class Probe {
-    final Member target;
-    final long requestId;
-    final long directTimeoutAt;
-    int helpersAsked;
-    // Helpers that received no ack from the target either.
-    int nacks;
-    boolean acknowledged;
-    boolean indirect;
-
-    Probe(Member target, long requestId, long directTimeoutAt) {
-      this.target = target;
-      this.requestId = requestId;
-      this.directTimeoutAt = directTimeoutAt;
-    }
-  }
 
   /** A probe made on behalf of another member, under the requester's own request ID. */
   private record IndirectProbe(String requester, long requestId, String target, long deadline) {}
@@ -76,6 +54,7 @@
     facts = new FactStore(config.maxFacts());
     outbox = new Outbox(config, local, facts);
     members = new MemberTable(config, local, outbox, facts, random);
+    selfClaims = new SelfClaims(local, outbox);
     // A random phase keeps managers that start together from probing at the same moment.
     nextProbeAt = now + (long) (random.nextDouble() * config.probeIntervalNanos());
     nextSyncAt = now + config.syncIntervalNanos();
@@ -189,15 +168,7 @@
     }
     message.updates().forEach(this::merge);
     for (Fact fact : message.facts()) {
-      // Only facts of the owner's current instance are accepted: facts from before a restart may be
-      // delayed or replayed.
-      Member owner = members.get(fact.owner());
-      if (owner != null
-          && owner.state.status().isLive()
-          && owner.state.instanceId() == fact.instanceId()
-          && facts.merge(local.now, fact)) {
-        outbox.gossip(fact);
-      }
+      mergeFact(fact);
     }
     switch (message.kind()) {
       case PING -> onPing(address, message);
@@ -508,49 +479,21 @@
 
   private void merge(MemberState state) {
     if (state.name().equals(local.self.name())) {
-      mergeClaimAboutSelf(state);
+      selfClaims.merge(state);
     } else {
       members.merge(state);
     }
   }
 
-  // ---- Claims about this member ----
-
-  private void mergeClaimAboutSelf(MemberState claim) {
-    if (claim.instanceId() == local.self.instanceId()) {
-      if (claim.incarnation() >= local.self.incarnation()
-          && claim.status() != MemberStatus.ALIVE
-          && local.self.status() != MemberStatus.LEFT) {
-        local.count("refuted");
-        local.raiseHealthScore(1);
-        outbox.updateSelf(
-            local.self.withIncarnation(
-                claim.incarnation() + 1, MemberStatus.ALIVE, local.self.stage()));
-      }
-      return;
-    }
-    if (!claim.supersedes(local.self)) {
-      return;
-    }
-    Long refutedAt = refutedIncarnations.get(claim.instanceId());
-    boolean isConflict = refutedAt != null && claim.incarnation() > refutedAt;
-    if (isConflict) {
-      local.count("twin");
-      if (local.now - nameConflictAt < NAME_CONFLICT_INTERVAL_NANOS
-          && nameConflictAt != Long.MIN_VALUE) {
-        return;
-      }
-      nameConflictAt = local.now;
-      outbox.add(new Action.NameConflict(claim.name(), claim.address()));
-    }
-    // The claim is of an earlier instance of this member or of another process with its name. The
-    // highest incarnation holds the name.
-    long nextIncarnation = claim.incarnation() + 1;
-    refutedIncarnations.clear();
-    refutedIncarnations.put(claim.instanceId(), nextIncarnation);
-    if (nextIncarnation <= MemberState.MAX_INCARNATION) {
-      outbox.updateSelf(
-          local.self.withIncarnation(nextIncarnation, local.self.status(), local.self.stage()));
+  private void mergeFact(Fact fact) {
+    // Only facts of the owner's current instance are accepted: facts from before a restart may be
+    // delayed or replayed.
+    Member owner = members.get(fact.owner());
+    if (owner != null
+        && owner.state.status().isLive()
+        && owner.state.instanceId() == fact.instanceId()
+        && facts.merge(local.now, fact)) {
+      outbox.gossip(fact);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/tansytrack/fleet/Probe.java
@@ -0,0 +1,19 @@
+package tansytrack.fleet;
+
+/** The probe of the current round. */
+final class Probe {
+  final Member target;
+  final long requestId;
+  final long directTimeoutAt;
+  int helpersAsked;
+  // Helpers that received no ack from the target either.
+  int nacks;
+  boolean acknowledged;
+  boolean indirect;
+
+  Probe(Member target, long requestId, long directTimeoutAt) {
+    this.target = target;
+    this.requestId = requestId;
+    this.directTimeoutAt = directTimeoutAt;
+  }
+}
--- a/src/test/java/tansytrack/fleet/MembershipTest.java
+++ b/src/test/java/tansytrack/fleet/MembershipTest.java
@@ -2,6 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
+import static tansytrack.fleet.MemberStatus.ALIVE;
+import static tansytrack.fleet.MemberStatus.DEAD;
+import static tansytrack.fleet.MemberStatus.LEFT;
+import static tansytrack.fleet.MemberStatus.SUSPECT;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -51,55 +55,19 @@
   }
 
   static Stream<Arguments> merges() {
-    MemberState alive = state("b", 1, 5, MemberStatus.ALIVE);
+    MemberState alive = state("b", 1, 5, ALIVE);
     return Stream.of(
-        arguments("the same again", alive, alive, MemberStatus.ALIVE, 5L),
-        arguments(
-            "suspected", alive, state("b", 1, 5, MemberStatus.SUSPECT), MemberStatus.SUSPECT, 5L),
-        arguments(
-            "suspected at an older one",
-            alive,
-            state("b", 1, 4, MemberStatus.SUSPECT),
-            MemberStatus.ALIVE,
-            5L),
-        arguments(
-            "refuted",
-            state("b", 1, 5, MemberStatus.SUSPECT),
-            state("b", 1, 6, MemberStatus.ALIVE),
-            MemberStatus.ALIVE,
-            6L),
-        arguments(
-            "alive again at the same",
-            state("b", 1, 5, MemberStatus.SUSPECT),
-            alive,
-            MemberStatus.SUSPECT,
-            5L),
-        arguments(
-            "dead by hearsay",
-            alive,
-            state("b", 1, 5, MemberStatus.DEAD),
-            MemberStatus.SUSPECT,
-            5L),
-        arguments("left", alive, state("b", 1, 6, MemberStatus.LEFT), MemberStatus.LEFT, 6L),
-        arguments(
-            "left, told late",
-            state("b", 1, 7, MemberStatus.ALIVE),
-            state("b", 1, 6, MemberStatus.LEFT),
-            MemberStatus.ALIVE,
-            7L),
-        arguments(
-            "another life, older",
-            alive,
-            state("b", 9, 4, MemberStatus.ALIVE),
-            MemberStatus.ALIVE,
-            5L),
-        arguments(
-            "another life, later",
-            alive,
-            state("b", 9, 6, MemberStatus.ALIVE),
-            MemberStatus.ALIVE,
-            6L),
-        arguments("unknown and dead", null, state("b", 1, 5, MemberStatus.DEAD), null, 0L));
+        arguments("the same again", alive, alive, ALIVE, 5L),
+        arguments("suspected", alive, state("b", 1, 5, SUSPECT), SUSPECT, 5L),
+        arguments("suspected at an older one", alive, state("b", 1, 4, SUSPECT), ALIVE, 5L),
+        arguments("refuted", state("b", 1, 5, SUSPECT), state("b", 1, 6, ALIVE), ALIVE, 6L),
+        arguments("alive again at the same", state("b", 1, 5, SUSPECT), alive, SUSPECT, 5L),
+        arguments("dead by hearsay", alive, state("b", 1, 5, DEAD), SUSPECT, 5L),
+        arguments("left", alive, state("b", 1, 6, LEFT), LEFT, 6L),
+        arguments("left, told late", state("b", 1, 7, ALIVE), state("b", 1, 6, LEFT), ALIVE, 7L),
+        arguments("another life, older", alive, state("b", 9, 4, ALIVE), ALIVE, 5L),
+        arguments("another life, later", alive, state("b", 9, 6, ALIVE), ALIVE, 6L),
+        arguments("unknown and dead", null, state("b", 1, 5, DEAD), null, 0L));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -110,7 +78,7 @@
       MemberState received,
       MemberStatus expected,
       long incarnation) {
-    MemberState sender = state("c", 3, 1, MemberStatus.ALIVE);
+    MemberState sender = state("c", 3, 1, ALIVE);
     if (held != null) {
       receive(sender, held);
     }
@@ -129,8 +97,8 @@
   @Test
   void refutesItsDeathAndRaisesHealthScore() {
     MemberState claim =
-        new MemberState("me", "a0", "here", 77, 4, MemberStatus.DEAD, Stage.SERVING, "1", "s", "x");
-    List<Action> actions = receive(state("b", 1, 1, MemberStatus.ALIVE), claim);
+        new MemberState("me", "a0", "here", 77, 4, DEAD, Stage.SERVING, "1", "s", "x");
+    List<Action> actions = receive(state("b", 1, 1, ALIVE), claim);
     assertThat(membership.self().incarnation()).isEqualTo(5);
     assertThat(membership.healthScore()).isEqualTo(1);
     assertThat(actions.get(actions.size() - 1))
@@ -144,7 +112,7 @@
 
   @Test
   void doesNotAckPingForAnotherMember() {
-    MemberState sender = state("b", 1, 1, MemberStatus.ALIVE);
+    MemberState sender = state("b", 1, 1, ALIVE);
     List<Action> actions =
         membership.receive(
             now,
@@ -158,20 +126,15 @@
   }
 
   static Stream<Arguments> invalidStates() {
-    MemberState valid = state("b", 1, 1, MemberStatus.ALIVE);
+    MemberState valid = state("b", 1, 1, ALIVE);
     return Stream.of(
-        arguments("no name", state("", 1, 1, MemberStatus.ALIVE), valid),
-        arguments(
-            "a name that sorts after all others", state("~b", 1, 1, MemberStatus.ALIVE), valid),
-        arguments(
-            "a name that is too long", state("b".repeat(65), 1, 1, MemberStatus.ALIVE), valid),
-        arguments("incarnation 0", state("b", 1, 0, MemberStatus.ALIVE), valid),
-        arguments(
-            "an incarnation without room",
-            state("b", 1, Long.MAX_VALUE, MemberStatus.ALIVE),
-            valid),
-        arguments("no instance ID", state("b", 0, 1, MemberStatus.ALIVE), valid),
-        arguments("an invalid update", valid, state("c", 1, -1, MemberStatus.ALIVE)));
+        arguments("no name", state("", 1, 1, ALIVE), valid),
+        arguments("a name that sorts after all others", state("~b", 1, 1, ALIVE), valid),
+        arguments("a name that is too long", state("b".repeat(65), 1, 1, ALIVE), valid),
+        arguments("incarnation 0", state("b", 1, 0, ALIVE), valid),
+        arguments("an incarnation without room", state("b", 1, Long.MAX_VALUE, ALIVE), valid),
+        arguments("no instance ID", state("b", 0, 1, ALIVE), valid),
+        arguments("an invalid update", valid, state("c", 1, -1, ALIVE)));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -185,7 +148,7 @@
   @Test
   void refusesMembersAboveTheMaximum() {
     for (int i = 0; i < CONFIG.maxMembers() + 10; i++) {
-      receive(state("b" + i, 1, 1, MemberStatus.ALIVE));
+      receive(state("b" + i, 1, 1, ALIVE));
     }
     assertThat(membership.view().liveMembers()).isEqualTo(CONFIG.maxMembers() + 1);
     assertThat(membership.counts()).containsEntry("too_many", 10L);
