--- a/src/main/java/tansytrack/operator/OperatorFile.java
+++ b/src/main/java/tansytrack/operator/OperatorFile.java
@@ -170,13 +170,7 @@
   }
 
   private static LedgerSection ledger(Ledger message, SourceLocation location) {
-    if (message.getFolder().isBlank()) {
-      throw location.error(
-          field(Ledger.getDescriptor(), "folder"),
-          0,
-          message.getFolder(),
-          "a folder on a persistent disk");
-    }
+    requireFolder(message, location);
     int commitIntervalMs =
         inRangeOrDefault(
             message.getCommitEveryMs(),
@@ -209,10 +203,7 @@
         message.hasBilling() ? location.child(billingField, 0) : location;
     Billing billing = message.getBilling();
     BillingPeriods periods = periods(billing, billingLocation);
-    if (billing.getGraceHours() < 0) {
-      throw billingLocation.error(
-          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "at least 0");
-    }
+    ClosingPolicy closingPolicy = closingPolicy(billing, periods, billingLocation);
     return new LedgerSection(
         Path.of(message.getFolder()),
         message.getAnswers() == Ledger.Wait.AFTER_COMMIT,
@@ -223,11 +214,34 @@
         maxUnwrittenLines,
         periods,
         rates(billing, message.getWaste() == Ledger.Waste.TENANT, billingLocation),
-        new ClosingPolicy(periods, billing.getGraceHours() * NANOS_PER_HOUR),
+        closingPolicy,
         quotas(billing, billingLocation),
-        TextFormat.printer().emittingSingleLine(true).printToString(billing)
-            + " waste: "
-            + message.getWaste());
+        billingText(message));
+  }
+
+  private static void requireFolder(Ledger message, SourceLocation location) {
+    if (message.getFolder().isBlank()) {
+      throw location.error(
+          field(Ledger.getDescriptor(), "folder"),
+          0,
+          message.getFolder(),
+          "a folder on a persistent disk");
+    }
+  }
+
+  private static ClosingPolicy closingPolicy(
+      Billing billing, BillingPeriods periods, SourceLocation billingLocation) {
+    if (billing.getGraceHours() < 0) {
+      throw billingLocation.error(
+          field(Billing.getDescriptor(), "grace_hours"), 0, billing.getGraceHours(), "at least 0");
+    }
+    return new ClosingPolicy(periods, billing.getGraceHours() * NANOS_PER_HOUR);
+  }
+
+  private static String billingText(Ledger message) {
+    return TextFormat.printer().emittingSingleLine(true).printToString(message.getBilling())
+        + " waste: "
+        + message.getWaste();
   }
 
   private static List<TenantQuota> quotas(Billing billing, SourceLocation billingLocation) {
@@ -249,6 +263,31 @@
   }
 
   private static FleetSection fleet(Fleet message, SourceLocation location) {
+    Descriptors.Descriptor descriptor = Fleet.getDescriptor();
+    List<FleetPeer> peers = peers(message, location);
+    return new FleetSection(
+        message.getName(),
+        message.getPlace(),
+        message.getAddress(),
+        List.copyOf(peers),
+        inRangeOrDefault(
+                message.getProbeEveryMs(), 500, 100, 10_000, descriptor, "probe_every_ms", location)
+            * NANOS_PER_MS,
+        inRangeOrDefault(
+            message.getMostBytesASecond(),
+            16_384,
+            2048,
+            1 << 20,
+            descriptor,
+            "most_bytes_a_second",
+            location),
+        inRangeOrDefault(message.getSettleS(), 30, 1, 3600, descriptor, "settle_s", location)
+            * 1000L
+            * NANOS_PER_MS);
+  }
+
+  /** Returns the other managers, whose names and addresses must be unique. */
+  private static List<FleetPeer> peers(Fleet message, SourceLocation location) {
     Descriptors.Descriptor descriptor = Fleet.getDescriptor();
     Set<String> names = new HashSet<>();
     Set<String> addresses = new HashSet<>();
@@ -279,25 +318,7 @@
     if (peers.isEmpty()) {
       throw location.error(field(descriptor, "peers"), 0, "", "at least one");
     }
-    return new FleetSection(
-        message.getName(),
-        message.getPlace(),
-        message.getAddress(),
-        List.copyOf(peers),
-        inRangeOrDefault(
-                message.getProbeEveryMs(), 500, 100, 10_000, descriptor, "probe_every_ms", location)
-            * NANOS_PER_MS,
-        inRangeOrDefault(
-            message.getMostBytesASecond(),
-            16_384,
-            2048,
-            1 << 20,
-            descriptor,
-            "most_bytes_a_second",
-            location),
-        inRangeOrDefault(message.getSettleS(), 30, 1, 3600, descriptor, "settle_s", location)
-            * 1000L
-            * NANOS_PER_MS);
+    return peers;
   }
 
   private static String checkedName(
