--- a/src/main/java/tansytrack/ledger/disk/LedgerStore.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -82,6 +82,7 @@
   // Its transactions read a snapshot and block nobody.
   private final Connection readConnection;
   private final LineReader lineReader;
+  private final BillingReader billingReader;
   private final FileChannel lock;
   private final String manager;
   private long epoch;
@@ -98,6 +99,7 @@
     this.writeConnection = writeConnection;
     this.readConnection = readConnection;
     lineReader = new LineReader(readConnection);
+    billingReader = new BillingReader(readConnection);
     this.lock = lock;
     this.manager = manager;
   }
@@ -337,55 +339,12 @@
 
   /** The closed periods, sorted by name. */
   public List<ClosedPeriod> closedPeriods() throws IOException {
-    return inReadTransaction(
-        () -> {
-          List<ClosedPeriod> closedPeriods = new ArrayList<>();
-          try (Statement statement = readConnection.createStatement();
-              ResultSet row =
-                  statement.executeQuery(
-                      "SELECT period, upto, at, author, sha, billing FROM closed ORDER BY"
-                          + " period")) {
-            while (row.next()) {
-              closedPeriods.add(
-                  new ClosedPeriod(
-                      row.getString(1),
-                      row.getLong(2),
-                      row.getLong(3),
-                      row.getString(4),
-                      row.getString(5),
-                      row.getString(6)));
-            }
-          }
-          return closedPeriods;
-        });
+    return inReadTransaction(billingReader::closedPeriods);
   }
 
   /** The sealed batches, sorted by number. */
   public List<Batch> batches() throws IOException {
-    return inReadTransaction(
-        () -> {
-          List<Batch> batches = new ArrayList<>();
-          try (Statement statement = readConnection.createStatement();
-              ResultSet row =
-                  statement.executeQuery(
-                      "SELECT number, first, last, form, sha, size, sealed_at, placed_at, acked_at"
-                          + " FROM batch ORDER BY number")) {
-            while (row.next()) {
-              batches.add(
-                  new Batch(
-                      row.getLong(1),
-                      row.getLong(2),
-                      row.getLong(3),
-                      row.getString(4),
-                      row.getString(5),
-                      row.getLong(6),
-                      row.getLong(7),
-                      row.getLong(8),
-                      row.getLong(9)));
-            }
-          }
-          return batches;
-        });
+    return inReadTransaction(billingReader::batches);
   }
 
   // ---- Operations of commands ----
