--- a/src/main/java/tansytrack/lab/LedgerAudit.java
+++ b/src/main/java/tansytrack/lab/LedgerAudit.java
@@ -87,14 +87,7 @@
     figures.put(
         "entries.resolved_by_engines",
         (double) findings.getOrDefault("resolved by the engine", 0L));
-    long reportedRuns = 0;
-    for (ManagerProcess manager : managers) {
-      try (LedgerStore store =
-          LedgerStore.openForCommand(manager.ledgerFolder(), FaultInjector.NONE)) {
-        reportedRuns += store.reportedRuns().size();
-      }
-    }
-    figures.put("entries.told_at_start", (double) reportedRuns);
+    figures.put("entries.told_at_start", (double) reportedRuns(managers));
     figures.put(
         "entries.holes",
         (double)
@@ -108,6 +101,17 @@
     return figures;
   }
 
+  private static long reportedRuns(List<ManagerProcess> managers) throws IOException {
+    long reportedRuns = 0;
+    for (ManagerProcess manager : managers) {
+      try (LedgerStore store =
+          LedgerStore.openForCommand(manager.ledgerFolder(), FaultInjector.NONE)) {
+        reportedRuns += store.reportedRuns().size();
+      }
+    }
+    return reportedRuns;
+  }
+
   private void batches(List<ManagerProcess> managers, Map<String, Double> figures)
       throws IOException {
     long repeated = changedBatches;
--- a/src/main/java/tansytrack/lab/LoadFile.java
+++ b/src/main/java/tansytrack/lab/LoadFile.java
@@ -116,21 +116,7 @@
             part.getWave().getMost(),
             part.getWave().getDayMs() * NANOS_PER_MS);
       }
-      case FESTIVAL -> {
-        requireRange(
-            "festival.halves_ms", (double) part.getFestival().getHalvesMs(), 1, 86_400_000);
-        requireRange(
-            "festival.fullest_ms",
-            (double) part.getFestival().getFullestMs(),
-            (double) (part.getFestival().getOpensMs() + 1),
-            86_400_000);
-        yield new RateShape.Festival(
-            part.getFestival().getCalm(),
-            part.getFestival().getPeak(),
-            part.getFestival().getOpensMs() * NANOS_PER_MS,
-            part.getFestival().getFullestMs() * NANOS_PER_MS,
-            part.getFestival().getHalvesMs() * NANOS_PER_MS);
-      }
+      case FESTIVAL -> festival(part);
       default ->
           throw new InvalidInputException(
               file
@@ -139,6 +125,21 @@
     };
   }
 
+  private RateShape festival(Part part) {
+    requireRange("festival.halves_ms", (double) part.getFestival().getHalvesMs(), 1, 86_400_000);
+    requireRange(
+        "festival.fullest_ms",
+        (double) part.getFestival().getFullestMs(),
+        (double) (part.getFestival().getOpensMs() + 1),
+        86_400_000);
+    return new RateShape.Festival(
+        part.getFestival().getCalm(),
+        part.getFestival().getPeak(),
+        part.getFestival().getOpensMs() * NANOS_PER_MS,
+        part.getFestival().getFullestMs() * NANOS_PER_MS,
+        part.getFestival().getHalvesMs() * NANOS_PER_MS);
+  }
+
   /** The arrivals of the load for a seed. */
   ArrivalSchedule schedule(long seed) {
     TaskMix mix =
