--- a/src/test/java/tansytrack/service/StatementServer.java
+++ b/src/test/java/tansytrack/service/StatementServer.java
@@ -133,55 +133,53 @@
   }
 
   private String answerToStatement(String requestLine, boolean poll) {
-    String resultHeaders = "Page-Count: 1\r\nWork-Ms: 5.5\r\nPeak-Mb: 2\r\n";
-    String goodResult = response("200 OK", resultHeaders, "a\tb\tc\n");
+    String headers = "Page-Count: 1\r\nWork-Ms: 5.5\r\nPeak-Mb: 2\r\n";
+    String result = response("200 OK", headers, "a\tb\tc\n");
     int stalledRequests = statement.equals("stalldie") ? 1 : 0;
     return switch (statement) {
       case "die", "stalldie" ->
           polls <= stalledRequests
               ? "silent"
               : polls < stalledRequests + 3 ? response("202 Accepted", "", "") : crash();
-      case "ok" -> response("200 OK", resultHeaders, "a\tb\tc\n\t\t\n");
+      case "ok" -> response("200 OK", headers, "a\tb\tc\n\t\t\n");
       case "late" ->
           polls == unansweredPoll
               ? "silent"
               : polls < 4
                   ? response("202 Accepted", "", "")
-                  : response("200 OK", resultHeaders, "1\t2\t3\n");
+                  : response("200 OK", headers, "1\t2\t3\n");
       case "full" -> response("503 Full", "X-Not-Run: 1\r\n", "");
       case "fullonce" ->
           polls < 2
               ? response("503 Full", "X-Not-Run: 1\r\n", "")
-              : response("200 OK", resultHeaders, "");
+              : response("200 OK", headers, "");
       case "past" -> response("504 Over", "X-Not-Run: 1\r\n", "");
       case "error" -> response("500 No", "", "");
-      case "found" -> polls < 2 ? "cut" : response("200 OK", resultHeaders, "f\tf\tf\n");
+      case "found" -> polls < 2 ? "cut" : response("200 OK", headers, "f\tf\tf\n");
       case "cutlate" ->
           polls == 1
               ? response("202 Accepted", "", "")
-              : polls == 2 ? "cut" : response("200 OK", resultHeaders, "g\tg\tg\n");
+              : polls == 2 ? "cut" : response("200 OK", headers, "g\tg\tg\n");
       case "restarted" ->
           polls < 2
               ? "cut"
-              : polls == 2 ? response("500 No", "", "") : response("200 OK", resultHeaders, "");
-      case "noise" -> polls < 4 ? "x".repeat(9000 * polls) : goodResult;
+              : polls == 2 ? response("500 No", "", "") : response("200 OK", headers, "");
+      case "noise" -> polls < 4 ? "x".repeat(9000 * polls) : result;
       case "endless" ->
-          polls < 2 ? "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx" : goodResult;
+          polls < 2 ? "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx" : result;
       case "short" ->
-          polls < 2
-              ? "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 60\r\n\r\na"
-              : goodResult;
-      case "wronglength" -> polls < 2 ? goodResult.replace("Length: 6", "Length: 0") : goodResult;
-      case "hints" -> "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Go\r\n\r\n" + goodResult;
-      case "twice" -> goodResult + goodResult;
-      case "never" -> polls < 3 ? "silent" : goodResult;
+          polls < 2 ? "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 60\r\n\r\na" : result;
+      case "wronglength" -> polls < 2 ? result.replace("Length: 6", "Length: 0") : result;
+      case "hints" -> "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Go\r\n\r\n" + result;
+      case "twice" -> result + result;
+      case "never" -> polls < 3 ? "silent" : result;
       case "cut" -> "cut";
       case "junk" -> "HTTP/9 whatever\r\n\r\n";
-      case "twocolumns" -> response("200 OK", resultHeaders, "a\tb\n");
-      case "halfrow" -> response("200 OK", resultHeaders, "a\tb\tc");
+      case "twocolumns" -> response("200 OK", headers, "a\tb\n");
+      case "halfrow" -> response("200 OK", headers, "a\tb\tc");
       case "manypages" -> response("200 OK", "Page-Count: 1000000\r\n", "a\tb\tc\n");
       case "badnumber" -> response("200 OK", "Page-Count: x\r\n", "a\tb\tc\n");
-      default -> answerInPages(requestLine, poll, goodResult);
+      default -> answerInPages(requestLine, poll, result);
     };
   }
 
