--- a/src/main/java/tansytrack/wire/Json.java
+++ b/src/main/java/tansytrack/wire/Json.java
@@ -209,10 +209,10 @@
     if (position == text.length) {
       throw malformed("string without an end");
     }
-    byte b = text[position++];
-    switch (b) {
+    byte escape = text[position++];
+    switch (escape) {
       case '"', '\\', '/':
-        return (char) b;
+        return (char) escape;
       case 'b':
         return '\b';
       case 'f':
--- a/src/test/java/tansytrack/DecideTest.java
+++ b/src/test/java/tansytrack/DecideTest.java
@@ -3,14 +3,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static tansytrack.ManagerHarness.big;
 import static tansytrack.ManagerHarness.engine;
+import static tansytrack.ManagerHarness.managerWithHistory;
+import static tansytrack.ManagerHarness.report;
 import static tansytrack.ManagerHarness.small;
+import static tansytrack.api.Outcome.ERROR;
+import static tansytrack.api.Outcome.OK;
+import static tansytrack.api.Outcome.UNREACHED;
 
+import java.util.LinkedList;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.api.EngineEntry.State;
-import tansytrack.api.LoadReport;
 import tansytrack.api.Outcome;
 import tansytrack.api.Settings;
 
@@ -22,10 +28,6 @@
     return new ManagerHarness().listEngines(true, small("e")).submitAll(8, "x# short a left=19000");
   }
 
-  private static LoadReport report(double cpuUtilization, double activeTasks, double memory) {
-    return new LoadReport(cpuUtilization, activeTasks, Double.NaN, memory, Double.NaN);
-  }
-
   @Test
   void earliestDeadlineIsSentFirst() {
     ManagerHarness manager =
@@ -33,30 +35,24 @@
             .submit("late short a left=9000")
             .submit("soon short a left=4000")
             .decide();
-    manager.endForward("x0", 0, Outcome.OK).endForward("x1", 0, Outcome.OK);
+    manager.endForward("x0", 0, OK).endForward("x1", 0, OK);
     assertThat(manager.actionsWith("forward").subList(8, 10))
         .containsExactly("forward soon e", "forward late e");
   }
 
-  /**
-   * Guards against a deployment without named tenants that gets no queue: its tasks share one queue
-   * in the order of their deadlines.
-   */
+  /** Guards against no queue without named tenants: all tasks share one, ordered by deadline. */
   @Test
   void withoutTenantsAllShareOneQueue() {
     ManagerHarness manager = new ManagerHarness();
     manager.hasTenants = false;
     manager.listEngines(true, small("e")).submitAll(8, "x# short - left=19000");
     manager.submit("late short - left=9000").submit("soon short - left=4000").decide();
-    manager.endForward("x0", 0, Outcome.OK).endForward("x1", 0, Outcome.OK);
+    manager.endForward("x0", 0, OK).endForward("x1", 0, OK);
     assertThat(manager.actionsWith("forward").subList(8, 10))
         .containsExactly("forward soon e", "forward late e");
   }
 
-  /**
-   * Guards against a concurrency limit that stays at one thread: slow answers are no sign of
-   * overload while few tasks run.
-   */
+  /** Guards against a limit stuck at one: slow answers are no overload while few tasks run. */
   @Test
   void slowAnswersStillAllowOneThreadPerCore() {
     ManagerHarness manager =
@@ -65,13 +61,9 @@
             .submit("f short a")
             .decide()
             .advance(100)
-            .endForward("f", 0, Outcome.OK);
+            .endForward("f", 0, OK);
     for (int i = 0; i < 12; i++) {
-      manager
-          .submit("s" + i + " short a")
-          .decide()
-          .advance(1500)
-          .endForward("s" + i, 0, Outcome.OK);
+      manager.submit("s" + i + " short a").decide().advance(1500).endForward("s" + i, 0, OK);
     }
     assertThat(manager.submitAll(8, "t# short a").actionsWith("forward t")).hasSize(4);
   }
@@ -81,7 +73,7 @@
     ManagerHarness manager = saturatedManager();
     manager.submitAll(8, "a# short a left=9000").submitAll(8, "b# short b left=9000");
     for (int i = 0; i < 8; i++) {
-      manager.endForward("x" + i, 0, Outcome.OK);
+      manager.endForward("x" + i, 0, OK);
     }
     // Shares of 0.75 and 0.25; the limit grows with each fast answer, so more than 8 may be sent.
     List<String> sent = manager.actionsWith("forward").subList(8, 16);
@@ -100,7 +92,7 @@
     // The learned run time is four seconds; the nine tasks sent now take as long.
     ManagerHarness manager =
         new ManagerHarness().listEngines(true, small("e")).submit("p short a cost=4000").decide();
-    manager.advance(4000).endForward("p", 0, Outcome.OK).submitAll(9, "x# short a left=19000");
+    manager.advance(4000).endForward("p", 0, OK).submitAll(9, "x# short a left=19000");
     assertThat(manager.submit("t short a left=5000").decide().actionsWith("bounce"))
         .containsExactly("bounce t");
   }
@@ -131,8 +123,8 @@
   void choiceFollowsReportsOrElseThreads() {
     ManagerHarness manager =
         new ManagerHarness().listEngines(true, small("e"), small("f"), small("g"));
-    manager.endProbe("e", Outcome.OK, report(0.9, 40, Double.NaN));
-    manager.endProbe("f", Outcome.OK, report(0.1, 1, Double.NaN));
+    manager.endProbe("e", OK, report(0.9, 40, Double.NaN));
+    manager.endProbe("f", OK, report(0.1, 1, Double.NaN));
     manager.submitAll(8, "t# short a");
     assertThat(manager.sentTo("f")).isGreaterThanOrEqualTo(6);
     assertThat(manager.sentTo("g")).as("no report: counts as average").isLessThanOrEqualTo(2);
@@ -152,9 +144,9 @@
       manager.seed = seed;
       manager.managerCount = managerCount;
       manager.listEngines(true, small("e"), small("f"), small("g"));
-      manager.endProbe("e", Outcome.OK, report(Double.NaN, 8, Double.NaN));
-      manager.endProbe("f", Outcome.OK, report(Double.NaN, 0, Double.NaN));
-      manager.endProbe("g", Outcome.OK, report(Double.NaN, 8, Double.NaN));
+      manager.endProbe("e", OK, report(Double.NaN, 8, Double.NaN));
+      manager.endProbe("f", OK, report(Double.NaN, 0, Double.NaN));
+      manager.endProbe("g", OK, report(Double.NaN, 8, Double.NaN));
       sent += (int) manager.advance(age).submit("t short a").decide().sentTo("f");
     }
     assertThat(sent).isBetween(min, max);
@@ -163,7 +155,7 @@
   @ParameterizedTest(
       name = "{0} managers, a task every {1} ms: {2} to {3} probes of 10 engines in 10 s")
   @CsvSource({"1, 5, 0, 20", "1, 500, 10, 50", "100, 500, 0, 10"})
-  void probesAreRareWhereAnswersTellEnough(int managerCount, long taskInterval, int min, int max) {
+  void probesAreRareWhereAnswersTellEnough(int managerCount, long interval, int min, int max) {
     // Guards against probes that cost more than they tell, with many managers and few tasks each.
     ManagerHarness manager = new ManagerHarness();
     manager.probing = true;
@@ -171,12 +163,8 @@
     for (int i = 0; i < 10; i++) {
       manager.listEngines(false, small("e" + i));
     }
-    for (long at = 0; at < 10_000; at += taskInterval) {
-      manager
-          .submit("t" + at + " short a")
-          .decide()
-          .endForward("t" + at, 0, Outcome.OK)
-          .advance(taskInterval);
+    for (long at = 0; at < 10_000; at += interval) {
+      manager.submit("t" + at + " short a").decide().endForward("t" + at, 0, OK).advance(interval);
     }
     assertThat(manager.actionsWith("probe ").size()).isBetween(min, max);
   }
@@ -186,8 +174,7 @@
   void benefitOfWarmDataSetsIsLearned(int warm, double min, double max) {
     // Guards against preferring warm data sets where engines gain nothing from them.
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"), small("f"));
-    java.util.Map<String, List<Integer>> read =
-        java.util.Map.of("e", new java.util.LinkedList<>(), "f", new java.util.LinkedList<>());
+    Map<String, List<Integer>> read = Map.of("e", new LinkedList<>(), "f", new LinkedList<>());
     int hits = 0;
     for (int i = 0; i < 1200; i++) {
       manager.submit("t" + i + " short a set=" + i % 8).decide();
@@ -198,7 +185,7 @@
         sets.remove(0);
       }
       hits += hit && i >= 800 ? 1 : 0;
-      manager.advance(hit ? warm : 100).endForward("t" + i, 0, Outcome.OK);
+      manager.advance(hit ? warm : 100).endForward("t" + i, 0, OK);
     }
     assertThat(hits / 400.0).isBetween(min, max);
   }
@@ -209,7 +196,7 @@
     ManagerHarness manager =
         new ManagerHarness().listEngines(true, small("e")).submitAll(4, "t# short a mb=300");
     assertThat(manager.actionsWith("forward")).hasSize(2);
-    assertThat(manager.endForward("t0", 0, Outcome.OK).actionsWith("forward")).hasSize(3);
+    assertThat(manager.endForward("t0", 0, OK).actionsWith("forward")).hasSize(3);
   }
 
   @Test
@@ -220,8 +207,8 @@
     manager.listEngines(true, small("e"));
     for (int i = 0; i < 60; i++) {
       manager.submit("p" + i + " short a").submit("q" + i + " short a").decide();
-      manager.endProbe("e", Outcome.OK, report(Double.NaN, 4, Double.NaN));
-      manager.endForward("p" + i, 0, Outcome.OK).endForward("q" + i, 0, Outcome.OK);
+      manager.endProbe("e", OK, report(Double.NaN, 4, Double.NaN));
+      manager.endForward("p" + i, 0, OK).endForward("q" + i, 0, OK);
     }
     int before = manager.actionsWith("forward").size();
     manager.submitAll(12, "t# short a mb=90");
@@ -231,8 +218,7 @@
   @ParameterizedTest(name = "{0} managers: {1} of 12 go")
   @CsvSource({"1, 12", "8, 4", "100, 1"})
   void limitBelowOneTaskAppliesToTheWholePool(int managerCount, int max) {
-    // Guards against a minimum of one task per engine and manager, which is far more than the
-    // engines hold.
+    // Guards against a minimum of one task per engine and manager: engines hold far less.
     ManagerHarness manager = new ManagerHarness();
     manager.managerCount = managerCount;
     manager
@@ -274,16 +260,6 @@
     assertThat(manager.actionsWith("forward")).containsExactly("forward t e");
   }
 
-  private static ManagerHarness managerWithHistory(boolean hedging) {
-    ManagerHarness manager = new ManagerHarness();
-    manager.hedging = hedging;
-    manager.listEngines(true, small("e"), small("f"), small("g"));
-    for (int i = 0; i < 40; i++) {
-      manager.submit("p" + i + " short a").decide().advance(50).endForward("p" + i, 0, Outcome.OK);
-    }
-    return manager;
-  }
-
   @ParameterizedTest(name = "hedging {0}")
   @CsvSource({"false", "true"})
   void silentEngineIsExcludedAndItsTasksRetried(boolean hedging) {
@@ -293,7 +269,7 @@
         manager.actionsWith("forward t").stream().filter(line -> line.endsWith(" e")).toList();
     for (String line : manager.actionsWith("forward t")) {
       if (!line.endsWith(" e")) {
-        manager.endForward(line.split(" ")[1], 0, Outcome.OK);
+        manager.endForward(line.split(" ")[1], 0, OK);
       }
     }
     assertThat(stuck).isNotEmpty();
@@ -355,7 +331,7 @@
     for (int i = 0; i < 60; i++) {
       manager.submit("t" + i + " stamp a").decide();
       String line = manager.actionsWith("forward t" + i + " ").get(0);
-      manager.endForward("t" + i, 0, line.endsWith(" e") ? Outcome.ERROR : Outcome.OK);
+      manager.endForward("t" + i, 0, line.endsWith(" e") ? ERROR : OK);
     }
     assertThat(manager.sentTo("e") - before).isBetween(1L, 4L);
   }
@@ -370,9 +346,9 @@
       manager
           .submit("t" + i + " short a")
           .decide()
-          .endForward("t" + i, 0, Outcome.ERROR)
-          .endForward("t" + i, 1, Outcome.ERROR)
-          .endForward("t" + i, 2, succeeds && i > 3 ? Outcome.OK : Outcome.ERROR);
+          .endForward("t" + i, 0, ERROR)
+          .endForward("t" + i, 1, ERROR)
+          .endForward("t" + i, 2, succeeds && i > 3 ? OK : ERROR);
     }
     assertThat(manager.logs.stream().anyMatch(line -> line.contains("its answers fail")))
         .isEqualTo(succeeds);
@@ -384,18 +360,14 @@
   void taskQueuedByKeyIsRejectedWhenItCannotMeetItsDeadline(long left, boolean rejected) {
     ManagerHarness manager = new ManagerHarness().listEngines(true, small("e"));
     for (int i = 0; i < 100; i++) {
-      manager
-          .submit("p" + i + " once a key=" + i)
-          .decide()
-          .advance(150)
-          .endForward("p" + i, 0, Outcome.OK);
+      manager.submit("p" + i + " once a key=" + i).decide().advance(150).endForward("p" + i, 0, OK);
     }
     manager
         .submit("t once a key=7")
         .submit("u once a key=7 cost=1200 left=" + left)
         .decide()
         .advance(1000)
-        .endForward("t", 0, Outcome.OK);
+        .endForward("t", 0, OK);
     assertThat(manager.actionsWith("forward u").isEmpty()).isEqualTo(rejected);
     assertThat(manager.actionsWith("bounce u")).hasSize(rejected ? 1 : 0);
   }
@@ -412,9 +384,9 @@
         .listEngines(true, small("e"))
         .submit("t short a")
         .decide()
-        .endForward("t", 0, Outcome.UNREACHED);
+        .endForward("t", 0, UNREACHED);
     assertThat(manager.submitAll(4, "u# short a").actionsWith("forward u")).isEmpty();
-    manager.advance(1050).endForward("t", 1, Outcome.OK).submitAll(30, "w# stamp b cost=900");
+    manager.advance(1050).endForward("t", 1, OK).submitAll(30, "w# stamp b cost=900");
     assertThat(manager.actionsWith("forward w").size()).isBetween(1, 3);
   }
 
@@ -422,7 +394,7 @@
   void restartedEngineIsNoLongerSuspected() {
     ManagerHarness manager = managerWithHistory(false).submit("t short a").decide();
     String unreachable = manager.actionsWith("forward t ").get(0).split(" ")[2];
-    manager.endForward("t", 0, Outcome.UNREACHED);
+    manager.endForward("t", 0, UNREACHED);
     assertThat(manager.logs)
         .anyMatch(line -> line.startsWith("engine " + unreachable + " suspected"));
     long before = manager.sentTo(unreachable);
@@ -441,7 +413,7 @@
         .submit("l load a cost=9000")
         .decide();
     for (int i = 0; i < 20; i++) {
-      manager.endForward("w" + i, 0, Outcome.OK);
+      manager.endForward("w" + i, 0, OK);
     }
     assertThat(manager.resources).contains("w1 13 3", "t 125 0", "l 13 2");
   }
@@ -500,9 +472,7 @@
     assertThat(manager.actionsWith("bounce t")).hasSize(rejected);
   }
 
-  /**
-   * Guards against a pool that keeps the capacity of an engine's old listing until the next sweep.
-   */
+  /** Guards against a pool that keeps an engine's old capacity until the next sweep. */
   @Test
   void poolUsesAChangedEntryAtOnce() {
     ManagerHarness manager = new ManagerHarness();
--- a/src/test/java/tansytrack/ManagerHarness.java
+++ b/src/test/java/tansytrack/ManagerHarness.java
@@ -127,6 +127,21 @@
     return engine(id, "big", id.hashCode(), EngineEntry.State.READY, 0);
   }
 
+  static LoadReport report(double cpuUtilization, double activeTasks, double memory) {
+    return new LoadReport(cpuUtilization, activeTasks, Double.NaN, memory, Double.NaN);
+  }
+
+  /** A manager of three engines whose run times it has learned from 40 tasks. */
+  static ManagerHarness managerWithHistory(boolean hedging) {
+    ManagerHarness manager = new ManagerHarness();
+    manager.hedging = hedging;
+    manager.listEngines(true, small("e"), small("f"), small("g"));
+    for (int i = 0; i < 40; i++) {
+      manager.submit("p" + i + " short a").decide().advance(50).endForward("p" + i, 0, Outcome.OK);
+    }
+    return manager;
+  }
+
   ManagerHarness listEngines(boolean complete, EngineEntry... entries) {
     return listEngines(complete, List.of(entries));
   }
