--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -48,9 +48,10 @@
       EnumSet.of(Outcome.FULL, Outcome.UNREACHED, Outcome.NEVER_SENT);
   // Weight of one new sample in a moving average.
   private static final double SMOOTHING_FACTOR = 0.05;
-  // How often queued tasks and engines are checked.
+  // The shortest time between two sweeps, the periodic checks of queued tasks and engines.
   private static final long MIN_SWEEP_INTERVAL_NANOS = 25 * NANOS_PER_MS;
-  // The longest interval, used where tasks are rare; it must stay below the deadline margin.
+  // The longest time between two sweeps, used where tasks are rare; it must stay below the
+  // deadline margin.
   private static final long MAX_SWEEP_INTERVAL_NANOS = 50 * NANOS_PER_MS;
   // A task is answered at least this long before its deadline.
   private static final long DEADLINE_MARGIN_NANOS = 60 * NANOS_PER_MS;
@@ -94,8 +95,7 @@
   // tasks, plus this many tasks.
   private static final double COLD_LIMIT_TOLERANCE = 2;
   // A task that needs less than this fraction of the manager's share of a pool's memory is admitted
-  // to an idle
-  // engine even if the pool's memory is used up.
+  // to an idle engine even if the pool's memory is used up.
   private static final double SMALL_TASK_MEMORY_FRACTION = 0.25;
   // Natural logarithm of a task's value relative to the mean: the threshold of the top priority,
   // and the step to each priority below it.
@@ -111,8 +111,8 @@
   private static final double SUSPICION_THRESHOLD = 4;
   // A shorter silence never makes an engine suspected.
   private static final long MIN_SILENCE_NANOS = 400 * NANOS_PER_MS;
-  // The number of signs of life expected between two of them, until it has been learned.
-  private static final double INITIAL_EXPECTED_SIGNS = 1;
+  // The number of answers expected between two signs of life, until it has been learned.
+  private static final double INITIAL_EXPECTED_ANSWERS = 1;
   // A forward is stalled when its remaining time exceeds this multiple of the expected run time.
   private static final double STALLED_RUN_FACTOR = 3;
   // The time from the suspicion of an engine to the first trial task; it doubles up to the maximum.
@@ -258,8 +258,8 @@
       int index,
       String engine,
       Outcome outcome,
-      long lag,
-      boolean over,
+      long elapsedNanos,
+      boolean taskAnswered,
       long cost,
       double memoryMb,
       LoadReport report) {
@@ -267,7 +267,8 @@
     Forward forward = findForward(engine, id, index);
     if (forward != null) {
       forward.engine.post(
-          () -> forward.engine.onForwardEnd(forward, outcome, over, cost, memoryMb, report));
+          () ->
+              forward.engine.onForwardEnd(forward, outcome, taskAnswered, cost, memoryMb, report));
     }
   }
 
@@ -379,7 +380,7 @@
   private class ConcurrencyLimit {
     double maxThreads;
     int usedThreads; // of this manager's tasks there
-    double logSlowdown; // moving average of ln of the slowdown relative to the best one seen
+    double logSlowdownToBest; // mean ln of the slowdown relative to the best one seen
     long halvedAt;
     long pressureUntil;
 
@@ -391,16 +392,17 @@
      */
     boolean allows(QueryClass queryClass, double cores) {
       boolean underPressure =
-          logSlowdown > STRAINED_LOG_SLOWDOWN && usedThreads >= cores || now < pressureUntil;
+          logSlowdownToBest > STRAINED_LOG_SLOWDOWN && usedThreads >= cores || now < pressureUntil;
       return !underPressure && usedThreads < cores * INITIAL_THREADS_PER_CORE
           || usedThreads + queryClass.threads() <= Math.max(maxThreads, queryClass.threads());
     }
 
-    void onAnswer(QueryClass queryClass, double slowdown, boolean busy, double limit) {
-      logSlowdown = movingAverage(logSlowdown, slowdown, 2 * SMOOTHING_FACTOR);
-      if (slowdown > SEVERE_LOG_SLOWDOWN) {
+    void onAnswer(QueryClass queryClass, double relativeLogSlowdown, boolean busy, double limit) {
+      logSlowdownToBest =
+          movingAverage(logSlowdownToBest, relativeLogSlowdown, 2 * SMOOTHING_FACTOR);
+      if (relativeLogSlowdown > SEVERE_LOG_SLOWDOWN) {
         halve();
-      } else if (slowdown < STRAINED_LOG_SLOWDOWN && !busy) {
+      } else if (relativeLogSlowdown < STRAINED_LOG_SLOWDOWN && !busy) {
         maxThreads = Math.min(maxThreads + queryClass.threads(), limit);
       }
     }
@@ -425,10 +427,13 @@
    */
   private final class EnginePool extends ConcurrencyLimit {
     final EngineSubset.EngineGroup group;
-    double cores; // this manager's share of the cores, in warm cores
+    // This manager's share of the cores, each engine's counted by its present capacity fraction.
+    double cores;
     double memoryMb; // this manager's share of the memory
     double grantedMb; // memory granted to this manager's tasks
-    boolean limitedAsWhole; // this manager's share of an engine is less than one thread, on average
+    // The pool's limit replaces the engines' limits, because this manager's share of an engine is
+    // less than one thread, on average.
+    boolean usesPoolLimit;
     double price; // of engine work, in earnings per nanosecond; 0 unless tasks wait
 
     EnginePool(QueryClass queryClass) {
@@ -470,7 +475,7 @@
           grantedMb += engine.grantedMb;
         }
       }
-      limitedAsWhole = surplusThreads < 0;
+      usesPoolLimit = surplusThreads < 0;
       maxThreads =
           previousCores == 0
               ? cores * INITIAL_THREADS_PER_CORE
@@ -487,10 +492,12 @@
     double memoryMargin = INITIAL_GRANT_MARGIN; // added to the bias in a memory grant
     double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
     double meanRunTime = Double.NaN; // of tasks that succeeded, in nanoseconds
-    double logSlowdown = Double.NaN; // mean ln of run time over isolated run time, on all engines
+    double meanLogSlowdown = Double.NaN; // of run time over isolated run time, on all engines
     double bestLogSlowdown = Double.NaN; // the lowest value that this mean has had
     double meanLogValue = Double.NaN; // mean ln of earnings per nanosecond of work
-    boolean noCapacity; // a plain task of this class fitted no engine in the present dispatch pass
+    // In the present dispatch pass no engine had capacity for a task of this class that has no key
+    // and no earlier forwards.
+    boolean noCapacity;
 
     ClassStatistics(QueryClass queryClass, EnginePool pool) {
       this.queryClass = queryClass;
@@ -549,7 +556,7 @@
     /** Returns the expected run time at the fleet's present slowdown. */
     double expectedRunTime() {
       return isolatedRunTime()
-          * (Double.isNaN(statistics.logSlowdown) ? 2 : Math.exp(statistics.logSlowdown));
+          * (Double.isNaN(statistics.meanLogSlowdown) ? 2 : Math.exp(statistics.meanLogSlowdown));
     }
 
     /**
@@ -636,12 +643,14 @@
     final SlidingWindow recentTasks =
         new SlidingWindow(); // tasks within the window of the retry budget (rule 7)
     final SlidingWindow recentRetries = new SlidingWindow(); // retries within that window
-    double warmLogRatio; // mean ln of run time over the usual one, with a warm data set
-    double coldLogRatio = 0.1; // the same without a warm data set
+    // Mean ln of run time over the usual one, where the engine had read the data set recently.
+    double warmDataLogRatio;
+    double coldDataLogRatio = 0.1; // the same where it had not
     boolean hasLoadReports; // whether any engine has ever reported its load
     boolean mostSuspected; // whether most of the fleet is suspected; then suspicion excludes none
     int queuedTasks;
-    long shutdownAt = Long.MAX_VALUE; // the time after which the shutdown loses answers
+    // Answers must be given by this time; Long.MAX_VALUE unless the manager is shutting down.
+    long shutdownAt = Long.MAX_VALUE;
     long lastSentAt;
     long lastSweepAt = now;
     long lastTaskAt = now;
@@ -716,7 +725,7 @@
       int tenantQueued = task.tenantQueue == null ? 0 : task.tenantQueue.tasks.size();
       boolean belowPrice = task.forwardsSent == 0 && task.value() < task.statistics.pool.price;
       boolean noCapacity = !canBeSent(task);
-      if (belowPrice && (noCapacity || !task.statistics.pool.limitedAsWhole)
+      if (belowPrice && (noCapacity || !task.statistics.pool.usesPoolLimit)
           || noCapacity
               && (task.tenantQueue == null
                   || queuedTasks >= MAX_QUEUED_TOTAL
@@ -768,7 +777,7 @@
 
     private boolean canBeSent(Task task) {
       EnginePool pool = task.statistics.pool;
-      return (!pool.limitedAsWhole || pool.allows(task.queryClass, pool.cores))
+      return (!pool.usesPoolLimit || pool.allows(task.queryClass, pool.cores))
           && engines.values().stream().anyMatch(engine -> engine.canTake(task));
     }
 
@@ -825,7 +834,8 @@
       for (int i = 0; i < queue.size(); i++) {
         Task task = queue.get(i);
         boolean unconstrained = task.forwardsSent == 0 && task.keyQueue == null;
-        // Where a plain task of the class cannot be sent, no other task of the class can.
+        // Where a task without a key and earlier forwards cannot be sent, no other of its class
+        // can.
         if (!task.statistics.noCapacity) {
           if (canBeSent(task)) {
             return task;
@@ -849,7 +859,10 @@
       }
     }
 
-    /** Returns a task that no longer fits its engine to the queue, within its remaining budget. */
+    /**
+     * Returns a task that no longer fits its engine to the queue, within its remaining queue wait
+     * budget.
+     */
     private void requeue(Task task) {
       if (task.finished) {
         return;
@@ -918,7 +931,7 @@
       }
     }
 
-    private void onForwardEnd(Forward forward, Outcome outcome, boolean over) {
+    private void onForwardEnd(Forward forward, Outcome outcome, boolean taskAnswered) {
       Task task = forward.task;
       task.openForwards.remove(forward);
       if (!NOT_EXECUTED.contains(outcome)
@@ -930,12 +943,12 @@
         if (outcome == Outcome.TIME_OUT
             || outcome == Outcome.RESET
             || outcome == Outcome.CANCELLED) {
-          // One sweep is added because the end on the engine and this event may cross.
+          // One sweep interval is added, as the query may end on the engine after this event.
           task.keyQueue.cooldownUntilNanos =
               now + settings.keyCooldownNanos() + MAX_SWEEP_INTERVAL_NANOS;
         }
       }
-      if (!task.finished && (over || outcome == Outcome.OK)) {
+      if (!task.finished && (taskAnswered || outcome == Outcome.OK)) {
         finish(task);
       } else if (!task.finished && task.openForwards.isEmpty() && !task.queued) {
         retryOrAnswer(task);
@@ -1018,7 +1031,9 @@
           .values()
           .removeIf(
               engine ->
-                  engine.unused && engine.openForwards.isEmpty() && now >= engine.retainedUntil);
+                  engine.awaitsRemoval
+                      && engine.openForwards.isEmpty()
+                      && now >= engine.retainedUntil);
       updateCapacity();
       pools.values().forEach(EnginePool::adjustSubstitutes);
       updatePrices();
@@ -1088,7 +1103,10 @@
     final String id;
     EngineEntry entry; // as last listed
     boolean ready;
-    boolean unused; // no longer listed or used; it is removed once its forwards have ended
+    // The engine is gone, not listed, or not in the subset any more; it is removed once its
+    // forwards have
+    // ended and the time in retainedUntil has passed.
+    boolean awaitsRemoval;
     long retainedUntil; // the work sent to it while cold counts for a whole window
     final List<EnginePool> servedPools = new ArrayList<>(2);
     boolean isSubstitute; // a substitute for others of the subset; it is not used while cold
@@ -1098,7 +1116,7 @@
     final ArrayList<Forward> openForwards = new ArrayList<>();
     double grantedMb; // memory granted to this manager's tasks there
     final ConcurrencyLimit limit = new ConcurrencyLimit();
-    double logSlowdown; // mean ln of its slowdown relative to the fleet
+    double logSlowdownToFleet; // mean ln of its slowdown relative to the mean of all engines
     long slowdownUpdatedAt = now;
     double observedShare; // moving average of this manager's share of the engine's tasks
     LoadReport report;
@@ -1109,18 +1127,21 @@
     long nextProbeAt;
     int failedProbes;
     long lastSweepAt;
-    long lastSignAt; // the last sign of life, or the first send to the idle engine since then
-    double expectedSigns; // the number of signs of life expected since then by usual run times
-    double meanExpectedSigns = INITIAL_EXPECTED_SIGNS; // mean of that number at the time of a sign
-    double expectedSignsDeviation = INITIAL_EXPECTED_SIGNS; // mean deviation of that number
+    long lastSignOfLifeAt; // the last sign of life, or the first send to the idle engine since then
+    double expectedAnswers; // the number of answers expected since then by usual run times
+    // Mean of expectedAnswers, and of its deviation, when a sign of life arrives.
+    double meanExpectedAnswers = INITIAL_EXPECTED_ANSWERS;
+    double expectedAnswersDeviation = INITIAL_EXPECTED_ANSWERS;
     double failureRate; // moving average of the fraction of failed answers
     boolean unreachable; // at the last attempt; excludes the engine even if most are suspected
     long unreachableAt;
     boolean suspected;
     long nextTrialAt;
     long trialInterval;
-    long coldPermitUntil; // the end of the window for which the random number below holds
-    double coldPermitDraw; // a random number that decides on a permit beyond the even share
+    // A cold-start permit is drawn once per window. It lets this manager send a task that exceeds
+    // its even share, if it has sent no other work to the cold engine within the window.
+    long coldPermitUntil; // the end of the window for which coldPermitDraw holds
+    double coldPermitDraw; // a random number below 1; a permit is given if it is below the chance
     final SlidingWindow recentColdWork =
         new SlidingWindow(); // work sent while cold, in nanoseconds
     final LinkedHashSet<Long> warmDataSets =
@@ -1137,14 +1158,15 @@
     }
 
     private void onListing(EngineEntry listing) {
-      // Posted after each entry: one message for a whole list would precede some of its entries.
+      // Posted for each engine, so that the capacity is also updated after the last engine of a
+      // list. A single message for the whole list would be processed before some of its entries.
       dispatcher.post(dispatcher::updateCapacity);
       boolean isUsed = listing != null && subset.uses(listing);
       ready = isUsed && listing.state() == EngineEntry.State.READY;
       boolean leavesSubset =
-          listing != null && !isUsed && !unused && settings.coldStartLimit() != null;
+          listing != null && !isUsed && !awaitsRemoval && settings.coldStartLimit() != null;
       retainedUntil = leavesSubset ? now + settings.coldStartLimit().windowNanos() : retainedUntil;
-      unused = !isUsed || listing.state() == EngineEntry.State.GONE;
+      awaitsRemoval = !isUsed || listing.state() == EngineEntry.State.GONE;
       servedPools.clear();
       if (listing == null) {
         return;
@@ -1164,7 +1186,7 @@
         warmDataSets.clear();
         suspected = unreachable = false;
         report = null;
-        logSlowdown = limit.logSlowdown = failureRate = 0;
+        logSlowdownToFleet = limit.logSlowdownToBest = failureRate = 0;
         limit.pressureUntil = unreachableAt = failedProbes = 0;
         limit.maxThreads = cores * INITIAL_THREADS_PER_CORE * share();
       }
@@ -1260,10 +1282,12 @@
           COLD_LIMIT_TOLERANCE
               * (Math.sqrt(coldBudget() * dispatcher.meanCost) + dispatcher.meanCost);
       double totalWork = coldBudget() - evenColdShare() * maxExpectedManagers() + tolerance;
-      double deviations = COLD_SAFETY_DEVIATIONS * Math.sqrt(task.cost) / 2;
-      double mean = Math.sqrt(totalWork + deviations * deviations) - deviations;
+      // Solves work + COLD_SAFETY_DEVIATIONS * sqrt(work * cost) = totalWork for sqrt(work): the
+      // second term is the margin for the number of permits, which depends on chance.
+      double rootMargin = COLD_SAFETY_DEVIATIONS * Math.sqrt(task.cost) / 2;
+      double rootWork = Math.sqrt(totalWork + rootMargin * rootMargin) - rootMargin;
       double work =
-          Math.min(mean * mean, coldBudget() / settings.coldStartLimit().overloadFactor());
+          Math.min(rootWork * rootWork, coldBudget() / settings.coldStartLimit().overloadFactor());
       double probability = work / (maxExpectedManagers() * task.cost);
       return coldPermitDraw < probability ? Math.min(1, probability) : 0;
     }
@@ -1309,7 +1333,7 @@
      */
     private boolean threadsFit(Task task) {
       EnginePool pool = task.statistics.pool;
-      return pool.limitedAsWhole
+      return pool.usesPoolLimit
           ? now >= limit.pressureUntil && pool.allows(task.queryClass, pool.cores)
           : limit.allows(task.queryClass, cores * share() * capacityFraction());
     }
@@ -1333,7 +1357,7 @@
     private boolean memoryFits(Task task) {
       EnginePool pool = task.statistics.pool;
       boolean reported =
-          hasFreshReport() && !Double.isNaN(report.grantedMemoryFraction()) && !pool.limitedAsWhole;
+          hasFreshReport() && !Double.isNaN(report.grantedMemoryFraction()) && !pool.usesPoolLimit;
       double neededMb = memoryGrantMb(task);
       double limitMb = reported ? totalMemoryMb - otherMemoryMb : totalMemoryMb * share();
       if (totalMemoryMb <= 0 || grantedMb + neededMb <= limitMb) {
@@ -1393,8 +1417,8 @@
       actions.forward(task.id, id, 0);
       boolean warmData = warmDataSets.remove(task.request.dataSet());
       Forward forward = new Forward(task, this, task.forwardsSent, now, memoryMb, warmData);
-      expectedSigns = openForwards.isEmpty() ? 0 : expectedSigns;
-      lastSignAt = openForwards.isEmpty() ? now : lastSignAt;
+      expectedAnswers = openForwards.isEmpty() ? 0 : expectedAnswers;
+      lastSignOfLifeAt = openForwards.isEmpty() ? now : lastSignOfLifeAt;
       lastSweepAt = openForwards.isEmpty() ? now : lastSweepAt;
       openForwards.add(forward);
       // Recorded here and not by a message: its end, or the next task of its key, may be in the
@@ -1415,7 +1439,7 @@
       if (warmDataSets.size() > MAX_WARM_DATA_SETS) {
         warmDataSets.remove(warmDataSets.iterator().next());
       }
-      // Both values are read only while the engine is suspected.
+      // trialInterval and nextTrialAt have an effect only while the engine is suspected.
       trialInterval = Math.min(MAX_TRIAL_INTERVAL_NANOS, trialInterval * 2);
       nextTrialAt = now + trialInterval;
       dispatcher.post(() -> dispatcher.onSent(task));
@@ -1426,7 +1450,7 @@
     private void onForwardEnd(
         Forward forward,
         Outcome outcome,
-        boolean over,
+        boolean taskAnswered,
         long cost,
         double memoryMb,
         LoadReport received) {
@@ -1454,7 +1478,7 @@
         limit.onOverload();
         forward.task.statistics.pool.onOverload();
       }
-      dispatcher.post(() -> dispatcher.onForwardEnd(forward, outcome, over));
+      dispatcher.post(() -> dispatcher.onForwardEnd(forward, outcome, taskAnswered));
     }
 
     /**
@@ -1495,27 +1519,28 @@
               : task.isolatedRunTime();
       double logRatio = Math.log(runTime / isolatedRunTime);
       statistics.meanRunTime = movingAverage(statistics.meanRunTime, runTime, SMOOTHING_FACTOR);
-      statistics.logSlowdown = movingAverage(statistics.logSlowdown, logRatio, SMOOTHING_FACTOR);
+      statistics.meanLogSlowdown =
+          movingAverage(statistics.meanLogSlowdown, logRatio, SMOOTHING_FACTOR);
       statistics.bestLogSlowdown =
           Double.isNaN(statistics.bestLogSlowdown)
-              ? statistics.logSlowdown
-              : Math.min(statistics.bestLogSlowdown, statistics.logSlowdown);
-      double slowdown = logRatio - Math.max(0, statistics.bestLogSlowdown);
-      dispatcher.warmLogRatio =
+              ? statistics.meanLogSlowdown
+              : Math.min(statistics.bestLogSlowdown, statistics.meanLogSlowdown);
+      double relativeLogSlowdown = logRatio - Math.max(0, statistics.bestLogSlowdown);
+      dispatcher.warmDataLogRatio =
           movingAverage(
-              dispatcher.warmLogRatio,
-              logRatio - statistics.logSlowdown,
+              dispatcher.warmDataLogRatio,
+              logRatio - statistics.meanLogSlowdown,
               forward.warmData ? SMOOTHING_FACTOR / 5 : 0);
-      dispatcher.coldLogRatio =
+      dispatcher.coldDataLogRatio =
           movingAverage(
-              dispatcher.coldLogRatio,
-              logRatio - statistics.logSlowdown,
+              dispatcher.coldDataLogRatio,
+              logRatio - statistics.meanLogSlowdown,
               forward.warmData ? 0 : SMOOTHING_FACTOR / 5);
       updateSlowdown(task, logRatio);
       boolean busy = hasFreshReport() && report.cpuUtilization() >= BUSY_UTILIZATION;
-      limit.onAnswer(task.queryClass, slowdown, busy, cores * MAX_THREADS_PER_CORE);
+      limit.onAnswer(task.queryClass, relativeLogSlowdown, busy, cores * MAX_THREADS_PER_CORE);
       statistics.pool.onAnswer(
-          task.queryClass, slowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
+          task.queryClass, relativeLogSlowdown, busy, statistics.pool.cores * MAX_THREADS_PER_CORE);
     }
 
     /** Updates the slowdown relative to the fleet; a sample counts more where they are rare. */
@@ -1525,10 +1550,11 @@
               (now - slowdownUpdatedAt) / (double) SLOWDOWN_WINDOW_NANOS,
               2 * SMOOTHING_FACTOR,
               0.5);
-      logSlowdown =
-          Double.isNaN(task.statistics.logSlowdown)
-              ? logSlowdown
-              : movingAverage(logSlowdown, logRatio - task.statistics.logSlowdown, weight);
+      logSlowdownToFleet =
+          Double.isNaN(task.statistics.meanLogSlowdown)
+              ? logSlowdownToFleet
+              : movingAverage(
+                  logSlowdownToFleet, logRatio - task.statistics.meanLogSlowdown, weight);
       slowdownUpdatedAt = now;
     }
 
@@ -1571,21 +1597,21 @@
         failedProbes = 0;
         onReport(received);
       } else if (outcome != Outcome.FULL && ++failedProbes >= 2) {
-        suspect("probes unanswered");
+        suspect("probes failed");
       }
     }
 
     // -- Health: the probability of the present silence, given the earlier ones --
 
     private void onSignOfLife() {
-      expectedSignsDeviation =
+      expectedAnswersDeviation =
           movingAverage(
-              expectedSignsDeviation,
-              Math.abs(expectedSigns - meanExpectedSigns),
+              expectedAnswersDeviation,
+              Math.abs(expectedAnswers - meanExpectedAnswers),
               SMOOTHING_FACTOR);
-      meanExpectedSigns = movingAverage(meanExpectedSigns, expectedSigns, SMOOTHING_FACTOR);
-      expectedSigns = 0;
-      lastSignAt = now;
+      meanExpectedAnswers = movingAverage(meanExpectedAnswers, expectedAnswers, SMOOTHING_FACTOR);
+      expectedAnswers = 0;
+      lastSignOfLifeAt = now;
       unreachable = false;
       nextTrialAt = Math.min(nextTrialAt, now + MIN_SILENCE_NANOS);
       if (suspected && failedProbes < 2 && failureRate <= failureRateLimit()) {
@@ -1599,21 +1625,21 @@
       if (capabilities.probing()
           && ready
           && now >= nextProbeAt
-          && now - lastSignAt >= PROBE_AFTER_SILENCE_NANOS) {
+          && now - lastSignOfLifeAt >= PROBE_AFTER_SILENCE_NANOS) {
         nextProbeAt =
             now + (failedProbes > 0 ? MIN_PROBE_INTERVAL_NANOS : dispatcher.probeInterval());
         actions.probe(id);
       }
       openForwards.forEach(
           forward ->
-              expectedSigns +=
+              expectedAnswers +=
                   Math.min(now - lastSweepAt, now - forward.sentAt)
                       / forward.task.expectedRunTime());
       lastSweepAt = now;
-      long silence = now - lastSignAt;
+      long silence = now - lastSignOfLifeAt;
       double suspicion =
-          expectedSigns
-              / (Math.max(meanExpectedSigns, INITIAL_EXPECTED_SIGNS) + expectedSignsDeviation)
+          expectedAnswers
+              / (Math.max(meanExpectedAnswers, INITIAL_EXPECTED_ANSWERS) + expectedAnswersDeviation)
               / Math.log(10);
       if (!suspected && silence > MIN_SILENCE_NANOS && suspicion > SUSPICION_THRESHOLD) {
         suspect("silent for " + silence / NANOS_PER_MS + " ms");
@@ -1689,18 +1715,19 @@
 
     /** Returns the weight of this engine in the random choice for the task. */
     double weight(Task task, double average) {
-      double trust =
+      double reportWeight =
           hasFreshReport()
               ? Math.exp((reportAt - now) * (1 / share() - 1) / REPORT_DECAY_NANOS)
               : 1;
-      double load = IDLE_LOAD_PER_CORE + average + (load(average) - average) * trust;
-      double weight = cores * capacityFraction() / (load * load * load) / Math.exp(2 * logSlowdown);
+      double load = IDLE_LOAD_PER_CORE + average + (load(average) - average) * reportWeight;
+      double weight =
+          cores * capacityFraction() / (load * load * load) / Math.exp(2 * logSlowdownToFleet);
       boolean warmData = warmDataSets.contains(task.request.dataSet());
       weight *=
           warmData
               ? Math.exp(
                   WARM_DATA_EXPONENT
-                      * clamp(dispatcher.coldLogRatio - dispatcher.warmLogRatio, 0, 0.5))
+                      * clamp(dispatcher.coldDataLogRatio - dispatcher.warmDataLogRatio, 0, 0.5))
               : 1;
       if (capacityFraction() < 1 && task.cost > evenColdShare()) {
         // Compensates for the permit: the engine is chosen as often as if none were needed.
--- a/src/main/java/tansytrack/policy/EngineSubset.java
+++ b/src/main/java/tansytrack/policy/EngineSubset.java
@@ -13,10 +13,12 @@
 
 /**
  * Selects which of the listed engines one manager uses, by deterministic subsetting. At level k the
- * manager indexes form blocks of 2^k; each engine takes one manager of each block, choosing bit by
- * bit from the highest one by a hash of its id. So of N managers N / 2^k use an engine, or one
- * more, and of M engines a manager uses about M / 2^k. The reasons for the design are in
- * docs/design.md.
+ * manager indexes form blocks of 2^k, and each engine is used by one manager of each block. A hash
+ * of the engine's id chooses that manager, one bit of the index after the other, from the highest
+ * bit on. At level 1, for example, managers 0 to 3 form the blocks {0, 1} and {2, 3}; one engine
+ * may be used by managers 0 and 3, another one by managers 1 and 3. So an engine is used by N / 2^k
+ * of N managers, rounded down or up, and a manager uses about M / 2^k of M engines. The reasons for
+ * the design are in docs/design.md.
  */
 public final class EngineSubset {
 
@@ -24,14 +26,15 @@
   private static final double MAX_SUBSET_SIZE = 128;
   // The lowest number of managers per engine; fewer would load an engine unevenly.
   private static final int MIN_MANAGERS_PER_ENGINE = 8;
-  // The level falls only when the number of engines is below this fraction of what raised it.
+  // The level falls only when the number of engines is below this fraction of the number at which
+  // the level rises.
   private static final double LEVEL_HYSTERESIS = 0.9;
   private static final int MAX_LEVEL = 20;
-  // Substitutes are added while less than this fraction of the engines in use is healthy. It is
-  // over one half, because where most engines are suspected, suspicion excludes none.
-  private static final double REFILL_BELOW_FRACTION = 0.55;
+  // Substitutes are added while less than this fraction of the engines in use is healthy. The
+  // fraction is over one half, because where most engines are suspected, suspicion excludes none.
+  private static final double ADD_SUBSTITUTES_BELOW_FRACTION = 0.55;
   // Substitutes are released while at least this fraction of the subset's usual size is healthy.
-  private static final double RELEASE_ABOVE_FRACTION = 2 / 3.0;
+  private static final double RELEASE_SUBSTITUTES_FROM_FRACTION = 2 / 3.0;
 
   private final long managerIndex;
   private final EngineList engineList;
@@ -83,19 +86,23 @@
     }
 
     /**
-     * Adds or releases at most one substitute, and returns it, or null. It is called once per sweep
-     * with the engines in use that are healthy and warm. Each manager has an order of its own, as
-     * otherwise all managers would take the same substitutes.
+     * Adds or releases at most one substitute, and returns that engine, or null. This method is
+     * called once per sweep. Each manager has an order of its own, as otherwise all managers would
+     * take the same substitutes.
+     *
+     * @param healthy the engines in use that are healthy and warm
+     * @param available tells whether a further engine may become a substitute
      */
     public EngineEntry adjustSubstitutes(
         List<EngineEntry> healthy, Predicate<EngineEntry> available) {
       double usualSize = engineCounter.value() / (double) (1 << level);
       if (healthy.stream().filter(engine -> inSubset(engine.id())).count()
-          >= RELEASE_ABOVE_FRACTION * usualSize) {
+          >= RELEASE_SUBSTITUTES_FROM_FRACTION * usualSize) {
         String first = substitutes.stream().findFirst().orElse("");
         return substitutes.remove(first) ? engineList.find(first) : null;
       }
-      boolean enough = healthy.size() >= REFILL_BELOW_FRACTION * (usualSize + substitutes.size());
+      boolean enough =
+          healthy.size() >= ADD_SUBSTITUTES_BELOW_FRACTION * (usualSize + substitutes.size());
       if (enough || substitutes.size() >= usualSize) {
         return null;
       }
@@ -173,7 +180,10 @@
     return level;
   }
 
-  /** Returns the highest level up to which the engine selects this manager from its block. */
+  /**
+   * Returns the highest level k at which the engine is used by this manager, of the manager's block
+   * of 2^k indexes.
+   */
   private int highestLevel(String id) {
     long idHash = StableHash.of(id);
     int level = 0;
@@ -185,7 +195,7 @@
     return level;
   }
 
-  /** Orders substitutes: engines of the highest levels first, then by a hash with the index. */
+  /** Orders substitutes by descending highest level, then by a hash with the manager index. */
   private Comparator<EngineEntry> substituteOrder() {
     return Comparator.comparingInt((EngineEntry entry) -> -highestLevel(entry.id()))
         .thenComparingLong(
--- a/src/main/java/tansytrack/service/Rehearsal.java
+++ b/src/main/java/tansytrack/service/Rehearsal.java
@@ -14,7 +14,7 @@
 
 /**
  * A short run of the whole manager on loopback, between a simulated engine and a simulated client.
- * A class data sharing archive that is created when it exits contains the classes that serving
+ * A class data sharing archive that is created when the JVM exits contains the classes that serving
  * needs; without it, a manager on a fraction of a core loads and links classes for seconds.
  */
 final class Rehearsal {
@@ -36,7 +36,7 @@
     try (ServerSocket engine = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       startDaemonThread(() -> acceptConnections(engine));
       String address = "127.0.0.1:" + engine.getLocalPort();
-      String knownEvents =
+      String knownEngines =
           "{\"cursor\":1,\"cmds\":[{\"cursor\":1,\"nodes\":{\"complete\":true,"
               + "\"members\":[{\"id\":\"e\","
               + "\"host_port\":\""
@@ -51,7 +51,7 @@
               config.withAddresses(
                   "127.0.0.1:0",
                   address,
-                  Json.parse(knownEvents.getBytes(StandardCharsets.UTF_8))));
+                  Json.parse(knownEngines.getBytes(StandardCharsets.UTF_8))));
       InetSocketAddress managerAddress = service.listen();
       Thread client = startDaemonThread(() -> runClient(managerAddress, config));
       Thread loop =
@@ -92,8 +92,11 @@
   }
 
   /**
-   * Answers as an engine and as the command channel. Each query is reported as still running at
-   * first; its result has two pages. The command channel reports no new events.
+   * Answers as an engine and as the command channel. POST starts a query, which is at first
+   * reported as still running; {@code /cmd/} is a poll of the command channel, which reports no new
+   * events; {@code GET /o/.../0} is a poll of a query, which returns the first of two pages, and
+   * any other {@code GET /o/} fetches the second page. A GET elsewhere is a probe. What remains is
+   * a DELETE, which cancels a query, or a PUT, which changes a priority.
    */
   private static void serveConnection(Socket connection) {
     try (connection) {
--- a/src/main/java/tansytrack/service/Service.java
+++ b/src/main/java/tansytrack/service/Service.java
@@ -40,8 +40,8 @@
   private static final long MAX_WAIT_NANOS = 1000 * NANOS_PER_MS;
 
   /**
-   * Events that are processed before timers and decisions run. Large, so that events which arrived
-   * in time are not judged as late when the loop lags.
+   * Events that are processed before timers and decisions run. The number is large, so that events
+   * which arrived in time are not judged as late when the loop lags.
    */
   private static final int MAX_EVENTS_PER_ITERATION = 2048;
 
@@ -52,16 +52,16 @@
    */
   private static final long ACCEPT_AFTER_SIGTERM_NANOS = 1000 * NANOS_PER_MS;
 
-  /** Time before the kill that stays for answers to the requests that arrived last. */
-  private static final long FINAL_ANSWERS_NANOS = 100 * NANOS_PER_MS;
+  /** Time reserved before SIGKILL for answers to the requests that arrived last. */
+  private static final long FINAL_ANSWERS_TIME_NANOS = 100 * NANOS_PER_MS;
 
   /**
-   * The platform sends SIGKILL after the longest deadline, of which it counts at most this much,
-   * and {@link Service#KILL_MARGIN_NANOS}.
+   * The platform sends SIGKILL after the longest deadline, or after this time if it is shorter,
+   * plus {@link Service#KILL_MARGIN_NANOS}.
    */
   private static final long MAX_DEADLINE_BEFORE_KILL_NANOS = 3000 * NANOS_PER_MS;
 
-  /** Time between the longest deadline and SIGKILL. */
+  /** Time between the longest deadline and SIGKILL; also the limit for closing after that time. */
   private static final long KILL_MARGIN_NANOS = 700 * NANOS_PER_MS;
 
   /** Part of the operating system's message for EADDRINUSE. */
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Creates the link to the other managers. It reports the number of managers to
-   * `managerCountConsumer`, on any thread.
+   * Creates the link to the other managers. It reports the number of managers to {@code
+   * managerCountConsumer}, on any thread.
    */
   interface PeerManagersFactory {
     PeerManagersFactory NONE = (config, managerCountConsumer) -> PeerManagers.NONE;
@@ -158,7 +158,7 @@
   /**
    * Starts to listen. While the address is in use, because the previous process has not yet
    * released it, binding is retried until the deadline, a value of {@link System#nanoTime}. The
-   * disadvantage: an address that another process keeps is reported only then.
+   * disadvantage: an address that another process keeps is reported only at the deadline.
    */
   InetSocketAddress listen(long deadlineNanos) throws IOException, ProtocolException {
     InetSocketAddress configuredAddress = parseAddress(config.listenAddress());
@@ -205,18 +205,17 @@
 
   /**
    * Polls the channel for the events since the file was written, before any client can connect.
-   * Otherwise the manager would send to engines that began to drain while this process was
-   * starting, which takes a second; that is all the time that the platform allows. The
-   * disadvantage: while the channel is unreachable, a start takes longer by {@link
-   * Service#FIRST_POLL_TIMEOUT_NANOS}.
+   * Otherwise the manager would send to engines that began to drain during the start of this
+   * process: a start takes a second, and the platform allows no more time than that. While the
+   * channel is unreachable, a start takes longer by {@link Service#FIRST_POLL_TIMEOUT_NANOS}.
    */
   private void catchUp() throws IOException {
     timers.now(clock.getAsLong());
-    long deadline = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
-    timers.schedule(deadline, () -> {}); // wakes the loop at that time
+    long pollDeadlineNanos = timers.now() + FIRST_POLL_TIMEOUT_NANOS;
+    timers.schedule(pollDeadlineNanos, () -> {}); // wakes the loop at that time
     channel.poll();
     try {
-      while (!channel.upToDate() && timers.now() < deadline) {
+      while (!channel.upToDate() && timers.now() < pollDeadlineNanos) {
         runOnce();
       }
     } catch (InterruptedException e) {
@@ -446,39 +445,42 @@
             .mapToLong(QueryClass::deadlineNanos)
             .max()
             .orElse(0);
-    long killTime =
+    long killAtNanos =
         timers.now()
             + Math.min(longestDeadline, MAX_DEADLINE_BEFORE_KILL_NANOS)
             + KILL_MARGIN_NANOS;
     Event.info(
         "ending",
-        "shutting down; answers are accepted for "
-            + (killTime - timers.now()) / NANOS_PER_MS
+        "shutting down; answers are delivered for "
+            + (killAtNanos - timers.now()) / NANOS_PER_MS
             + " ms more",
         "for_ms",
-        (killTime - timers.now()) / NANOS_PER_MS);
+        (killAtNanos - timers.now()) / NANOS_PER_MS);
     stopping = true;
     peerManagers.markLeaving();
-    manager.beginShutdown(killTime);
+    manager.beginShutdown(killAtNanos);
     timers.schedule(
-        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, killTime - FINAL_ANSWERS_NANOS),
+        Math.min(timers.now() + ACCEPT_AFTER_SIGTERM_NANOS, killAtNanos - FINAL_ANSWERS_TIME_NANOS),
         () -> {
           sockets.stopListening();
-          closeWhenIdle(killTime);
+          closeWhenIdle(killAtNanos);
         });
   }
 
-  /** Closes the sessions when all requests are answered or the time is up; ends the loop then. */
-  private void closeWhenIdle(long killTime) {
-    boolean timedOut = timers.now() > killTime;
+  /**
+   * Closes the sessions, and then ends the loop, when all requests are answered or the timers'
+   * clock has passed {@code killAtNanos}.
+   */
+  private void closeWhenIdle(long killAtNanos) {
+    boolean timedOut = timers.now() > killAtNanos;
     if (timedOut || manager.idle()) {
       closing = true;
-      // Cancellations to engines are still sent after this.
+      // Cancellations are still sent to engines until the loop stops.
       channel.close();
       manager.close();
-      stopped = sockets.openConnections() == 0 || timers.now() > killTime + KILL_MARGIN_NANOS;
+      stopped = sockets.openConnections() == 0 || timers.now() > killAtNanos + KILL_MARGIN_NANOS;
     }
-    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(killTime));
+    timers.schedule(timers.now() + IDLE_CHECK_INTERVAL_NANOS, () -> closeWhenIdle(killAtNanos));
   }
 
   private void logCounters() {
--- a/src/main/java/tansytrack/state/ForwardResolution.java
+++ b/src/main/java/tansytrack/state/ForwardResolution.java
@@ -9,8 +9,8 @@
 
 /**
  * Asks engines, after a start, about the forwards that the previous run of this manager left
- * unresolved. An engine keeps a query until it has not been polled for 2 s. The engine reports the
- * work of a query that has ended; one that still runs is cancelled, as no client waits for it. The
+ * unresolved. An engine drops a query that has not been polled for 2 s. The engine reports the work
+ * of a query that has ended; one that still runs is cancelled, as no client waits for it. The
  * number of concurrent requests is limited, so that a start does not use up the connections that
  * tasks need.
  */
@@ -19,7 +19,7 @@
   private static final int MAX_CONCURRENT_REQUESTS = 8;
   private static final int MAX_FORWARDS = 4096;
 
-  // An engine holds a long poll open for 250 ms at most.
+  // Longer than the 250 ms for which an engine holds a long poll open.
   private static final long REQUEST_TIMEOUT_NANOS = 600_000_000L;
 
   private final Manager manager;
@@ -38,17 +38,17 @@
     List<TaskListener.UnresolvedForward> list = List.copyOf(forwards);
     unresolved.addAll(list.subList(Math.max(0, list.size() - MAX_FORWARDS), list.size()));
     for (int i = 0; i < MAX_CONCURRENT_REQUESTS; i++) {
-      next();
+      sendNextRequest();
     }
   }
 
-  private void next() {
+  private void sendNextRequest() {
     TaskListener.UnresolvedForward forward = unresolved.poll();
     EngineConnections engine = forward == null ? null : manager.engine(forward.engine());
     if (engine != null) {
       new StatusRequest(forward, engine).send();
     } else if (forward != null) {
-      manager.defer(this::next); // the engine is no longer listed
+      manager.defer(this::sendNextRequest); // the engine is no longer listed
     }
   }
 
@@ -107,7 +107,7 @@
       if (!ended) {
         ended = true;
         timer.cancel();
-        manager.defer(ForwardResolution.this::next);
+        manager.defer(ForwardResolution.this::sendNextRequest);
       }
     }
   }
--- a/src/main/java/tansytrack/state/Manager.java
+++ b/src/main/java/tansytrack/state/Manager.java
@@ -45,14 +45,15 @@
   // connect while all other descriptors are in use.
   private static final int RESERVED_DESCRIPTORS = 64;
 
-  // Of those, the ones that clients may not use: with no more left, a new client is rejected.
+  // The part of the reserved descriptors that clients do not get: a new client is rejected when
+  // fewer descriptors than this are free.
   private static final int MIN_FREE_DESCRIPTORS = 24;
 
   // A request is sent at least this long before the engine closes its connection as idle.
   private static final long IDLE_TIMEOUT_MARGIN_NANOS = 3000 * NANOS_PER_MS;
 
   // Interval of the checks of sessions and idle connections.
-  private static final long ROUND_INTERVAL_NANOS = 500 * NANOS_PER_MS;
+  private static final long CHECK_INTERVAL_NANOS = 500 * NANOS_PER_MS;
   private static final String[] RESULT_COLUMNS = {"c1", "c2", "c3"};
 
   // SQLSTATE system_error: unlike 53300, it does not promise that the statement has not run.
@@ -89,11 +90,11 @@
   private final Map<String, EngineConnections> engines = new LinkedHashMap<>();
   // In the order of their creation.
   private final Map<Integer, PgSession> sessions = new LinkedHashMap<>();
-  private final ArrayDeque<OpenTask> finished = new ArrayDeque<>();
+  private final ArrayDeque<OpenTask> removableTasks = new ArrayDeque<>();
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
   private int lastProcessId;
   // Whether the module was last told that new tasks are admitted.
-  private boolean admitting = true;
+  private boolean moduleAdmitsTasks = true;
   // The number of tasks that have not been answered.
   private int unansweredTasks;
   // Whether the module has received events since its last decision.
@@ -129,7 +130,7 @@
             .map(QueryClass::name)
             .collect(toSet());
     module = moduleFactory.apply(config.settings(), this);
-    timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
+    timers.schedule(timers.now() + CHECK_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
   // ---- Called by the event loop ----
@@ -152,8 +153,8 @@
         decisionPending = false;
         module.decide(timers.now());
         // Removed only after the decision, as the module may still act on a task in the same
-        // decision in which it learns that the task is over.
-        for (OpenTask task = finished.poll(); task != null; task = finished.poll()) {
+        // decision in which it learns that the task has ended.
+        for (OpenTask task = removableTasks.poll(); task != null; task = removableTasks.poll()) {
           if (task.openForwards == 0) {
             tasks.remove(task.id, task);
           }
@@ -223,9 +224,9 @@
     new ArrayList<>(sessions.values()).forEach(PgSession::checkProgress);
     // Not removed at once, as the module may still act on an engine in the same decision in which
     // it learns that the engine is gone.
-    engines.values().removeIf(engine -> engine.retiredLongerThan(2 * ROUND_INTERVAL_NANOS));
+    engines.values().removeIf(engine -> engine.retiredLongerThan(2 * CHECK_INTERVAL_NANOS));
     engines.values().forEach(EngineConnections::closeExpiredIdle);
-    timers.schedule(timers.now() + ROUND_INTERVAL_NANOS, this::checkSessionsAndEngines);
+    timers.schedule(timers.now() + CHECK_INTERVAL_NANOS, this::checkSessionsAndEngines);
   }
 
   // ---- Called by the command channel ----
@@ -261,7 +262,10 @@
 
   // ---- Called for clients ----
 
-  /** Creates a session on an accepted connection; if there is no room, a session is rejected. */
+  /**
+   * Creates a session on an accepted connection. Beyond the limits on sessions and descriptors, a
+   * session is closed with an error: the one that {@link #sessionToEvict} returns, or the new one.
+   */
   public void connectionAccepted(Connection connection) {
     counters.increment("clients.connections");
     int processId = ++lastProcessId;
@@ -294,7 +298,7 @@
   public void query(PgSession session, byte[] sql, long receivedAt) {
     counters.increment("clients.queries");
     Statement statement;
-    TaskRequest offer;
+    TaskRequest request;
     String idempotencyKey;
     try {
       statement = Statement.parse(sql);
@@ -306,9 +310,9 @@
         session.sendRows(PeerManagers.MEMBER_COLUMNS, List.of(memberRows()));
         return;
       }
-      offer = taskParser.parseTask(statement, receivedAt);
+      request = taskParser.parseTask(statement, receivedAt);
       idempotencyKey = TaskParser.idempotencyKey(statement);
-      if (tasks.containsKey(offer.id())) {
+      if (tasks.containsKey(request.id())) {
         throw new ProtocolException("field id: a task with this id is open");
       }
     } catch (ProtocolException e) {
@@ -318,11 +322,11 @@
     }
     OpenTask task =
         new OpenTask(
-            offer.id(),
-            offer.queryClass(),
+            request.id(),
+            request.queryClass(),
             statement.body(),
-            offer.deadlineNanos(),
-            offer.key() != null && orderedClasses.contains(offer.queryClass()),
+            request.deadlineNanos(),
+            request.key() != null && orderedClasses.contains(request.queryClass()),
             idempotencyKey,
             session);
     session.openQuery(task);
@@ -330,12 +334,12 @@
     tasks.put(task.id, task);
     counters.increment("tasks.taken");
     decisionPending = true;
-    if (listener.acceptsTasks() != admitting) {
-      admitting = !admitting;
-      module.onAdmissionChange(timers.now(), admitting);
+    if (listener.acceptsTasks() != moduleAdmitsTasks) {
+      moduleAdmitsTasks = !moduleAdmitsTasks;
+      module.onAdmissionChange(timers.now(), moduleAdmitsTasks);
     }
-    listener.taskAccepted(timers.now(), offer);
-    module.onTask(timers.now(), offer);
+    listener.taskAccepted(timers.now(), request);
+    module.onTask(timers.now(), request);
   }
 
   private static void appendRow(StringBuilder rows, String name, long value) {
@@ -362,11 +366,11 @@
     appendRow(rows, "engines.known", engines.size());
     int maxLength = rows.length() + MAX_ENGINE_STATS_CHARS;
     int notShown = 0;
-    for (EngineStatus view : module.engineStatuses(timers.now())) {
+    for (EngineStatus status : module.engineStatuses(timers.now())) {
       if (rows.length() > maxLength) {
         notShown++;
       } else {
-        appendEngineStats(rows, view);
+        appendEngineStats(rows, status);
       }
     }
     if (notShown > 0) {
@@ -374,16 +378,16 @@
     }
   }
 
-  private void appendEngineStats(StringBuilder rows, EngineStatus view) {
-    EngineConnections engine = engines.get(view.id());
-    String name = "engine." + view.id();
-    appendRow(rows, name + ".forwards.module", view.openForwards());
+  private void appendEngineStats(StringBuilder rows, EngineStatus status) {
+    EngineConnections engine = engines.get(status.id());
+    String name = "engine." + status.id();
+    appendRow(rows, name + ".forwards.module", status.openForwards());
     appendRow(rows, name + ".forwards.sockets", engine == null ? 0 : engine.openForwards);
     appendRow(
         rows,
         name + ".report.age.ms",
-        view.reportAgeNanos() < 0 ? -1 : view.reportAgeNanos() / NANOS_PER_MS);
-    appendRow(rows, name + ".excluded", view.excluded() ? 1 : 0);
+        status.reportAgeNanos() < 0 ? -1 : status.reportAgeNanos() / NANOS_PER_MS);
+    appendRow(rows, name + ".excluded", status.excluded() ? 1 : 0);
   }
 
   private byte[] memberRows() {
@@ -399,7 +403,7 @@
         && session.matchesSecretKey(secretKey)
         && session.openQuery() instanceof OpenTask task) {
       counters.increment("clients.cancels");
-      abandon(
+      endAndNotifyModule(
           task,
           TaskListener.TaskEnd.ABANDONED,
           () -> session.sendError("57014", "canceling statement due to user request"));
@@ -410,7 +414,7 @@
   public void sessionEnded(PgSession session) {
     if (session.openQuery() instanceof OpenTask task) {
       counters.increment("clients.left");
-      abandon(task, TaskListener.TaskEnd.ABANDONED, () -> {});
+      endAndNotifyModule(task, TaskListener.TaskEnd.ABANDONED, () -> {});
     }
   }
 
@@ -431,14 +435,14 @@
   void taskTimedOut(OpenTask task) {
     if (!task.answered()) {
       PgSession session = task.session;
-      abandon(
+      endAndNotifyModule(
           task,
           TaskListener.TaskEnd.TIME_UP,
           () -> session.sendError(SQLSTATE_FAILED, "the time is up; the statement may have run"));
     }
   }
 
-  private void abandon(OpenTask task, TaskListener.TaskEnd end, Runnable sendAnswer) {
+  private void endAndNotifyModule(OpenTask task, TaskListener.TaskEnd end, Runnable sendAnswer) {
     if (!task.answered()) {
       endTask(task, end, 0, sendAnswer);
       decisionPending = true;
@@ -452,7 +456,7 @@
   void forwardEnded(
       OpenForward forward,
       Outcome outcome,
-      long work,
+      long workNanos,
       double memoryMb,
       LoadReport report,
       List<byte[]> pages) {
@@ -461,7 +465,8 @@
     forward.engine.openForwards--;
     counters.increment("forwards.ended." + outcome);
     boolean served = outcome == Outcome.OK && !task.answered();
-    listener.forwardEnded(timers.now(), task.id, forward.index, outcome, work, memoryMb, served);
+    listener.forwardEnded(
+        timers.now(), task.id, forward.index, outcome, workNanos, memoryMb, served);
     if (served) {
       PgSession session = task.session;
       endTask(
@@ -471,7 +476,7 @@
           () -> session.sendRows(RESULT_COLUMNS, pages));
     }
     boolean taskAnswered = task.answered();
-    removeIfFinished(task);
+    markRemovableIfFinished(task);
     decisionPending = true;
     module.onForwardEnd(
         timers.now(),
@@ -481,7 +486,7 @@
         outcome,
         timers.now() - forward.createdAt,
         taskAnswered,
-        work,
+        workNanos,
         memoryMb,
         report);
   }
@@ -493,13 +498,13 @@
     task.session.openQuery(null);
     task.session = null;
     task.forwards.forEach(OpenForward::withdrawUnsent);
-    removeIfFinished(task);
+    markRemovableIfFinished(task);
     listener.beforeAnswer(timers.now(), task.id, end, bytes, sendAnswer);
   }
 
-  private void removeIfFinished(OpenTask task) {
+  private void markRemovableIfFinished(OpenTask task) {
     if (task.answered() && task.openForwards == 0) {
-      finished.add(task);
+      removableTasks.add(task);
     }
   }
 
--- a/src/test/java/tansytrack/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/tansytrack/adapter/SimulatorAdapterTest.java
@@ -44,18 +44,18 @@
             + " 0.000;FINISHED",
         "unknown grade | INCOMING manager-1 rq_1 h a - 9000.0 - - - 0 | BOUNCE manager-1 rq_1"
             + " 0.000;FINISHED",
-        "time up | INCOMING manager-1 rq_1 g a - 99.5 - - - 0 | BOUNCE manager-1 rq_1"
+        "deadline has passed | INCOMING manager-1 rq_1 g a - 99.5 - - - 0 | BOUNCE manager-1 rq_1"
             + " 0.000;FINISHED",
         "timer | WAKEUP manager-1 sweep | DEFER manager-1 50.000 sweep;FINISHED",
-        "late news | ABANDONED manager-1 rq_9 | FINISHED",
-        "peer | INBOX manager-1 2 aGkgNw== | FINISHED",
+        "client of an unknown task leaves | ABANDONED manager-1 rq_9 | FINISHED",
+        "message of a peer is ignored | INBOX manager-1 2 aGkgNw== | FINISHED",
         "failed list | BACKENDS_CHANGED manager-1 2 3 - | FINISHED"
       })
   void writesActions(String name, String event, String reply) throws IOException {
     assertThat(run(batch(0, ATTACH + LISTED) + batch(100, event.isEmpty() ? "" : event + "\n")))
         .isZero();
-    String said = out.toString(StandardCharsets.UTF_8);
-    assertThat(said.substring(said.indexOf("FINISHED\n") + 9).replace("\n", ";"))
+    String output = out.toString(StandardCharsets.UTF_8);
+    assertThat(output.substring(output.indexOf("FINISHED\n") + 9).replace("\n", ";"))
         .as(name)
         .isEqualTo(reply + ";");
   }
@@ -93,12 +93,12 @@
   @org.junit.jupiter.api.Test
   void failureOfAModuleIsReportedOnce() throws IOException {
     byte[] in = batch(0, ATTACH + LISTED + TASK).getBytes(StandardCharsets.UTF_8);
-    PrintStream said = new PrintStream(err, true, StandardCharsets.UTF_8);
+    PrintStream errorStream = new PrintStream(err, true, StandardCharsets.UTF_8);
     assertThat(
             new SimulatorAdapter(
                     new ByteArrayInputStream(in),
                     out,
-                    said,
+                    errorStream,
                     (settings, actions) -> {
                       throw new IllegalStateException("no\nidea");
                     })
@@ -112,7 +112,7 @@
   }
 
   @org.junit.jupiter.api.Test
-  void listSlotIsReadInTheOrderOfEvents() throws IOException {
+  void engineListUsesTheLastRegisteredSlotContents() throws IOException {
     String reused = LISTED + "REGISTER 0 1\nM 1 z 0 engine-a k - 0\n" + TASK;
     assertThat(run(batch(0, ATTACH + reused))).isZero();
     assertThat(out.toString(StandardCharsets.UTF_8)).contains("FORWARD manager-1 rq_1 engine-a");
--- a/src/test/java/tansytrack/service/ServiceCancelTest.java
+++ b/src/test/java/tansytrack/service/ServiceCancelTest.java
@@ -9,7 +9,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tansytrack.service.ServiceTest.Client;
 
-/** Tasks that are cancelled: by their client, at their time limit, or after an engine failed. */
+/**
+ * Tests tasks that are cancelled: by their client, at their time limit, or after an engine failed.
+ *
+ * <p>The statements control the answers of {@link StatementServer}: to "silent" it answers no poll;
+ * to "late" it leaves one poll unanswered; with "restarted" it breaks the connection at the first
+ * poll and then does not know the query; with "die" it crashes after two polls, and with "stalldie"
+ * after leaving a poll unanswered before. The query class "safe" is idempotent, "once" is not.
+ */
 class ServiceCancelTest extends ServiceFixture {
 
   @Test
@@ -76,12 +83,12 @@
 
   /**
    * Guards against a second copy of a query, and against a query of the same key that starts too
-   * early. A refused connection means that the process died, but a request that stalled before may
-   * still be processed. In that case 2 s must pass.
+   * early. A refused connection means that the process died. If a request had stalled before, that
+   * request may still be processed, so 2 s must pass.
    */
   @ParameterizedTest(name = "{0}: answered in under 1.5 s: {1}")
   @CsvSource({"die, true", "stalldie, false"})
-  void aCrashedProcessProvesNoEndAfterAStalledRequest(String statement, boolean answeredSoon)
+  void anEngineThatDiesAfterAStalledRequestDelaysTheAnswer(String statement, boolean answeredSoon)
       throws IOException {
     try (Client client = new Client(address).startSession()) {
       long startedAt = System.nanoTime();
--- a/src/test/java/tansytrack/state/ManagerTest.java
+++ b/src/test/java/tansytrack/state/ManagerTest.java
@@ -20,7 +20,8 @@
 import tansytrack.wire.Sockets;
 
 /**
- * Tests events that cross each other: the module acts on a task or an engine that is gone by then.
+ * Tests actions and events that overlap: the module acts on a task or an engine that is gone by
+ * then.
  */
 class ManagerTest {
 
@@ -36,7 +37,7 @@
           + "'connect_timeout_ms':250}}}";
 
   private final Timers timers = new Timers();
-  private final Sockets sockets = new Sockets(note -> {}, () -> 0);
+  private final Sockets sockets = new Sockets(event -> {}, () -> 0);
   private final Manager manager;
   private final PgSession session;
 
@@ -92,9 +93,10 @@
    */
   @ParameterizedTest(name = "left before the decision: {0}")
   @CsvSource({"true, forwards.ended.NEVER_SENT", "false, forwards.ended.UNREACHED"})
-  void abandonedTaskEndsItsForwardInTheSameIteration(boolean before, String endCounter) {
+  void abandonedTaskEndsItsForwardInTheSameIteration(
+      boolean leavesBeforeDecision, String endCounter) {
     sendQuery();
-    if (before) {
+    if (leavesBeforeDecision) {
       manager.sessionEnded(session);
     }
     manager.processPending();
@@ -103,8 +105,8 @@
     timers.runDue();
     assertThat(manager.counters().get(endCounter)).isEqualTo(1);
     assertThat(manager.counters().get("tasks.taken")).isEqualTo(1);
-    assertThat(manager.counters().get("tasks.abandoned")).isEqualTo(before ? 1 : 0);
-    assertThat(manager.idle()).isEqualTo(before);
+    assertThat(manager.counters().get("tasks.abandoned")).isEqualTo(leavesBeforeDecision ? 1 : 0);
+    assertThat(manager.idle()).isEqualTo(leavesBeforeDecision);
   }
 
   /**
@@ -140,8 +142,11 @@
   }
 
   /**
-   * A forward that cannot be cancelled, as its machine does not respond, must not end before the
-   * engine has certainly dropped the query. Otherwise a second query could run next to it.
+   * A forward that cannot be cancelled, as the engine's machine does not respond, must not end
+   * before the engine has certainly dropped the query. Otherwise a second query could run next to
+   * it. An engine drops a query that was not polled for 2 s and checks for such queries every 2 s;
+   * the last poll may have been held open for 250 ms, and 150 ms are added for the network. The
+   * connect timeout is 250 ms.
    */
   @ParameterizedTest(name = "after {0} ms: {1} ended")
   @CsvSource({"260, 0", "2010, 0", "2400, 0", "4010, 0", "4260, 0", "4400, 1"})
