--- a/src/main/java/tansytrack/Decide.java
+++ b/src/main/java/tansytrack/Decide.java
@@ -492,7 +492,7 @@
     double memoryMargin = INITIAL_GRANT_MARGIN; // added to the bias in a memory grant
     double meanCost = Double.NaN; // of accepted tasks, in nanoseconds of work
     double meanRunTime = Double.NaN; // of tasks that succeeded, in nanoseconds
-    double meanLogSlowdown = Double.NaN; // of run time over isolated run time, on all engines
+    double logSlowdown = Double.NaN; // mean ln of run time over isolated run time, on all engines
     double bestLogSlowdown = Double.NaN; // the lowest value that this mean has had
     double meanLogValue = Double.NaN; // mean ln of earnings per nanosecond of work
     // In the present dispatch pass no engine had capacity for a task of this class that has no key
@@ -556,7 +556,7 @@
     /** Returns the expected run time at the fleet's present slowdown. */
     double expectedRunTime() {
       return isolatedRunTime()
-          * (Double.isNaN(statistics.meanLogSlowdown) ? 2 : Math.exp(statistics.meanLogSlowdown));
+          * (Double.isNaN(statistics.logSlowdown) ? 2 : Math.exp(statistics.logSlowdown));
     }
 
     /**
@@ -1519,22 +1519,21 @@
               : task.isolatedRunTime();
       double logRatio = Math.log(runTime / isolatedRunTime);
       statistics.meanRunTime = movingAverage(statistics.meanRunTime, runTime, SMOOTHING_FACTOR);
-      statistics.meanLogSlowdown =
-          movingAverage(statistics.meanLogSlowdown, logRatio, SMOOTHING_FACTOR);
+      statistics.logSlowdown = movingAverage(statistics.logSlowdown, logRatio, SMOOTHING_FACTOR);
       statistics.bestLogSlowdown =
           Double.isNaN(statistics.bestLogSlowdown)
-              ? statistics.meanLogSlowdown
-              : Math.min(statistics.bestLogSlowdown, statistics.meanLogSlowdown);
+              ? statistics.logSlowdown
+              : Math.min(statistics.bestLogSlowdown, statistics.logSlowdown);
       double relativeLogSlowdown = logRatio - Math.max(0, statistics.bestLogSlowdown);
       dispatcher.warmDataLogRatio =
           movingAverage(
               dispatcher.warmDataLogRatio,
-              logRatio - statistics.meanLogSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? SMOOTHING_FACTOR / 5 : 0);
       dispatcher.coldDataLogRatio =
           movingAverage(
               dispatcher.coldDataLogRatio,
-              logRatio - statistics.meanLogSlowdown,
+              logRatio - statistics.logSlowdown,
               forward.warmData ? 0 : SMOOTHING_FACTOR / 5);
       updateSlowdown(task, logRatio);
       boolean busy = hasFreshReport() && report.cpuUtilization() >= BUSY_UTILIZATION;
@@ -1551,10 +1550,9 @@
               2 * SMOOTHING_FACTOR,
               0.5);
       logSlowdownToFleet =
-          Double.isNaN(task.statistics.meanLogSlowdown)
+          Double.isNaN(task.statistics.logSlowdown)
               ? logSlowdownToFleet
-              : movingAverage(
-                  logSlowdownToFleet, logRatio - task.statistics.meanLogSlowdown, weight);
+              : movingAverage(logSlowdownToFleet, logRatio - task.statistics.logSlowdown, weight);
       slowdownUpdatedAt = now;
     }
 
