--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -17,9 +17,9 @@
 
   // Above this many members the sync interval grows with their number, because each sync is longer.
   private static final int SYNC_SCALING_MEMBERS = 32;
-  // Probe rounds between two attempts to contact dead members and unknown seeds.
+  // Probe rounds between two attempts to contact dead members, and unknown or left seeds.
   private static final int REJOIN_EVERY_PROBES = 3;
-  private static final int MAX_SEEDS_PER_REJOIN = 3;
+  private static final int MAX_CONTACTS_PER_REJOIN = 3;
   private static final int MAX_INDIRECT_PROBES = 256;
 
   private final MembershipConfig config;
@@ -62,7 +62,7 @@
 
   // ---- Queries ----
 
-  /** The number of live members, with a version that changes whenever the number does. */
+  /** Live members in all and in the zone; the version changes whenever either number does. */
   public MembershipView view() {
     return members.view();
   }
@@ -93,7 +93,7 @@
     return local.counts;
   }
 
-  /** The local health score of Lifeguard: 0 is healthy, higher values lengthen timeouts. */
+  /** Health score of Lifeguard (a SWIM extension): 0 is healthy, higher lengthens timeouts. */
   public int healthScore() {
     return local.healthScore;
   }
@@ -219,7 +219,7 @@
     return outbox.drainActions();
   }
 
-  /** Publishes this member's value for a subject; it expires unless it is published again. */
+  /** Publishes this member's values for a kind and subject; they expire unless renewed. */
   public List<Action> publishFact(
       long now, String kind, String subject, long[] values, long ttlNanos) {
     advanceClock(now);
@@ -243,8 +243,8 @@
   // ---- Timers ----
 
   /**
-   * Advances the clock. A process that was paused has heard nobody meanwhile and must not blame the
-   * others for it: pending probes are discarded, suspicions are extended by the pause, and the
+   * Advances the clock. A process that was paused has received nothing in the meantime and must not
+   * suspect the others: pending probes are discarded, suspicions are extended by the pause, and the
    * local health score is set to its maximum.
    */
   private void advanceClock(long now) {
@@ -295,7 +295,7 @@
           target.state);
     }
     if (local.liveMembers == 1 || probeRounds % REJOIN_EVERY_PROBES == 0) {
-      contactUnreachable();
+      attemptRejoin();
     }
     if (local.now >= nextSyncAt && sync == null) {
       nextSyncAt =
@@ -347,7 +347,7 @@
    * healed partition that declared each other dead would stay apart, and so would a member whose
    * seeds were down when it started.
    */
-  private void contactUnreachable() {
+  private void attemptRejoin() {
     List<String> addresses = new ArrayList<>();
     Map<String, MemberState> byAddress = new HashMap<>();
     for (Member member : members.all()) {
@@ -366,7 +366,7 @@
     members.shuffle(addresses);
     for (String address :
         addresses.subList(
-            0, Math.min(local.liveMembers == 1 ? MAX_SEEDS_PER_REJOIN : 1, addresses.size()))) {
+            0, Math.min(local.liveMembers == 1 ? MAX_CONTACTS_PER_REJOIN : 1, addresses.size()))) {
       MemberState known = byAddress.get(address);
       sendPage(
           Message.Kind.SYNC_REQUEST,
@@ -394,8 +394,8 @@
   }
 
   /**
-   * The state held of the sender if it differs from what the sender announces; the sender may not
-   * know of the claim that it has to refute.
+   * A list of the state held of the sender if it differs from what the sender announces, or empty.
+   * The sender may not know of a state told of it (such as SUSPECT) that it has to refute.
    */
   private List<MemberState> correctionFor(MemberState announced) {
     Member sender = members.get(announced.name());
--- a/src/main/java/tansytrack/fleet/Probe.java
+++ b/src/main/java/tansytrack/fleet/Probe.java
@@ -6,7 +6,7 @@
   final long requestId;
   final long directTimeoutAt;
   int helpersAsked;
-  // Helpers that received no ack from the target either.
+  // The number of helpers that reported no ack from the target.
   int nacks;
   boolean acknowledged;
   boolean indirect;
--- a/src/main/java/tansytrack/fleet/SelfClaims.java
+++ b/src/main/java/tansytrack/fleet/SelfClaims.java
@@ -11,7 +11,8 @@
 
   private final LocalState local;
   private final Outbox outbox;
-  // By instance ID of another process with this name: the incarnation that superseded its claim.
+  // By instance ID of another process with this name: this member's incarnation with which it
+  // refuted that process.
   private final Map<Long, Long> refutedIncarnations = new HashMap<>();
   private long nameConflictAt = Long.MIN_VALUE;
 
@@ -40,6 +41,7 @@
     Long refutedAt = refutedIncarnations.get(claim.instanceId());
     boolean isConflict = refutedAt != null && claim.incarnation() > refutedAt;
     if (isConflict) {
+      // The fixed name of the counter of name conflicts.
       local.count("twin");
       if (local.now - nameConflictAt < NAME_CONFLICT_INTERVAL_NANOS
           && nameConflictAt != Long.MIN_VALUE) {
--- a/src/main/java/tansytrack/ledger/disk/LedgerStore.java
+++ b/src/main/java/tansytrack/ledger/disk/LedgerStore.java
@@ -24,8 +24,7 @@
  * One manager's ledger in an SQLite database with a write-ahead log that is synchronized at each
  * commit. Complete entries, amendments and gaps (the lines of the ledger) get consecutive positions
  * from one counter, in the order in which they are completed. Bills and batches refer to lines by
- * position. Opening a ledger does not read all of it, because an index contains just the open
- * tasks.
+ * position. Opening a ledger does not read all of it, as the open tasks have an index of their own.
  */
 public final class LedgerStore implements AutoCloseable {
 
@@ -41,7 +40,7 @@
    * @param lastPosition the last position whose entries are in its subtotals
    * @param author who closed it
    * @param sha256 the hash of its subtotals
-   * @param billing the text of the billing section with which it was closed
+   * @param billing the text of the billing section of the operator file with which it was closed
    */
   public record ClosedPeriod(
       String period,
@@ -51,7 +50,10 @@
       String sha256,
       String billing) {}
 
-  /** A sealed batch; {@code placedAt} and {@code ackedAt} are 0 until then. */
+  /**
+   * A sealed batch; {@code placedAt} is 0 until it is placed in the export folder, and {@code
+   * ackedAt} is 0 until it is acknowledged.
+   */
   public record Batch(
       long number,
       long firstPosition,
@@ -63,7 +65,7 @@
       long placedAt,
       long ackedAt) {}
 
-  /** Visits lines in the order of their positions; ignores those without an overridden method. */
+  /** Visits lines in the order of their positions. By default a line is ignored. */
   public interface LineVisitor {
     /** Visits the complete entry of a task. */
     default void entry(long position, Entry entry) throws IOException {}
@@ -77,9 +79,9 @@
 
   private final Path folder;
   private final FaultInjector faults;
-  // Its transactions acquire the write lock when they begin.
+  // Transactions of this connection acquire the write lock when they begin.
   private final Connection writeConnection;
-  // Its transactions read a snapshot and block nobody.
+  // Transactions of this connection read a snapshot and block no other transaction.
   private final Connection readConnection;
   private final LineReader lineReader;
   private final BillingReader billingReader;
@@ -234,15 +236,17 @@
    * Begins a new epoch, marks the tasks that earlier epochs left open as unresolved, and returns
    * the number of such tasks.
    *
-   * @param openForwards receives the task and the engine of each forward that was in flight
+   * @param unresolvedForwardConsumer receives the task and the engine of each forward that is
+   *     unresolved
    */
-  long beginEpoch(long now, BiConsumer<String, String> openForwards) throws IOException {
+  long beginEpoch(long nowNanos, BiConsumer<String, String> unresolvedForwardConsumer)
+      throws IOException {
     return inTransaction(
         "epoch",
         () -> {
           EpochStart start = new EpochStart(writeConnection);
-          epoch = start.begin(now);
-          return start.endOpenTasks(openForwards);
+          epoch = start.begin(nowNanos);
+          return start.endOpenTasks(unresolvedForwardConsumer);
         });
   }
 
@@ -279,28 +283,28 @@
   }
 
   /** The number of open tasks that were accepted in a time span (end exclusive). */
-  public long openTasks(long from, long until) throws IOException {
+  public long openTasks(long startNanos, long endNanos) throws IOException {
     return inReadTransaction(
         () -> {
           try (PreparedStatement query =
                   readConnection.prepareStatement(
                       "SELECT count(*) FROM entry INDEXED BY entry_open WHERE pos IS NULL AND"
                           + " taken_at >= ? AND taken_at < ?");
-              ResultSet rows = Sql.bind(query, from, until).executeQuery()) {
+              ResultSet rows = Sql.bind(query, startNanos, endNanos).executeQuery()) {
             rows.next();
             return rows.getLong(1);
           }
         });
   }
 
-  /** Whether there is a complete or open entry with that epoch and number. */
-  public boolean containsEntry(long ofEpoch, long sequence) throws IOException {
+  /** Whether there is a complete or open entry with that epoch and sequence. */
+  public boolean containsEntry(long entryEpoch, long sequence) throws IOException {
     return inReadTransaction(
         () -> {
           try (PreparedStatement query =
                   readConnection.prepareStatement(
                       "SELECT 1 FROM entry WHERE epoch = ? AND seq = ?");
-              ResultSet rows = Sql.bind(query, ofEpoch, sequence).executeQuery()) {
+              ResultSet rows = Sql.bind(query, entryEpoch, sequence).executeQuery()) {
             return rows.next();
           }
         });
@@ -320,7 +324,9 @@
     return inReadTransaction(() -> List.copyOf(lineReader.amendments(0, Long.MAX_VALUE).values()));
   }
 
-  /** Runs that engines reported when a manager asked after its start about forwards in flight. */
+  /**
+   * Runs that engines reported when the manager, after a start, asked about unresolved forwards.
+   */
   public List<Reconciliation.Run> reportedRuns() throws IOException {
     return inReadTransaction(
         () -> {
@@ -434,7 +440,7 @@
         });
   }
 
-  /** Stores the time at which a batch was placed, unless it has one. */
+  /** Stores the time at which a batch was placed in the export folder, unless it has one. */
   public void markPlaced(long number, long timeNanos) throws IOException {
     setTimeOnce("placed_at", number, timeNanos);
   }
--- a/src/test/java/tansytrack/fleet/MembershipTest.java
+++ b/src/test/java/tansytrack/fleet/MembershipTest.java
@@ -59,14 +59,16 @@
     return Stream.of(
         arguments("the same again", alive, alive, ALIVE, 5L),
         arguments("suspected", alive, state("b", 1, 5, SUSPECT), SUSPECT, 5L),
-        arguments("suspected at an older one", alive, state("b", 1, 4, SUSPECT), ALIVE, 5L),
+        arguments("suspected at an older incarnation", alive, state("b", 1, 4, SUSPECT), ALIVE, 5L),
         arguments("refuted", state("b", 1, 5, SUSPECT), state("b", 1, 6, ALIVE), ALIVE, 6L),
-        arguments("alive again at the same", state("b", 1, 5, SUSPECT), alive, SUSPECT, 5L),
-        arguments("dead by hearsay", alive, state("b", 1, 5, DEAD), SUSPECT, 5L),
+        arguments(
+            "alive again at the same incarnation", state("b", 1, 5, SUSPECT), alive, SUSPECT, 5L),
+        arguments("dead as reported by another member", alive, state("b", 1, 5, DEAD), SUSPECT, 5L),
         arguments("left", alive, state("b", 1, 6, LEFT), LEFT, 6L),
-        arguments("left, told late", state("b", 1, 7, ALIVE), state("b", 1, 6, LEFT), ALIVE, 7L),
-        arguments("another life, older", alive, state("b", 9, 4, ALIVE), ALIVE, 5L),
-        arguments("another life, later", alive, state("b", 9, 6, ALIVE), ALIVE, 6L),
+        arguments(
+            "left, received late", state("b", 1, 7, ALIVE), state("b", 1, 6, LEFT), ALIVE, 7L),
+        arguments("another instance, older incarnation", alive, state("b", 9, 4, ALIVE), ALIVE, 5L),
+        arguments("another instance, newer incarnation", alive, state("b", 9, 6, ALIVE), ALIVE, 6L),
         arguments("unknown and dead", null, state("b", 1, 5, DEAD), null, 0L));
   }
 
@@ -132,7 +134,7 @@
         arguments("a name that sorts after all others", state("~b", 1, 1, ALIVE), valid),
         arguments("a name that is too long", state("b".repeat(65), 1, 1, ALIVE), valid),
         arguments("incarnation 0", state("b", 1, 0, ALIVE), valid),
-        arguments("an incarnation without room", state("b", 1, Long.MAX_VALUE, ALIVE), valid),
+        arguments("the maximum incarnation", state("b", 1, Long.MAX_VALUE, ALIVE), valid),
         arguments("no instance ID", state("b", 0, 1, ALIVE), valid),
         arguments("an invalid update", valid, state("c", 1, -1, ALIVE)));
   }
