--- a/src/main/java/tansytrack/fleet/Membership.java
+++ b/src/main/java/tansytrack/fleet/Membership.java
@@ -395,7 +395,7 @@
 
   /**
    * A list of the state held of the sender if it differs from what the sender announces, or empty.
-   * The sender may not know of a state told of it (such as SUSPECT) that it has to refute.
+   * The sender may not know of a state reported of it, such as SUSPECT, that it must refute.
    */
   private List<MemberState> correctionFor(MemberState announced) {
     Member sender = members.get(announced.name());
--- a/src/main/java/tansytrack/fleet/SelfClaims.java
+++ b/src/main/java/tansytrack/fleet/SelfClaims.java
@@ -13,7 +13,7 @@
   private final Outbox outbox;
   // By instance ID of another process with this name: this member's incarnation with which it
   // refuted that process.
-  private final Map<Long, Long> refutedIncarnations = new HashMap<>();
+  private final Map<Long, Long> refutingIncarnations = new HashMap<>();
   private long nameConflictAt = Long.MIN_VALUE;
 
   SelfClaims(LocalState local, Outbox outbox) {
@@ -38,8 +38,8 @@
     if (!claim.supersedes(local.self)) {
       return;
     }
-    Long refutedAt = refutedIncarnations.get(claim.instanceId());
-    boolean isConflict = refutedAt != null && claim.incarnation() > refutedAt;
+    Long refutingIncarnation = refutingIncarnations.get(claim.instanceId());
+    boolean isConflict = refutingIncarnation != null && claim.incarnation() > refutingIncarnation;
     if (isConflict) {
       // The fixed name of the counter of name conflicts.
       local.count("twin");
@@ -53,8 +53,8 @@
     // The claim is of an earlier instance of this member or of another process with its name. The
     // highest incarnation holds the name.
     long nextIncarnation = claim.incarnation() + 1;
-    refutedIncarnations.clear();
-    refutedIncarnations.put(claim.instanceId(), nextIncarnation);
+    refutingIncarnations.clear();
+    refutingIncarnations.put(claim.instanceId(), nextIncarnation);
     if (nextIncarnation <= MemberState.MAX_INCARNATION) {
       outbox.updateSelf(
           local.self.withIncarnation(nextIncarnation, local.self.status(), local.self.stage()));
